--- /dev/null
+++ b/benchmarks/readability.py
@@ -0,0 +1,157 @@
+"""Count what makes the code hard to read, per package: identifiers with the project's old plain words.
+
+The plain words are those that issue 33 lists (``told``, ``news``, ``held`` ...): an identifier such as
+``told_at`` or ``ToldList`` counts once for ``told``. Identifiers are taken from Python's tokenizer, so
+strings and comments do not count. Public items without a doc comment are counted by ruff's D1 rules,
+which this command runs with every D1 rule selected and no per-file exemption.
+
+Run from the repository's root::
+
+    python -m benchmarks.readability            # a table, one row per package
+    python -m benchmarks.readability --json     # the same as JSON, for docs/measurements/
+
+Needs ruff (``.ci-venv/bin/ruff`` after ``make lint``) for the doc comment figures; without it they
+are left out.
+"""
+
+from __future__ import annotations
+
+import argparse
+import io
+import json
+import re
+import shutil
+import subprocess
+import sys
+import tokenize
+from collections import Counter
+from pathlib import Path
+
+PLAIN_WORDS = (
+    "told",
+    "news",
+    "held",
+    "kept",
+    "aim",
+    "worth",
+    "cold",
+    "room",
+    "share",
+    "life",
+    "holder",
+    "probe",
+    "in_touch",
+    "keyed",
+)
+ROOTS = ("stoatrouter", "cypressworks")
+MAX_LINES = 400
+_CAMEL_BOUNDARY = re.compile(r"(?<=[a-z0-9])(?=[A-Z])")
+
+
+def identifier_words(name: str) -> list[str]:
+    """Split an identifier into lower-case words: ``ToldList`` and ``told_list`` both give told, list."""
+    spaced = _CAMEL_BOUNDARY.sub("_", name).lower()
+    words = [word for word in spaced.split("_") if word]
+    joined = "_".join(words)
+    if "in_touch" in joined:
+        words.append("in_touch")
+    return words
+
+
+def plain_words_in(path: Path) -> Counter[str]:
+    """Count the plain words in the identifiers of one file; a file that does not tokenize counts none."""
+    counts: Counter[str] = Counter()
+    try:
+        tokens = list(tokenize.generate_tokens(io.StringIO(path.read_text()).readline))
+    except (tokenize.TokenError, SyntaxError, UnicodeDecodeError):
+        return counts
+    for token in tokens:
+        if token.type != tokenize.NAME:
+            continue
+        for word in identifier_words(token.string):
+            if word in PLAIN_WORDS:
+                counts[word] += 1
+    return counts
+
+
+def package_of(path: Path) -> str:
+    """The package a file is counted under: its first two parts (``stoatrouter/core``), or its root."""
+    parts = path.parts
+    if len(parts) > 2:
+        return "/".join(parts[:2])
+    return parts[0]
+
+
+def missing_doc_comments(root: Path) -> Counter[str] | None:
+    """Count, per package, public items that ruff's D1 rules find without a doc comment; None without ruff."""
+    ruff = root / ".ci-venv" / "bin" / "ruff"
+    command = str(ruff) if ruff.exists() else shutil.which("ruff")
+    if command is None:
+        return None
+    result = subprocess.run(
+        [command, "check", "--isolated", "--select", "D1", "--output-format", "json", *ROOTS],
+        cwd=root,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    counts: Counter[str] = Counter()
+    for finding in json.loads(result.stdout or "[]"):
+        relative = Path(finding["filename"]).resolve().relative_to(root.resolve())
+        counts[package_of(relative)] += 1
+    return counts
+
+
+def measure(root: Path) -> dict[str, dict[str, int]]:
+    """Per package: plain words in identifiers, files over the line limit, and public items without docs."""
+    table: dict[str, dict[str, int]] = {}
+    for top in ROOTS:
+        for path in sorted((root / top).rglob("*.py")):
+            relative = path.relative_to(root)
+            row = table.setdefault(package_of(relative), {"plain_words": 0, "over_400": 0, "files": 0})
+            row["plain_words"] += sum(plain_words_in(path).values())
+            row["files"] += 1
+            if len(path.read_text().splitlines()) > MAX_LINES:
+                row["over_400"] += 1
+    missing = missing_doc_comments(root)
+    if missing is not None:
+        for package, count in missing.items():
+            table.setdefault(package, {"plain_words": 0, "over_400": 0, "files": 0})["no_doc_comment"] = count
+    return table
+
+
+def words_by_name(root: Path) -> Counter[str]:
+    """The plain words over both roots, word by word, as the issue lists them."""
+    total: Counter[str] = Counter()
+    for top in ROOTS:
+        for path in (root / top).rglob("*.py"):
+            total.update(plain_words_in(path))
+    return total
+
+
+def main(argv: list[str] | None = None) -> int:
+    """Print the table, or JSON with ``--json``."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--json", action="store_true", help="print JSON instead of a table")
+    arguments = parser.parse_args(argv)
+    root = Path.cwd()
+    table = measure(root)
+    by_word = words_by_name(root)
+    if arguments.json:
+        json.dump({"packages": table, "words": dict(by_word)}, sys.stdout, indent=1, sort_keys=True)
+        print()
+        return 0
+    print(f"{'package':32} {'files':>5} {'plain words':>11} {'no doc comment':>14} {'over 400':>8}")
+    for package in sorted(table):
+        row = table[package]
+        missing = row.get("no_doc_comment", 0)
+        print(f"{package:32} {row['files']:5} {row['plain_words']:11} {missing:14} {row['over_400']:8}")
+    columns = ("plain_words", "no_doc_comment")
+    totals = {key: sum(row.get(key, 0) for row in table.values()) for key in columns}
+    print(f"{'all':32} {'':5} {totals['plain_words']:11} {totals['no_doc_comment']:14}")
+    print("words: " + ", ".join(f"{word} {by_word[word]}" for word in PLAIN_WORDS))
+    return 0
+
+
+if __name__ == "__main__":
+    raise SystemExit(main())
