--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -62,7 +62,7 @@
     conf = head_config()
     reducer = Reducer(conf.settings, 1)
     listed = tuple(read_node(entry(index)) for index in range(nodes))
-    (timer,) = reducer.reduce(model.ListTold(timedelta(0), ListKind.FULL, listed))
+    (timer,) = reducer.reduce(model.EndpointListReceived(timedelta(0), ListKind.FULL, listed))
     assert isinstance(timer, model.SetTimer)
 
     def read() -> None:
--- a/benchmarks/capacity/nodelist.py
+++ b/benchmarks/capacity/nodelist.py
@@ -48,7 +48,7 @@
         self, kind: api.ListKind, nodes: tuple[model.NodeInfo, ...], age: timedelta | None = None
     ) -> None:
         """As the engine passes a list on."""
-        self.reducer.reduce(model.ListTold(self.now, kind, nodes))
+        self.reducer.reduce(model.EndpointListReceived(self.now, kind, nodes))
 
     def hold_requests(self, count: int) -> None:
         """Requests of one shard: one is sent, all others wait for its answer."""
--- a/stoatrouter/core/descriptors.py
+++ b/stoatrouter/core/descriptors.py
@@ -31,7 +31,7 @@
         return self.clients + self.nodes + self.fixed
 
 
-def share_out(sockets: int) -> Descriptors:
+def divide_descriptors(sockets: int) -> Descriptors:
     """Divide `sockets` descriptors.
 
     Down to 240 only the shares of clients and nodes shrink. Below that all shares shrink, at the cost of how
--- a/stoatrouter/core/list_times.py
+++ b/stoatrouter/core/list_times.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-COUNTS_AS_TOLD = timedelta(seconds=6)  # the operators' term, whatever else is allowed
+COUNTS_AS_NOTIFIED = timedelta(seconds=6)  # the operators' term, whatever else is allowed
 MS = timedelta(milliseconds=1)
 
 
--- a/stoatrouter/core/model.py
+++ b/stoatrouter/core/model.py
@@ -102,7 +102,7 @@
             return node if node.phase is api.Phase.GONE else replace(node, phase=api.Phase.DRAINING)
         since, back = self.back.get(node.id, (node.started, node.started))
         if node.started < since:
-            # Guards a node that was restarted while it was out, which the list may not tell yet: it is cold.
+            # Guards a node that was restarted while it was out, which the list may not say: it warms up.
             return replace(node, started=back)
         return node
 
@@ -117,8 +117,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TurnedAway:
-    """A front refused a request for lack of capacity, before it entered the core."""
+class RejectedByFront:
+    """A front rejected a request for lack of capacity, before it entered the core."""
 
     at: timedelta
     request_class: int
@@ -141,16 +141,16 @@
 
 @dataclass(slots=True, frozen=True)
 class FlowEnded:
-    """A streamed answer has ended: complete (True), cut off (False), or its client has left (None)."""
+    """A streamed answer has ended: `complete` True, cut off (False), or its client has left (None)."""
 
     at: timedelta
     request: str
-    whole: bool | None
+    complete: bool | None
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeEnded:
-    """A probe of a node's load has ended; `took` is how long it lasted."""
+class HealthCheckEnded:
+    """A health check of a node's load has ended; `took` is how long it lasted."""
 
     at: timedelta
     node: str
@@ -160,13 +160,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ListTold:
-    """Discovery has reported the whole node list, or changes to it."""
+class EndpointListReceived:
+    """Discovery has sent the complete endpoint list, or changes to it."""
 
     at: timedelta
     kind: api.ListKind
     nodes: tuple[NodeInfo, ...] = ()
-    since: timedelta | None = None  # from when it may have counted as told; None: from now
+    since: timedelta | None = None  # from when it may have counted as notified; None: from now
 
 
 @dataclass(slots=True, frozen=True)
@@ -237,11 +237,11 @@
 
 Event = (
     Arrived
-    | TurnedAway
+    | RejectedByFront
     | AttemptEnded
     | FlowEnded
-    | ProbeEnded
-    | ListTold
+    | HealthCheckEnded
+    | EndpointListReceived
     | ClientLeft
     | TimerDue
     | Overdue
@@ -273,8 +273,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
-    """Ask a node for its load."""
+class CheckHealth:
+    """Run a health check of a node: ask it for its load."""
 
     node: str
     address: str
@@ -305,7 +305,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TurnAway:
+class RejectRequest:
     """The answer to a request that was not admitted; another request may be open under its id."""
 
     answer: Answer
@@ -328,11 +328,11 @@
 Effect = (
     SendAttempt
     | CancelAttempt
-    | Probe
+    | CheckHealth
     | SetTimer
     | WatchOverdue
     | GiveAnswer
-    | TurnAway
+    | RejectRequest
     | SaveAdministrativeState
     | HandoverState
 )
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -38,7 +38,7 @@
         self.gate: Gate | None = None  # asked before the module whether a request can be paid for
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
-        # for what is turned away unseen: as late as the settings let a client be told
+        # for what is rejected unseen: as late a Retry-After as the settings let a client be given
         self.advice = span(settings.max_advice if settings.takes_advice else 0)
         self.records: dict[str, model.Record] = {}
         self.flows: dict[str, int] = {}  # classes of requests whose answers are still being passed on
@@ -55,17 +55,17 @@
         match event:
             case model.Arrived():
                 return self._arrived(event.request)
-            case model.TurnedAway():
-                return self._turn_away(event.request_class, model.Refused(self.advice), "crowded")
+            case model.RejectedByFront():
+                return self._reject(event.request_class, model.Refused(self.advice), "crowded")
             case model.AttemptEnded():
                 return self._attempt_ended(event)
             case model.FlowEnded():
                 return self._flow_ended(event)
             case model.TimerDue():
                 return self._decide(api.TimerFired(event.token))
-            case model.ListTold():
+            case model.EndpointListReceived():
                 return self._list_received(event)
-            case model.ProbeEnded():
+            case model.HealthCheckEnded():
                 return self._decide(api.ProbeEnded(event.node, event.outcome, micros(event.took), event.load))
             case model.ClientLeft():
                 return self._client_left(event.request)
@@ -112,12 +112,12 @@
     def _arrived(self, request: model.Request) -> list[model.Effect]:
         # Guards against an id used twice: the module drops the second, and its client would wait in vain.
         if request.id in self.records or request.id in self.flows:
-            return self._turn_away(request.request_class, model.Failed(), "duplicate_id")
+            return self._reject(request.request_class, model.Failed(), "duplicate_id")
         # Guards against a flood: beyond what the settings let a head hold, nothing reaches the module.
         if len(self.records) >= self.max_open:
-            return self._turn_away(request.request_class, model.Refused(self.advice), "over_max_open")
+            return self._reject(request.request_class, model.Refused(self.advice), "over_max_open")
         if self.gate is not None and (refused := self.gate.take(request, self.now)) is not None:
-            return self._turn_away(request.request_class, refused, "over_credit")
+            return self._reject(request.request_class, refused, "over_credit")
         self.records[request.id] = model.Record(request)
         self.tally.add("taken")
         self.counters.active += 1
@@ -138,10 +138,10 @@
             )
         )
 
-    def _turn_away(self, request_class: int, answer: model.Answer, why: str) -> list[model.Effect]:
+    def _reject(self, request_class: int, answer: model.Answer, why: str) -> list[model.Effect]:
         self.tally.add(why)
         self.counters.count(request_class, answer)
-        return [model.TurnAway(answer)]
+        return [model.RejectRequest(answer)]
 
     def _client_left(self, name: str) -> list[model.Effect]:
         record = self.records.get(name)
@@ -193,11 +193,11 @@
         request_class = self.flows.pop(event.request, None)
         if request_class is None:
             return []
-        if event.whole is None:
+        if event.complete is None:
             self.counters.active -= 1
         else:
-            self._count(request_class, model.Served(b"") if event.whole else model.Failed())
-            self.tally.add("passed_on" if event.whole else "broken_off")
+            self._count(request_class, model.Served(b"") if event.complete else model.Failed())
+            self.tally.add("passed_on" if event.complete else "broken_off")
         return []
 
     def _forget(self, name: str) -> None:
@@ -207,7 +207,7 @@
     # -- attempts -----------------------------------------------------------------------------------------
     def _attempt_ended(self, event: model.AttemptEnded) -> list[model.Effect]:
         record = self.records.get(event.request)
-        # Guards against an outcome told twice (an attempt cancelled as its answer came): the first counts.
+        # Guards against an outcome reported twice (an attempt cancelled as its answer came): first counts.
         if record is None or event.attempt >= len(record.attempts) or not record.attempts[event.attempt].out:
             return []
         attempt = record.attempts[event.attempt]
@@ -250,7 +250,7 @@
         return [model.SendAttempt(record.request, number, node.address, span(action.timeout))]
 
     # -- the node list ------------------------------------------------------------------------------------
-    def _list_received(self, event: model.ListTold) -> list[model.Effect]:
+    def _list_received(self, event: model.EndpointListReceived) -> list[model.Effect]:
         if event.kind in (api.ListKind.FULL, api.ListKind.RESTORED):
             self.nodes = {}
         for node in event.nodes:
@@ -262,7 +262,9 @@
 
     def _taken_over(self, event: model.TakenOver) -> list[model.Effect]:
         self.administrative_state = event.administrative_state
-        effects = self._list_received(model.ListTold(event.at, api.ListKind.RESTORED, event.nodes))
+        effects = self._list_received(
+            model.EndpointListReceived(event.at, api.ListKind.RESTORED, event.nodes)
+        )
         try:
             handover.take_over(self.scheduler, event.module)
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
@@ -329,6 +331,6 @@
             case api.CancelAttempt():
                 return [model.CancelAttempt(action.request, action.attempt)]
             case api.ProbeNode() if action.node in self.nodes:
-                return [model.Probe(action.node, self.nodes[action.node].address)]
+                return [model.CheckHealth(action.node, self.nodes[action.node].address)]
             case _:
                 return []  # the list is always watched: nothing is to be asked for
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from stoatrouter import config
-from stoatrouter.core.descriptors import share_out
+from stoatrouter.core.descriptors import divide_descriptors
 from stoatrouter.core.list_times import list_times
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.core.spans import span
@@ -64,7 +64,7 @@
         self.conf, self.object_settings, self.http_settings = conf, objects, http
         self.tables: list[TableService] = []
         self.recorder = None
-        budget = share_out(conf.sockets)
+        budget = divide_descriptors(conf.sockets)
         nodes = NodeClient(
             conf.connect_timeout,
             conf.conn_idle,
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -56,7 +56,7 @@
             request = replace(request, time_left=left)
         effects = self.reducer.reduce(model.Arrived(now, request))
         # Guards the waiter of a request that is open under the same id: this answer is not for it.
-        if effects and isinstance(effects[0], model.TurnAway):
+        if effects and isinstance(effects[0], model.RejectRequest):
             return effects[0].answer
         waiter = self.waiting[request.id] = self.loop.create_future()
         self.callers[request.id] = CLIENT.get()
@@ -116,8 +116,8 @@
 
     def turn_away(self, request_class: int) -> model.Answer:
         """The answer to a request that is refused for lack of capacity."""
-        effects = self.reducer.reduce(model.TurnedAway(self.clock.now(), request_class))
-        assert isinstance(effects[0], model.TurnAway)
+        effects = self.reducer.reduce(model.RejectedByFront(self.clock.now(), request_class))
+        assert isinstance(effects[0], model.RejectRequest)
         return effects[0].answer
 
     def apply_node_list(
@@ -134,7 +134,7 @@
             entries=len(nodes),
         )
         now = self.clock.now()
-        self.put(model.ListTold(now, kind, nodes, timedelta(0) if age is None else now - age))
+        self.put(model.EndpointListReceived(now, kind, nodes, timedelta(0) if age is None else now - age))
 
     def hand_over(self) -> model.HandoverState:
         """The state for the next process; from now on this process only finishes its requests."""
@@ -200,7 +200,7 @@
                     task.cancel()
             case model.SaveAdministrativeState():
                 self.state_saved = self.state_file.write(self.reducer.administrative_state)
-            case model.Probe():
+            case model.CheckHealth():
                 self.spawn(self.probe(effect))
 
     def may_begin(self, effect: model.SendAttempt) -> bool:
@@ -261,12 +261,12 @@
             reply.flow.close()
             self.flow_ended(effect.request.id, None)
 
-    async def probe(self, effect: model.Probe) -> None:
+    async def probe(self, effect: model.CheckHealth) -> None:
         """Probe a node and report its load."""
         began = self.clock.now()
         reply = await self.nodes.probe(effect)
         now = self.clock.now()
-        self.put(model.ProbeEnded(now, effect.node, reply.outcome, now - began, reply.load))
+        self.put(model.HealthCheckEnded(now, effect.node, reply.outcome, now - began, reply.load))
 
 
 async def watch_loop(
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -205,7 +205,7 @@
             if response is not None:
                 response.close()  # what came whole has given its connection back already
 
-    async def probe(self, effect: model.Probe) -> Reply:
+    async def probe(self, effect: model.CheckHealth) -> Reply:
         """Ask a node for its load; every error becomes an outcome."""
         try:
             async with asyncio.timeout(PROBE_TIMEOUT.total_seconds()):
--- a/tests/heads/test_credit_holder.py
+++ b/tests/heads/test_credit_holder.py
@@ -107,7 +107,7 @@
     conf = head_config(Node("a", 0), Node("b", 0))
     reducer = Reducer(conf.settings, 1)
     nodes = tuple(model.NodeInfo(n, f"127.0.0.1:{9 + i}", 0, api.Phase.ON) for i, n in enumerate("ab"))
-    reducer.reduce(model.ListTold(SECOND, api.ListKind.RESTORED, nodes))
+    reducer.reduce(model.EndpointListReceived(SECOND, api.ListKind.RESTORED, nodes))
     holder = held(1000, 1000)
     classes = conf.settings.classes
     reducer.gate = Gate(
@@ -168,7 +168,7 @@
     for i, volume in enumerate("vvww"):
         request = model.Request(f"r{i}", 0, 1, volume, "k", 0, 1.0, 1, 2 * SECOND, False)
         effects = reducer.reduce(model.Arrived(SECOND, request))
-        turned = isinstance(effects[0], model.TurnAway)
+        turned = isinstance(effects[0], model.RejectRequest)
         assert turned == (i == 1)
         if turned:
             assert isinstance(effects[0].answer, model.Refused)
--- a/tests/test_administrative_state.py
+++ b/tests/test_administrative_state.py
@@ -28,7 +28,7 @@
 def test_what_is_out_gets_nothing_new_whatever_is_listed(kind):
     r = reducer(node())
     assert only(put(r, True), model.SaveAdministrativeState)
-    r.reduce(model.ListTold(START + SECOND, kind, (node(),)))
+    r.reduce(model.EndpointListReceived(START + SECOND, kind, (node(),)))
     assert r.scheduler.nodes["n1"].phase is Phase.DRAINING
     assert not sends(r, START + 3 * SECOND, "late")
     assert r.nodes["n1"].phase is Phase.ON  # what is listed stays known
@@ -38,8 +38,8 @@
     """A node that is restarted while it is out leaves the list and comes back."""
     r = reducer(node())
     put(r, True)
-    r.reduce(model.ListTold(START + 3 * SECOND, ListKind.CHANGES, (node(phase=Phase.GONE),)))
-    r.reduce(model.ListTold(START + 5 * SECOND, ListKind.CHANGES, (node(),)))
+    r.reduce(model.EndpointListReceived(START + 3 * SECOND, ListKind.CHANGES, (node(phase=Phase.GONE),)))
+    r.reduce(model.EndpointListReceived(START + 5 * SECOND, ListKind.CHANGES, (node(),)))
     assert not sends(r, START + 5 * SECOND, "late")
 
 
@@ -54,7 +54,7 @@
     r = reducer(node())
     assert put(r, True, name="n2") == [] and put(r, False, name="n2") == []
     put(r, True)
-    r.reduce(model.ListTold(START, ListKind.FULL, ()))
+    r.reduce(model.EndpointListReceived(START, ListKind.FULL, ()))
     assert put(r, True) and put(r, False)
 
 
@@ -65,9 +65,9 @@
     put(r, True)
     if restarted:
         told = model.NodeInfo("n1", "n1:80", 0, Phase.ON, started=START + 2 * SECOND)
-        r.reduce(model.ListTold(START + 3 * SECOND, ListKind.CHANGES, (told,)))
+        r.reduce(model.EndpointListReceived(START + 3 * SECOND, ListKind.CHANGES, (told,)))
     put(r, False, START + 5 * SECOND)
-    r.reduce(model.ListTold(START + 6 * SECOND, ListKind.FULL, tuple(r.nodes.values())))
+    r.reduce(model.EndpointListReceived(START + 6 * SECOND, ListKind.FULL, tuple(r.nodes.values())))
     since = START + (2 if restarted else 5) * SECOND
     assert r.scheduler.nodes["n1"].up_since == micros(since)
     assert sends(r, START + 7 * SECOND, "r")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -34,7 +34,7 @@
 
 def reducer(*nodes: model.NodeInfo, **more) -> Reducer:
     made = Reducer(SETTINGS, seed=1, **more)
-    made.reduce(model.ListTold(START, ListKind.RESTORED, nodes))
+    made.reduce(model.EndpointListReceived(START, ListKind.RESTORED, nodes))
     return made
 
 
@@ -73,16 +73,16 @@
 def test_an_id_in_use_and_a_flood_never_reach_the_module():
     r = reducer(node(), max_open=1)
     r.reduce(model.Arrived(START, request()))
-    assert r.reduce(model.Arrived(START, request())) == [model.TurnAway(model.Failed())]
-    assert r.reduce(model.Arrived(START, request("s"))) == [model.TurnAway(model.Refused(timedelta(0)))]
+    assert r.reduce(model.Arrived(START, request())) == [model.RejectRequest(model.Failed())]
+    assert r.reduce(model.Arrived(START, request("s"))) == [model.RejectRequest(model.Refused(timedelta(0)))]
     assert list(r.scheduler.requests) == ["r"]
 
 
 @pytest.mark.parametrize(
     "told",
     [
-        model.ListTold(START + MS, ListKind.CHANGES, (node(phase=Phase.GONE),)),
-        model.ListTold(START + MS, ListKind.FULL, (node("n2"),)),
+        model.EndpointListReceived(START + MS, ListKind.CHANGES, (node(phase=Phase.GONE),)),
+        model.EndpointListReceived(START + MS, ListKind.FULL, (node("n2"),)),
     ],
 )
 def test_a_node_that_left_the_list_gets_nothing(told):
@@ -181,7 +181,7 @@
     r = reducer(node(), max_open=1)
     for arrived in request(), request(), request("s"):
         r.reduce(model.Arrived(START, arrived))
-    r.reduce(model.TurnedAway(START, 0))
+    r.reduce(model.RejectedByFront(START, 0))
     f = r.counters
     assert (sum(f.ok), sum(f.shed), sum(f.errors), f.active) == (0, 2, 1, 1)
 
--- a/tests/test_list_and_descriptors.py
+++ b/tests/test_list_and_descriptors.py
@@ -18,8 +18,8 @@
 
 from cypressworks.interface import Phase
 from stoatrouter import head as head_module
-from stoatrouter.core.descriptors import share_out
-from stoatrouter.core.list_times import COUNTS_AS_TOLD, MS, list_times
+from stoatrouter.core.descriptors import divide_descriptors
+from stoatrouter.core.list_times import COUNTS_AS_NOTIFIED, MS, list_times
 from stoatrouter.core.spans import micros
 from stoatrouter.head import Head
 from stoatrouter.net.discovery import Watch
@@ -51,7 +51,7 @@
 def test_the_budget_of_the_list_keeps_to_the_term(grace):
     for pushed in (True, False):
         times = list_times(pushed, grace * MS)
-        assert times.silence < COUNTS_AS_TOLD and times.outage < COUNTS_AS_TOLD
+        assert times.silence < COUNTS_AS_NOTIFIED and times.outage < COUNTS_AS_NOTIFIED
         assert times.first <= timedelta(seconds=1)
     if grace >= 1000:  # what an agent got at its return counts at once: it is known within the grace
         assert list_times(True, grace * MS).outage < grace * MS
@@ -146,7 +146,7 @@
 # -- descriptors ---------------------------------------------------------------------------------------------
 @pytest.mark.parametrize("sockets", [1, 96, 128, 256, 512, 640, 1024, 65536])
 def test_what_all_may_hold_together_is_within_the_limit(sockets):
-    budget = share_out(sockets)
+    budget = divide_descriptors(sockets)
     assert budget.clients >= 1 and budget.nodes >= 1
     assert budget.all <= max(sockets, 2)
     assert budget.fixed == 72 or sockets < 240
