--- /dev/null
+++ b/stoatrouter/core/events.py
@@ -0,0 +1,156 @@
+"""Events: what has happened, and when; the reducer takes one at a time. Times are since the Unix epoch."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from datetime import timedelta
+from typing import Any
+
+from cypressworks import interface as api
+from stoatrouter.core.nodes import AdministrativeState, NodeInfo
+from stoatrouter.core.requests import Head, Request
+
+
+@dataclass(slots=True, frozen=True)
+class Arrived:
+    """A front has received a request."""
+
+    at: timedelta
+    request: Request
+
+
+@dataclass(slots=True, frozen=True)
+class RejectedByFront:
+    """A front rejected a request for lack of capacity, before it entered the core."""
+
+    at: timedelta
+    request_class: int
+
+
+@dataclass(slots=True, frozen=True)
+class AttemptEnded:
+    """An attempt at a node has ended, with its outcome and what the node reported."""
+
+    at: timedelta
+    request: str
+    attempt: int
+    outcome: api.Outcome
+    body: bytes = b""
+    units_by_others: float = 0.0
+    load: dict[str, float] | None = None
+    flow: Any = None
+    head: Head | None = None
+
+
+@dataclass(slots=True, frozen=True)
+class FlowEnded:
+    """A streamed answer has ended: `complete` True, cut off (False), or its client has left (None)."""
+
+    at: timedelta
+    request: str
+    complete: bool | None
+
+
+@dataclass(slots=True, frozen=True)
+class HealthCheckEnded:
+    """A health check of a node's load has ended; `took` is how long it lasted."""
+
+    at: timedelta
+    node: str
+    outcome: api.Outcome
+    took: timedelta
+    load: dict[str, float] | None = None
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointListReceived:
+    """Discovery has sent the complete endpoint list, or changes to it."""
+
+    at: timedelta
+    kind: api.ListKind
+    nodes: tuple[NodeInfo, ...] = ()
+    since: timedelta | None = None  # from when it may have counted as notified; None: from now
+
+
+@dataclass(slots=True, frozen=True)
+class ClientLeft:
+    """The client of a request has closed its connection before the answer."""
+
+    at: timedelta
+    request: str
+
+
+@dataclass(slots=True, frozen=True)
+class TimerDue:
+    """A timer that was set by SetTimer has expired."""
+
+    at: timedelta
+    token: int
+
+
+@dataclass(slots=True, frozen=True)
+class Overdue:
+    """The deadline of a request has passed; it is reported for every request, answered or not."""
+
+    at: timedelta
+    request: str
+
+
+@dataclass(slots=True, frozen=True)
+class SetAdministrativeState:
+    """An operator takes a node out of service, or puts it back."""
+
+    at: timedelta
+    node: str
+    out: bool
+
+
+@dataclass(slots=True, frozen=True)
+class HandedOver:
+    """The next process takes over: it is sent all state, and this one only finishes its requests."""
+
+    at: timedelta
+
+
+@dataclass(slots=True, frozen=True)
+class TakenBack:
+    """The next process has died; operators may have changed the administrative state since."""
+
+    at: timedelta
+    administrative_state: AdministrativeState
+
+
+@dataclass(slots=True, frozen=True)
+class TakenOver:
+    """The previous process has sent its state."""
+
+    at: timedelta
+    nodes: tuple[NodeInfo, ...]
+    administrative_state: AdministrativeState
+    module: dict[str, Any]
+
+
+@dataclass(slots=True, frozen=True)
+class AttemptsElsewhere:
+    """How many attempts the previous process still has open, by node."""
+
+    at: timedelta
+    counts: dict[str, int]
+
+
+Event = (
+    Arrived
+    | RejectedByFront
+    | AttemptEnded
+    | FlowEnded
+    | HealthCheckEnded
+    | EndpointListReceived
+    | ClientLeft
+    | TimerDue
+    | Overdue
+    | SetAdministrativeState
+    | HandedOver
+    | TakenBack
+    | TakenOver
+    | AttemptsElsewhere
+)
--- /dev/null
+++ b/stoatrouter/core/records.py
@@ -0,0 +1,68 @@
+"""What the reducer keeps of open requests, and its counts for operators."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from datetime import timedelta
+from typing import Any
+
+from stoatrouter.core.requests import Answer, Failed, Refused, Request, Served
+
+
+@dataclass(slots=True)
+class Attempt:
+    """One attempt at a node, as the reducer keeps it."""
+
+    node: str
+    shard: int
+    sent: timedelta
+    out: bool = True
+    never_ran: bool = False  # as its end has shown
+
+
+@dataclass(slots=True)
+class Record:
+    """A request that is not yet answered or has an attempt open."""
+
+    request: Request
+    answered: bool = False
+    attempts: list[Attempt] = field(default_factory=list)
+
+    def may_have_run(self) -> bool:
+        """Whether any node may have executed the request."""
+        return any(not attempt.never_ran for attempt in self.attempts)
+
+    def over(self) -> bool:
+        """Whether the request is answered and no attempt is open."""
+        return self.answered and not any(a.out for a in self.attempts)
+
+
+@dataclass(slots=True)
+class Counters:
+    """Counters and gauges for operators: answers by class since the start, and open requests."""
+
+    ok: list[int]
+    shed: list[int]
+    errors: list[int]
+    active: int = 0
+
+    def count(self, request_class: int, answer: Answer) -> None:
+        """Count a final answer under its class and kind."""
+        ends = {Served: self.ok, Refused: self.shed, Failed: self.errors}[type(answer)]
+        ends[request_class] += 1
+
+
+@dataclass(slots=True)
+class Tally:
+    """Counts that are written to the log from time to time."""
+
+    counts: dict[str, int] = field(default_factory=dict)
+
+    def add(self, name: str) -> None:
+        """Count one occurrence under a name."""
+        self.counts[name] = self.counts.get(name, 0) + 1
+
+    def take(self) -> dict[str, Any]:
+        """Return the counts since the last call, and start again from none."""
+        taken, self.counts = self.counts, {}
+        return taken
