--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -35,6 +35,15 @@
     """The state of one head; it changes in reduce and nowhere else."""
 
     def __init__(self, settings: api.Settings, seed: int, max_open: int = 1 << 30) -> None:
+        """Start with no nodes, no requests and the decision module fresh.
+
+        Args:
+            settings: the decision module's settings, as read from the operators' file; their classes
+                size the counters, and their `max_advice` (microseconds; 0 unless `takes_advice`) is the
+                Retry-After given to requests that fronts reject.
+            seed: the decision module's random seed, so that a run can be repeated.
+            max_open: most requests not yet answered at once; one more is rejected before the module.
+        """
         self.gate: Gate | None = None  # asked before the module whether a request can be paid for
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
