--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 lint: .ci-venv/bin/ruff
 	.ci-venv/bin/ruff check .
 	.ci-venv/bin/ruff format --check .
+	.ci-venv/bin/python -m mypy
 
 # most tests wait rather than work; tests/conftest.py bounds how many of them start fleets of processes at once
 TEST_WORKERS = 6
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -54,7 +54,8 @@
         self.nodes: dict[str, model.NodeInfo] = {}  # as listed
         self.administrative_state = model.AdministrativeState()
         self.tally = model.Tally()
-        self.counters = model.Counters(*([0] * len(settings.classes) for _ in range(3)))
+        classes = len(settings.classes)
+        self.counters = model.Counters(ok=[0] * classes, shed=[0] * classes, errors=[0] * classes)
         self.now = NO_TIME
 
     def reduce(self, event: model.Event) -> list[model.Effect]:
