--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -84,18 +84,13 @@
             case model.SetAdministrativeState():
                 return self._set_administrative_state(event)
             case model.HandedOver():
-                module = handover.hand_over(self.scheduler, micros(self.now))
-                return [model.HandoverState(tuple(self.nodes.values()), self.administrative_state, module)]
+                return self._hand_over()
             case model.TakenBack():
-                handover.take_back(self.scheduler, micros(self.now))
-                self.administrative_state = event.administrative_state
-                return self._pass_on_nodes(api.ListKind.CHANGES, tuple(self.nodes.values()))
+                return self._taken_back(event)
             case model.TakenOver():
                 return self._taken_over(event)
             case model.AttemptsElsewhere():
-                for name, node in self.scheduler.nodes.items():
-                    node.elsewhere = event.counts.get(name, 0)
-                return []
+                return self._count_attempts_elsewhere(event)
 
     @property
     def open(self) -> int:
@@ -132,21 +127,7 @@
         self.tally.add("taken")
         self.counters.active += 1
         effects: list[model.Effect] = [model.WatchOverdue(request.time_left + OVERDUE_AFTER, request.id)]
-        return effects + self._decide(
-            api.RequestArrived(
-                request=request.id,
-                volume=request.volume,
-                plan=request.plan,
-                request_class=request.request_class,
-                shard=request.shard,
-                time_left=micros(request.time_left),
-                units=request.units,
-                hosts=request.hosts,
-                key=request.key,
-                repeat=request.repeat,
-                write=request.write,
-            )
-        )
+        return effects + self._decide(request_arrived(request))
 
     def _reject(self, request_class: int, answer: model.Answer, why: str) -> list[model.Effect]:
         self.tally.add(why)
@@ -270,6 +251,21 @@
                 self.nodes[node.id] = node
         return self._pass_on_nodes(event.kind, event.nodes, event.since)
 
+    # -- handover between processes ----------------------------------------------------------------------
+    def _hand_over(self) -> list[model.Effect]:
+        module = handover.hand_over(self.scheduler, micros(self.now))
+        return [model.HandoverState(tuple(self.nodes.values()), self.administrative_state, module)]
+
+    def _taken_back(self, event: model.TakenBack) -> list[model.Effect]:
+        handover.take_back(self.scheduler, micros(self.now))
+        self.administrative_state = event.administrative_state
+        return self._pass_on_nodes(api.ListKind.CHANGES, tuple(self.nodes.values()))
+
+    def _count_attempts_elsewhere(self, event: model.AttemptsElsewhere) -> list[model.Effect]:
+        for name, node in self.scheduler.nodes.items():
+            node.elsewhere = event.counts.get(name, 0)
+        return []
+
     def _taken_over(self, event: model.TakenOver) -> list[model.Effect]:
         self.administrative_state = event.administrative_state
         effects = self._list_received(
@@ -289,16 +285,8 @@
     def _pass_on_nodes(
         self, kind: api.ListKind, nodes: tuple[model.NodeInfo, ...], since: timedelta | None = None
     ) -> list[model.Effect]:
-        seen = (self.administrative_state.seen(node) for node in nodes)
-        return self._decide(
-            api.NodeList(
-                kind,
-                tuple(
-                    api.NodeEntry(n.id, n.shard, n.zone, n.phase, n.weight, micros(n.started)) for n in seen
-                ),
-                micros(self.now if since is None else since),
-            )
-        )
+        entries = tuple(node_entry(self.administrative_state.seen(node)) for node in nodes)
+        return self._decide(api.NodeList(kind, entries, micros(self.now if since is None else since)))
 
     def _set_administrative_state(self, event: model.SetAdministrativeState) -> list[model.Effect]:
         """Set the administrative state of a node; no effects where the node is not known."""
@@ -344,3 +332,25 @@
                 return [model.CheckHealth(action.node, self.nodes[action.node].address)]
             case _:
                 return []  # the list is always watched: nothing is to be asked for
+
+
+def request_arrived(request: model.Request) -> api.RequestArrived:
+    """The decision module's event for a request the core has admitted; its time left in microseconds."""
+    return api.RequestArrived(
+        request=request.id,
+        volume=request.volume,
+        plan=request.plan,
+        request_class=request.request_class,
+        shard=request.shard,
+        time_left=micros(request.time_left),
+        units=request.units,
+        hosts=request.hosts,
+        key=request.key,
+        repeat=request.repeat,
+        write=request.write,
+    )
+
+
+def node_entry(node: model.NodeInfo) -> api.NodeEntry:
+    """A listed node as the decision module takes it, its start time in microseconds since the epoch."""
+    return api.NodeEntry(node.id, node.shard, node.zone, node.phase, node.weight, micros(node.started))
