--- a/stoatrouter/core/invariants.py
+++ b/stoatrouter/core/invariants.py
@@ -10,15 +10,34 @@
 LOGGED_EACH = 5  # further breaks of the same kind are only counted: a log that floods hides its cause
 
 
+class InvariantBroken(AssertionError):
+    """A condition that the core relies on does not hold; raised in debug builds only.
+
+    It is an AssertionError, so that tests and callers that expect one still catch it.
+    """
+
+    def __init__(self, what: str, details: dict[str, object]) -> None:
+        """Name the broken condition.
+
+        Args:
+            what: the condition that failed, in words (e.g. "a send for a request that is over").
+            details: where it failed: the request, attempt or node that it concerns.
+        """
+        super().__init__(f"{what}: {details}")
+        self.what = what
+        self.details = details
+
+
 def invariant(holds: bool, what: str, **details: object) -> bool:
     """Check that something holds; returns whether it does, so that callers can fall back.
 
-    Raises AssertionError in debug builds.
+    Raises:
+        InvariantBroken: in debug builds, where it does not hold.
     """
     if holds:
         return True
     if __debug__:
-        raise AssertionError(f"{what}: {details}")
+        raise InvariantBroken(what, details)
     broken[what] += 1
     if broken[what] <= LOGGED_EACH:
         logger.error(
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,6 +14,7 @@
 from cypressworks.interface import ListKind, Outcome, Phase
 from stoatrouter.config import ConfigError, address, on_sockets
 from stoatrouter.core import model
+from stoatrouter.core.invariants import InvariantBroken, invariant
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.core.spans import micros, span
 from tests.scheduler_driver import CLASSES, PLAN
@@ -137,6 +138,18 @@
     assert "decision failed on RequestArrived" in done.stderr and "invariant broken" in done.stderr
 
 
+def test_a_broken_invariant_raises_a_typed_assertion_in_debug_builds():
+    with pytest.raises(InvariantBroken) as raised:
+        invariant(False, "a send for a request that is over", request="r")
+    assert isinstance(raised.value, AssertionError)
+    assert (raised.value.what, raised.value.details) == (
+        "a send for a request that is over",
+        {"request": "r"},
+    )
+    assert str(raised.value) == "a send for a request that is over: {'request': 'r'}"
+    assert invariant(True, "never raised", request="r")
+
+
 def test_spans_and_counts_are_each_others_inverse():
     assert micros(span(1_234_567)) == 1_234_567 and micros(timedelta(seconds=1.5)) == 1_500_000
 
