--- a/stoatrouter/core/records.py
+++ b/stoatrouter/core/records.py
@@ -16,7 +16,7 @@
     node: str
     shard: int
     sent: timedelta
-    out: bool = True
+    in_flight: bool = True  # sent, and its end not yet reported
     never_ran: bool = False  # as its end has shown
 
 
@@ -32,9 +32,9 @@
         """Whether any node may have executed the request."""
         return any(not attempt.never_ran for attempt in self.attempts)
 
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the request is answered and no attempt is open."""
-        return self.answered and not any(a.out for a in self.attempts)
+        return self.answered and not any(a.in_flight for a in self.attempts)
 
 
 @dataclass(slots=True)
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -97,9 +97,9 @@
         """How many requests are not yet answered, have an attempt open or are being streamed."""
         return len(self.records) + len(self.flows)
 
-    def nodes_out(self) -> list[str]:
-        """The node of each open attempt."""
-        return [a.node for record in self.records.values() for a in record.attempts if a.out]
+    def nodes_in_flight(self) -> list[str]:
+        """The node of each attempt in flight, once per attempt."""
+        return [a.node for record in self.records.values() for a in record.attempts if a.in_flight]
 
     @property
     def avoided(self) -> int:
@@ -109,7 +109,7 @@
     def may_begin(self, at: timedelta, request: str, attempt: int) -> bool:
         """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
         record = self.records.get(request)
-        if record is None or record.answered or not record.attempts[attempt].out:
+        if record is None or record.answered or not record.attempts[attempt].in_flight:
             return False
         return self.scheduler.may_begin(micros(max(at, self.now)), request, attempt)
 
@@ -145,7 +145,7 @@
             self.gate.end(name, record.may_have_run())
         effects = self._decide(api.ClientGone(name))
         # nobody waits for it any more: nodes stop work that is cancelled
-        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.out]
+        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.in_flight]
         self._forget(name)
         return effects
 
@@ -157,7 +157,7 @@
         # Guards against a decision that never came (the module failed on it): no request goes unanswered.
         if not invariant(record.answered, "a request had no answer at its deadline", request=name):
             effects += self._answer(name, model.Failed())
-        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.out]
+        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.in_flight]
         return effects
 
     def _answer(self, name: str, answer: model.Answer) -> list[model.Effect]:
@@ -192,17 +192,21 @@
         return []
 
     def _forget(self, name: str) -> None:
-        if self.records[name].over():
+        if self.records[name].is_finished():
             del self.records[name]
 
     # -- attempts -----------------------------------------------------------------------------------------
     def _attempt_ended(self, event: model.AttemptEnded) -> list[model.Effect]:
         record = self.records.get(event.request)
         # Guards against an outcome reported twice (an attempt cancelled as its answer came): first counts.
-        if record is None or event.attempt >= len(record.attempts) or not record.attempts[event.attempt].out:
+        if (
+            record is None
+            or event.attempt >= len(record.attempts)
+            or not record.attempts[event.attempt].in_flight
+        ):
             return []
         attempt = record.attempts[event.attempt]
-        attempt.out, attempt.never_ran = False, event.outcome.never_ran
+        attempt.in_flight, attempt.never_ran = False, event.outcome.never_ran
         ok = event.outcome is api.Outcome.OK
         self.tally.add(event.outcome.name.lower())
         finished = ok or record.answered
--- a/stoatrouter/net/generations.py
+++ b/stoatrouter/net/generations.py
@@ -160,7 +160,7 @@
     def holds(self) -> State:
         """What this process still holds, as the new one needs it to keep the limits of both."""
         out: dict[str, int] = {}
-        for node in self.engine.reducer.nodes_out():
+        for node in self.engine.reducer.nodes_in_flight():
             out[node] = out.get(node, 0) + 1
         return {
             "clients": len(self.clients),
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -62,7 +62,7 @@
             dials = Dials(head)
             asked = asyncio.create_task(session.get(PATH, headers=HEADERS))
             await until(lambda: dials.waiting == 1)
-            (name,) = head.engine.reducer.nodes_out()
+            (name,) = head.engine.reducer.nodes_in_flight()
             left, right = (a, b) if name == "a" else (b, a)
             now = int(head.engine.clock.now() / MS)
             entry = {
