--- a/stoatrouter/core/requests.py
+++ b/stoatrouter/core/requests.py
@@ -9,7 +9,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A front's request to the core, which reads the fields down to `repeat`; the node reads the rest."""
+    """A front's request to the core, which reads the fields down to `repeat`; the node reads the rest.
+
+    Attributes:
+        id: the request's name, unique among the open requests of a head; a second one is failed.
+        request_class: index into the settings' classes, which bound its deadline.
+        plan: index into the settings' plans: what the volume has bought.
+        volume: the volume that the request addresses.
+        key: the object within the volume.
+        shard: the shard that holds the object; -1 for a new object, which any node takes.
+        units: its cost, in the units of work that plans' rates count per second.
+        hosts: through how many hosts the volume's requests come.
+        time_left: from its arrival to its deadline, at most its class's.
+        write: whether it changes stored data.
+        repeat: whether its client says that it is a retry (on the platform API, `Req-Retry: 1`).
+        method: the HTTP method sent on to the node.
+        target: the HTTP target (path and query) sent on to the node.
+        body: the body, as bytes, or what the network code keeps of a large one.
+        idempotency_key: the client's `Idempotency-Key` header, if any.
+        fields: header fields sent on beside the protocol's own, as (name, value) pairs.
+        passes: whatever a node answers below 500 is the answer, with its status and fields.
+    """
 
     id: str
     request_class: int
