--- a/stoatrouter/core/requests.py
+++ b/stoatrouter/core/requests.py
@@ -71,9 +71,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """The request was not executed and may be repeated after `retry_in`; None: no time is known."""
+    """The request was not executed and may be repeated after `retry_after` (Retry-After); None: not known."""
 
-    retry_in: timedelta | None
+    retry_after: timedelta | None
 
 
 @dataclass(slots=True, frozen=True)
--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -78,7 +78,7 @@
         case model.Served():
             return web.Response(body=final.body)
         case model.Refused():
-            return web.Response(status=503, headers=retry_after(final.retry_in))
+            return web.Response(status=503, headers=retry_after(final.retry_after))
         case _:
             return web.Response(status=502)
 
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -75,7 +75,7 @@
             return None
         refused = self.engine.turn_away(kind)
         assert isinstance(refused, model.Refused)
-        fields = "".join(f"{name}: {value}\r\n" for name, value in retry_after(refused.retry_in).items())
+        fields = "".join(f"{name}: {value}\r\n" for name, value in retry_after(refused.retry_after).items())
         fields += "Connection: close\r\n" if self.drain.closing else ""
         return f"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n{fields}\r\n".encode()
 
--- a/stoatrouter/lab/demo.py
+++ b/stoatrouter/lab/demo.py
@@ -75,7 +75,7 @@
                 size = "a large answer" if answer.flow is not None else f"{len(answer.body)} bytes"
                 return f"served: {status}{size} from shard {answer.shard}"
             case model.Refused():
-                when = answer.retry_in
+                when = answer.retry_after
                 return "refused" + (f", come back in {when.total_seconds():.3f} s" if when else "")
             case _:
                 return "failed"
