--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -35,17 +35,27 @@
     """The state of one head; it changes in reduce and nowhere else."""
 
     def __init__(self, settings: api.Settings, seed: int, max_open: int = 1 << 30) -> None:
+        """Start with no nodes, no requests and the decision module fresh.
+
+        Args:
+            settings: the decision module's settings, as read from the operators' file; their classes
+                size the counters, and their `max_advice` (microseconds; 0 unless `takes_advice`) is the
+                Retry-After given to requests that fronts reject.
+            seed: the decision module's random seed, so that a run can be repeated.
+            max_open: most requests not yet answered at once; one more is rejected before the module.
+        """
         self.gate: Gate | None = None  # asked before the module whether a request can be paid for
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
-        # for what is turned away unseen: as late as the settings let a client be told
+        # for what is rejected unseen: as late a Retry-After as the settings let a client be given
         self.advice = span(settings.max_advice if settings.takes_advice else 0)
         self.records: dict[str, model.Record] = {}
         self.flows: dict[str, int] = {}  # classes of requests whose answers are still being passed on
         self.nodes: dict[str, model.NodeInfo] = {}  # as listed
         self.administrative_state = model.AdministrativeState()
         self.tally = model.Tally()
-        self.counters = model.Counters(*([0] * len(settings.classes) for _ in range(3)))
+        classes = len(settings.classes)
+        self.counters = model.Counters(ok=[0] * classes, shed=[0] * classes, errors=[0] * classes)
         self.now = NO_TIME
 
     def reduce(self, event: model.Event) -> list[model.Effect]:
@@ -55,17 +65,17 @@
         match event:
             case model.Arrived():
                 return self._arrived(event.request)
-            case model.TurnedAway():
-                return self._turn_away(event.request_class, model.Refused(self.advice), "crowded")
+            case model.RejectedByFront():
+                return self._reject(event.request_class, model.Refused(self.advice), "crowded")
             case model.AttemptEnded():
                 return self._attempt_ended(event)
             case model.FlowEnded():
                 return self._flow_ended(event)
             case model.TimerDue():
                 return self._decide(api.TimerFired(event.token))
-            case model.ListTold():
+            case model.EndpointListReceived():
                 return self._list_received(event)
-            case model.ProbeEnded():
+            case model.HealthCheckEnded():
                 return self._decide(api.ProbeEnded(event.node, event.outcome, micros(event.took), event.load))
             case model.ClientLeft():
                 return self._client_left(event.request)
@@ -74,27 +84,22 @@
             case model.SetAdministrativeState():
                 return self._set_administrative_state(event)
             case model.HandedOver():
-                module = handover.hand_over(self.scheduler, micros(self.now))
-                return [model.HandoverState(tuple(self.nodes.values()), self.administrative_state, module)]
+                return self._hand_over()
             case model.TakenBack():
-                handover.take_back(self.scheduler, micros(self.now))
-                self.administrative_state = event.administrative_state
-                return self._pass_on_nodes(api.ListKind.CHANGES, tuple(self.nodes.values()))
+                return self._taken_back(event)
             case model.TakenOver():
                 return self._taken_over(event)
             case model.AttemptsElsewhere():
-                for name, node in self.scheduler.nodes.items():
-                    node.elsewhere = event.counts.get(name, 0)
-                return []
+                return self._count_attempts_elsewhere(event)
 
     @property
     def open(self) -> int:
         """How many requests are not yet answered, have an attempt open or are being streamed."""
         return len(self.records) + len(self.flows)
 
-    def nodes_out(self) -> list[str]:
-        """The node of each open attempt."""
-        return [a.node for record in self.records.values() for a in record.attempts if a.out]
+    def nodes_in_flight(self) -> list[str]:
+        """The node of each attempt in flight, once per attempt."""
+        return [a.node for record in self.records.values() for a in record.attempts if a.in_flight]
 
     @property
     def avoided(self) -> int:
@@ -104,7 +109,7 @@
     def may_begin(self, at: timedelta, request: str, attempt: int) -> bool:
         """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
         record = self.records.get(request)
-        if record is None or record.answered or not record.attempts[attempt].out:
+        if record is None or record.answered or not record.attempts[attempt].in_flight:
             return False
         return self.scheduler.may_begin(micros(max(at, self.now)), request, attempt)
 
@@ -112,36 +117,22 @@
     def _arrived(self, request: model.Request) -> list[model.Effect]:
         # Guards against an id used twice: the module drops the second, and its client would wait in vain.
         if request.id in self.records or request.id in self.flows:
-            return self._turn_away(request.request_class, model.Failed(), "duplicate_id")
+            return self._reject(request.request_class, model.Failed(), "duplicate_id")
         # Guards against a flood: beyond what the settings let a head hold, nothing reaches the module.
         if len(self.records) >= self.max_open:
-            return self._turn_away(request.request_class, model.Refused(self.advice), "over_max_open")
+            return self._reject(request.request_class, model.Refused(self.advice), "over_max_open")
         if self.gate is not None and (refused := self.gate.take(request, self.now)) is not None:
-            return self._turn_away(request.request_class, refused, "over_credit")
+            return self._reject(request.request_class, refused, "over_credit")
         self.records[request.id] = model.Record(request)
         self.tally.add("taken")
         self.counters.active += 1
         effects: list[model.Effect] = [model.WatchOverdue(request.time_left + OVERDUE_AFTER, request.id)]
-        return effects + self._decide(
-            api.RequestArrived(
-                request=request.id,
-                volume=request.volume,
-                plan=request.plan,
-                request_class=request.request_class,
-                shard=request.shard,
-                time_left=micros(request.time_left),
-                units=request.units,
-                hosts=request.hosts,
-                key=request.key,
-                repeat=request.repeat,
-                write=request.write,
-            )
-        )
+        return effects + self._decide(request_arrived(request))
 
-    def _turn_away(self, request_class: int, answer: model.Answer, why: str) -> list[model.Effect]:
+    def _reject(self, request_class: int, answer: model.Answer, why: str) -> list[model.Effect]:
         self.tally.add(why)
         self.counters.count(request_class, answer)
-        return [model.TurnAway(answer)]
+        return [model.RejectRequest(answer)]
 
     def _client_left(self, name: str) -> list[model.Effect]:
         record = self.records.get(name)
@@ -154,7 +145,7 @@
             self.gate.end(name, record.may_have_run())
         effects = self._decide(api.ClientGone(name))
         # nobody waits for it any more: nodes stop work that is cancelled
-        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.out]
+        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.in_flight]
         self._forget(name)
         return effects
 
@@ -166,7 +157,7 @@
         # Guards against a decision that never came (the module failed on it): no request goes unanswered.
         if not invariant(record.answered, "a request had no answer at its deadline", request=name):
             effects += self._answer(name, model.Failed())
-        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.out]
+        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.in_flight]
         return effects
 
     def _answer(self, name: str, answer: model.Answer) -> list[model.Effect]:
@@ -193,25 +184,29 @@
         request_class = self.flows.pop(event.request, None)
         if request_class is None:
             return []
-        if event.whole is None:
+        if event.complete is None:
             self.counters.active -= 1
         else:
-            self._count(request_class, model.Served(b"") if event.whole else model.Failed())
-            self.tally.add("passed_on" if event.whole else "broken_off")
+            self._count(request_class, model.Served(b"") if event.complete else model.Failed())
+            self.tally.add("passed_on" if event.complete else "broken_off")
         return []
 
     def _forget(self, name: str) -> None:
-        if self.records[name].over():
+        if self.records[name].is_finished():
             del self.records[name]
 
     # -- attempts -----------------------------------------------------------------------------------------
     def _attempt_ended(self, event: model.AttemptEnded) -> list[model.Effect]:
         record = self.records.get(event.request)
-        # Guards against an outcome told twice (an attempt cancelled as its answer came): the first counts.
-        if record is None or event.attempt >= len(record.attempts) or not record.attempts[event.attempt].out:
+        # Guards against an outcome reported twice (an attempt cancelled as its answer came): first counts.
+        if (
+            record is None
+            or event.attempt >= len(record.attempts)
+            or not record.attempts[event.attempt].in_flight
+        ):
             return []
         attempt = record.attempts[event.attempt]
-        attempt.out, attempt.never_ran = False, event.outcome.never_ran
+        attempt.in_flight, attempt.never_ran = False, event.outcome.never_ran
         ok = event.outcome is api.Outcome.OK
         self.tally.add(event.outcome.name.lower())
         finished = ok or record.answered
@@ -250,7 +245,7 @@
         return [model.SendAttempt(record.request, number, node.address, span(action.timeout))]
 
     # -- the node list ------------------------------------------------------------------------------------
-    def _list_received(self, event: model.ListTold) -> list[model.Effect]:
+    def _list_received(self, event: model.EndpointListReceived) -> list[model.Effect]:
         if event.kind in (api.ListKind.FULL, api.ListKind.RESTORED):
             self.nodes = {}
         for node in event.nodes:
@@ -260,9 +255,26 @@
                 self.nodes[node.id] = node
         return self._pass_on_nodes(event.kind, event.nodes, event.since)
 
+    # -- handover between processes ----------------------------------------------------------------------
+    def _hand_over(self) -> list[model.Effect]:
+        module = handover.hand_over(self.scheduler, micros(self.now))
+        return [model.HandoverState(tuple(self.nodes.values()), self.administrative_state, module)]
+
+    def _taken_back(self, event: model.TakenBack) -> list[model.Effect]:
+        handover.take_back(self.scheduler, micros(self.now))
+        self.administrative_state = event.administrative_state
+        return self._pass_on_nodes(api.ListKind.CHANGES, tuple(self.nodes.values()))
+
+    def _count_attempts_elsewhere(self, event: model.AttemptsElsewhere) -> list[model.Effect]:
+        for name, node in self.scheduler.nodes.items():
+            node.elsewhere = event.counts.get(name, 0)
+        return []
+
     def _taken_over(self, event: model.TakenOver) -> list[model.Effect]:
         self.administrative_state = event.administrative_state
-        effects = self._list_received(model.ListTold(event.at, api.ListKind.RESTORED, event.nodes))
+        effects = self._list_received(
+            model.EndpointListReceived(event.at, api.ListKind.RESTORED, event.nodes)
+        )
         try:
             handover.take_over(self.scheduler, event.module)
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
@@ -277,16 +289,8 @@
     def _pass_on_nodes(
         self, kind: api.ListKind, nodes: tuple[model.NodeInfo, ...], since: timedelta | None = None
     ) -> list[model.Effect]:
-        seen = (self.administrative_state.seen(node) for node in nodes)
-        return self._decide(
-            api.NodeList(
-                kind,
-                tuple(
-                    api.NodeEntry(n.id, n.shard, n.zone, n.phase, n.weight, micros(n.started)) for n in seen
-                ),
-                micros(self.now if since is None else since),
-            )
-        )
+        entries = tuple(node_entry(self.administrative_state.seen(node)) for node in nodes)
+        return self._decide(api.NodeList(kind, entries, micros(self.now if since is None else since)))
 
     def _set_administrative_state(self, event: model.SetAdministrativeState) -> list[model.Effect]:
         """Set the administrative state of a node; no effects where the node is not known."""
@@ -329,6 +333,28 @@
             case api.CancelAttempt():
                 return [model.CancelAttempt(action.request, action.attempt)]
             case api.ProbeNode() if action.node in self.nodes:
-                return [model.Probe(action.node, self.nodes[action.node].address)]
+                return [model.CheckHealth(action.node, self.nodes[action.node].address)]
             case _:
                 return []  # the list is always watched: nothing is to be asked for
+
+
+def request_arrived(request: model.Request) -> api.RequestArrived:
+    """The decision module's event for a request the core has admitted; its time left in microseconds."""
+    return api.RequestArrived(
+        request=request.id,
+        volume=request.volume,
+        plan=request.plan,
+        request_class=request.request_class,
+        shard=request.shard,
+        time_left=micros(request.time_left),
+        units=request.units,
+        hosts=request.hosts,
+        key=request.key,
+        repeat=request.repeat,
+        write=request.write,
+    )
+
+
+def node_entry(node: model.NodeInfo) -> api.NodeEntry:
+    """A listed node as the decision module takes it, its start time in microseconds since the epoch."""
+    return api.NodeEntry(node.id, node.shard, node.zone, node.phase, node.weight, micros(node.started))
