--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -7,7 +7,7 @@
 from aiohttp import HttpVersion11, web
 
 from stoatrouter.core import model
-from stoatrouter.net.bodies import Body, BrokenOff, Flow, Room, TooLarge, TooSlow, read_body
+from stoatrouter.net.bodies import Body, BodyCapacity, BrokenOff, Flow, TooLarge, TooSlow, read_body
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.listener import Drain
 
@@ -23,11 +23,11 @@
 class Exchange:
     """Base of the fronts that make one request of the core out of one HTTP request."""
 
-    def __init__(self, engine: Engine, drain: Drain, room: Room) -> None:
+    def __init__(self, engine: Engine, drain: Drain, room: BodyCapacity) -> None:
         self.engine, self.drain, self.room = engine, drain, room
 
     async def read(self, request: web.BaseRequest) -> Body:
-        """Read the whole body; raises BadRequest where it is too large, too slow or malformed, or NoRoom."""
+        """Read the whole body; raises BadRequest (too large, too slow or malformed) or NoCapacity."""
         try:
             body = await read_body(request, self.room)
         except TooLarge:
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -14,7 +14,7 @@
 from stoatrouter.matching.decisions import Decision, Refusal
 from stoatrouter.matching.inputs import Input, Unreadable, read_input
 from stoatrouter.matching.matcher import Matcher
-from stoatrouter.net.bodies import NoRoom, Room, StoredBody
+from stoatrouter.net.bodies import BodyCapacity, NoCapacity, StoredBody
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.listener import Drain
 from stoatrouter.net.nodes import HOP_BY_HOP
@@ -45,7 +45,7 @@
         engine: Engine,
         settings: api.Settings,
         drain: Drain,
-        room: Room,
+        room: BodyCapacity,
         matcher: Matcher,
         recorder: Recorder | None = None,
         forwarded: bool = True,
@@ -73,7 +73,7 @@
         except (BadRequest, Unreadable) as error:
             reason = error.reason if isinstance(error, BadRequest) else str(error)
             return last(web.Response(status=error.status, text=f"{reason}\n"))
-        except NoRoom:
+        except NoCapacity:
             return last(answer(self.engine.turn_away(wanted.request_class)))
         try:
             return await self.put(request, wanted, body)
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -12,7 +12,7 @@
 from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.fronts.exchange import BadRequest, Exchange, answer, last, retry_after
-from stoatrouter.net.bodies import NoRoom, Room, StoredBody
+from stoatrouter.net.bodies import BodyCapacity, NoCapacity, StoredBody
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.listener import Drain
 
@@ -26,7 +26,7 @@
 class PlatformFront(Exchange):
     """Serves the platform's clients."""
 
-    def __init__(self, engine: Engine, settings: api.Settings, drain: Drain, room: Room) -> None:
+    def __init__(self, engine: Engine, settings: api.Settings, drain: Drain, room: BodyCapacity) -> None:
         super().__init__(engine, drain, room)
         self.settings = settings
         self.classes = {c.name: i for i, c in enumerate(settings.classes)}
@@ -49,7 +49,7 @@
                 raise BadRequest("a read has no body")
         except BadRequest as error:
             return last(web.Response(status=error.status, text=f"{error.reason}\n"))
-        except NoRoom:
+        except NoCapacity:
             return last(answer(self.engine.turn_away(wanted.request_class)))
         try:
             final = await self.engine.serve(replace(wanted, body=body) if len(body) else wanted)
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -16,7 +16,7 @@
 from stoatrouter.core.spans import span
 from stoatrouter.fronts.platform import PlatformFront
 from stoatrouter.management.calls import MOST_CALLERS, Management
-from stoatrouter.net.bodies import SMALL, Room
+from stoatrouter.net.bodies import SMALL, BodyCapacity
 from stoatrouter.net.clients import ClientTable
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
@@ -93,7 +93,7 @@
             busy_pressed(conf.sockets),
         )
         self.drain = Drain(self.clients)
-        self.room = Room(max(SMALL, conf.memory_mb * 1_000_000 - BASE), conf.folder)
+        self.room = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE), conf.folder)
         front = PlatformFront(self.engine, conf.settings, self.drain, self.room)
         self.platform = Listener(front.handle, self.drain, front.refuse)
         self.http_tables: TableService | None = None
--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -16,16 +16,16 @@
 SMALL = 64 * 1024  # in memory, and checked whole
 LARGEST = 36 * 1024 * 1024  # honest work reaches 32 MB
 PIECE = 64 * 1024
-STEP = 1024 * 1024  # by which the room of a body without a stated length grows
+STEP = 1024 * 1024  # by which the capacity reserved for a body without a stated length grows
 # A body that stops is left, and so is one far slower than clients in service (64 kB a second).
 STALL, SLOWEST = timedelta(seconds=1), 24 * 1024
 START = timedelta(milliseconds=2500)  # from when on its mean rate counts
-ROOM_WITHIN = timedelta(seconds=4)  # how long a body waits, unread, for others to be done with theirs
+CAPACITY_WAIT = timedelta(seconds=4)  # how long a body waits, unread, for others to be done with theirs
 SILENT = timedelta(seconds=10)  # how long an answer that has begun may stand still
 
 
-class NoRoom(Exception):
-    """Stored bodies leave no room for this one, or the disk is full."""
+class NoCapacity(Exception):
+    """Stored bodies leave no capacity for this one, or the disk is full."""
 
 
 class TooLarge(Exception):
@@ -40,7 +40,7 @@
     """A node broke off its answer."""
 
 
-class Room:
+class BodyCapacity:
     """The bytes that stored bodies may take together, granted in order of arrival.
 
     Files count in full, as $TMPDIR may lie in memory.
@@ -53,7 +53,7 @@
     async def take(self, size: int) -> None:
         """Take `size` bytes, waiting in turn so that small bodies do not starve a large one.
 
-        Raises TooLarge where they can never fit, NoRoom after ROOM_WITHIN.
+        Raises TooLarge where they can never fit, NoCapacity after CAPACITY_WAIT.
         """
         if size > self.most:
             raise TooLarge
@@ -63,7 +63,7 @@
         entry = (size, asyncio.get_running_loop().create_future())
         self.waiting.append(entry)
         try:
-            async with asyncio.timeout(ROOM_WITHIN.total_seconds()):
+            async with asyncio.timeout(CAPACITY_WAIT.total_seconds()):
                 await entry[1]
         except BaseException as error:
             if entry in self.waiting:
@@ -72,7 +72,7 @@
             elif not entry[1].cancelled():
                 self.free(size)  # it was given as the wait ended
             if isinstance(error, TimeoutError):
-                raise NoRoom from None
+                raise NoCapacity from None
             raise
 
     def free(self, size: int) -> None:
@@ -81,7 +81,7 @@
         self.pass_on()
 
     def pass_on(self) -> None:
-        """Grant room to those that wait, in turn, as far as it goes."""
+        """Grant capacity to those that wait, in turn, as far as it goes."""
         while self.waiting and self.taken + self.waiting[0][0] <= self.most:
             size, given = self.waiting.popleft()
             self.taken += size
@@ -94,27 +94,27 @@
 class StoredBody:
     """A large body in an unnamed file; any attempt can read it from its start."""
 
-    def __init__(self, room: Room) -> None:
-        self.room, self.size, self.taken = room, 0, 0
+    def __init__(self, capacity: BodyCapacity) -> None:
+        self.capacity, self.size, self.taken = capacity, 0, 0
         try:
-            self.file = tempfile.TemporaryFile(dir=room.folder, buffering=0)  # noqa: SIM115
+            self.file = tempfile.TemporaryFile(dir=capacity.folder, buffering=0)  # noqa: SIM115
         except OSError as error:  # guards against a folder that is full or gone
-            raise NoRoom from error
+            raise NoCapacity from error
 
     async def grow(self, size: int) -> None:
-        """Take room for `size` bytes in all; raises as Room.take does."""
+        """Reserve capacity for `size` bytes in all; raises as BodyCapacity.take does."""
         if size > self.taken:
-            await self.room.take(size - self.taken)
+            await self.capacity.take(size - self.taken)
             self.taken = size
 
     def write(self, data: bytes) -> None:
-        """Append to the file; raises NoRoom where the disk has no space."""
+        """Append to the file; raises NoCapacity where the disk has no space."""
         view = memoryview(data)
         try:
             while view:
                 view = view[self.file.write(view) :]
         except OSError as error:  # guards against a folder that is full
-            raise NoRoom from error
+            raise NoCapacity from error
         self.size += len(data)
 
     async def pieces(self) -> AsyncIterator[bytes]:
@@ -132,19 +132,19 @@
         return self.size
 
     def close(self) -> None:
-        """Delete the file and give its room back; calling it again changes nothing."""
+        """Delete the file and give its capacity back; calling it again changes nothing."""
         if not self.file.closed:
             self.file.close()
-            self.room.free(self.taken)
+            self.capacity.free(self.taken)
 
 
 Body = bytes | StoredBody
 
 
-async def read_body(request: web.BaseRequest, room: Room) -> Body:
+async def read_body(request: web.BaseRequest, capacity: BodyCapacity) -> Body:
     """Read a whole body; one over SMALL bytes goes into a file that the caller must close.
 
-    Raises TooLarge, TooSlow or NoRoom.
+    Raises TooLarge, TooSlow or NoCapacity.
     """
     stated = request.content_length or 0
     if stated > LARGEST:
@@ -154,7 +154,7 @@
     small, stored, rate = bytearray(), None, ReceiveRate()
     try:
         if stated > SMALL:
-            stored = StoredBody(room)
+            stored = StoredBody(capacity)
             await stored.grow(stated)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -167,10 +167,10 @@
                 small += data
                 continue
             if stored is None:  # it stated no length
-                stored = StoredBody(room)
+                stored = StoredBody(capacity)
             if size > stored.taken:
-                # a step further, yet no more than there is: it would wait for room that never comes
-                await stored.grow(max(size, min(stored.taken + STEP, room.most)))
+                # a step further, yet no more than there is: it would wait for capacity that never comes
+                await stored.grow(max(size, min(stored.taken + STEP, capacity.most)))
             if small:
                 stored.write(bytes(small))
                 small.clear()
--- a/stoatrouter/net/clients.py
+++ b/stoatrouter/net/clients.py
@@ -1,4 +1,4 @@
-"""Connections of clients: how many are held, for how long, and how they end."""
+"""Connections of clients: how many are open, for how long, and how they end."""
 
 from __future__ import annotations
 
@@ -58,17 +58,19 @@
         self.busy_elsewhere = 0  # at the process before this one
         self.pressed_until = 0.0
         self.keep_idle = False  # a stopping head's clients cannot open new ones
-        self.held: dict[State, dict[ClientConnection, float]] = {state: {} for state in State}
+        self.by_state: dict[State, dict[ClientConnection, float]] = {
+            state: {} for state in State
+        }  # since when
 
     def __len__(self) -> int:
-        return sum(len(held) for held in self.held.values())
+        return sum(len(connections) for connections in self.by_state.values())
 
     def put(self, connection: ClientConnection, state: State) -> None:
         """Move a connection to a state, as the latest of it."""
         self.leave(connection)
         connection.state, connection.since = state, connection.loop.time()
-        self.held[state][connection] = connection.since
-        once = self.held[State.ONCE]
+        self.by_state[state][connection] = connection.since
+        once = self.by_state[State.ONCE]
         if len(once) > self.idle_most and not self.keep_idle:
             # Guards the other clients: what they may hold together is bounded, and those that ask once and
             # keep their connection would take all of it. Those that ask again keep theirs: at a high rate,
@@ -77,7 +79,7 @@
 
     def leave(self, connection: ClientConnection) -> None:
         """Remove a connection from the table."""
-        self.held[connection.state].pop(connection, None)
+        self.by_state[connection.state].pop(connection, None)
 
     def enter(self, connection: ClientConnection) -> None:
         """Add a new connection.
@@ -96,7 +98,7 @@
         A connection that was just opened is spared before those between requests: its first request is on
         its way, and most likely has not been read yet.
         """
-        oldest = {state: next(iter(held), None) for state, held in self.held.items()}
+        oldest = {state: next(iter(connections), None) for state, connections in self.by_state.items()}
         silent, begun, now = oldest[State.SILENT], oldest[State.BEGUN], newest.loop.time()
         if silent is newest:
             silent = None
@@ -115,7 +117,7 @@
     @property
     def open(self) -> int:
         """How many connections have a request open."""
-        return len(self.held[State.BUSY])
+        return len(self.by_state[State.BUSY])
 
     def crowded(self) -> bool:
         """Whether requests on further connections are to be refused."""
@@ -132,17 +134,17 @@
 
     def sweep(self) -> None:
         """Close connections that were idle or silent for too long, send endless heads, or read no answer."""
-        for connection in list(self.held[State.BEGUN]):
+        for connection in list(self.by_state[State.BEGUN]):
             if connection.loop.time() - connection.begun > HEAD_WITHIN.total_seconds():
                 connection.end()
-        for connection in list(self.held[State.BUSY]):
+        for connection in list(self.by_state[State.BUSY]):
             if connection.unread_for() > UNREAD.total_seconds():
                 connection.end()
         for state in (State.SILENT, State.ONCE, State.IDLE, State.ENDING):
             if state in (State.ONCE, State.IDLE) and self.keep_idle:
                 continue
             after = LINGER if state is State.ENDING else IDLE
-            for connection, since in list(self.held[state].items()):
+            for connection, since in list(self.by_state[state].items()):
                 if connection.loop.time() - since < after.total_seconds():
                     break
                 if state is State.ENDING:
@@ -163,7 +165,7 @@
         first request is on its way.
         """
         for state in (State.ONCE, State.IDLE, *((State.SILENT, State.BEGUN) if silent else ())):
-            for connection in list(self.held[state]):
+            for connection in list(self.by_state[state]):
                 if (
                     state is not State.SILENT
                     or connection.seconds_in_state() > JUST_CONNECTED.total_seconds()
@@ -172,7 +174,9 @@
 
     def any_just_connected(self) -> bool:
         """Whether any connection is so new that its first request may still be on its way."""
-        return any(c.seconds_in_state() <= JUST_CONNECTED.total_seconds() for c in self.held[State.SILENT])
+        return any(
+            c.seconds_in_state() <= JUST_CONNECTED.total_seconds() for c in self.by_state[State.SILENT]
+        )
 
 
 class ClientConnection(RequestHandler):
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -24,7 +24,7 @@
 LARGEST_LIST = 4 * 1024 * 1024
 UNNAMED_ZONES = 1 << 16  # numbers from here on are of zones that the settings do not name
 MOST_LOGGED_FAULTS = 1000  # faults of entries that are remembered as logged
-NONE_HELD: Mapping[str, NodeInfo] = MappingProxyType({})
+NONE_CACHED: Mapping[str, NodeInfo] = MappingProxyType({})
 PHASES = {"SERVING": Phase.ON, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
 
 # the kind, the entries, and how long before now they may have counted as told; None: nobody knows
@@ -47,9 +47,9 @@
         self.address, self.on_list, self.count, self.pushed = address, on_list, count, pushed
         self.zones = zones  # by name, as the settings number them
         self.times = times or list_times(pushed, timedelta(seconds=2))
-        # in the loop's time: when the present call began, and up to when the list held is current
+        # in the loop's time: when the present call began, and up to when the cached list is current
         self.call_began, self.current_at = 0.0, None
-        self.held: dict[str, NodeInfo] = {}  # as last told, for entries that cannot be read
+        self.cached: dict[str, NodeInfo] = {}  # as last notified, for entries that cannot be read
         self.logged_faults: set[str] = set()
         self.generation: int | None = None
         self.known = known
@@ -121,11 +121,11 @@
         ) as session:
             while True:
                 try:
-                    news = await self.call(session)
+                    changed = await self.call(session)
                     self.recovered()
                     # Guards the core against an agent that does not hold calls: asking is paced then.
                     took = asyncio.get_running_loop().time() - self.call_began
-                    if not news and took < LEAST_CALL_INTERVAL.total_seconds():
+                    if not changed and took < LEAST_CALL_INTERVAL.total_seconds():
                         await asyncio.sleep(LEAST_CALL_INTERVAL.total_seconds())
                 except (aiohttp.ClientError, Broken, OSError, ValueError, TimeoutError) as error:
                     self.failed(error)
@@ -172,17 +172,17 @@
             data = json.loads(raw)
         except RecursionError:  # brackets without end
             raise ValueError("list nested too deeply") from None
-        news = self.take(data, self.age())
+        changed = self.take(data, self.age())
         self.current_at = asyncio.get_running_loop().time()
         self.answered.set()
-        return news
+        return changed
 
     def take(self, data: Any, age: timedelta | None = timedelta(0)) -> bool:
         """Apply one message; returns whether it brought changes.
 
         Raises ValueError where it does not follow on the list that is held.
         """
-        generation, whole, nodes, faults = read_list(data, self.held, self.zones)
+        generation, whole, nodes, faults = read_list(data, self.cached, self.zones)
         if not whole and (self.generation is None or generation < self.generation):
             # Guards against changes to another list than the one held, as from an agent that counts anew.
             self.generation = None  # the next call asks for the whole
@@ -222,11 +222,11 @@
                     error=fault,
                 )
         if kind is not ListKind.CHANGES:
-            self.held.clear()
+            self.cached.clear()
         for node in nodes:
-            self.held[node.id] = node
+            self.cached[node.id] = node
             if node.phase is Phase.GONE:
-                del self.held[node.id]
+                del self.cached[node.id]
         if nodes or kind is not ListKind.CHANGES:
             self.on_list(kind, nodes, age)
 
@@ -253,7 +253,7 @@
 
 def read_list(
     data: Any,
-    held: Mapping[str, NodeInfo] = NONE_HELD,
+    cached: Mapping[str, NodeInfo] = NONE_CACHED,
     zones: tuple[str, ...] = (),
 ) -> tuple[int, bool, tuple[NodeInfo, ...], tuple[str, ...]]:
     """Parse a message: generation, whether it is whole, its nodes, and faults of unreadable entries.
@@ -276,8 +276,8 @@
             name = entry.get("instanceId") if isinstance(entry, dict) else None
             faults.append(f"{name!r}: {type(error).__name__}: {error}"[:200])
             # nor is the node that it stands for taken for gone
-            if whole and isinstance(name, str) and name in held:
-                nodes.append(held[name])
+            if whole and isinstance(name, str) and name in cached:
+                nodes.append(cached[name])
     return generation, whole, tuple(nodes), tuple(faults)
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -14,7 +14,7 @@
 
 from cypressworks.interface import ListKind
 from stoatrouter.net import bodies, clients
-from stoatrouter.net.bodies import NoRoom, Room, TooLarge
+from stoatrouter.net.bodies import BodyCapacity, NoCapacity, TooLarge
 from stoatrouter.net.discovery import read_node
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, started
@@ -131,7 +131,7 @@
 
 def test_room_is_given_in_turn_and_nobody_waits_for_ever(monkeypatch):
     async def story():
-        room = Room(100)
+        room = BodyCapacity(100)
         await room.take(60)
         large, small = asyncio.create_task(room.take(90)), asyncio.create_task(room.take(10))
         await asyncio.sleep(0)
@@ -139,8 +139,8 @@
         room.free(60)
         await asyncio.gather(large, small)
         assert room.taken == 100
-        monkeypatch.setattr(bodies, "ROOM_WITHIN", timedelta(0))
-        with pytest.raises(NoRoom):
+        monkeypatch.setattr(bodies, "CAPACITY_WAIT", timedelta(0))
+        with pytest.raises(NoCapacity):
             await room.take(1)
         with pytest.raises(TooLarge):
             await room.take(101)
@@ -337,7 +337,7 @@
             slow, writer = await asyncio.open_connection(HOST, head.platform.port)
             stack.callback(writer.close)
             writer.write(GOOD[:50])
-            held = head.clients.held[clients.State.BEGUN]
+            held = head.clients.by_state[clients.State.BEGUN]
             await until(lambda: len(held) == head.clients.most)
             for _ in range(head.clients.most - 1):
                 _, more = await asyncio.open_connection(HOST, head.platform.port)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -99,7 +99,7 @@
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
                 await reader.readuntil(b"\r\n\r\n")
             fresh = [await asyncio.open_connection(HOST, head.platform.port) for _ in range(10)]
-            await until(lambda: len(head.clients.held[clients.State.SILENT]) == 10)
+            await until(lambda: len(head.clients.by_state[clients.State.SILENT]) == 10)
             for i, (reader, writer) in enumerate(fresh):
                 stack.callback(writer.close)
                 writer.write(GOOD.replace(b"9b1f", b"f%03d" % i))
@@ -141,7 +141,7 @@
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
                 assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
                 stack.callback(writer.close)
-            assert len(head.clients.held[clients.State.IDLE]) == 20 > head.clients.idle_most
+            assert len(head.clients.by_state[clients.State.IDLE]) == 20 > head.clients.idle_most
 
     run(story())
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -200,8 +200,8 @@
             reader, writer = await raw(head)
             writer.write(text(HEADERS))
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
-            await until(lambda: head.clients.held[State.ONCE])
-            (connection,) = head.clients.held[State.ONCE]
+            await until(lambda: head.clients.by_state[State.ONCE])
+            (connection,) = head.clients.by_state[State.ONCE]
             # it has rested for long, and its next request comes as it is to be ended: the loop has not read
             # it
             sock = connection.transport.get_extra_info("socket")
@@ -209,7 +209,7 @@
             select.select([sock], [], [])
             assert connection.state is State.ONCE
             if ends == "sweep":
-                head.clients.held[State.ONCE][connection] -= 3600
+                head.clients.by_state[State.ONCE][connection] -= 3600
                 head.clients.sweep()
             else:
                 head.clients.end_idle()
@@ -227,15 +227,15 @@
         a = Node("a", 0)
         async with started(a) as (head, _):
             reader, writer = await raw(head)
-            await until(lambda: head.clients.held[State.SILENT])
+            await until(lambda: head.clients.by_state[State.SILENT])
             assert head.clients.any_just_connected()
             head.clients.end_idle()
             writer.write(text(HEADERS))
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
             writer.close()
             reader, writer = await raw(head)
-            await until(lambda: head.clients.held[State.SILENT])
-            (connection,) = head.clients.held[State.SILENT]
+            await until(lambda: head.clients.by_state[State.SILENT])
+            (connection,) = head.clients.by_state[State.SILENT]
             connection.since -= 3600  # it has had its time
             assert not head.clients.any_just_connected()
             head.clients.end_idle()
