--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -201,7 +201,7 @@
             case model.SaveAdministrativeState():
                 self.state_saved = self.state_file.write(self.reducer.administrative_state)
             case model.Probe():
-                self.spawn(self.probe(effect))
+                self.spawn(self.check_health(effect))
 
     def may_begin(self, effect: model.SendAttempt) -> bool:
         """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
@@ -261,10 +261,10 @@
             reply.flow.close()
             self.flow_ended(effect.request.id, None)
 
-    async def probe(self, effect: model.Probe) -> None:
-        """Probe a node and report its load."""
+    async def check_health(self, effect: model.Probe) -> None:
+        """Run a health check on a node and put its outcome and load to the core."""
         began = self.clock.now()
-        reply = await self.nodes.probe(effect)
+        reply = await self.nodes.check_health(effect)
         now = self.clock.now()
         self.put(model.ProbeEnded(now, effect.node, reply.outcome, now - began, reply.load))
 
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -20,7 +20,7 @@
 from stoatrouter.net.bodies import SMALL, Flow, StoredBody
 from stoatrouter.net.pool import NodeConnection, NodePool, NotBegun
 
-PROBE_TIMEOUT = timedelta(milliseconds=400)
+HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=400)
 # Idle connections are given up at this part of the time after which a node closes them: a request written
 # as the node closes would end as a reset.
 IDLE_PART = 0.5
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """The outcome of an attempt or a probe, with what the node reported."""
+    """The outcome of an attempt or a health check, with what the node reported."""
 
     outcome: Outcome
     body: bytes = b""
@@ -81,7 +81,7 @@
         """Note whether the last byte was handed to the system; such an attempt counts as a try."""
         self.written = written
         if written and "Req-Id" in self.headers and isinstance(conn.protocol, NodeConnection):
-            conn.protocol.pool.tries += 1  # probes are none
+            conn.protocol.pool.tries += 1  # health checks are none
 
     async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
         """Send the request; drain() waits until the system has taken the last byte."""
@@ -205,10 +205,10 @@
             if response is not None:
                 response.close()  # what came whole has given its connection back already
 
-    async def probe(self, effect: model.Probe) -> Reply:
+    async def check_health(self, effect: model.Probe) -> Reply:
         """Ask a node for its load; every error becomes an outcome."""
         try:
-            async with asyncio.timeout(PROBE_TIMEOUT.total_seconds()):
+            async with asyncio.timeout(HEALTH_CHECK_TIMEOUT.total_seconds()):
                 async with self.session.get(
                     URL(f"http://{effect.address}/load", encoded=True), allow_redirects=False
                 ) as response:
