--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -47,6 +47,12 @@
     """
 
     def __init__(self, most: int, folder: str | None = None) -> None:
+        """Start with nothing taken.
+
+        Args:
+            most: The bytes that stored bodies may take together.
+            folder: Where their files go; None: the system's temporary folder ($TMPDIR).
+        """
         self.most, self.folder, self.taken = most, folder, 0
         self.waiting: deque[tuple[int, asyncio.Future[None]]] = deque()
 
@@ -95,6 +101,14 @@
     """A large body in an unnamed file; any attempt can read it from its start."""
 
     def __init__(self, capacity: BodyCapacity) -> None:
+        """Open an unnamed file for a body; it takes no capacity until it grows.
+
+        Args:
+            capacity: The capacity that the body's bytes are reserved from, and its folder.
+
+        Raises:
+            NoCapacity: The file cannot be created, as where the folder is full or gone.
+        """
         self.capacity, self.size, self.taken = capacity, 0, 0
         try:
             self.file = tempfile.TemporaryFile(dir=capacity.folder, buffering=0)  # noqa: SIM115
@@ -129,6 +143,7 @@
             yield piece
 
     def __len__(self) -> int:
+        """The bytes written so far."""
         return self.size
 
     def close(self) -> None:
@@ -186,6 +201,7 @@
     """The mean rate at which a body arrives, counting only the time spent waiting for it."""
 
     def __init__(self) -> None:
+        """Start with no time spent and no byte received."""
         self.spent, self.received = 0.0, 0
 
     async def wait(self, content: aiohttp.StreamReader) -> bytes:
@@ -212,6 +228,13 @@
     """A node's answer that is streamed to the client."""
 
     def __init__(self, response: aiohttp.ClientResponse, first: bytes, length: int | None) -> None:
+        """Wrap a node's answer whose first bytes were read already.
+
+        Args:
+            response: The node's answer, open until its body is read.
+            first: The bytes of its body read so far.
+            length: Its body's length in bytes as the node stated it; None where it stated none.
+        """
         self.response, self.first, self.length = response, first, length
         self.taken = False  # by whoever passes it on
 
--- a/stoatrouter/net/clients.py
+++ b/stoatrouter/net/clients.py
@@ -51,6 +51,14 @@
     """All connections of clients, by state, and within it in the order in which they entered it."""
 
     def __init__(self, most: int, idle_most: int, busy_most: int, busy_pressed: int | None = None) -> None:
+        """Start with no connection.
+
+        Args:
+            most: How many connections this head keeps open at most.
+            idle_most: How many of them may be between requests of clients that asked only once.
+            busy_most: How many of them may have a request open.
+            busy_pressed: How many may have a request open while this head lacks time; None: busy_most.
+        """
         self.most, self.idle_most = most, idle_most
         # how many may have a request open, and how many while this head lacks time: connections then outlive
         # their answers, and clients soon have none left
@@ -63,6 +71,7 @@
         }  # since when
 
     def __len__(self) -> int:
+        """How many connections are open, in all states."""
         return sum(len(connections) for connections in self.by_state.values())
 
     def put(self, connection: ClientConnection, state: State) -> None:
@@ -192,6 +201,16 @@
         loop: asyncio.AbstractEventLoop,
         **more: Any,
     ) -> None:
+        """Set up a connection of a client, silent since its start.
+
+        Args:
+            manager: The server that accepted it.
+            clients: The table the connection enters and leaves.
+            refuse: While the head has as many requests open as it may, gives the bytes that came the answer
+                that rejects them, or None to take them; None: none are rejected before they are parsed.
+            loop: The event loop that runs the connection.
+            **more: Passed on to aiohttp's RequestHandler.
+        """
         # the table's sweep ends idle connections, long before aiohttp's own timer would
         super().__init__(
             manager, loop=loop, keepalive_timeout=10 * IDLE.total_seconds(), lingering_time=0, **more
@@ -334,8 +353,11 @@
                 self.transport.write_eof()
 
     def _renew(self, request: web.BaseRequest) -> bool:
-        """Whether the connection can go on. Guards the next request against trailers of this one, which
-        aiohttp's parser takes for the first headers of whatever comes next."""
+        """Whether the connection can go on.
+
+        Guards the next request against trailers of this one, which aiohttp's parser takes for the first
+        headers of whatever comes next.
+        """
         if "Transfer-Encoding" not in request.headers:
             return True
         if self._messages:
@@ -358,6 +380,14 @@
     """aiohttp's server with ClientConnection as its protocol."""
 
     def __init__(self, handler: Any, clients: ClientTable, refuse: Refuse | None, **more: Any) -> None:
+        """Set up aiohttp's server with its connections in a table.
+
+        Args:
+            handler: Answers each request.
+            clients: The table of this server's connections.
+            refuse: As ClientConnection takes it.
+            **more: Passed on to aiohttp's Server.
+        """
         super().__init__(handler, **more)
         self.clients, self.refuse = clients, refuse
 
--- a/stoatrouter/net/clock.py
+++ b/stoatrouter/net/clock.py
@@ -13,6 +13,7 @@
     """
 
     def __init__(self) -> None:
+        """Set the clock from the system's time, now."""
         self._anchor = timedelta(seconds=time.time()) - timedelta(seconds=time.monotonic())
 
     def now(self) -> timedelta:
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -44,6 +44,19 @@
         times: ListTimes | None = None,
         zones: tuple[str, ...] = (),
     ) -> None:
+        """Set up a watch of the endpoint list; it polls nothing until run.
+
+        Args:
+            address: Where discovery answers, as host:port.
+            known: The list this head last had (as discovery wrote it), to restore; empty: none.
+            on_list: Called with the kind, the entries, and how long before now they may have been notified
+                (None: not known), for a restored list and for each list or watch event that changes anything.
+            count: Called with the name of a fault that is counted, such as entry_unreadable.
+            pushed: Whether an agent on this machine pushes the list, and is polled often; else one discovery
+                service serves all heads and is polled seldom.
+            times: The timeouts and backoff of calls; None: those that list_times gives for `pushed`.
+            zones: The zones by name, in the order in which the settings number them.
+        """
         self.address, self.on_list, self.count, self.pushed = address, on_list, count, pushed
         self.zones = zones  # by name, as the settings number them
         self.times = times or list_times(pushed, timedelta(seconds=2))
--- a/stoatrouter/net/early.py
+++ b/stoatrouter/net/early.py
@@ -23,6 +23,7 @@
     """Tells the previous process that this one is starting."""
 
     def __init__(self) -> None:
+        """Start without a connection to the previous process."""
         self.connection: socket.socket | None = None
 
     def connect(self, folder: str | None) -> None:
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -32,6 +32,14 @@
     def __init__(
         self, reducer: Reducer, clock: Clock, nodes: NodeClient, state_file: AdministrativeStateFile
     ) -> None:
+        """Set up an engine with nothing open; it must be made within the running event loop.
+
+        Args:
+            reducer: The core, which makes all decisions.
+            clock: The time that effects and events are given.
+            nodes: The client of all nodes.
+            state_file: Where the administrative state is saved when it changes.
+        """
         self.reducer, self.clock, self.nodes, self.state_file = reducer, clock, nodes, state_file
         self.state_saved = True  # whether the administrative state was saved when it last changed
         self.loop = asyncio.get_running_loop()
--- a/stoatrouter/net/generations.py
+++ b/stoatrouter/net/generations.py
@@ -36,6 +36,17 @@
         stop_accepting: Callable[[], Awaitable[None]],
         resume_accepting: Callable[[], Awaitable[None]],
     ) -> None:
+        """Set up this process; it takes over and hands over only when asked.
+
+        Args:
+            engine: The engine whose state is handed over.
+            watch: The endpoint list's watch, whose generation is handed over.
+            clients: The table of clients' connections.
+            drain: Whether this head is draining or out of service.
+            folder: Where the socket between processes lies ($TMPDIR); None: no handover.
+            stop_accepting: Stops the listeners from accepting connections.
+            resume_accepting: Makes them accept connections again.
+        """
         self.engine, self.watch, self.clients, self.drain = engine, watch, clients, drain
         self.stop_accepting, self.resume_accepting = stop_accepting, resume_accepting
         self.succession = Succession(folder)
--- a/stoatrouter/net/hangup.py
+++ b/stoatrouter/net/hangup.py
@@ -9,6 +9,7 @@
     """Whether SIGHUP came while the program was still starting."""
 
     def __init__(self) -> None:
+        """Start with no SIGHUP received."""
         self.received = False
 
     def hold(self) -> None:
--- a/stoatrouter/net/listener.py
+++ b/stoatrouter/net/listener.py
@@ -57,6 +57,11 @@
     """Whether this head sends its clients away, and how its answers mark their connections."""
 
     def __init__(self, clients: ClientTable) -> None:
+        """Start open, neither draining nor out of service.
+
+        Args:
+            clients: The table of clients' connections that draining closes.
+        """
         self.clients = clients
         self.asked_to_end = self.stopping = self.out = False
         self.handed_over = False  # a new process of this head takes what is new
@@ -138,6 +143,13 @@
     """One listening address with one front behind it."""
 
     def __init__(self, handler: Handler, drain: Drain, refuse: Refuse | None = None) -> None:
+        """Set up the server of one address; it listens once started.
+
+        Args:
+            handler: Answers each request.
+            drain: Whether this head is draining, and the table of its clients' connections.
+            refuse: As ClientConnection takes it.
+        """
         self.drain = drain
 
         async def serve(request: web.BaseRequest) -> web.StreamResponse:
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -63,6 +63,12 @@
     """An exchange broke; `written` tells whether the last byte of the request was sent."""
 
     def __init__(self, written: bool, cause: BaseException) -> None:
+        """Record how an exchange broke.
+
+        Args:
+            written: Whether the last byte of the request was sent.
+            cause: The error that broke it.
+        """
         super().__init__(f"{type(cause).__name__}: {cause}")
         self.written = written
 
@@ -136,6 +142,14 @@
         most: int,
         rest_within: timedelta = REST_WITHIN,
     ) -> None:
+        """Set up the client of all nodes with an empty pool.
+
+        Args:
+            connect_timeout: How long a connection to a node may take to open.
+            conn_idle: How long a node keeps an idle connection; this head keeps it half as long.
+            most: How many connections to nodes may be open at once, idle ones included.
+            rest_within: How long the rest of an answer may take once it has begun.
+        """
         self.pool = NodePool(most, conn_idle * IDLE_PART, rest_within)
         self.session = aiohttp.ClientSession(
             connector=self.pool,
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -37,6 +37,13 @@
     """A connection to a node, with at most one exchange at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, pool: NodePool, rest_within: timedelta) -> None:
+        """Set up a connection to a node, with no exchange yet.
+
+        Args:
+            loop: The event loop that runs the connection.
+            pool: The pool that the connection belongs to.
+            rest_within: How long the rest of an answer may take once it has begun.
+        """
         super().__init__(loop)
         self.pool, self.rest_within = pool, rest_within
         self.awaiting_answer = self.chunked = False
@@ -167,8 +174,10 @@
             self._start_stall_timer(anew=True)
 
     def _start_stall_timer(self, anew: bool = False) -> None:
-        """Guards the client's time against an answer that has begun and does not go on; a head has this long
-        for all of it."""
+        """Start the timer of an answer that has begun and does not go on, anew where `anew`.
+
+        Guards the client's time against such an answer: the rest of it must come within rest_within.
+        """
         if anew:
             self._cancel_stall_timer()
         if self.stall_timer is None and self.awaiting_answer and not self.streaming:
@@ -215,6 +224,13 @@
     """Connections to all nodes; idle ones count against the bound as well."""
 
     def __init__(self, most: int, keep: timedelta, rest_within: timedelta) -> None:
+        """Set up an empty pool.
+
+        Args:
+            most: How many connections may be open at once, idle ones included.
+            keep: How long an idle connection is kept.
+            rest_within: How long the rest of an answer may take once it has begun.
+        """
         super().__init__(limit=most, keepalive_timeout=keep.total_seconds(), use_dns_cache=False)
         self.most, self.keep = most, keep.total_seconds()
         self.reuse_within = self.keep  # how long a connection may have been idle to be used again
--- a/stoatrouter/net/recorder.py
+++ b/stoatrouter/net/recorder.py
@@ -21,6 +21,13 @@
     """The recorder of one head. It writes to `file`, which becomes `file.1` at half of the bound."""
 
     def __init__(self, file: Path, most_bytes: int, sampler: Sampler) -> None:
+        """Set up a recorder with nothing waiting to be written.
+
+        Args:
+            file: The file written to.
+            most_bytes: The bound on the bytes of `file` and `file.1` together.
+            sampler: Chooses the requests that are recorded.
+        """
         self.file, self.most, self.sampler = file, most_bytes // 2, sampler
         self.waiting: list[str] = []
         self.left_out = 0
--- a/stoatrouter/net/state_file.py
+++ b/stoatrouter/net/state_file.py
@@ -16,6 +16,11 @@
     """The file of the administrative state; without a folder nothing is saved."""
 
     def __init__(self, folder: str | None) -> None:
+        """Name the file.
+
+        Args:
+            folder: The folder of the file stoatrouter-bricks.json ($TMPDIR); None: nothing is saved.
+        """
         self.path = Path(folder) / "stoatrouter-bricks.json" if folder else None
 
     def write(self, administrative_state: AdministrativeState) -> bool:
--- a/stoatrouter/net/succession.py
+++ b/stoatrouter/net/succession.py
@@ -33,6 +33,13 @@
     """The previous process, as the new one sees it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, state: State) -> None:
+        """Keep the connection to the previous process and what it handed over.
+
+        Args:
+            reader: The connection's reading end.
+            writer: The connection's writing end.
+            state: What the previous process handed over, as JSON data.
+        """
         self.reader, self.writer, self.state = reader, writer, state
 
     async def follow(self, on_holdings: Callable[[State], None]) -> None:
@@ -56,6 +63,11 @@
     """The socket at which the next process finds this one."""
 
     def __init__(self, folder: str | None) -> None:
+        """Set up the socket's place; nothing listens until asked.
+
+        Args:
+            folder: Where the socket lies ($TMPDIR); None: there is no handover.
+        """
         self.folder = folder
         self.server: asyncio.Server | None = None
 
--- a/stoatrouter/net/tables.py
+++ b/stoatrouter/net/tables.py
@@ -78,6 +78,16 @@
     """Loads tables and puts them in force, one at a time."""
 
     def __init__(self, tables: Tables, shadow: Tables | None, windows: dict[int, timedelta]) -> None:
+        """Load the tables and put them in force at once.
+
+        Args:
+            tables: Where the tables in force are read from.
+            shadow: Where the table in shadow is read from; None: no table in shadow.
+            windows: The repeat windows of idempotent classes, by class number.
+
+        Raises:
+            SettingsError: The tables cannot be loaded.
+        """
         self.tables, self.shadow = tables, shadow
         made, other = self.load()
         self.matcher = Matcher(self.log_in_force(*made), windows)
