--- a/stoatrouter/management/calls.py
+++ b/stoatrouter/management/calls.py
@@ -111,7 +111,7 @@
     ]
     return [
         *responses,
-        f"app.tries:{engine.nodes.pool.tries}|c",
+        f"app.tries:{engine.nodes.pool.attempts_written}|c",
         f"app.active:{core.counters.active}|g",
         f"app.pool_size:{len(core.nodes)}|g",
         f"app.pool_ejected:{core.avoided}|g",
--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -266,7 +266,7 @@
                 return content._read_nowait(-1)
             raise BrokenOff(repr(error)) from error
 
-    async def whole(self, most: int) -> bytes:
+    async def read_complete(self, most: int) -> bytes:
         """The whole answer at once; raises BrokenOff where it is truncated or exceeds `most` bytes."""
         data = bytearray()
         with contextlib.closing(self):
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -142,15 +142,18 @@
                         await asyncio.sleep(LEAST_CALL_INTERVAL.total_seconds())
                 except (aiohttp.ClientError, Broken, OSError, ValueError, TimeoutError) as error:
                     self.failed(error)
-                    await asyncio.sleep(self.pause().total_seconds())
+                    await asyncio.sleep(self.backoff().total_seconds())
                 except Exception:
                     # Guards against a list that sets off a fault elsewhere: the watch must outlive it.
                     logger.exception("discovery: what was told could not be taken", event="discovery.fault")
                     self.failures += 1
-                    await asyncio.sleep(self.pause().total_seconds())
+                    await asyncio.sleep(self.backoff().total_seconds())
 
-    def pause(self) -> timedelta:
-        """How long to wait after a failure, with jitter, as all heads lose discovery at the same moment."""
+    def backoff(self) -> timedelta:
+        """The backoff after a failure: doubled per failure in a row, up to times.longest_pause.
+
+        It is jittered, as all heads lose discovery at the same moment.
+        """
         doubled = self.times.pause * 2 ** min(10, max(0, self.failures - 1))
         return min(self.times.longest_pause, doubled) * (0.5 + random.random() / 2)
 
@@ -195,15 +198,15 @@
 
         Raises ValueError where it does not follow on the list that is held.
         """
-        generation, whole, nodes, faults = read_list(data, self.cached, self.zones)
-        if not whole and (self.generation is None or generation < self.generation):
+        generation, complete, nodes, faults = read_list(data, self.cached, self.zones)
+        if not complete and (self.generation is None or generation < self.generation):
             # Guards against changes to another list than the one held, as from an agent that counts anew.
-            self.generation = None  # the next call asks for the whole
+            self.generation = None  # the next call asks for the complete list
             raise ValueError("changes to a list that is not held")
         self.generation = generation
-        if whole or nodes or faults:
-            self.report(ListKind.FULL if whole else ListKind.CHANGES, nodes, faults, age)
-        return whole or bool(nodes)
+        if complete or nodes or faults:
+            self.report(ListKind.FULL if complete else ListKind.CHANGES, nodes, faults, age)
+        return complete or bool(nodes)
 
     def age(self) -> timedelta | None:
         """For how long the message just read may already have been binding; None: not known.
@@ -269,12 +272,12 @@
     cached: Mapping[str, NodeInfo] = NONE_CACHED,
     zones: tuple[str, ...] = (),
 ) -> tuple[int, bool, tuple[NodeInfo, ...], tuple[str, ...]]:
-    """Parse a message: generation, whether it is whole, its nodes, and faults of unreadable entries.
+    """Parse a message: generation, whether it is complete, its nodes, and faults of unreadable entries.
 
     Raises ValueError where the message as a whole breaks the protocol.
     """
     try:
-        generation, whole, entries = int(data["generation"]), bool(data["reset"]), data["instances"]
+        generation, complete, entries = int(data["generation"]), bool(data["reset"]), data["instances"]
         if not isinstance(entries, list):
             raise TypeError("instances is no list")
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
@@ -289,9 +292,9 @@
             name = entry.get("instanceId") if isinstance(entry, dict) else None
             faults.append(f"{name!r}: {type(error).__name__}: {error}"[:200])
             # nor is the node that it stands for taken for gone
-            if whole and isinstance(name, str) and name in cached:
+            if complete and isinstance(name, str) and name in cached:
                 nodes.append(cached[name])
-    return generation, whole, tuple(nodes), tuple(faults)
+    return generation, complete, tuple(nodes), tuple(faults)
 
 
 def zone_number(name: Any, zones: tuple[str, ...]) -> int:
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -101,20 +101,20 @@
         answer = await self.serve(request)
         if not isinstance(answer, model.Served) or answer.flow is None:
             return answer
-        whole: bool | None = None
+        complete: bool | None = None
         try:
-            body = await answer.flow.whole(LARGEST_PIECE)
-            whole = True
+            body = await answer.flow.read_complete(LARGEST_PIECE)
+            complete = True
             return model.Served(body, answer.shard)
         except BrokenOff:
-            whole = False
+            complete = False
             return model.Failed()
         finally:
-            self.flow_ended(request.id, whole)
+            self.flow_ended(request.id, complete)
 
-    def flow_ended(self, request: str, whole: bool | None) -> None:
+    def flow_ended(self, request: str, complete: bool | None) -> None:
         """Report the end of a streamed answer: complete, cut off, or None where its client has left."""
-        self.put(model.FlowEnded(self.clock.now(), request, whole))
+        self.put(model.FlowEnded(self.clock.now(), request, complete))
 
     def drop(self, request: str, answer: model.Answer) -> None:
         """Release an answer whose client has left."""
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -87,7 +87,7 @@
         """Note whether the last byte was handed to the system; such an attempt counts as a try."""
         self.written = written
         if written and "Req-Id" in self.headers and isinstance(conn.protocol, NodeConnection):
-            conn.protocol.pool.tries += 1  # health checks are none
+            conn.protocol.pool.attempts_written += 1  # health checks are none
 
     async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
         """Send the request; drain() waits until the system has taken the last byte."""
@@ -240,11 +240,11 @@
 async def take(response: aiohttp.ClientResponse, passes: bool = False) -> Reply:
     """Read an answer: whole if it is small, else its first part, to be streamed with the rest."""
     if passes and response.status < 500:
-        reply = await take_whole(response)
+        reply = await read_complete_reply(response)
         return replace(reply, head=model.Head(response.status, end_to_end(response.headers)))
     if response.status != 200:
         return judge(response.status, response.headers, await read_small(response))
-    return await take_whole(response)
+    return await read_complete_reply(response)
 
 
 def end_to_end(headers: CIMultiDictProxy[str]) -> tuple[tuple[str, str], ...]:
@@ -257,7 +257,7 @@
     return tuple((name, value) for name, value in headers.items() if name.lower() not in left)
 
 
-async def take_whole(response: aiohttp.ClientResponse) -> Reply:
+async def read_complete_reply(response: aiohttp.ClientResponse) -> Reply:
     """Read a successful answer; a large one is returned as a Flow."""
     stated, body = response.content_length, b""
     while len(body) <= SMALL and (stated is None or stated <= SMALL or not body):
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -235,7 +235,7 @@
         self.most, self.keep = most, keep.total_seconds()
         self.reuse_within = self.keep  # how long a connection may have been idle to be used again
         self.alive: set[NodeConnection] = set()
-        self.tries = 0  # attempts written whole, since the start
+        self.attempts_written = 0  # attempts written complete, since the start
         # aiohttp has no public way to say which connections a connector makes
         self._factory = partial(
             NodeConnection,
