--- a/stoatrouter/__main__.py
+++ b/stoatrouter/__main__.py
@@ -14,7 +14,7 @@
 from stoatrouter.net.hangup import hangups
 
 if __name__ == "__main__":
-    hangups.hold()  # before the imports below: they take most of a start
+    hangups.install_handler()  # before the imports below: they take most of a start
 
 from stoatrouter.net.early import announcement
 
--- a/stoatrouter/net/hangup.py
+++ b/stoatrouter/net/hangup.py
@@ -12,8 +12,8 @@
         """Start with no SIGHUP received."""
         self.received = False
 
-    def hold(self) -> None:
-        """Install the handler.
+    def install_handler(self) -> None:
+        """Install the handler of SIGHUP, which notes that it came.
 
         By default SIGHUP would end the process, and imports alone take half a second.
         """
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -181,7 +181,7 @@
 def test_a_hangup_before_the_program_can_take_it_is_kept():
     held, before = Hangups(), signal.getsignal(signal.SIGHUP)
     try:
-        held.hold()
+        held.install_handler()
         signal.raise_signal(signal.SIGHUP)
         assert held.received
     finally:
