--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -24,7 +24,7 @@
 LARGEST_LIST = 4 * 1024 * 1024
 UNNAMED_ZONES = 1 << 16  # numbers from here on are of zones that the settings do not name
 MOST_LOGGED_FAULTS = 1000  # faults of entries that are remembered as logged
-NONE_HELD: Mapping[str, NodeInfo] = MappingProxyType({})
+NONE_CACHED: Mapping[str, NodeInfo] = MappingProxyType({})
 PHASES = {"SERVING": Phase.ON, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
 
 # the kind, the entries, and how long before now they may have counted as told; None: nobody knows
@@ -44,12 +44,25 @@
         times: ListTimes | None = None,
         zones: tuple[str, ...] = (),
     ) -> None:
+        """Set up a watch of the endpoint list; it polls nothing until run.
+
+        Args:
+            address: Where discovery answers, as host:port.
+            known: The list this head last had (as discovery wrote it), to restore; empty: none.
+            on_list: Called with the kind, the entries, and how long before now they may have been notified
+                (None: not known), for a restored list and for each list or watch event that changes anything.
+            count: Called with the name of a fault that is counted, such as entry_unreadable.
+            pushed: Whether an agent on this machine pushes the list, and is polled often; else one discovery
+                service serves all heads and is polled seldom.
+            times: The timeouts and backoff of calls; None: those that list_times gives for `pushed`.
+            zones: The zones by name, in the order in which the settings number them.
+        """
         self.address, self.on_list, self.count, self.pushed = address, on_list, count, pushed
         self.zones = zones  # by name, as the settings number them
         self.times = times or list_times(pushed, timedelta(seconds=2))
-        # in the loop's time: when the present call began, and up to when the list held is current
+        # in the loop's time: when the present call began, and up to when the cached list is current
         self.call_began, self.current_at = 0.0, None
-        self.held: dict[str, NodeInfo] = {}  # as last told, for entries that cannot be read
+        self.cached: dict[str, NodeInfo] = {}  # as last notified, for entries that cannot be read
         self.logged_faults: set[str] = set()
         self.generation: int | None = None
         self.known = known
@@ -121,23 +134,26 @@
         ) as session:
             while True:
                 try:
-                    news = await self.call(session)
+                    changed = await self.call(session)
                     self.recovered()
                     # Guards the core against an agent that does not hold calls: asking is paced then.
                     took = asyncio.get_running_loop().time() - self.call_began
-                    if not news and took < LEAST_CALL_INTERVAL.total_seconds():
+                    if not changed and took < LEAST_CALL_INTERVAL.total_seconds():
                         await asyncio.sleep(LEAST_CALL_INTERVAL.total_seconds())
                 except (aiohttp.ClientError, Broken, OSError, ValueError, TimeoutError) as error:
                     self.failed(error)
-                    await asyncio.sleep(self.pause().total_seconds())
+                    await asyncio.sleep(self.backoff().total_seconds())
                 except Exception:
                     # Guards against a list that sets off a fault elsewhere: the watch must outlive it.
                     logger.exception("discovery: what was told could not be taken", event="discovery.fault")
                     self.failures += 1
-                    await asyncio.sleep(self.pause().total_seconds())
+                    await asyncio.sleep(self.backoff().total_seconds())
+
+    def backoff(self) -> timedelta:
+        """The backoff after a failure: doubled per failure in a row, up to times.longest_pause.
 
-    def pause(self) -> timedelta:
-        """How long to wait after a failure, with jitter, as all heads lose discovery at the same moment."""
+        It is jittered, as all heads lose discovery at the same moment.
+        """
         doubled = self.times.pause * 2 ** min(10, max(0, self.failures - 1))
         return min(self.times.longest_pause, doubled) * (0.5 + random.random() / 2)
 
@@ -172,25 +188,25 @@
             data = json.loads(raw)
         except RecursionError:  # brackets without end
             raise ValueError("list nested too deeply") from None
-        news = self.take(data, self.age())
+        changed = self.take(data, self.age())
         self.current_at = asyncio.get_running_loop().time()
         self.answered.set()
-        return news
+        return changed
 
     def take(self, data: Any, age: timedelta | None = timedelta(0)) -> bool:
         """Apply one message; returns whether it brought changes.
 
         Raises ValueError where it does not follow on the list that is held.
         """
-        generation, whole, nodes, faults = read_list(data, self.held, self.zones)
-        if not whole and (self.generation is None or generation < self.generation):
+        generation, complete, nodes, faults = read_list(data, self.cached, self.zones)
+        if not complete and (self.generation is None or generation < self.generation):
             # Guards against changes to another list than the one held, as from an agent that counts anew.
-            self.generation = None  # the next call asks for the whole
+            self.generation = None  # the next call asks for the complete list
             raise ValueError("changes to a list that is not held")
         self.generation = generation
-        if whole or nodes or faults:
-            self.report(ListKind.FULL if whole else ListKind.CHANGES, nodes, faults, age)
-        return whole or bool(nodes)
+        if complete or nodes or faults:
+            self.report(ListKind.FULL if complete else ListKind.CHANGES, nodes, faults, age)
+        return complete or bool(nodes)
 
     def age(self) -> timedelta | None:
         """For how long the message just read may already have been binding; None: not known.
@@ -222,11 +238,11 @@
                     error=fault,
                 )
         if kind is not ListKind.CHANGES:
-            self.held.clear()
+            self.cached.clear()
         for node in nodes:
-            self.held[node.id] = node
+            self.cached[node.id] = node
             if node.phase is Phase.GONE:
-                del self.held[node.id]
+                del self.cached[node.id]
         if nodes or kind is not ListKind.CHANGES:
             self.on_list(kind, nodes, age)
 
@@ -253,15 +269,15 @@
 
 def read_list(
     data: Any,
-    held: Mapping[str, NodeInfo] = NONE_HELD,
+    cached: Mapping[str, NodeInfo] = NONE_CACHED,
     zones: tuple[str, ...] = (),
 ) -> tuple[int, bool, tuple[NodeInfo, ...], tuple[str, ...]]:
-    """Parse a message: generation, whether it is whole, its nodes, and faults of unreadable entries.
+    """Parse a message: generation, whether it is complete, its nodes, and faults of unreadable entries.
 
     Raises ValueError where the message as a whole breaks the protocol.
     """
     try:
-        generation, whole, entries = int(data["generation"]), bool(data["reset"]), data["instances"]
+        generation, complete, entries = int(data["generation"]), bool(data["reset"]), data["instances"]
         if not isinstance(entries, list):
             raise TypeError("instances is no list")
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
@@ -276,9 +292,9 @@
             name = entry.get("instanceId") if isinstance(entry, dict) else None
             faults.append(f"{name!r}: {type(error).__name__}: {error}"[:200])
             # nor is the node that it stands for taken for gone
-            if whole and isinstance(name, str) and name in held:
-                nodes.append(held[name])
-    return generation, whole, tuple(nodes), tuple(faults)
+            if complete and isinstance(name, str) and name in cached:
+                nodes.append(cached[name])
+    return generation, complete, tuple(nodes), tuple(faults)
 
 
 def zone_number(name: Any, zones: tuple[str, ...]) -> int:
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -32,6 +32,14 @@
     def __init__(
         self, reducer: Reducer, clock: Clock, nodes: NodeClient, state_file: AdministrativeStateFile
     ) -> None:
+        """Set up an engine with nothing open; it must be made within the running event loop.
+
+        Args:
+            reducer: The core, which makes all decisions.
+            clock: The time that effects and events are given.
+            nodes: The client of all nodes.
+            state_file: Where the administrative state is saved when it changes.
+        """
         self.reducer, self.clock, self.nodes, self.state_file = reducer, clock, nodes, state_file
         self.state_saved = True  # whether the administrative state was saved when it last changed
         self.loop = asyncio.get_running_loop()
@@ -93,20 +101,20 @@
         answer = await self.serve(request)
         if not isinstance(answer, model.Served) or answer.flow is None:
             return answer
-        whole: bool | None = None
+        complete: bool | None = None
         try:
-            body = await answer.flow.whole(LARGEST_PIECE)
-            whole = True
+            body = await answer.flow.read_complete(LARGEST_PIECE)
+            complete = True
             return model.Served(body, answer.shard)
         except BrokenOff:
-            whole = False
+            complete = False
             return model.Failed()
         finally:
-            self.flow_ended(request.id, whole)
+            self.flow_ended(request.id, complete)
 
-    def flow_ended(self, request: str, whole: bool | None) -> None:
+    def flow_ended(self, request: str, complete: bool | None) -> None:
         """Report the end of a streamed answer: complete, cut off, or None where its client has left."""
-        self.put(model.FlowEnded(self.clock.now(), request, whole))
+        self.put(model.FlowEnded(self.clock.now(), request, complete))
 
     def drop(self, request: str, answer: model.Answer) -> None:
         """Release an answer whose client has left."""
@@ -201,7 +209,7 @@
             case model.SaveAdministrativeState():
                 self.state_saved = self.state_file.write(self.reducer.administrative_state)
             case model.CheckHealth():
-                self.spawn(self.probe(effect))
+                self.spawn(self.check_health(effect))
 
     def may_begin(self, effect: model.SendAttempt) -> bool:
         """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
@@ -261,10 +269,10 @@
             reply.flow.close()
             self.flow_ended(effect.request.id, None)
 
-    async def probe(self, effect: model.CheckHealth) -> None:
-        """Probe a node and report its load."""
+    async def check_health(self, effect: model.CheckHealth) -> None:
+        """Run a health check on a node and put its outcome and load to the core."""
         began = self.clock.now()
-        reply = await self.nodes.probe(effect)
+        reply = await self.nodes.check_health(effect)
         now = self.clock.now()
         self.put(model.HealthCheckEnded(now, effect.node, reply.outcome, now - began, reply.load))
 
--- a/stoatrouter/net/hangup.py
+++ b/stoatrouter/net/hangup.py
@@ -9,10 +9,11 @@
     """Whether SIGHUP came while the program was still starting."""
 
     def __init__(self) -> None:
+        """Start with no SIGHUP received."""
         self.received = False
 
-    def hold(self) -> None:
-        """Install the handler.
+    def install_handler(self) -> None:
+        """Install the handler of SIGHUP, which notes that it came.
 
         By default SIGHUP would end the process, and imports alone take half a second.
         """
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -20,7 +20,7 @@
 from stoatrouter.net.bodies import SMALL, Flow, StoredBody
 from stoatrouter.net.pool import NodeConnection, NodePool, NotBegun
 
-PROBE_TIMEOUT = timedelta(milliseconds=400)
+HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=400)
 # Idle connections are given up at this part of the time after which a node closes them: a request written
 # as the node closes would end as a reset.
 IDLE_PART = 0.5
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """The outcome of an attempt or a probe, with what the node reported."""
+    """The outcome of an attempt or a health check, with what the node reported."""
 
     outcome: Outcome
     body: bytes = b""
@@ -63,6 +63,12 @@
     """An exchange broke; `written` tells whether the last byte of the request was sent."""
 
     def __init__(self, written: bool, cause: BaseException) -> None:
+        """Record how an exchange broke.
+
+        Args:
+            written: Whether the last byte of the request was sent.
+            cause: The error that broke it.
+        """
         super().__init__(f"{type(cause).__name__}: {cause}")
         self.written = written
 
@@ -81,7 +87,7 @@
         """Note whether the last byte was handed to the system; such an attempt counts as a try."""
         self.written = written
         if written and "Req-Id" in self.headers and isinstance(conn.protocol, NodeConnection):
-            conn.protocol.pool.tries += 1  # probes are none
+            conn.protocol.pool.attempts_written += 1  # health checks are none
 
     async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
         """Send the request; drain() waits until the system has taken the last byte."""
@@ -136,6 +142,14 @@
         most: int,
         rest_within: timedelta = REST_WITHIN,
     ) -> None:
+        """Set up the client of all nodes with an empty pool.
+
+        Args:
+            connect_timeout: How long a connection to a node may take to open.
+            conn_idle: How long a node keeps an idle connection; this head keeps it half as long.
+            most: How many connections to nodes may be open at once, idle ones included.
+            rest_within: How long the rest of an answer may take once it has begun.
+        """
         self.pool = NodePool(most, conn_idle * IDLE_PART, rest_within)
         self.session = aiohttp.ClientSession(
             connector=self.pool,
@@ -205,10 +219,10 @@
             if response is not None:
                 response.close()  # what came whole has given its connection back already
 
-    async def probe(self, effect: model.CheckHealth) -> Reply:
+    async def check_health(self, effect: model.CheckHealth) -> Reply:
         """Ask a node for its load; every error becomes an outcome."""
         try:
-            async with asyncio.timeout(PROBE_TIMEOUT.total_seconds()):
+            async with asyncio.timeout(HEALTH_CHECK_TIMEOUT.total_seconds()):
                 async with self.session.get(
                     URL(f"http://{effect.address}/load", encoded=True), allow_redirects=False
                 ) as response:
@@ -226,11 +240,11 @@
 async def take(response: aiohttp.ClientResponse, passes: bool = False) -> Reply:
     """Read an answer: whole if it is small, else its first part, to be streamed with the rest."""
     if passes and response.status < 500:
-        reply = await take_whole(response)
+        reply = await read_complete_reply(response)
         return replace(reply, head=model.Head(response.status, end_to_end(response.headers)))
     if response.status != 200:
         return judge(response.status, response.headers, await read_small(response))
-    return await take_whole(response)
+    return await read_complete_reply(response)
 
 
 def end_to_end(headers: CIMultiDictProxy[str]) -> tuple[tuple[str, str], ...]:
@@ -243,7 +257,7 @@
     return tuple((name, value) for name, value in headers.items() if name.lower() not in left)
 
 
-async def take_whole(response: aiohttp.ClientResponse) -> Reply:
+async def read_complete_reply(response: aiohttp.ClientResponse) -> Reply:
     """Read a successful answer; a large one is returned as a Flow."""
     stated, body = response.content_length, b""
     while len(body) <= SMALL and (stated is None or stated <= SMALL or not body):
