--- a/cypressworks/logic.py
+++ b/cypressworks/logic.py
@@ -6,12 +6,12 @@
 from collections import deque
 
 from cypressworks import interface as api
-from cypressworks.interface import Attempt, Effect, Group, ListKind, Outcome, Phase, Request
+from cypressworks.interface import Attempt, Effect, Group, Outcome, Phase, Request
 from cypressworks.node_index import NodeIndex, RecentKeys
 
 from cypressworks.rules import (  # isort: skip
-    AVERAGE_SPAN, CROWD, KEY_BONUS, KEYS_KEPT, LONGEST_PACE, MS, NEVER, PROBE_EVERY, READ_EVERY,
-    REBUILD_EVERY, SECOND, STEP_DELAY, TIMER_READ, TINY, TOP_WINDOW, Node, Rulebook, Volume)
+    AVERAGE_SPAN, CROWD, KEY_BONUS, KEYS_KEPT, LONGEST_PACE, MS, NEVER, READ_EVERY,
+    REBUILD_EVERY, SECOND, STEP_DELAY, TIMER_READ, TINY, TOP_WINDOW, Node, NodeListing, Volume)
 
 LATE = 0.25  # of the threshold: an answer as an idle node is expected to give it
 LONG = 1.5  # of the threshold: as more no answer counts in the average, or one long read makes all late
@@ -21,7 +21,7 @@
 HALF_MARGIN, PRESSED = 20 * MS, SECOND  # a refusal's way to the client; how long a node counts as pressed
 
 
-class Scheduler(Rulebook):
+class Scheduler(NodeListing):
     """The decisions of one host: a pure state machine from events to actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -76,46 +76,6 @@
                 self.close(self.requests[event.request])  # nothing is owed, nothing more goes out
         return self.actions
 
-    # -- the node list ------------------------------------------------------------------------------------
-    def avoids(self, name: str) -> bool:
-        """Whether a node gets nothing new, as it drains, is gone, or is kept to a pace of seconds."""
-        node = self.nodes.get(name)
-        return node is not None and (node.phase is not Phase.ON or node.opens(self.now, self.patience(node))
-                                     > self.now + SECOND)
-
-    def listed(self, e: api.NodeList) -> None:
-        if e.kind is ListKind.UNAVAILABLE:
-            self.subscribed = False
-            return
-        self.subscribed = self.subscribed or e.kind is not ListKind.RESTORED
-        if e.kind is not ListKind.CHANGES:
-            named = {entry.node for entry in e.entries}
-            for node in self.nodes.values():
-                node.phase = node.phase if node.id in named else Phase.GONE
-        for entry in e.entries:
-            # a restarted host cannot know what it sent before; else it earned for a window at the most
-            known = max(entry.up_since, self.now - (self.now > self.born) * self.rules.fall_time)
-            node = self.nodes.setdefault(entry.node, Node(entry, self.settings.hosts, known))
-            if entry.phase is not node.phase:  # the word has just come
-                # one that was gone gets no grace: it may have been told to drain long before
-                grace = self.rules.drain_grace - self.settings.tick if node.phase is Phase.ON else 0
-                node.phase, node.closes = entry.phase, grace + (self.now if e.since is None else e.since)
-            if entry.up_since != node.up_since:
-                node.restart(entry.up_since, known)
-        for r in self.requests.values():
-            if not r.done and not r.out():
-                self.place(r)  # sent with the next reading
-
-    def ask(self, node: Node) -> None:
-        """Where nodes tell their queue, it is asked for when work comes at a window below one."""
-        if (self.settings.may_probe and "queue" in self.settings.report_fields and node.window < 1
-                and node.takes(self.now) and self.now >= node.probe_at):
-            node.asked, node.probe_at = self.now, self.now + self.jitter(PROBE_EVERY)
-            self.actions.append(api.ProbeNode(node.id))
-
-    def jitter(self, span: float) -> int:
-        return int(span * (0.5 + self.random.random()))
-
     # -- requests -----------------------------------------------------------------------------------------
     def arrive(self, e: api.RequestArrived) -> None:
         if e.request in self.requests:
--- a/cypressworks/rules.py
+++ b/cypressworks/rules.py
@@ -6,7 +6,7 @@
 from itertools import takewhile
 
 from cypressworks import interface as api
-from cypressworks.interface import Attempt, Effect, Group, Phase, Request
+from cypressworks.interface import Attempt, Effect, Group, ListKind, Phase, Request
 from cypressworks.node_index import IndexedNode
 
 MS, SECOND = 1_000, 1_000_000
@@ -238,3 +238,47 @@
             while times and times[0] < first:
                 times.popleft()
         return len(self.extras) + 1 <= self.rules.budget_free + self.rules.budget_share * len(self.taken)
+
+
+class NodeListing(Rulebook):
+    """How the node list is followed and nodes are asked for their queue; the state is the scheduler's."""
+
+    # -- the node list ------------------------------------------------------------------------------------
+    def avoids(self, name: str) -> bool:
+        """Whether a node gets nothing new, as it drains, is gone, or is kept to a pace of seconds."""
+        node = self.nodes.get(name)
+        return node is not None and (node.phase is not Phase.ON or node.opens(self.now, self.patience(node))
+                                     > self.now + SECOND)
+
+    def listed(self, e: api.NodeList) -> None:
+        if e.kind is ListKind.UNAVAILABLE:
+            self.subscribed = False
+            return
+        self.subscribed = self.subscribed or e.kind is not ListKind.RESTORED
+        if e.kind is not ListKind.CHANGES:
+            named = {entry.node for entry in e.entries}
+            for node in self.nodes.values():
+                node.phase = node.phase if node.id in named else Phase.GONE
+        for entry in e.entries:
+            # a restarted host cannot know what it sent before; else it earned for a window at the most
+            known = max(entry.up_since, self.now - (self.now > self.born) * self.rules.fall_time)
+            node = self.nodes.setdefault(entry.node, Node(entry, self.settings.hosts, known))
+            if entry.phase is not node.phase:  # the word has just come
+                # one that was gone gets no grace: it may have been told to drain long before
+                grace = self.rules.drain_grace - self.settings.tick if node.phase is Phase.ON else 0
+                node.phase, node.closes = entry.phase, grace + (self.now if e.since is None else e.since)
+            if entry.up_since != node.up_since:
+                node.restart(entry.up_since, known)
+        for r in self.requests.values():
+            if not r.done and not r.out():
+                self.place(r)  # sent with the next reading
+
+    def ask(self, node: Node) -> None:
+        """Where nodes tell their queue, it is asked for when work comes at a window below one."""
+        if (self.settings.may_probe and "queue" in self.settings.report_fields and node.window < 1
+                and node.takes(self.now) and self.now >= node.probe_at):
+            node.asked, node.probe_at = self.now, self.now + self.jitter(PROBE_EVERY)
+            self.actions.append(api.ProbeNode(node.id))
+
+    def jitter(self, span: float) -> int:
+        return int(span * (0.5 + self.random.random()))
