--- a/cypressworks/logic.py
+++ b/cypressworks/logic.py
@@ -1,4 +1,5 @@
 """Every decision of cypressworks, to be read aloud. Its settings, events and actions: interface.py."""
+
 from __future__ import annotations
 
 import math
@@ -10,8 +11,24 @@
 from cypressworks.node_index import NodeIndex, RecentKeys
 
 from cypressworks.rules import (  # isort: skip
-    AVERAGE_SPAN, CROWD, KEY_BONUS, KEYS_KEPT, LONGEST_PACE, MS, NEVER, READ_EVERY,
-    REBUILD_EVERY, SECOND, STEP_DELAY, TIMER_READ, TINY, TOP_WINDOW, Node, NodeListing, Volume)
+    AVERAGE_SPAN,
+    CROWD,
+    KEY_BONUS,
+    KEYS_KEPT,
+    LONGEST_PACE,
+    MS,
+    NEVER,
+    READ_EVERY,
+    REBUILD_EVERY,
+    SECOND,
+    STEP_DELAY,
+    TIMER_READ,
+    TINY,
+    TOP_WINDOW,
+    Node,
+    NodeListing,
+    Volume,
+)
 
 LATE = 0.25  # of the threshold: an answer as an idle node is expected to give it
 LONG = 1.5  # of the threshold: as more no answer counts in the average, or one long read makes all late
@@ -89,9 +106,18 @@
         # a client that comes back with what was given up has not got a new aim
         aim, left = self.given.pop((volume, e.key, kind.name, e.units), (end, 0))
         aim = min(now + kind.aim, end, aim if e.repeat or end <= left + self.quick else end)
-        r = self.requests[e.request] = Request(e.request, kind, volume, e.units, e.key, e.shard, aim, end,
-                                               e.write or kind.writes,
-                                               now + max(0, e.time_left) // 2 - HALF_MARGIN)
+        r = self.requests[e.request] = Request(
+            e.request,
+            kind,
+            volume,
+            e.units,
+            e.key,
+            e.shard,
+            aim,
+            end,
+            e.write or kind.writes,
+            now + max(0, e.time_left) // 2 - HALF_MARGIN,
+        )
         self.taken.append(now)
         if e.shard != -1:
             self.asked.note(e.shard, now)
@@ -119,12 +145,22 @@
         zone = home.zone if home and r.kind.group is Group.ZONE else None
         # Guards a node against hosts with little traffic: with nothing out, all would find the same first.
         # New data goes to a cold node last: what it bears is for the reads that no other can serve.
-        r.node = (self.nodes.least_loaded(self.now, self.warmth, self.random.random())
-                  if shard == -1 and zone is None else None)
+        r.node = (
+            self.nodes.least_loaded(self.now, self.warmth, self.random.random())
+            if shard == -1 and zone is None
+            else None
+        )
         if r.node is None:
             able = [n for n in self.nodes.of_shard(shard) if n.takes(self.now) and zone in (None, n.zone)]
-            r.node = min(able, default=None, key=lambda n: (
-                n.phase is not Phase.ON, self.load(n) / self.warmth(n, self.now), self.random.random()))
+            r.node = min(
+                able,
+                default=None,
+                key=lambda n: (
+                    n.phase is not Phase.ON,
+                    self.load(n) / self.warmth(n, self.now),
+                    self.random.random(),
+                ),
+            )
         if r.node is not None:
             r.node.held[r.id] = r
 
@@ -187,8 +223,13 @@
         opens = max(self.now, r.wait_until, node.opens(self.now, self.patience(node)), self.barred(r, node))
         # late at a node with a pace: its turns are kept for what can still be in time
         # After half its time an unsent request is late whatever comes, and its client could have tried anew.
-        return (opens + self.quick >= r.deadline or opens >= r.half and r.unsent()
-                or node.window < 1 and self.late(r, node, opens))
+        return (
+            opens + self.quick >= r.deadline
+            or opens >= r.half
+            and r.unsent()
+            or node.window < 1
+            and self.late(r, node, opens)
+        )
 
     def finish(self, r: Request) -> None:
         """The final answer: a refusal where trying again is harmless, else a failure."""
--- a/cypressworks/rules.py
+++ b/cypressworks/rules.py
@@ -1,4 +1,5 @@
 """What a host keeps of volumes and nodes, and the rules that bar a send. Terms: interface.py."""
+
 from __future__ import annotations
 
 import math
@@ -48,7 +49,7 @@
         passed, self.stamp, p = (now - self.stamp) / SECOND, now, self.plan
         self.reserve = min(self.full, self.reserve + p.reserve * passed)
         self.store = min(p.burst / self.hosts, self.store + p.limit / self.hosts * passed * self.fills)
-        self.excess *= 0.5 ** passed  # units lately served beyond the reserve
+        self.excess *= 0.5**passed  # units lately served beyond the reserve
         return self
 
     def filled(self, now: int, units: float) -> int:
@@ -170,8 +171,11 @@
         if not r.charged and volume.plan.limit and volume.filled(now, r.units) > now:
             return volume.filled(now, r.units)
         # 6: order within a key; a request's own further attempts do not wait for its rest
-        if kind.in_turn and r.key is not None and (
-                self.turns[r.key][0] is not r or not again and now < self.rests.get(r.key, 0)):
+        if (
+            kind.in_turn
+            and r.key is not None
+            and (self.turns[r.key][0] is not r or not again and now < self.rests.get(r.key, 0))
+        ):
             return max(soon, self.rests.get(r.key, 0))
         # 7: the budget of further attempts, exact over its sliding window
         barred = again and rules.budget_time is not None and not self.affordable(now - rules.budget_time)
@@ -183,8 +187,11 @@
         if r is None or r.done or now >= r.deadline:
             return False
         a, earlier = r.attempts[attempt], r.attempts[:attempt]
-        return (a.node.takes(now) and a.node.up_since <= a.sent
-                and not (earlier and self.barred_again(r, a.node, now, earlier)))
+        return (
+            a.node.takes(now)
+            and a.node.up_since <= a.sent
+            and not (earlier and self.barred_again(r, a.node, now, earlier))
+        )
 
     def barred_again(self, r: Request, node: Node, at: int, earlier: list[Attempt]) -> bool:
         kind, ran = r.kind, [a for a in earlier if a.may_have_run()]
@@ -193,9 +200,13 @@
         if not ran or kind.effect is not Effect.KEYED:
             return False
         home = ran[0].node
-        return (at >= ran[0].sent + kind.repeat_window
-                or kind.group is Group.SHARD and home.shard != node.shard
-                or kind.group is Group.ZONE and home.zone != node.zone)
+        return (
+            at >= ran[0].sent + kind.repeat_window
+            or kind.group is Group.SHARD
+            and home.shard != node.shard
+            or kind.group is Group.ZONE
+            and home.zone != node.zone
+        )
 
     def warmth(self, node: Node, at: int) -> float:
         """The part of its capacity that a node has at least, by what is promised of its warming."""
@@ -247,8 +258,9 @@
     def avoids(self, name: str) -> bool:
         """Whether a node gets nothing new, as it drains, is gone, or is kept to a pace of seconds."""
         node = self.nodes.get(name)
-        return node is not None and (node.phase is not Phase.ON or node.opens(self.now, self.patience(node))
-                                     > self.now + SECOND)
+        return node is not None and (
+            node.phase is not Phase.ON or node.opens(self.now, self.patience(node)) > self.now + SECOND
+        )
 
     def listed(self, e: api.NodeList) -> None:
         if e.kind is ListKind.UNAVAILABLE:
@@ -275,8 +287,13 @@
 
     def ask(self, node: Node) -> None:
         """Where nodes tell their queue, it is asked for when work comes at a window below one."""
-        if (self.settings.may_probe and "queue" in self.settings.report_fields and node.window < 1
-                and node.takes(self.now) and self.now >= node.probe_at):
+        if (
+            self.settings.may_probe
+            and "queue" in self.settings.report_fields
+            and node.window < 1
+            and node.takes(self.now)
+            and self.now >= node.probe_at
+        ):
             node.asked, node.probe_at = self.now, self.now + self.jitter(PROBE_EVERY)
             self.actions.append(api.ProbeNode(node.id))
 
