--- a/cypressworks/handover.py
+++ b/cypressworks/handover.py
@@ -12,7 +12,7 @@
 
 from cypressworks import interface as api
 from cypressworks.logic import Scheduler
-from cypressworks.rules import KEYS_KEPT, Node, Volume
+from cypressworks.rules import CACHED_KEY_COUNT, Node, Volume
 
 # Of what is left of a store beyond what the old process holds for: its clients come until their answers.
 OLD_PART = 0.2
@@ -45,24 +45,24 @@
 
 def hand_over(scheduler: Scheduler, now: int) -> dict[str, Any]:
     """Give up all but a part of the stores, and tell what the next process needs."""
-    held: dict[int, float] = {}
+    reserved: dict[int, float] = {}
     for r in scheduler.requests.values():
         if not r.done and not r.attempts:
-            held[id(r.volume)] = held.get(id(r.volume), 0.0) + r.units
+            reserved[id(r.volume)] = reserved.get(id(r.volume), 0.0) + r.units
     scheduler.handed = True
     plans = scheduler.settings.plans
     volumes = {}
     for name, volume in scheduler.volumes.items():
         volume.at(now).fills = False
-        told = {key: getattr(volume, key) for key in VOLUME}
+        state = {key: getattr(volume, key) for key in VOLUME}
         if volume.plan.limit:
             left = max(0.0, volume.store - volume.lowest)
-            needed = min(left, held.get(id(volume), 0.0))
-            kept = needed + OLD_PART * (left - needed)
+            needed = min(left, reserved.get(id(volume), 0.0))
+            retained = needed + OLD_PART * (left - needed)
             late = LATE * volume.plan.limit / volume.hosts
-            told["store"] = max(volume.lowest, volume.store - kept - late)
-            volume.store = volume.lowest + kept
-        volumes[name] = told | {"plan": plans.index(volume.plan)}
+            state["store"] = max(volume.lowest, volume.store - retained - late)
+            volume.store = volume.lowest + retained
+        volumes[name] = state | {"plan": plans.index(volume.plan)}
     nodes = {
         name: {key: getattr(node, key) for key in NODE}
         | {
@@ -94,32 +94,32 @@
 
 
 def take_over(scheduler: Scheduler, data: dict[str, Any]) -> None:
-    """Know what the process before knew. Its list has been told already; what is in none is not taken."""
+    """Know what the process before knew. Its list has been state already; what is in none is not taken."""
     settings = scheduler.settings
     scheduler.born, scheduler.vanish = int(data["born"]), float(data["vanish"])
     scheduler.rests = {str(key): int(at) for key, at in data["rests"].items()}
     for shard, at in sorted(data.get("asked", ()), key=lambda pair: pair[1]):
         scheduler.asked.note(int(shard), int(at))
-    for name, told in data["volumes"].items():
-        volume = Volume(told["stamp"], settings.plans[told["plan"]], told["hosts"], settings.max_units)
+    for name, state in data["volumes"].items():
+        volume = Volume(state["stamp"], settings.plans[state["plan"]], state["hosts"], settings.max_units)
         for key in VOLUME:
-            setattr(volume, key, told[key])
+            setattr(volume, key, state[key])
         scheduler.volumes[name] = volume
-    for name, told in data["nodes"].items():
+    for name, state in data["nodes"].items():
         node = scheduler.nodes.get(name)
         if node is None:
             # it is gone from the list, yet what was sent to it counts should it come back
-            entry = api.NodeEntry(name, told["shard"], told["zone"], api.Phase.GONE)
-            node = scheduler.nodes[name] = Node(entry, settings.hosts, told["known"])
-        learn(node, told)
+            entry = api.NodeEntry(name, state["shard"], state["zone"], api.Phase.GONE)
+            node = scheduler.nodes[name] = Node(entry, settings.hosts, state["known"])
+        learn(node, state)
 
 
-def learn(node: Node, told: dict[str, Any]) -> None:
-    node.sent = deque((int(at), float(units)) for at, units in told["sent"])
-    if node.up_since != told["up_since"]:
+def learn(node: Node, state: dict[str, Any]) -> None:
+    node.sent = deque((int(at), float(units)) for at, units in state["sent"])
+    if node.up_since != state["up_since"]:
         return  # it was restarted since
-    for key in NODE:  # guards what is told against a version that knew less: it keeps what a start has
-        setattr(node, key, told.get(key, getattr(node, key)))
-    node.errors = tuple(told["errors"])
-    node.writes, node.throttled = dict(told["writes"]), set(told["throttled"])
-    node.keys = deque(told["keys"], maxlen=KEYS_KEPT)
+    for key in NODE:  # guards what is state against a version that knew less: it keeps what a start has
+        setattr(node, key, state.get(key, getattr(node, key)))
+    node.errors = tuple(state["errors"])
+    node.writes, node.throttled = dict(state["writes"]), set(state["throttled"])
+    node.keys = deque(state["keys"], maxlen=CACHED_KEY_COUNT)
--- a/cypressworks/logic.py
+++ b/cypressworks/logic.py
@@ -14,7 +14,7 @@
     AVERAGE_SPAN,
     CROWD,
     KEY_BONUS,
-    KEYS_KEPT,
+    CACHED_KEY_COUNT,
     LONGEST_PACE,
     MS,
     NEVER,
@@ -47,8 +47,10 @@
         self.threshold = min(c.aim for c in classes)
         self.quick = int(LATE * self.threshold / 2)  # the least that an answer is expected to take
         self.memory = 60 * SECOND + max(c.deadline for c in classes)  # of unused volumes and gone nodes
-        worth, aim = (sum(x) / len(classes) for x in zip(*((c.worth, c.aim) for c in classes), strict=True))
-        self.background = {c.name for c in classes if c.worth < worth and c.aim > aim}
+        mean_weight, mean_objective = (
+            sum(x) / len(classes) for x in zip(*((c.worth, c.aim) for c in classes), strict=True)
+        )
+        self.background = {c.name for c in classes if c.worth < mean_weight and c.aim > mean_objective}
         self.longest_advice = settings.max_advice if settings.takes_advice else 0
         self.nodes = NodeIndex(self.rules.cold_time, self.load)
         self.requests, self.timers = dict[str, Request](), dict[int, Request]()
@@ -138,7 +140,7 @@
     def place(self, r: Request) -> None:
         """File a request at a node of its shard, the least loaded that is on, else one that drains."""
         if r.node is not None:
-            r.node.held.pop(r.id, None)
+            r.node.pending.pop(r.id, None)
         # what may have run where repeats are dropped by shard or zone is of use nowhere else
         home = next((a.node for a in r.attempts if r.kind.effect is Effect.KEYED and a.may_have_run()), None)
         shard = home.shard if home and r.kind.group is Group.SHARD else r.shard
@@ -162,11 +164,11 @@
                 ),
             )
         if r.node is not None:
-            r.node.held[r.id] = r
+            r.node.pending[r.id] = r
 
     def load(self, node: Node) -> float:
         """The one to come counts too, so that a window that was cut tells."""
-        return (1 + len(node.held) + len(node.out)) / node.window
+        return (1 + len(node.pending) + len(node.out)) / node.window
 
     def wake(self, at: int, r: Request) -> None:
         self.last_token += 1
@@ -195,7 +197,7 @@
             self.put = {k: p for k, p in self.put.items() if self.now - p[1] < self.memory}
             self.turns = {k: turn for k, turn in self.turns.items() if turn}
             self.volumes = {k: v for k, v in self.volumes.items() if not v.idle(self.now, self.memory)}
-            self.nodes.forget_gone(lambda n: not (n.held or n.out or self.now - n.last_sent < self.memory))
+            self.nodes.forget_gone(lambda n: not (n.pending or n.out or self.now - n.last_sent < self.memory))
             for node in self.nodes.writers():
                 node.rebuild()
         for node in self.nodes.due(self.now):
@@ -210,7 +212,7 @@
             if silent and (node.quiet or self.vanish < VANISHING):
                 node.cut(self.now, first)  # neither answered nor overtaken: as good as a time-out
             self.pump(node)
-            if not (node.held or node.out or node.reads > self.threshold):  # until its news is old
+            if not (node.pending or node.out or node.reads > self.threshold):  # until its news is old
                 self.nodes.rest(node, self.now, max(node.heard, node.last_sent) + AVERAGE_SPAN)
         # where the list must be asked for, subscribe; after a failure again, later and with jitter
         if self.settings.list_on_request and not self.subscribed and self.now >= self.ask_at:
@@ -246,7 +248,7 @@
         """Nothing more goes out; it is forgotten once no attempt is out."""
         r.done = True
         if r.node is not None:
-            r.node.held.pop(r.id, None)
+            r.node.pending.pop(r.id, None)
         if r.out():
             return
         self.requests.pop(r.id, None)
@@ -258,7 +260,7 @@
                 self.wake(self.rests[r.key], turn[0])
 
     # -- attempts -----------------------------------------------------------------------------------------
-    def worth(self, r: Request, node: Node) -> tuple[int, int]:
+    def send_priority(self, r: Request, node: Node) -> tuple[int, int]:
         """Worth per unit still due if sent now; the aim stands for the work that a unit of the class is."""
         volume, kind, s = r.volume.at(self.now), r.kind, self.settings
         due = s.share_worth if volume.excess <= 2 * self.fair * volume.plan.share else s.beyond_worth
@@ -281,19 +283,19 @@
 
     def pump(self, node: Node) -> None:
         """Send what the node's window lets through; answer what is given up."""
-        if not node.held or not node.takes(self.now):
+        if not node.pending or not node.takes(self.now):
             return
-        if node.room(self.now, self.patience(node)):  # else all that is held need not be ordered
+        if node.has_capacity(self.now, self.patience(node)):  # else all that is held need not be ordered
             self.fill(node)
-        for r in [r for r in node.held.values() if self.given_up(r, node)]:
+        for r in [r for r in node.pending.values() if self.given_up(r, node)]:
             self.finish(r)
 
     def fill(self, node: Node) -> None:
         """The best first, as long as there is room."""
-        busy = [r.volume for r in node.held.values()]
+        busy = [r.volume for r in node.pending.values()]
         self.fair = sum(v.excess for v in busy) / max(1.0, sum(v.plan.share for v in busy))
-        for r in sorted(node.held.values(), key=lambda r: self.worth(r, node), reverse=True):
-            if not node.room(self.now, self.patience(node)):
+        for r in sorted(node.pending.values(), key=lambda r: self.send_priority(r, node), reverse=True):
+            if not node.has_capacity(self.now, self.patience(node)):
                 break
             if r.wait_until > self.now or self.barred(r, node):
                 continue
@@ -304,7 +306,7 @@
 
     def send(self, r: Request, node: Node) -> None:
         now, volume = self.now, r.volume.at(self.now)
-        node.held.pop(r.id)
+        node.pending.pop(r.id)
         self.extras.extend([now] if r.attempts else [])
         if not r.charged:
             volume.store, r.charged = volume.store - (r.units if volume.plan.limit else 0.0), True
@@ -369,7 +371,9 @@
             self.put[(r.volume, r.key)] = node.shard, self.now
         if ok:  # errors and refusals come quickly and must not feed the averages
             node.newest = max(node.newest, self.now - e.took)  # refusals come out of turn
-            if node.keys.count(r.key) < KEYS_KEPT:  # what has just been read costs less, and shows less
+            if (
+                node.keys.count(r.key) < CACHED_KEY_COUNT
+            ):  # what has just been read costs less, and shows less
                 node.unit = node.weigh(node.unit, node.heard, self.now, e.took / max(TINY, r.units))
             node.answers, node.heard = node.weigh(node.answers, node.heard, self.now, e.took), self.now
             if self.protected(r):
--- a/cypressworks/node_index.py
+++ b/cypressworks/node_index.py
@@ -54,7 +54,7 @@
         self.number = -1  # in the order in which nodes came into the index
         self._up_since = entry.up_since
         self._window = 0.0
-        self.held = Tracked(self)  # requests that wait here, by id
+        self.pending = Tracked(self)  # requests that wait here, by id
         self.out = Tracked(self)  # attempts out, and since when
         self.writes: dict[str, float] = {}
         self.throttled: set[str] = set()
--- a/cypressworks/rules.py
+++ b/cypressworks/rules.py
@@ -19,8 +19,14 @@
 AVERAGE_SPAN = 4 * SECOND  # how long what was seen of a node is of use
 ALL_PLACES, TOP_WINDOW = 16.0, 32.0  # what all hosts' windows at a node start from, together; one's ceiling
 LONGEST_PACE = 6 * SECOND  # between two sends of a host, however small its window
-PROBE_EVERY, CROWD = 500 * MS, ALL_PLACES / 2  # how often a node is asked for its queue; what of it is a jam
-KEY_BONUS, KEYS_KEPT = 2.0, 2  # worth of a key the node has just read: a full step; how many keys that is
+HEALTH_CHECK_EVERY, CROWD = (
+    500 * MS,
+    ALL_PLACES / 2,
+)  # how often a node is asked for its queue; what of it is a jam
+KEY_BONUS, CACHED_KEY_COUNT = (
+    2.0,
+    2,
+)  # worth of a key the node has just read: a full step; how many keys that is
 SHARERS_MARGIN = 1.5  # on how many hosts are expected to send to a node
 TIMER_READ, TINY, NEVER = 0, 1e-9, 1 << 62
 
@@ -86,8 +92,13 @@
         self.step, self.output, self.errors, self.pinned = 0, 0.0, (0.0, 0.0), 0
         self.writes, self.throttled = dict[str, float](), set[str]()
         self.heard = self.read_at = self.newest = self.quiet = 0  # newest: latest sent of those answered
-        self.keys: deque[str | None] = deque(maxlen=KEYS_KEPT)
-        self.crowd, self.crowd_at, self.asked, self.probe_at = 0.0, -LONGEST_PACE, -LONGEST_PACE, 0  # probes
+        self.keys: deque[str | None] = deque(maxlen=CACHED_KEY_COUNT)
+        self.crowd, self.crowd_at, self.asked, self.health_check_at = (
+            0.0,
+            -LONGEST_PACE,
+            -LONGEST_PACE,
+            0,
+        )  # probes
 
     def takes(self, now: int) -> bool:
         return self.phase is Phase.ON or self.phase is Phase.DRAINING and now < self.closes
@@ -116,7 +127,7 @@
             floor = min(1.0, self.part) * jam if jam else min(1.0, self.window)
             self.window, self.cut_at = max(floor, self.window / 2), now
 
-    def room(self, now: int, patience: float) -> bool:
+    def has_capacity(self, now: int, patience: float) -> bool:
         """Whether the window has a place."""
         taken = self.elsewhere + sum(now - sent <= patience for sent in self.out.values())
         return taken < max(1, int(self.window)) and now >= self.opens(now, patience)
@@ -126,7 +137,7 @@
         if self.window >= 1:
             return now
         trip = max(self.trip, patience if self.out else patience / 4)
-        if now - self.crowd_at <= 2 * PROBE_EVERY:
+        if now - self.crowd_at <= 2 * HEALTH_CHECK_EVERY:
             # What a node says of its queue saves the tests: those of hundreds of hosts alone keep a jam full.
             # Guards against any queue that outlives its cause. Harm: a wrong report leaves longest paces, or
             # lets this host send as at an idle node, once each window's pace.
@@ -164,8 +175,14 @@
         if not node.takes(now):
             return soon
         # 4: a cold node gets this host's part of what it always bears
-        if node.up_since and now - node.up_since < rules.cold_time and not self.cold_room(r, node, now):
-            warm = r.deadline - node.up_since >= rules.cold_time or self.cold_room(r, node, r.deadline)
+        if (
+            node.up_since
+            and now - node.up_since < rules.cold_time
+            and not self.has_warming_capacity(r, node, now)
+        ):
+            warm = r.deadline - node.up_since >= rules.cold_time or self.has_warming_capacity(
+                r, node, r.deadline
+            )
             return soon if warm else NEVER
         # 5: the limit: this host's part of the store may never sink below its part of the tolerance
         if not r.charged and volume.plan.limit and volume.filled(now, r.units) > now:
@@ -223,7 +240,7 @@
             return s.hosts  # what it is asked for is not known yet
         return max(1.0, s.hosts * min(1.0, SHARERS_MARGIN * (self.asked.count(self.now) + 2) / nodes))
 
-    def cold_room(self, r: Request, node: Node, at: int) -> bool:
+    def has_warming_capacity(self, r: Request, node: Node, at: int) -> bool:
         """This host's part in any window, scaled by the warming promised. With many hosts that is less than
         a request: then three quarters are earned over time, with turns by host number for the first."""
         rules, s = self.rules, self.settings
@@ -292,9 +309,9 @@
             and "queue" in self.settings.report_fields
             and node.window < 1
             and node.takes(self.now)
-            and self.now >= node.probe_at
+            and self.now >= node.health_check_at
         ):
-            node.asked, node.probe_at = self.now, self.now + self.jitter(PROBE_EVERY)
+            node.asked, node.health_check_at = self.now, self.now + self.jitter(HEALTH_CHECK_EVERY)
             self.actions.append(api.ProbeNode(node.id))
 
     def jitter(self, span: float) -> int:
