--- /dev/null
+++ b/tests/test_handover_format.py
@@ -0,0 +1,38 @@
+"""The handover between processes is stored data: today's code reads what main's code of 8ad4498 wrote."""
+
+import json
+from pathlib import Path
+
+from cypressworks import handover
+from tests.handover_scenario import HANDED_AT, play_before_handover, take_over_from
+
+WRITTEN_BEFORE = json.loads((Path(__file__).parent / "data" / "handover-8ad4498.json").read_text())
+
+
+def as_sent(data: dict) -> dict:
+    """What the other process reads: the handover goes between processes as JSON (succession.py)."""
+    return json.loads(json.dumps(data))
+
+
+def test_the_same_decisions_hand_over_the_same_data_under_the_same_keys():
+    assert as_sent(handover.hand_over(play_before_handover(), HANDED_AT)) == WRITTEN_BEFORE["handed"]
+
+
+def test_a_handover_written_by_the_code_before_is_taken_over_with_the_same_state():
+    taker = take_over_from(as_sent(WRITTEN_BEFORE["handed"]))
+    assert as_sent(handover.hand_over(taker, HANDED_AT)) == WRITTEN_BEFORE["handed_on"]
+
+
+def test_every_key_of_a_node_and_a_volume_is_read_into_the_state():
+    handed = WRITTEN_BEFORE["handed"]
+    taker = take_over_from(as_sent(handed))
+    for name, state in handed["nodes"].items():
+        node = taker.nodes[name]
+        assert {key: getattr(node, key) for key in handover.NODE} == {
+            key: state[key] for key in handover.NODE
+        }
+    for name, state in handed["volumes"].items():
+        volume = taker.volumes[name]
+        assert {key: getattr(volume, key) for key in handover.VOLUME} == {
+            key: state[key] for key in handover.VOLUME
+        }
