--- a/cypressworks/handover.py
+++ b/cypressworks/handover.py
@@ -115,6 +115,13 @@
 
 
 def learn(node: Node, state: dict[str, Any]) -> None:
+    """Read one node's handed-over state into `node`, unless it restarted since.
+
+    Args:
+        node: the taker's node of that name.
+        state: the node's entry in the handed data, under the keys of `NODE` and the extra keys written by
+            `hand_over`; a key missing (written by a version that knew less) leaves the attribute as it is.
+    """
     node.sent = deque((int(at), float(units)) for at, units in state["sent"])
     if node.up_since != state["up_since"]:
         return  # it was restarted since
--- a/cypressworks/interface.py
+++ b/cypressworks/interface.py
@@ -80,6 +80,11 @@
     stream: bool = False
 
     def __post_init__(self) -> None:
+        """Check the class's figures.
+
+        Raises:
+            ValueError: where a time is not positive, or a priority weight is negative.
+        """
         if self.aim <= 0 or self.deadline <= 0 or self.repeat_window < 0:
             raise ValueError(f"class {self.name!r}: times must be positive")
         if self.worth < 0 or self.late_worth < 0:
@@ -100,6 +105,11 @@
     tolerance: float = 0.0
 
     def __post_init__(self) -> None:
+        """Check the plan's figures.
+
+        Raises:
+            ValueError: where a figure is negative.
+        """
         if min(self.usual_rate, self.reserve, self.share, self.limit, self.burst, self.tolerance) < 0:
             raise ValueError(f"plan {self.name!r}: figures must not be negative")
 
@@ -123,6 +133,11 @@
     taken_on_arrival: bool = False  # a request takes its units of a limit where an attempt comes to a node
 
     def __post_init__(self) -> None:
+        """Check the rules' figures.
+
+        Raises:
+            ValueError: where a time is negative, or `cold_from` is not above 0 and at most 1.
+        """
         times = (
             self.answer_slack,
             self.drain_grace,
@@ -165,6 +180,12 @@
     report_fields: tuple[str, ...] = ()  # what load reports of nodes tell
 
     def __post_init__(self) -> None:
+        """Check the settings.
+
+        Raises:
+            ValueError: where no class or plan is given, hosts or max_attempts is below 1, or a time is
+                negative.
+        """
         if not self.classes or not self.plans:
             raise ValueError("settings: at least one class and one plan are needed")
         if self.hosts < 1 or self.max_attempts < 1:
--- a/cypressworks/logic.py
+++ b/cypressworks/logic.py
@@ -42,6 +42,7 @@
     """The decisions of one host: a pure state machine from events to actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
+        """Start knowing nothing of nodes, volumes or requests; `seed` makes jitter and ties repeat."""
         self.settings, self.rules, self.random = settings, settings.rules, random.Random(seed)
         classes = settings.classes
         self.threshold = min(c.aim for c in classes)
@@ -66,6 +67,7 @@
         self.actions: list[api.Action] = []
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        """Take one event at `now` (microseconds) and return its actions, in the order to take them."""
         if 0 < self.now < now - 4 * READ_EVERY:  # readings come each 100 ms: this host itself stood still
             self.woke = now
             for node in self.nodes.values():  # its backlog does not go out as one burst
@@ -97,6 +99,7 @@
 
     # -- requests -----------------------------------------------------------------------------------------
     def arrive(self, e: api.RequestArrived) -> None:
+        """File a newly arrived request at a node, set its timers, and send what the node lets through."""
         if e.request in self.requests:
             return
         now, kind = self.now, self.settings.classes[e.request_class]
@@ -171,11 +174,13 @@
         return (1 + len(node.pending) + len(node.out)) / node.window
 
     def wake(self, at: int, r: Request) -> None:
+        """Set a timer that looks at a request again at `at` (microseconds on the host's clock)."""
         self.last_token += 1
         self.timers[self.last_token] = r
         self.actions.append(api.SetTimer(max(0, at - self.now), self.last_token))
 
     def timer(self, token: int) -> None:
+        """Act on a timer: the controllers' reading for `TIMER_READ`, else a request's own time."""
         if token == TIMER_READ:
             self.actions.append(api.SetTimer(READ_EVERY, TIMER_READ))
             return self.read()
@@ -220,8 +225,11 @@
             self.ask_at = self.now + self.jitter(2 * SECOND)
 
     def given_up(self, r: Request, node: Node) -> bool:
-        """Whether what is held will not be sent any more, as far as is known: a limit's store, a cold part, a
-        pace or what else holds it too long. Its client hears at once. Harm: if wrong, it counts anew."""
+        """Whether a pending request will not be sent any more, as far as is known.
+
+        A token bucket, a warming-up node's part, a pace or whatever else holds it too long: its client hears
+        at once. Harm: if wrong, it counts anew.
+        """
         opens = max(self.now, r.wait_until, node.opens(self.now, self.patience(node)), self.barred(r, node))
         # late at a node with a pace: its turns are kept for what can still be in time
         # After half its time an unsent request is late whatever comes, and its client could have tried anew.
@@ -272,9 +280,11 @@
         return (round(math.log2(value + TINY)), -r.aim)
 
     def late(self, r: Request, node: Node, sent: int) -> bool:
+        """Whether sent at `sent` (microseconds) it would answer after its latency objective (DESIGN)."""
         return sent + (node.reads if self.protected(r) else node.answers) > r.aim
 
     def protected(self, r: Request) -> bool:
+        """Whether a request is a protected read: not a write, and not of a background class."""
         return not r.write and r.kind.name not in self.background
 
     def patience(self, node: Node) -> float:
@@ -305,6 +315,7 @@
             self.send(r, node)
 
     def send(self, r: Request, node: Node) -> None:
+        """Send a request's next attempt to a node, charging its volume's token bucket once."""
         now, volume = self.now, r.volume.at(self.now)
         node.pending.pop(r.id)
         self.extras.extend([now] if r.attempts else [])
@@ -321,6 +332,7 @@
         self.actions.append(api.Send(r.id, node.id, r.deadline - now))
 
     def ended(self, e: api.AttemptEnded) -> None:
+        """Take an attempt's outcome: learn from it, then close, fail or file the request again."""
         r = self.requests.get(e.request)
         if r is None or not 0 <= e.attempt < len(r.attempts) or r.attempts[e.attempt].outcome is not None:
             return
--- a/cypressworks/node_index.py
+++ b/cypressworks/node_index.py
@@ -23,14 +23,17 @@
     """A node's requests; tells the node of each change."""
 
     def __init__(self, node: IndexedNode) -> None:
+        """Start an empty map of requests that marks `node` for the index at each change."""
         super().__init__()
         self.node = node
 
     def __setitem__(self, key: Hashable, value: Any) -> None:
+        """File a request under its id and mark the node for the index."""
         super().__setitem__(key, value)
         self.node.mark()
 
     def __delitem__(self, key: Hashable) -> None:
+        """Remove a request by its id and mark the node; `KeyError` where it is not filed."""
         super().__delitem__(key)
         self.node.mark()
 
@@ -49,6 +52,7 @@
     """What the index has to hear of in a node: its phase, its start, its window, its requests."""
 
     def __init__(self, entry: NodeEntry) -> None:
+        """Start a node from its entry in the node list, not yet in an index."""
         self.id, self.shard, self.zone, self._phase = entry.node, entry.shard, entry.zone, entry.phase
         self.index: NodeIndex | None = None
         self.number = -1  # in the order in which nodes came into the index
@@ -122,6 +126,7 @@
 
     # -- which nodes there are ----------------------------------------------------------------------------
     def __setitem__(self, name: str, node: Any) -> None:
+        """Put a node into the index under its name, in place of one of that name before."""
         if name in self:
             del self[name]
         super().__setitem__(name, node)
@@ -133,6 +138,7 @@
         self.note_phase(node)
 
     def __delitem__(self, name: str) -> None:
+        """Take the named node out of the index; `KeyError` where there is none."""
         node = self[name]
         super().__delitem__(name)
         node.index = None
--- a/cypressworks/rules.py
+++ b/cypressworks/rules.py
@@ -35,6 +35,14 @@
     """One volume's stores. The reserve counts all hosts, as far as answers tell; the limit's is our part."""
 
     def __init__(self, now: int, plan: api.Plan, hosts: int, most: float) -> None:
+        """Start a volume's token buckets full.
+
+        Args:
+            now: when it was first seen, in microseconds.
+            plan: its plan of usual rate, reserve, limit and burst (interface.py).
+            hosts: through how many hosts its requests come; the limit's bucket is this host's part.
+            most: the largest request, in units, that the reserve must take.
+        """
         self.plan, self.hosts, self.stamp, self.excess = plan, max(1, hosts), now, 0.0
         self.full = self.reserve = plan.reserve + most if plan.reserve else 0.0
         # A restarted host cannot know what it spent, so its part of the limit's store was at the lowest
@@ -50,6 +58,7 @@
             self.store = min(self.store, self.lowest)
 
     def at(self, now: int) -> Volume:
+        """Bring the buckets up to `now` (microseconds) and return the volume itself."""
         if now == self.stamp:  # nothing has passed
             return self
         passed, self.stamp, p = (now - self.stamp) / SECOND, now, self.plan
@@ -70,6 +79,7 @@
         return now - self.stamp > span and self.at(now).store >= self.plan.burst / self.hosts
 
     def spend(self, units: float) -> None:
+        """Take units from the reserve first; what it lacks counts as excess (negative units give back)."""
         self.excess += units - min(units, max(0.0, self.reserve))
         self.reserve = max(-self.plan.reserve, self.reserve - units)
 
@@ -78,6 +88,13 @@
     """One node as this host sees it."""
 
     def __init__(self, e: api.NodeEntry, hosts: int, now: int) -> None:
+        """Start what this host knows of a listed node: a window of its part, no averages yet.
+
+        Args:
+            e: the node's entry in the node list.
+            hosts: how many hosts share the node's places (`ALL_PLACES`).
+            now: from when (microseconds) what this host sent to it is known.
+        """
         super().__init__(e)
         self.part, self.closes = ALL_PLACES / hosts, 0  # closes: until when it takes work though it drains
         self.elsewhere = 0  # attempts that this host's process before still has out
@@ -85,6 +102,7 @@
         self.restart(e.up_since, now)
 
     def restart(self, up_since: int, known: int) -> None:
+        """Forget what was learnt of a node that restarted at `up_since`; sends are known from `known`."""
         self.up_since, self.known, self.spent = up_since, known, 0.0  # spent: units sent since it is known
         self.window, self.cut_at, self.last_sent = max(1.0, self.part), 0, 0
         self.reads = self.answers = self.trip = 0.0  # trip: the latest, time-outs too
@@ -101,6 +119,7 @@
         )  # probes
 
     def takes(self, now: int) -> bool:
+        """Whether the node takes new work at `now`: it is on, or draining within its grace."""
         return self.phase is Phase.ON or self.phase is Phase.DRAINING and now < self.closes
 
     def weigh(self, average: float, since: int, now: int, took: float) -> float:
@@ -122,7 +141,9 @@
 
     def cut(self, now: int, sent: int, jam: float = 1.0) -> None:
         """Halve the window. One jam is one signal: what was sent before the last cut tells nothing new.
-        Below one place, to this part of the least, only where there is a jam: long work alone is late too."""
+
+        Below one place, to this part of the least, only where there is a jam: long work alone is late too.
+        """
         if sent >= self.cut_at:
             floor = min(1.0, self.part) * jam if jam else min(1.0, self.window)
             self.window, self.cut_at = max(floor, self.window / 2), now
@@ -161,8 +182,12 @@
     """Every rule, as the scheduler asks it; the state is the scheduler's."""
 
     def barred(self, r: Request, node: Node) -> int:
-        """The one place where every send meets every rule: 0 where none bars it, else from when they may let
-        it go as far as is known, or the next reading."""
+        """The one place where every send meets every rule.
+
+        Returns:
+            0 where none bars it, else from when (microseconds) they may let it go as far as is known, or
+            the next reading; `NEVER` where none ever will.
+        """
         now, rules, kind, volume, again = self.now, self.rules, r.kind, r.volume, bool(r.attempts)
         soon = now + READ_EVERY
         # 1: nothing goes out for what is finished or overdue
@@ -211,6 +236,12 @@
         )
 
     def barred_again(self, r: Request, node: Node, at: int, earlier: list[Attempt]) -> bool:
+        """Whether earlier attempts bar a retry of the request at `node` at `at` (microseconds).
+
+        Barred are: any attempt still in flight; an unsafe one that may have run; for an idempotent class,
+        one that may have run, once its repeat window has passed or where the node is of another shard or
+        zone than the class's group allows.
+        """
         kind, ran = r.kind, [a for a in earlier if a.may_have_run()]
         if any(a.outcome is None for a in earlier) or ran and kind.effect is Effect.UNSAFE:
             return True
@@ -232,17 +263,24 @@
         return 1.0 if warm else first + (1 - first) * max(0, at - node.up_since) / cold_time
 
     def sharers(self) -> float:
-        """How many hosts send to a node, as far as this one can tell: where it is asked for few of the nodes,
-        so are the others, and on average all of them together have one whole part at each node. The margin is
-        for nodes that more hosts than others send to. Harm: if wrong, a cold node gets more than it bears."""
+        """How many hosts send to a node, as far as this one can tell.
+
+        Where this host is asked for few of the nodes, so are the others, and on average all of them together
+        have one whole part at each node. The margin is for nodes that more hosts than others send to. Harm:
+        if wrong, a warming-up node gets more than it bears.
+        """
         s, nodes = self.settings, self.nodes.listed()
         if self.now - self.born < self.rules.fall_time or not nodes:
             return s.hosts  # what it is asked for is not known yet
         return max(1.0, s.hosts * min(1.0, SHARERS_MARGIN * (self.asked.count(self.now) + 2) / nodes))
 
     def has_warming_capacity(self, r: Request, node: Node, at: int) -> bool:
-        """This host's part in any window, scaled by the warming promised. With many hosts that is less than
-        a request: then three quarters are earned over time, with turns by host number for the first."""
+        """Whether this host's part of a warming-up node's capacity takes the request at `at` (microseconds).
+
+        The part is this host's share of any window, scaled by the warming promised. With many hosts that is
+        less than a request: then three quarters are earned over time, with turns by host number for the
+        first.
+        """
         rules, s = self.rules, self.settings
         if self.handed:
             return False  # all of this host's part is the next process's
@@ -262,6 +300,11 @@
         return not sent and earned >= node.spent + (s.me + node.up_since // MS) % s.hosts / s.hosts * r.units
 
     def affordable(self, since: int) -> bool:
+        """Whether the retry budget takes one more extra attempt, counting what was sent since `since`.
+
+        Args:
+            since: microseconds on the host's clock; older extras and arrivals are dropped from the count.
+        """
         for times, first in (self.extras, since), (self.taken, since + 1):
             while times and times[0] < first:
                 times.popleft()
@@ -280,6 +323,7 @@
         )
 
     def listed(self, e: api.NodeList) -> None:
+        """Take the node list or a watch event: phases, restarts, and requests filed anew where nodes went."""
         if e.kind is ListKind.UNAVAILABLE:
             self.subscribed = False
             return
@@ -315,4 +359,5 @@
             self.actions.append(api.ProbeNode(node.id))
 
     def jitter(self, span: float) -> int:
+        """A span (microseconds) scaled by a random factor from 0.5 to 1.5."""
         return int(span * (0.5 + self.random.random()))
--- a/cypressworks/simhost.py
+++ b/cypressworks/simhost.py
@@ -182,6 +182,7 @@
     """All instances of this process; each has a scheduler of its own."""
 
     def __init__(self) -> None:
+        """Start with no instances; each is made by an ATTACH message for its host and ended by HALT."""
         self.instances: dict[str, Scheduler] = {}
 
     def batch(self, line: str) -> str:
