--- a/tests/test_capacity_request.py
+++ b/tests/test_capacity_request.py
@@ -186,8 +186,8 @@
     entries = node_entries(list(range(NODES)))
     head.watch.take(json.loads(nodelist.message(entries, whole=True)))
     head.hold_requests(4)
-    held = [node for node in head.reducer.scheduler.nodes.values() if node.held]
-    assert len(held) == 1 and len(held[0].held) == 4 and len(held[0].out) == 1
+    held = [node for node in head.reducer.scheduler.nodes.values() if node.pending]
+    assert len(held) == 1 and len(held[0].pending) == 4 and len(held[0].out) == 1
     head.watch.take(
         json.loads(nodelist.message([entries[1] | {"lifecycle": "DELETED"}], whole=False, generation=2))
     )
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -122,7 +122,9 @@
     driver.request("same", key="warm")
     driver.scheduler.requests["same"].aim = driver.scheduler.requests["other"].aim
     node, requests = driver.scheduler.nodes["n1"], driver.scheduler.requests
-    assert driver.scheduler.worth(requests["same"], node) > driver.scheduler.worth(requests["other"], node)
+    assert driver.scheduler.send_priority(requests["same"], node) > driver.scheduler.send_priority(
+        requests["other"], node
+    )
 
 
 def test_the_same_events_give_the_same_actions():
