--- a/cypressworks/logic.py
+++ b/cypressworks/logic.py
@@ -1,4 +1,5 @@
 """Every decision of cypressworks, to be read aloud. Its settings, events and actions: interface.py."""
+
 from __future__ import annotations
 
 import math
@@ -6,12 +7,28 @@
 from collections import deque
 
 from cypressworks import interface as api
-from cypressworks.interface import Attempt, Effect, Group, ListKind, Outcome, Phase, Request
+from cypressworks.interface import Attempt, Effect, Group, Outcome, Phase, Request
 from cypressworks.node_index import NodeIndex, RecentKeys
 
 from cypressworks.rules import (  # isort: skip
-    AVERAGE_SPAN, CROWD, KEY_BONUS, KEYS_KEPT, LONGEST_PACE, MS, NEVER, PROBE_EVERY, READ_EVERY,
-    REBUILD_EVERY, SECOND, STEP_DELAY, TIMER_READ, TINY, TOP_WINDOW, Node, Rulebook, Volume)
+    AVERAGE_SPAN,
+    CROWD,
+    KEY_BONUS,
+    CACHED_KEY_COUNT,
+    LONGEST_PACE,
+    MS,
+    NEVER,
+    READ_EVERY,
+    REBUILD_EVERY,
+    SECOND,
+    STEP_DELAY,
+    TIMER_READ,
+    TINY,
+    TOP_WINDOW,
+    Node,
+    NodeListing,
+    Volume,
+)
 
 LATE = 0.25  # of the threshold: an answer as an idle node is expected to give it
 LONG = 1.5  # of the threshold: as more no answer counts in the average, or one long read makes all late
@@ -21,17 +38,20 @@
 HALF_MARGIN, PRESSED = 20 * MS, SECOND  # a refusal's way to the client; how long a node counts as pressed
 
 
-class Scheduler(Rulebook):
+class Scheduler(NodeListing):
     """The decisions of one host: a pure state machine from events to actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
+        """Start knowing nothing of nodes, volumes or requests; `seed` makes jitter and ties repeat."""
         self.settings, self.rules, self.random = settings, settings.rules, random.Random(seed)
         classes = settings.classes
         self.threshold = min(c.aim for c in classes)
         self.quick = int(LATE * self.threshold / 2)  # the least that an answer is expected to take
         self.memory = 60 * SECOND + max(c.deadline for c in classes)  # of unused volumes and gone nodes
-        worth, aim = (sum(x) / len(classes) for x in zip(*((c.worth, c.aim) for c in classes), strict=True))
-        self.background = {c.name for c in classes if c.worth < worth and c.aim > aim}
+        mean_weight, mean_objective = (
+            sum(x) / len(classes) for x in zip(*((c.worth, c.aim) for c in classes), strict=True)
+        )
+        self.background = {c.name for c in classes if c.worth < mean_weight and c.aim > mean_objective}
         self.longest_advice = settings.max_advice if settings.takes_advice else 0
         self.nodes = NodeIndex(self.rules.cold_time, self.load)
         self.requests, self.timers = dict[str, Request](), dict[int, Request]()
@@ -47,6 +67,7 @@
         self.actions: list[api.Action] = []
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        """Take one event at `now` (microseconds) and return its actions, in the order to take them."""
         if 0 < self.now < now - 4 * READ_EVERY:  # readings come each 100 ms: this host itself stood still
             self.woke = now
             for node in self.nodes.values():  # its backlog does not go out as one burst
@@ -76,48 +97,9 @@
                 self.close(self.requests[event.request])  # nothing is owed, nothing more goes out
         return self.actions
 
-    # -- the node list ------------------------------------------------------------------------------------
-    def avoids(self, name: str) -> bool:
-        """Whether a node gets nothing new, as it drains, is gone, or is kept to a pace of seconds."""
-        node = self.nodes.get(name)
-        return node is not None and (node.phase is not Phase.ON or node.opens(self.now, self.patience(node))
-                                     > self.now + SECOND)
-
-    def listed(self, e: api.NodeList) -> None:
-        if e.kind is ListKind.UNAVAILABLE:
-            self.subscribed = False
-            return
-        self.subscribed = self.subscribed or e.kind is not ListKind.RESTORED
-        if e.kind is not ListKind.CHANGES:
-            named = {entry.node for entry in e.entries}
-            for node in self.nodes.values():
-                node.phase = node.phase if node.id in named else Phase.GONE
-        for entry in e.entries:
-            # a restarted host cannot know what it sent before; else it earned for a window at the most
-            known = max(entry.up_since, self.now - (self.now > self.born) * self.rules.fall_time)
-            node = self.nodes.setdefault(entry.node, Node(entry, self.settings.hosts, known))
-            if entry.phase is not node.phase:  # the word has just come
-                # one that was gone gets no grace: it may have been told to drain long before
-                grace = self.rules.drain_grace - self.settings.tick if node.phase is Phase.ON else 0
-                node.phase, node.closes = entry.phase, grace + (self.now if e.since is None else e.since)
-            if entry.up_since != node.up_since:
-                node.restart(entry.up_since, known)
-        for r in self.requests.values():
-            if not r.done and not r.out():
-                self.place(r)  # sent with the next reading
-
-    def ask(self, node: Node) -> None:
-        """Where nodes tell their queue, it is asked for when work comes at a window below one."""
-        if (self.settings.may_probe and "queue" in self.settings.report_fields and node.window < 1
-                and node.takes(self.now) and self.now >= node.probe_at):
-            node.asked, node.probe_at = self.now, self.now + self.jitter(PROBE_EVERY)
-            self.actions.append(api.ProbeNode(node.id))
-
-    def jitter(self, span: float) -> int:
-        return int(span * (0.5 + self.random.random()))
-
     # -- requests -----------------------------------------------------------------------------------------
     def arrive(self, e: api.RequestArrived) -> None:
+        """File a newly arrived request at a node, set its timers, and send what the node lets through."""
         if e.request in self.requests:
             return
         now, kind = self.now, self.settings.classes[e.request_class]
@@ -129,9 +111,18 @@
         # a client that comes back with what was given up has not got a new aim
         aim, left = self.given.pop((volume, e.key, kind.name, e.units), (end, 0))
         aim = min(now + kind.aim, end, aim if e.repeat or end <= left + self.quick else end)
-        r = self.requests[e.request] = Request(e.request, kind, volume, e.units, e.key, e.shard, aim, end,
-                                               e.write or kind.writes,
-                                               now + max(0, e.time_left) // 2 - HALF_MARGIN)
+        r = self.requests[e.request] = Request(
+            e.request,
+            kind,
+            volume,
+            e.units,
+            e.key,
+            e.shard,
+            aim,
+            end,
+            e.write or kind.writes,
+            now + max(0, e.time_left) // 2 - HALF_MARGIN,
+        )
         self.taken.append(now)
         if e.shard != -1:
             self.asked.note(e.shard, now)
@@ -152,32 +143,44 @@
     def place(self, r: Request) -> None:
         """File a request at a node of its shard, the least loaded that is on, else one that drains."""
         if r.node is not None:
-            r.node.held.pop(r.id, None)
+            r.node.pending.pop(r.id, None)
         # what may have run where repeats are dropped by shard or zone is of use nowhere else
         home = next((a.node for a in r.attempts if r.kind.effect is Effect.KEYED and a.may_have_run()), None)
         shard = home.shard if home and r.kind.group is Group.SHARD else r.shard
         zone = home.zone if home and r.kind.group is Group.ZONE else None
         # Guards a node against hosts with little traffic: with nothing out, all would find the same first.
         # New data goes to a cold node last: what it bears is for the reads that no other can serve.
-        r.node = (self.nodes.least_loaded(self.now, self.warmth, self.random.random())
-                  if shard == -1 and zone is None else None)
+        r.node = (
+            self.nodes.least_loaded(self.now, self.warmth, self.random.random())
+            if shard == -1 and zone is None
+            else None
+        )
         if r.node is None:
             able = [n for n in self.nodes.of_shard(shard) if n.takes(self.now) and zone in (None, n.zone)]
-            r.node = min(able, default=None, key=lambda n: (
-                n.phase is not Phase.ON, self.load(n) / self.warmth(n, self.now), self.random.random()))
+            r.node = min(
+                able,
+                default=None,
+                key=lambda n: (
+                    n.phase is not Phase.ON,
+                    self.load(n) / self.warmth(n, self.now),
+                    self.random.random(),
+                ),
+            )
         if r.node is not None:
-            r.node.held[r.id] = r
+            r.node.pending[r.id] = r
 
     def load(self, node: Node) -> float:
         """The one to come counts too, so that a window that was cut tells."""
-        return (1 + len(node.held) + len(node.out)) / node.window
+        return (1 + len(node.pending) + len(node.out)) / node.window
 
     def wake(self, at: int, r: Request) -> None:
+        """Set a timer that looks at a request again at `at` (microseconds on the host's clock)."""
         self.last_token += 1
         self.timers[self.last_token] = r
         self.actions.append(api.SetTimer(max(0, at - self.now), self.last_token))
 
     def timer(self, token: int) -> None:
+        """Act on a timer: the controllers' reading for `TIMER_READ`, else a request's own time."""
         if token == TIMER_READ:
             self.actions.append(api.SetTimer(READ_EVERY, TIMER_READ))
             return self.read()
@@ -199,7 +202,7 @@
             self.put = {k: p for k, p in self.put.items() if self.now - p[1] < self.memory}
             self.turns = {k: turn for k, turn in self.turns.items() if turn}
             self.volumes = {k: v for k, v in self.volumes.items() if not v.idle(self.now, self.memory)}
-            self.nodes.forget_gone(lambda n: not (n.held or n.out or self.now - n.last_sent < self.memory))
+            self.nodes.forget_gone(lambda n: not (n.pending or n.out or self.now - n.last_sent < self.memory))
             for node in self.nodes.writers():
                 node.rebuild()
         for node in self.nodes.due(self.now):
@@ -214,7 +217,7 @@
             if silent and (node.quiet or self.vanish < VANISHING):
                 node.cut(self.now, first)  # neither answered nor overtaken: as good as a time-out
             self.pump(node)
-            if not (node.held or node.out or node.reads > self.threshold):  # until its news is old
+            if not (node.pending or node.out or node.reads > self.threshold):  # until its news is old
                 self.nodes.rest(node, self.now, max(node.heard, node.last_sent) + AVERAGE_SPAN)
         # where the list must be asked for, subscribe; after a failure again, later and with jitter
         if self.settings.list_on_request and not self.subscribed and self.now >= self.ask_at:
@@ -222,13 +225,21 @@
             self.ask_at = self.now + self.jitter(2 * SECOND)
 
     def given_up(self, r: Request, node: Node) -> bool:
-        """Whether what is held will not be sent any more, as far as is known: a limit's store, a cold part, a
-        pace or what else holds it too long. Its client hears at once. Harm: if wrong, it counts anew."""
+        """Whether a pending request will not be sent any more, as far as is known.
+
+        A token bucket, a warming-up node's part, a pace or whatever else holds it too long: its client hears
+        at once. Harm: if wrong, it counts anew.
+        """
         opens = max(self.now, r.wait_until, node.opens(self.now, self.patience(node)), self.barred(r, node))
         # late at a node with a pace: its turns are kept for what can still be in time
         # After half its time an unsent request is late whatever comes, and its client could have tried anew.
-        return (opens + self.quick >= r.deadline or opens >= r.half and r.unsent()
-                or node.window < 1 and self.late(r, node, opens))
+        return (
+            opens + self.quick >= r.deadline
+            or opens >= r.half
+            and r.unsent()
+            or node.window < 1
+            and self.late(r, node, opens)
+        )
 
     def finish(self, r: Request) -> None:
         """The final answer: a refusal where trying again is harmless, else a failure."""
@@ -245,7 +256,7 @@
         """Nothing more goes out; it is forgotten once no attempt is out."""
         r.done = True
         if r.node is not None:
-            r.node.held.pop(r.id, None)
+            r.node.pending.pop(r.id, None)
         if r.out():
             return
         self.requests.pop(r.id, None)
@@ -257,7 +268,7 @@
                 self.wake(self.rests[r.key], turn[0])
 
     # -- attempts -----------------------------------------------------------------------------------------
-    def worth(self, r: Request, node: Node) -> tuple[int, int]:
+    def send_priority(self, r: Request, node: Node) -> tuple[int, int]:
         """Worth per unit still due if sent now; the aim stands for the work that a unit of the class is."""
         volume, kind, s = r.volume.at(self.now), r.kind, self.settings
         due = s.share_worth if volume.excess <= 2 * self.fair * volume.plan.share else s.beyond_worth
@@ -269,9 +280,11 @@
         return (round(math.log2(value + TINY)), -r.aim)
 
     def late(self, r: Request, node: Node, sent: int) -> bool:
+        """Whether sent at `sent` (microseconds) it would answer after its latency objective (DESIGN)."""
         return sent + (node.reads if self.protected(r) else node.answers) > r.aim
 
     def protected(self, r: Request) -> bool:
+        """Whether a request is a protected read: not a write, and not of a background class."""
         return not r.write and r.kind.name not in self.background
 
     def patience(self, node: Node) -> float:
@@ -280,19 +293,19 @@
 
     def pump(self, node: Node) -> None:
         """Send what the node's window lets through; answer what is given up."""
-        if not node.held or not node.takes(self.now):
+        if not node.pending or not node.takes(self.now):
             return
-        if node.room(self.now, self.patience(node)):  # else all that is held need not be ordered
+        if node.has_capacity(self.now, self.patience(node)):  # else all that is held need not be ordered
             self.fill(node)
-        for r in [r for r in node.held.values() if self.given_up(r, node)]:
+        for r in [r for r in node.pending.values() if self.given_up(r, node)]:
             self.finish(r)
 
     def fill(self, node: Node) -> None:
         """The best first, as long as there is room."""
-        busy = [r.volume for r in node.held.values()]
+        busy = [r.volume for r in node.pending.values()]
         self.fair = sum(v.excess for v in busy) / max(1.0, sum(v.plan.share for v in busy))
-        for r in sorted(node.held.values(), key=lambda r: self.worth(r, node), reverse=True):
-            if not node.room(self.now, self.patience(node)):
+        for r in sorted(node.pending.values(), key=lambda r: self.send_priority(r, node), reverse=True):
+            if not node.has_capacity(self.now, self.patience(node)):
                 break
             if r.wait_until > self.now or self.barred(r, node):
                 continue
@@ -302,8 +315,9 @@
             self.send(r, node)
 
     def send(self, r: Request, node: Node) -> None:
+        """Send a request's next attempt to a node, charging its volume's token bucket once."""
         now, volume = self.now, r.volume.at(self.now)
-        node.held.pop(r.id)
+        node.pending.pop(r.id)
         self.extras.extend([now] if r.attempts else [])
         if not r.charged:
             volume.store, r.charged = volume.store - (r.units if volume.plan.limit else 0.0), True
@@ -318,6 +332,7 @@
         self.actions.append(api.Send(r.id, node.id, r.deadline - now))
 
     def ended(self, e: api.AttemptEnded) -> None:
+        """Take an attempt's outcome: learn from it, then close, fail or file the request again."""
         r = self.requests.get(e.request)
         if r is None or not 0 <= e.attempt < len(r.attempts) or r.attempts[e.attempt].outcome is not None:
             return
@@ -368,7 +383,9 @@
             self.put[(r.volume, r.key)] = node.shard, self.now
         if ok:  # errors and refusals come quickly and must not feed the averages
             node.newest = max(node.newest, self.now - e.took)  # refusals come out of turn
-            if node.keys.count(r.key) < KEYS_KEPT:  # what has just been read costs less, and shows less
+            if (
+                node.keys.count(r.key) < CACHED_KEY_COUNT
+            ):  # what has just been read costs less, and shows less
                 node.unit = node.weigh(node.unit, node.heard, self.now, e.took / max(TINY, r.units))
             node.answers, node.heard = node.weigh(node.answers, node.heard, self.now, e.took), self.now
             if self.protected(r):
--- a/cypressworks/rules.py
+++ b/cypressworks/rules.py
@@ -1,4 +1,5 @@
 """What a host keeps of volumes and nodes, and the rules that bar a send. Terms: interface.py."""
+
 from __future__ import annotations
 
 import math
@@ -6,7 +7,7 @@
 from itertools import takewhile
 
 from cypressworks import interface as api
-from cypressworks.interface import Attempt, Effect, Group, Phase, Request
+from cypressworks.interface import Attempt, Effect, Group, ListKind, Phase, Request
 from cypressworks.node_index import IndexedNode
 
 MS, SECOND = 1_000, 1_000_000
@@ -18,8 +19,14 @@
 AVERAGE_SPAN = 4 * SECOND  # how long what was seen of a node is of use
 ALL_PLACES, TOP_WINDOW = 16.0, 32.0  # what all hosts' windows at a node start from, together; one's ceiling
 LONGEST_PACE = 6 * SECOND  # between two sends of a host, however small its window
-PROBE_EVERY, CROWD = 500 * MS, ALL_PLACES / 2  # how often a node is asked for its queue; what of it is a jam
-KEY_BONUS, KEYS_KEPT = 2.0, 2  # worth of a key the node has just read: a full step; how many keys that is
+HEALTH_CHECK_EVERY, CROWD = (
+    500 * MS,
+    ALL_PLACES / 2,
+)  # how often a node is asked for its queue; what of it is a jam
+KEY_BONUS, CACHED_KEY_COUNT = (
+    2.0,
+    2,
+)  # worth of a key the node has just read: a full step; how many keys that is
 SHARERS_MARGIN = 1.5  # on how many hosts are expected to send to a node
 TIMER_READ, TINY, NEVER = 0, 1e-9, 1 << 62
 
@@ -28,6 +35,14 @@
     """One volume's stores. The reserve counts all hosts, as far as answers tell; the limit's is our part."""
 
     def __init__(self, now: int, plan: api.Plan, hosts: int, most: float) -> None:
+        """Start a volume's token buckets full.
+
+        Args:
+            now: when it was first seen, in microseconds.
+            plan: its plan of usual rate, reserve, limit and burst (interface.py).
+            hosts: through how many hosts its requests come; the limit's bucket is this host's part.
+            most: the largest request, in units, that the reserve must take.
+        """
         self.plan, self.hosts, self.stamp, self.excess = plan, max(1, hosts), now, 0.0
         self.full = self.reserve = plan.reserve + most if plan.reserve else 0.0
         # A restarted host cannot know what it spent, so its part of the limit's store was at the lowest
@@ -43,12 +58,13 @@
             self.store = min(self.store, self.lowest)
 
     def at(self, now: int) -> Volume:
+        """Bring the buckets up to `now` (microseconds) and return the volume itself."""
         if now == self.stamp:  # nothing has passed
             return self
         passed, self.stamp, p = (now - self.stamp) / SECOND, now, self.plan
         self.reserve = min(self.full, self.reserve + p.reserve * passed)
         self.store = min(p.burst / self.hosts, self.store + p.limit / self.hosts * passed * self.fills)
-        self.excess *= 0.5 ** passed  # units lately served beyond the reserve
+        self.excess *= 0.5**passed  # units lately served beyond the reserve
         return self
 
     def filled(self, now: int, units: float) -> int:
@@ -63,6 +79,7 @@
         return now - self.stamp > span and self.at(now).store >= self.plan.burst / self.hosts
 
     def spend(self, units: float) -> None:
+        """Take units from the reserve first; what it lacks counts as excess (negative units give back)."""
         self.excess += units - min(units, max(0.0, self.reserve))
         self.reserve = max(-self.plan.reserve, self.reserve - units)
 
@@ -71,6 +88,13 @@
     """One node as this host sees it."""
 
     def __init__(self, e: api.NodeEntry, hosts: int, now: int) -> None:
+        """Start what this host knows of a listed node: a window of its part, no averages yet.
+
+        Args:
+            e: the node's entry in the node list.
+            hosts: how many hosts share the node's places (`ALL_PLACES`).
+            now: from when (microseconds) what this host sent to it is known.
+        """
         super().__init__(e)
         self.part, self.closes = ALL_PLACES / hosts, 0  # closes: until when it takes work though it drains
         self.elsewhere = 0  # attempts that this host's process before still has out
@@ -78,6 +102,7 @@
         self.restart(e.up_since, now)
 
     def restart(self, up_since: int, known: int) -> None:
+        """Forget what was learnt of a node that restarted at `up_since`; sends are known from `known`."""
         self.up_since, self.known, self.spent = up_since, known, 0.0  # spent: units sent since it is known
         self.window, self.cut_at, self.last_sent = max(1.0, self.part), 0, 0
         self.reads = self.answers = self.trip = 0.0  # trip: the latest, time-outs too
@@ -85,10 +110,16 @@
         self.step, self.output, self.errors, self.pinned = 0, 0.0, (0.0, 0.0), 0
         self.writes, self.throttled = dict[str, float](), set[str]()
         self.heard = self.read_at = self.newest = self.quiet = 0  # newest: latest sent of those answered
-        self.keys: deque[str | None] = deque(maxlen=KEYS_KEPT)
-        self.crowd, self.crowd_at, self.asked, self.probe_at = 0.0, -LONGEST_PACE, -LONGEST_PACE, 0  # probes
+        self.keys: deque[str | None] = deque(maxlen=CACHED_KEY_COUNT)
+        self.crowd, self.crowd_at, self.asked, self.health_check_at = (
+            0.0,
+            -LONGEST_PACE,
+            -LONGEST_PACE,
+            0,
+        )  # probes
 
     def takes(self, now: int) -> bool:
+        """Whether the node takes new work at `now`: it is on, or draining within its grace."""
         return self.phase is Phase.ON or self.phase is Phase.DRAINING and now < self.closes
 
     def weigh(self, average: float, since: int, now: int, took: float) -> float:
@@ -110,12 +141,14 @@
 
     def cut(self, now: int, sent: int, jam: float = 1.0) -> None:
         """Halve the window. One jam is one signal: what was sent before the last cut tells nothing new.
-        Below one place, to this part of the least, only where there is a jam: long work alone is late too."""
+
+        Below one place, to this part of the least, only where there is a jam: long work alone is late too.
+        """
         if sent >= self.cut_at:
             floor = min(1.0, self.part) * jam if jam else min(1.0, self.window)
             self.window, self.cut_at = max(floor, self.window / 2), now
 
-    def room(self, now: int, patience: float) -> bool:
+    def has_capacity(self, now: int, patience: float) -> bool:
         """Whether the window has a place."""
         taken = self.elsewhere + sum(now - sent <= patience for sent in self.out.values())
         return taken < max(1, int(self.window)) and now >= self.opens(now, patience)
@@ -125,7 +158,7 @@
         if self.window >= 1:
             return now
         trip = max(self.trip, patience if self.out else patience / 4)
-        if now - self.crowd_at <= 2 * PROBE_EVERY:
+        if now - self.crowd_at <= 2 * HEALTH_CHECK_EVERY:
             # What a node says of its queue saves the tests: those of hundreds of hosts alone keep a jam full.
             # Guards against any queue that outlives its cause. Harm: a wrong report leaves longest paces, or
             # lets this host send as at an idle node, once each window's pace.
@@ -149,8 +182,12 @@
     """Every rule, as the scheduler asks it; the state is the scheduler's."""
 
     def barred(self, r: Request, node: Node) -> int:
-        """The one place where every send meets every rule: 0 where none bars it, else from when they may let
-        it go as far as is known, or the next reading."""
+        """The one place where every send meets every rule.
+
+        Returns:
+            0 where none bars it, else from when (microseconds) they may let it go as far as is known, or
+            the next reading; `NEVER` where none ever will.
+        """
         now, rules, kind, volume, again = self.now, self.rules, r.kind, r.volume, bool(r.attempts)
         soon = now + READ_EVERY
         # 1: nothing goes out for what is finished or overdue
@@ -163,15 +200,24 @@
         if not node.takes(now):
             return soon
         # 4: a cold node gets this host's part of what it always bears
-        if node.up_since and now - node.up_since < rules.cold_time and not self.cold_room(r, node, now):
-            warm = r.deadline - node.up_since >= rules.cold_time or self.cold_room(r, node, r.deadline)
+        if (
+            node.up_since
+            and now - node.up_since < rules.cold_time
+            and not self.has_warming_capacity(r, node, now)
+        ):
+            warm = r.deadline - node.up_since >= rules.cold_time or self.has_warming_capacity(
+                r, node, r.deadline
+            )
             return soon if warm else NEVER
         # 5: the limit: this host's part of the store may never sink below its part of the tolerance
         if not r.charged and volume.plan.limit and volume.filled(now, r.units) > now:
             return volume.filled(now, r.units)
         # 6: order within a key; a request's own further attempts do not wait for its rest
-        if kind.in_turn and r.key is not None and (
-                self.turns[r.key][0] is not r or not again and now < self.rests.get(r.key, 0)):
+        if (
+            kind.in_turn
+            and r.key is not None
+            and (self.turns[r.key][0] is not r or not again and now < self.rests.get(r.key, 0))
+        ):
             return max(soon, self.rests.get(r.key, 0))
         # 7: the budget of further attempts, exact over its sliding window
         barred = again and rules.budget_time is not None and not self.affordable(now - rules.budget_time)
@@ -183,19 +229,32 @@
         if r is None or r.done or now >= r.deadline:
             return False
         a, earlier = r.attempts[attempt], r.attempts[:attempt]
-        return (a.node.takes(now) and a.node.up_since <= a.sent
-                and not (earlier and self.barred_again(r, a.node, now, earlier)))
+        return (
+            a.node.takes(now)
+            and a.node.up_since <= a.sent
+            and not (earlier and self.barred_again(r, a.node, now, earlier))
+        )
 
     def barred_again(self, r: Request, node: Node, at: int, earlier: list[Attempt]) -> bool:
+        """Whether earlier attempts bar a retry of the request at `node` at `at` (microseconds).
+
+        Barred are: any attempt still in flight; an unsafe one that may have run; for an idempotent class,
+        one that may have run, once its repeat window has passed or where the node is of another shard or
+        zone than the class's group allows.
+        """
         kind, ran = r.kind, [a for a in earlier if a.may_have_run()]
         if any(a.outcome is None for a in earlier) or ran and kind.effect is Effect.UNSAFE:
             return True
         if not ran or kind.effect is not Effect.KEYED:
             return False
         home = ran[0].node
-        return (at >= ran[0].sent + kind.repeat_window
-                or kind.group is Group.SHARD and home.shard != node.shard
-                or kind.group is Group.ZONE and home.zone != node.zone)
+        return (
+            at >= ran[0].sent + kind.repeat_window
+            or kind.group is Group.SHARD
+            and home.shard != node.shard
+            or kind.group is Group.ZONE
+            and home.zone != node.zone
+        )
 
     def warmth(self, node: Node, at: int) -> float:
         """The part of its capacity that a node has at least, by what is promised of its warming."""
@@ -204,17 +263,24 @@
         return 1.0 if warm else first + (1 - first) * max(0, at - node.up_since) / cold_time
 
     def sharers(self) -> float:
-        """How many hosts send to a node, as far as this one can tell: where it is asked for few of the nodes,
-        so are the others, and on average all of them together have one whole part at each node. The margin is
-        for nodes that more hosts than others send to. Harm: if wrong, a cold node gets more than it bears."""
+        """How many hosts send to a node, as far as this one can tell.
+
+        Where this host is asked for few of the nodes, so are the others, and on average all of them together
+        have one whole part at each node. The margin is for nodes that more hosts than others send to. Harm:
+        if wrong, a warming-up node gets more than it bears.
+        """
         s, nodes = self.settings, self.nodes.listed()
         if self.now - self.born < self.rules.fall_time or not nodes:
             return s.hosts  # what it is asked for is not known yet
         return max(1.0, s.hosts * min(1.0, SHARERS_MARGIN * (self.asked.count(self.now) + 2) / nodes))
 
-    def cold_room(self, r: Request, node: Node, at: int) -> bool:
-        """This host's part in any window, scaled by the warming promised. With many hosts that is less than
-        a request: then three quarters are earned over time, with turns by host number for the first."""
+    def has_warming_capacity(self, r: Request, node: Node, at: int) -> bool:
+        """Whether this host's part of a warming-up node's capacity takes the request at `at` (microseconds).
+
+        The part is this host's share of any window, scaled by the warming promised. With many hosts that is
+        less than a request: then three quarters are earned over time, with turns by host number for the
+        first.
+        """
         rules, s = self.rules, self.settings
         if self.handed:
             return False  # all of this host's part is the next process's
@@ -234,7 +300,64 @@
         return not sent and earned >= node.spent + (s.me + node.up_since // MS) % s.hosts / s.hosts * r.units
 
     def affordable(self, since: int) -> bool:
+        """Whether the retry budget takes one more extra attempt, counting what was sent since `since`.
+
+        Args:
+            since: microseconds on the host's clock; older extras and arrivals are dropped from the count.
+        """
         for times, first in (self.extras, since), (self.taken, since + 1):
             while times and times[0] < first:
                 times.popleft()
         return len(self.extras) + 1 <= self.rules.budget_free + self.rules.budget_share * len(self.taken)
+
+
+class NodeListing(Rulebook):
+    """How the node list is followed and nodes are asked for their queue; the state is the scheduler's."""
+
+    # -- the node list ------------------------------------------------------------------------------------
+    def avoids(self, name: str) -> bool:
+        """Whether a node gets nothing new, as it drains, is gone, or is kept to a pace of seconds."""
+        node = self.nodes.get(name)
+        return node is not None and (
+            node.phase is not Phase.ON or node.opens(self.now, self.patience(node)) > self.now + SECOND
+        )
+
+    def listed(self, e: api.NodeList) -> None:
+        """Take the node list or a watch event: phases, restarts, and requests filed anew where nodes went."""
+        if e.kind is ListKind.UNAVAILABLE:
+            self.subscribed = False
+            return
+        self.subscribed = self.subscribed or e.kind is not ListKind.RESTORED
+        if e.kind is not ListKind.CHANGES:
+            named = {entry.node for entry in e.entries}
+            for node in self.nodes.values():
+                node.phase = node.phase if node.id in named else Phase.GONE
+        for entry in e.entries:
+            # a restarted host cannot know what it sent before; else it earned for a window at the most
+            known = max(entry.up_since, self.now - (self.now > self.born) * self.rules.fall_time)
+            node = self.nodes.setdefault(entry.node, Node(entry, self.settings.hosts, known))
+            if entry.phase is not node.phase:  # the word has just come
+                # one that was gone gets no grace: it may have been told to drain long before
+                grace = self.rules.drain_grace - self.settings.tick if node.phase is Phase.ON else 0
+                node.phase, node.closes = entry.phase, grace + (self.now if e.since is None else e.since)
+            if entry.up_since != node.up_since:
+                node.restart(entry.up_since, known)
+        for r in self.requests.values():
+            if not r.done and not r.out():
+                self.place(r)  # sent with the next reading
+
+    def ask(self, node: Node) -> None:
+        """Where nodes tell their queue, it is asked for when work comes at a window below one."""
+        if (
+            self.settings.may_probe
+            and "queue" in self.settings.report_fields
+            and node.window < 1
+            and node.takes(self.now)
+            and self.now >= node.health_check_at
+        ):
+            node.asked, node.health_check_at = self.now, self.now + self.jitter(HEALTH_CHECK_EVERY)
+            self.actions.append(api.ProbeNode(node.id))
+
+    def jitter(self, span: float) -> int:
+        """A span (microseconds) scaled by a random factor from 0.5 to 1.5."""
+        return int(span * (0.5 + self.random.random()))
