--- a/stoatrouter/agreement/availability.py
+++ b/stoatrouter/agreement/availability.py
@@ -49,13 +49,13 @@
 ) -> Availability:
     """What a head may do. `waited` is how long ago it started: a head that comes back catches up before it
     serves by rules that may be old, but where nobody answers it serves the kept ones after this wait."""
-    in_touch = facts.majority_age is not None and facts.majority_age <= cut_off_after
+    majority_reachable = facts.majority_age is not None and facts.majority_age <= cut_off_after
     votes = facts.votes and facts.disk
     if not facts.founded:
         return Availability(
             HeadState.UNFOUNDED, serves=True, changes=False, draws=False, votes=False, ready=True
         )
-    if not in_touch:
+    if not majority_reachable:
         waiting = facts.majority_age is None and waited < wait_at_start
         return Availability(
             HeadState.CUT_OFF,
--- a/stoatrouter/agreement/contact.py
+++ b/stoatrouter/agreement/contact.py
@@ -30,10 +30,10 @@
         if at is not None and (self.at is None or at > self.at):
             self.at = at
 
-    def learned(self, asked_at: timedelta, held_for: timedelta, age: timedelta) -> None:
+    def learned(self, asked_at: timedelta, wait_at_answerer: timedelta, age: timedelta) -> None:
         """An answer told an age. The question was asked here, and held by the answering head before it
         answered: the answer was given no earlier than both together."""
-        self.seen(asked_at + max(NO_TIME, held_for) / CLOCK_DRIFT - max(NO_TIME, age))
+        self.seen(asked_at + max(NO_TIME, wait_at_answerer) / CLOCK_DRIFT - max(NO_TIME, age))
 
     def age(self, now: timedelta) -> timedelta | None:
         """How long ago it was; None: it is not known that there ever was one."""
--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -7,11 +7,11 @@
 from stoatrouter.agreement.records import (
     NOOP,
     VOTERS,
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesReply,
     Effect,
     Entry,
-    Install,
+    InstallSnapshot,
     NotTaken,
     Propose,
     Readable,
@@ -20,7 +20,7 @@
     Voter,
     Write,
 )
-from stoatrouter.agreement.state import LEADS, MOST_UNCOMMITTED, Peer, State
+from stoatrouter.agreement.state import LEADER, MOST_UNCOMMITTED, Peer, State
 
 
 class Leading(State):
@@ -29,7 +29,7 @@
     __slots__ = ()
 
     def _lead(self) -> list[Effect]:
-        self.role, self.leader = LEADS, self.me
+        self.role, self.leader = LEADER, self.me
         self.round_starts = RoundStarts()
         others = [v for v in self.voters if v != self.me]
         self.peers = {v.identity: Peer(self.log.last + 1, heard=self.now) for v in others}
@@ -81,14 +81,14 @@
         peer = self.peers[voter.identity]
         prev = self.log.term(peer.next - 1)
         if prev is None:
-            return Send(voter, Install(self.term, self.log.snapshot, self.round))
+            return Send(voter, InstallSnapshot(self.term, self.log.snapshot, self.round))
         entries: tuple[Entry, ...] = ()
         # one batch is under way at a time; it is sent again when no answer came for a while
         if peer.next <= self.log.last and (
             peer.sent_at is None or self.now >= peer.sent_at + 3 * self.timing.heartbeat
         ):
             entries, peer.sent_at = self.log.since(peer.next), self.now
-        append = Append(
+        append = AppendEntries(
             self.term,
             peer.next - 1,
             prev,
@@ -101,7 +101,7 @@
         )
         return Send(voter, append)
 
-    def _appended(self, sender: Voter, said: Appended) -> list[Effect]:
+    def _appended(self, sender: Voter, said: AppendEntriesReply) -> list[Effect]:
         peer = self.peers.get(sender.identity)
         if not self.leads or peer is None or said.term != self.term:
             return []
--- a/stoatrouter/agreement/log.py
+++ b/stoatrouter/agreement/log.py
@@ -75,10 +75,10 @@
     def compact(self, snapshot: Snapshot, keep: int) -> int:
         """Take a snapshot and keep some entries before it for heads a little behind; returns the first
         kept."""
-        kept_from = max(self.first, snapshot.index + 1 - keep)
-        self.entries = self.entries[kept_from - self.first :]
+        retained_from = max(self.first, snapshot.index + 1 - keep)
+        self.entries = self.entries[retained_from - self.first :]
         self.snapshot = snapshot
-        return kept_from
+        return retained_from
 
     def voters(self, until: int | None = None) -> tuple[int, tuple[Voter, ...]]:
         """The newest set of voters, committed or not, and the index that set it."""
--- a/stoatrouter/agreement/machine.py
+++ b/stoatrouter/agreement/machine.py
@@ -29,7 +29,7 @@
     by: str = ""  # the head that took it
 
 
-class Held(msgspec.Struct, array_like=True):
+class MachineState(msgspec.Struct, array_like=True):
     """The state of all parts, as a snapshot has it."""
 
     answers: list[tuple[str, bytes]]
@@ -78,15 +78,15 @@
     def state(self) -> bytes:
         """All parts and answers, for a snapshot."""
         parts = {name: part.state() for name, part in self.parts.items()}
-        return msgspec.msgpack.encode(Held(list(self.answers.items()), parts))
+        return msgspec.msgpack.encode(MachineState(list(self.answers.items()), parts))
 
     def restore(self, index: int, state: bytes) -> None:
         """Replace everything by a snapshot's state; b"" is that of a fleet just founded."""
-        held = msgspec.msgpack.decode(state, type=Held) if state else Held([], {})
-        self.answers = OrderedDict(held.answers)
+        saved = msgspec.msgpack.decode(state, type=MachineState) if state else MachineState([], {})
+        self.answers = OrderedDict(saved.answers)
         self.index = index
         for name, part in self.parts.items():
-            part.restore(held.parts.get(name, b""))
+            part.restore(saved.parts.get(name, b""))
 
 
 def encode(value: Any) -> bytes:
--- a/stoatrouter/agreement/raft.py
+++ b/stoatrouter/agreement/raft.py
@@ -12,21 +12,21 @@
 from stoatrouter.agreement.leading import Leading
 from stoatrouter.agreement.log import Log
 from stoatrouter.agreement.records import (
-    Append,
-    Appended,
-    AskVote,
+    AppendEntries,
+    AppendEntriesReply,
     Compact,
     DiskFailed,
     Effect,
     Entry,
     Event,
     Forgot,
-    GiveVote,
-    Install,
+    InstallSnapshot,
     Learnt,
     Propose,
     Read,
     Received,
+    RequestVote,
+    RequestVoteReply,
     Restore,
     Role,
     Send,
@@ -36,7 +36,7 @@
     Write,
     Wrote,
 )
-from stoatrouter.agreement.state import ASKS, KEEP, NO_TIME, STANDS, Timing
+from stoatrouter.agreement.state import CANDIDATE, KEEP, NO_TIME, PRE_CANDIDATE, Timing
 
 
 class Raft(Leading):
@@ -86,27 +86,27 @@
         if self.now < self.election_at or not self.votes_here:
             return []
         self._wait()
-        return self._campaign(pre=True)
+        return self._campaign(pre_vote=True)
 
     # -- elections ----------------------------------------------------------------------------------------
-    def _campaign(self, pre: bool) -> list[Effect]:
+    def _campaign(self, pre_vote: bool) -> list[Effect]:
         self.leader = None
-        self.role, self.votes = ASKS if pre else STANDS, {self.me.identity}
-        if pre:
-            asked = self._ask(self.term + 1, True)
+        self.role, self.votes = PRE_CANDIDATE if pre_vote else CANDIDATE, {self.me.identity}
+        if pre_vote:
+            asked = self._request_votes(self.term + 1, True)
             return [*asked, *(self._campaign(False) if self._won() else [])]
         self.term, self.voted = self.term + 1, self.me.identity
         # the own vote is a promise too: nobody is asked before it is on the disk
-        return [self._durable(Write(term=self.term, voted=self.voted), self._ask(self.term, False))]
+        return [self._durable(Write(term=self.term, voted=self.voted), self._request_votes(self.term, False))]
 
-    def _ask(self, term: int, pre: bool) -> tuple[Send, ...]:
-        ask = AskVote(term, self.log.last, self.log.last_term, pre)
+    def _request_votes(self, term: int, pre_vote: bool) -> tuple[Send, ...]:
+        ask = RequestVote(term, self.log.last, self.log.last_term, pre_vote)
         return tuple(Send(v, ask) for v in self.voters if v != self.me)
 
     def _won(self) -> bool:
         return 2 * sum(v.identity in self.votes for v in self.voters) > len(self.voters)
 
-    def _answer_vote_request(self, sender: Voter, ask: AskVote) -> list[Effect]:
+    def _answer_vote_request(self, sender: Voter, ask: RequestVote) -> list[Effect]:
         """A head that does not know of its vote yet gives it all the same, and to one that it does not
         know as a voter: its own log may be behind the change (4.2.2)."""
         if self.voiceless:
@@ -116,9 +116,9 @@
         fresh = self.heard_leader is not None and self.now < self.heard_leader + self.timing.election
         if self.leads or (fresh and self.leader is not None and self.leader != sender):
             return []
-        if ask.pre:
+        if ask.pre_vote:
             granted = newer and ask.term > self.term
-            return [Send(sender, GiveVote(ask.term if granted else self.term, granted, True))]
+            return [Send(sender, RequestVoteReply(ask.term if granted else self.term, granted, True))]
         effects: list[Effect] = []
         write = Write()
         if ask.term > self.term:
@@ -129,7 +129,7 @@
             self.voted = sender.identity
             write = Write(term=self.term, voted=self.voted)
             self._wait()
-        return [*effects, self._durable(write, (Send(sender, GiveVote(self.term, granted, False)),))]
+        return [*effects, self._durable(write, (Send(sender, RequestVoteReply(self.term, granted, False)),))]
 
     def _new_term(self, term: int) -> list[Effect]:
         """A later term is known: what was held of the one before is over."""
@@ -138,16 +138,16 @@
         self._follow(None)
         return dropped
 
-    def _vote(self, sender: Voter, vote: GiveVote) -> list[Effect]:
-        if vote.pre and vote.granted:
-            if self.role != ASKS or vote.term != self.term + 1:
+    def _vote(self, sender: Voter, vote: RequestVoteReply) -> list[Effect]:
+        if vote.pre_vote and vote.granted:
+            if self.role != PRE_CANDIDATE or vote.term != self.term + 1:
                 return []
             self.votes.add(sender.identity)
             return self._campaign(False) if self._won() else []
         if vote.term > self.term:
             dropped = self._new_term(vote.term)
             return [*dropped, self._durable(Write(term=self.term))]
-        if self.role != STANDS or vote.pre or not vote.granted or vote.term != self.term:
+        if self.role != CANDIDATE or vote.pre_vote or not vote.granted or vote.term != self.term:
             return []
         self.votes.add(sender.identity)
         return self._lead() if self._won() else []
@@ -155,34 +155,34 @@
     # -- the follower -------------------------------------------------------------------------------------
     def _received(self, sender: Voter, message: object) -> list[Effect]:
         # Guards against heads that were removed, or lost their disk: their votes do not count.
-        if sender not in self.voters and isinstance(message, GiveVote | Appended):
+        if sender not in self.voters and isinstance(message, RequestVoteReply | AppendEntriesReply):
             return []
         match message:
-            case AskVote():
+            case RequestVote():
                 return self._answer_vote_request(sender, message)
-            case GiveVote():
+            case RequestVoteReply():
                 return self._vote(sender, message)
-            case Appended():
+            case AppendEntriesReply():
                 if message.term > self.term:
                     dropped = self._new_term(message.term)
                     return [*dropped, self._durable(Write(term=self.term))]
                 return self._appended(sender, message)
-            case Append() | Install():
+            case AppendEntries() | InstallSnapshot():
                 return self._led_by(sender, message)
         return []
 
-    def _led_by(self, sender: Voter, message: Append | Install) -> list[Effect]:
+    def _led_by(self, sender: Voter, message: AppendEntries | InstallSnapshot) -> list[Effect]:
         if self.voiceless:
             return []
         if message.term < self.term:
-            return [Send(sender, Appended(self.term, False, self.log.last, message.round))]
+            return [Send(sender, AppendEntriesReply(self.term, False, self.log.last, message.round))]
         effects: list[Effect] = []
         term: int | None = None
         if message.term > self.term:
             effects, term = self._new_term(message.term), message.term
         self._follow(sender)
         self.heard_leader = self.now
-        if isinstance(message, Install):
+        if isinstance(message, InstallSnapshot):
             return effects + self._install(sender, message, term)
         self._learn_contact(message)
         # Guards the fleet's promises: a disk that lost what it acknowledged must not be counted again.
@@ -191,11 +191,11 @@
             return [*effects, Forgot(self.log.last, message.acknowledged)]
         write, ok, match = self._match(message.prev_index, message.prev_term, message.entries)
         write = Write(term, self.voted, write.cut_from, write.entries) if term is not None else write
-        then = (Send(sender, Appended(self.term, ok, match, message.round, self.now)),)
+        then = (Send(sender, AppendEntriesReply(self.term, ok, match, message.round, self.now)),)
         effects.append(self._durable(write, then))
         return effects + (self._commit(min(message.commit, match)) if ok else [])
 
-    def _learn_contact(self, message: Append) -> None:
+    def _learn_contact(self, message: AppendEntries) -> None:
         """When the leader's majority was connected. The leader wrote this after it had what this head sent at
         `answers`, so that moment is when this head asked."""
         # Guards against what an earlier life of this head sent, by a clock that may have begun anew.
@@ -227,11 +227,11 @@
         self.log.add(new)
         return Write(cut_from=cut, entries=tuple(new)), True, match
 
-    def _install(self, sender: Voter, message: Install, term: int | None) -> list[Effect]:
+    def _install(self, sender: Voter, message: InstallSnapshot, term: int | None) -> list[Effect]:
         snapshot, effects, write = message.snapshot, [], Write(term, self.voted)
         if snapshot.index > self.commit:
             effects, write = self._replace(snapshot, term)
-        done = Appended(self.term, True, snapshot.index, message.round, self.now)
+        done = AppendEntriesReply(self.term, True, snapshot.index, message.round, self.now)
         return [self._durable(write, (Send(sender, done),)), *effects]
 
     def _replace(self, snapshot: Snapshot, term: int | None) -> tuple[list[Effect], Write]:
@@ -277,7 +277,7 @@
         if last is None:
             return []
         self.durable = max(self.durable, last)
-        if self.role == STANDS and self._won():  # the only voter: its own vote is the majority
+        if self.role == CANDIDATE and self._won():  # the only voter: its own vote is the majority
             return self._lead()
         return self._count()
 
@@ -287,8 +287,8 @@
         term = self.log.term(event.index)
         assert term is not None
         snapshot = Snapshot(event.index, term, self.log.voters(event.index)[1], event.state)
-        kept = self.log.compact(snapshot, KEEP)
-        return [self._durable(Write(snapshot=snapshot, keep_from=kept))]
+        retained_from = self.log.compact(snapshot, KEEP)
+        return [self._durable(Write(snapshot=snapshot, keep_from=retained_from))]
 
 
 __all__ = ["Raft", "Timing"]
--- a/stoatrouter/agreement/records.py
+++ b/stoatrouter/agreement/records.py
@@ -45,22 +45,22 @@
     term: int
 
 
-class AskVote(Message, frozen=True, array_like=True, tag="ask"):
+class RequestVote(Message, frozen=True, array_like=True, tag="ask"):
     """Asks for a vote, or whether it would be given."""
 
     last_index: int
     last_term: int
-    pre: bool  # only whether it would be given; nothing is promised
+    pre_vote: bool  # only whether it would be given; nothing is promised (thesis 9.6)
 
 
-class GiveVote(Message, frozen=True, array_like=True, tag="vote"):
+class RequestVoteReply(Message, frozen=True, array_like=True, tag="vote"):
     """Answers to that."""
 
     granted: bool
-    pre: bool
+    pre_vote: bool
 
 
-class Append(Message, frozen=True, array_like=True, tag="append"):
+class AppendEntries(Message, frozen=True, array_like=True, tag="append"):
     """The leader's entries, or its heartbeat where there are none."""
 
     prev_index: int
@@ -73,7 +73,7 @@
     answers: timedelta | None = None  # the latest `sent_at` that the leader has from the receiver
 
 
-class Appended(Message, frozen=True, array_like=True, tag="appended"):
+class AppendEntriesReply(Message, frozen=True, array_like=True, tag="appended"):
     """A follower's answer to entries, a heartbeat or a snapshot."""
 
     ok: bool
@@ -82,14 +82,14 @@
     sent_at: timedelta | None = None  # on the sender's clock; the leader sends it back
 
 
-class Install(Message, frozen=True, array_like=True, tag="install"):
+class InstallSnapshot(Message, frozen=True, array_like=True, tag="install"):
     """A snapshot for a follower that is behind the log's beginning."""
 
     snapshot: Snapshot
     round: int
 
 
-AnyMessage = AskVote | GiveVote | Append | Appended | Install
+AnyMessage = RequestVote | RequestVoteReply | AppendEntries | AppendEntriesReply | InstallSnapshot
 
 
 # -- what a disk holds ------------------------------------------------------------------------------------
@@ -249,7 +249,7 @@
 class Forgot(msgspec.Struct, frozen=True):
     """This head's disk is older than what it acknowledged: it must not vote under this identity again."""
 
-    held: int
+    last_on_disk: int
     acknowledged: int
 
 
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -13,7 +13,8 @@
 NO_TIME = timedelta(0)
 MOST_UNCOMMITTED = 4_096  # entries; beyond, proposals are refused
 KEEP = 512  # entries kept before a snapshot, for heads a little behind
-FOLLOWS, ASKS, STANDS, LEADS = "follows", "asks", "stands", "leads"
+# Roles of thesis 3.3 and 9.6; values as before: the fleet lab keys its states on them.
+FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follows", "asks", "stands", "leads"
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,7 +50,7 @@
     term: int = 0
     voted: str | None = None
     log: Log = field(init=False)
-    role: str = FOLLOWS
+    role: str = FOLLOWER
     leader: Voter | None = None
     voiceless: bool = False  # its disk broke a promise: it neither votes nor acknowledges
     commit: int = 0
@@ -92,7 +93,7 @@
     @property
     def leads(self) -> bool:
         """Whether this head leads, as far as it knows."""
-        return self.role == LEADS
+        return self.role == LEADER
 
     @property
     def settled(self) -> bool:
@@ -114,7 +115,7 @@
         self.election_at = self.now + span + span * self.draws.random()
 
     def _follow(self, leader: Voter | None) -> None:
-        self.role, self.leader = FOLLOWS, leader
+        self.role, self.leader = FOLLOWER, leader
         self.votes.clear()
         self.peers.clear()
         self._wait()
--- a/stoatrouter/peering/agreed.py
+++ b/stoatrouter/peering/agreed.py
@@ -186,7 +186,7 @@
                 logger.error(
                     "heads: the disk holds {held} of {acknowledged} entries acknowledged: it votes no more",
                     event="heads.forgot",
-                    held=effect.held,
+                    held=effect.last_on_disk,
                     acknowledged=effect.acknowledged,
                 )
 
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -15,7 +15,7 @@
 from stoatrouter.agreement.availability import Availability
 from stoatrouter.agreement.founding import Founded
 from stoatrouter.agreement.machine import Command, Machine, Part
-from stoatrouter.agreement.records import AnyMessage, Append, Voter
+from stoatrouter.agreement.records import AnyMessage, AppendEntries, Voter
 from stoatrouter.membership.detector import Detector
 from stoatrouter.membership.roster import Status
 from stoatrouter.peering import calls
@@ -213,5 +213,5 @@
             return
         self.agreed.hear(sender, message)
         raft = self.agreed.raft
-        if isinstance(message, Append) and raft.leader == sender and message.term == raft.term:
+        if isinstance(message, AppendEntries) and raft.leader == sender and message.term == raft.term:
             self.monitor.note_contact(raft.contact, message.commit)
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -11,20 +11,20 @@
 from stoatrouter.agreement.log import write_voters
 from stoatrouter.agreement.raft import Raft
 from stoatrouter.agreement.records import (
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesReply,
     Apply,
-    AskVote,
     Disk,
     Durable,
     Entry,
     Forgot,
-    GiveVote,
     Learnt,
     NotTaken,
     Propose,
     Readable,
     Received,
+    RequestVote,
+    RequestVoteReply,
     Send,
     Snapshot,
     Taken,
@@ -106,7 +106,7 @@
     __slots__ = ()
 
     def _answer_vote_request(self, sender, ask):
-        return super()._answer_vote_request(sender, AskVote(ask.term, 1 << 40, 1 << 40, ask.pre))
+        return super()._answer_vote_request(sender, RequestVote(ask.term, 1 << 40, 1 << 40, ask.pre_vote))
 
 
 class VotesTwice(Raft):
@@ -191,14 +191,16 @@
     """Let the others vote for it."""
     raft.reduce(Tick(5000 * MS))
     effects = raft.reduce(Tick(10_000 * MS))
-    assert any(isinstance(e, Send) and isinstance(e.message, AskVote) and e.message.pre for e in effects)
+    assert any(
+        isinstance(e, Send) and isinstance(e.message, RequestVote) and e.message.pre_vote for e in effects
+    )
     (durable,) = [
         e
-        for e in raft.reduce(Received(raft.now, voter(1), GiveVote(raft.term + 1, True, True)))
+        for e in raft.reduce(Received(raft.now, voter(1), RequestVoteReply(raft.term + 1, True, True)))
         if isinstance(e, Durable)
     ]
     raft.reduce(Wrote(raft.now, durable.number))
-    raft.reduce(Received(raft.now, voter(1), GiveVote(raft.term, True, False)))
+    raft.reduce(Received(raft.now, voter(1), RequestVoteReply(raft.term, True, False)))
     assert raft.leads
     return raft
 
@@ -207,24 +209,24 @@
     """Figure 3.7 of the thesis: on a majority's disks, and still not agreed on."""
     old = Entry(2, 1, "c", b"old")
     raft = elected(make(voter(0), Disk(1, None, GENESIS.snapshot, (old,)), 1))
-    commits = raft.reduce(Received(raft.now, voter(1), Appended(raft.term, True, 2, raft.round)))
+    commits = raft.reduce(Received(raft.now, voter(1), AppendEntriesReply(raft.term, True, 2, raft.round)))
     assert raft.commit == 1 and not any(isinstance(e, Apply) for e in commits)
 
 
 def a_vote_waits_for_the_disk(make):
     raft = make(voter(0), GENESIS, 1)
-    effects = raft.reduce(Received(MS, voter(1), AskVote(1, 1, 0, False)))
+    effects = raft.reduce(Received(MS, voter(1), RequestVote(1, 1, 0, False)))
     assert not any(isinstance(e, Send) for e in effects)
     (durable,) = [e for e in effects if isinstance(e, Durable)]
     assert durable.write.term == 1 and durable.write.voted == "h1/0"
-    assert durable.then == (Send(voter(1), GiveVote(1, True, False)),)
+    assert durable.then == (Send(voter(1), RequestVoteReply(1, True, False)),)
 
 
 def a_leader_of_an_older_term_changes_nothing_that_was_learnt(make):
     """It counts this head as a voter, in a change that nobody else took (seed 1101 of the story)."""
     raft = make(voter(3), Disk(1, None, GENESIS.snapshot), 1)
     raft.reduce(Learnt(MS, 1, 0, (Entry(2, 2, "n"), Entry(3, 2, "c", b"kept")), 3))
-    raft.reduce(Received(2 * MS, voter(0), Append(1, 1, 0, (Entry(2, 1, "c", b"old"),), 2, 1, 0)))
+    raft.reduce(Received(2 * MS, voter(0), AppendEntries(1, 1, 0, (Entry(2, 1, "c", b"old"),), 2, 1, 0)))
     assert raft.log.term(2) == 2 and raft.commit == 3
 
 
@@ -264,9 +266,9 @@
 
 def test_a_disk_that_lost_what_it_acknowledged_votes_no_more():
     raft = Raft(voter(1), GENESIS, 1)
-    effects = raft.reduce(Received(MS, voter(0), Append(1, 1, 0, (), 1, 1, acknowledged=9)))
+    effects = raft.reduce(Received(MS, voter(0), AppendEntries(1, 1, 0, (), 1, 1, acknowledged=9)))
     assert Forgot(1, 9) in effects and raft.voiceless
-    assert not raft.reduce(Received(2 * MS, voter(2), AskVote(9, 99, 9, False)))
+    assert not raft.reduce(Received(2 * MS, voter(2), RequestVote(9, 99, 9, False)))
 
 
 def test_two_changes_of_voters_at_once_are_refused():
@@ -275,7 +277,7 @@
     (refused,) = [e for e in raft.reduce(Propose(raft.now, "a", body, "v")) if isinstance(e, NotTaken)]
     assert "not settled" in refused.why
     raft.reduce(Wrote(raft.now, raft.number))
-    raft.reduce(Received(raft.now, voter(1), Appended(raft.term, True, raft.log.last, raft.round)))
+    raft.reduce(Received(raft.now, voter(1), AppendEntriesReply(raft.term, True, raft.log.last, raft.round)))
     assert any(isinstance(e, Taken) for e in raft.reduce(Propose(raft.now, "a", body, "v")))
     (refused,) = [
         e
--- /dev/null
+++ b/tests/heads/test_agreement_wire.py
@@ -0,0 +1,57 @@
+"""Messages and snapshot state written by the code before the Raft names still decode into the new types.
+
+The bytes below were made with main at b966509 (classes `AskVote`, `GiveVote`, `Append`, `Appended`, `Install`
+and `Held`), before they were renamed; tags and field order are what goes on the wire and to disk.
+"""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+import msgspec
+import pytest
+
+from stoatrouter.agreement.machine import MachineState
+from stoatrouter.agreement.records import (
+    AnyMessage,
+    AppendEntries,
+    AppendEntriesReply,
+    Entry,
+    InstallSnapshot,
+    RequestVote,
+    RequestVoteReply,
+    Snapshot,
+    Voter,
+)
+
+OLD_MESSAGES = [
+    (b"\x95\xa3ask\x03\x07\x02\xc3", RequestVote(3, 7, 2, True)),
+    (b"\x94\xa4vote\x03\xc3\xc2", RequestVoteReply(3, True, False)),
+    (
+        b"\x9a\xa6append\x04\x06\x02\x91\x94\x07\x04\xa1c\xc4\x01x\x06\t\x05\xa7PT0.25S\xa4PT1S",
+        AppendEntries(
+            4, 6, 2, (Entry(7, 4, "c", b"x"),), 6, 9, 5, timedelta(milliseconds=250), timedelta(seconds=1)
+        ),
+    ),
+    (
+        b"\x96\xa8appended\x04\xc2\x05\t\xa7PT0.03S",
+        AppendEntriesReply(4, False, 5, 9, timedelta(milliseconds=30)),
+    ),
+    (
+        b"\x94\xa7install\x05\x94\x08\x04\x91\x92\xa1a\xa2i1\xc4\x02st\x02",
+        InstallSnapshot(5, Snapshot(8, 4, (Voter("a", "i1"),), b"st"), 2),
+    ),
+]
+
+
+@pytest.mark.parametrize(("old", "new"), OLD_MESSAGES)
+def test_old_messages_decode_into_the_renamed_types(old, new):
+    assert msgspec.msgpack.decode(old, type=AnyMessage) == new
+    assert msgspec.msgpack.encode(new) == old
+
+
+def test_old_snapshot_state_decodes_into_machine_state():
+    old = b"\x92\x91\x92\xa3id1\xc4\x03ans\x81\xa6credit\xc4\x01p"
+    state = msgspec.msgpack.decode(old, type=MachineState)
+    assert state == MachineState([("id1", b"ans")], {"credit": b"p"})
+    assert msgspec.msgpack.encode(state) == old
