--- a/stoatrouter/agreement/availability.py
+++ b/stoatrouter/agreement/availability.py
@@ -16,7 +16,7 @@
 
     UNFOUNDED = "unfounded"  # no fleet yet: its voters have not all been up together
     CATCHING_UP = "catching up"  # back, and behind what others have agreed on
-    IN_TOUCH = "in touch"
+    CONNECTED = "in touch"  # hears a majority; the value is what operators see
     CUT_OFF = "cut off"  # hears no majority
 
 
@@ -74,4 +74,4 @@
             votes=votes,
             ready=False,
         )
-    return Availability(HeadState.IN_TOUCH, serves=True, changes=True, draws=True, votes=votes, ready=True)
+    return Availability(HeadState.CONNECTED, serves=True, changes=True, draws=True, votes=votes, ready=True)
--- a/stoatrouter/lab/fleet/contacts.py
+++ b/stoatrouter/lab/fleet/contacts.py
@@ -56,7 +56,7 @@
             return False
         raft, age = self.heads[name].raft, self.contact(name).age(self.world.clock(name))
         facts = Facts(True, True, age, raft.votes_here, raft.leads, True)
-        return availability_of(facts, CUT_OFF_AFTER, 10 * SECOND, SECOND).state is HeadState.IN_TOUCH
+        return availability_of(facts, CUT_OFF_AFTER, 10 * SECOND, SECOND).state is HeadState.CONNECTED
 
     def fetch(self, name: str) -> None:
         """Ask one head, unless a leader tells this one. The answer is held for a while."""
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -309,13 +309,13 @@
         (
             Facts(True, True, 100 * MS, True, True, True),
             9,
-            HeadState.IN_TOUCH,
+            HeadState.CONNECTED,
             "serves changes draws votes ready",
         ),
         (
             Facts(True, True, 100 * MS, True, False, False),
             9,
-            HeadState.IN_TOUCH,
+            HeadState.CONNECTED,
             "serves changes draws ready",
         ),
         (Facts(True, False, 100 * MS, True, False, True), 9, HeadState.CATCHING_UP, "votes"),
