--- a/stoatrouter/agreement/availability.py
+++ b/stoatrouter/agreement/availability.py
@@ -47,8 +47,20 @@
 def availability_of(
     facts: Facts, cut_off_after: timedelta, waited: timedelta, wait_at_start: timedelta
 ) -> Availability:
-    """What a head may do. `waited` is how long ago it started: a head that comes back catches up before it
-    serves by rules that may be old, but where nobody answers it serves the kept ones after this wait."""
+    """Decide what a head may do, from the facts it knows of itself.
+
+    A head that comes back catches up before it serves by rules that may be old, but where nobody answers it
+    serves the cached ones after `wait_at_start`.
+
+    Args:
+        facts: What the head knows of itself.
+        cut_off_after: How long after a majority was last connected the head counts as cut off.
+        waited: How long ago the head started, on its monotonic clock.
+        wait_at_start: How long a head that has never heard of a majority waits before it serves.
+
+    Returns:
+        The rights of the head, and its state as operators see it.
+    """
     majority_reachable = facts.majority_age is not None and facts.majority_age <= cut_off_after
     votes = facts.votes and facts.disk
     if not facts.founded:
--- a/stoatrouter/agreement/contact.py
+++ b/stoatrouter/agreement/contact.py
@@ -31,8 +31,14 @@
             self.at = at
 
     def learned(self, asked_at: timedelta, wait_at_answerer: timedelta, age: timedelta) -> None:
-        """An answer told an age. The question was asked here, and held by the answering head before it
-        answered: the answer was given no earlier than both together."""
+        """Learn of a majority from an answer that reported its age.
+
+        Args:
+            asked_at: When the question was asked, on this head's clock.
+            wait_at_answerer: How long the answering head had the question before it answered; the answer
+                was given no earlier than `asked_at` plus this, slowed by the most drift of clocks.
+            age: How long before its answer the answering head knew of a connected majority.
+        """
         self.seen(asked_at + max(NO_TIME, wait_at_answerer) / CLOCK_DRIFT - max(NO_TIME, age))
 
     def age(self, now: timedelta) -> timedelta | None:
--- a/stoatrouter/agreement/founding.py
+++ b/stoatrouter/agreement/founding.py
@@ -38,8 +38,10 @@
 
 @dataclass(slots=True)
 class Founding:
-    """One head's part, until it belongs to a fleet. What `promise` and `adopt` answer must be durable
-    first."""
+    """One head's part, until it belongs to a fleet.
+
+    What `promise` and `adopt` answer must be durable first.
+    """
 
     me: Voter
     names: tuple[str, ...]  # the voters of the settings
--- a/stoatrouter/agreement/log.py
+++ b/stoatrouter/agreement/log.py
@@ -20,6 +20,7 @@
     changes: list[Entry] = field(default_factory=list)  # of the voters, among the entries
 
     def __post_init__(self) -> None:
+        """Find the changes of the voters among the entries given (thesis 4.1: the latest one counts)."""
         self.changes = [entry for entry in self.entries if entry.kind == VOTERS]
 
     def add(self, entries: list[Entry]) -> None:
@@ -73,8 +74,15 @@
         self.changes = [entry for entry in self.changes if entry.index < index]
 
     def compact(self, snapshot: Snapshot, keep: int) -> int:
-        """Take a snapshot and keep some entries before it for heads a little behind; returns the first
-        kept."""
+        """Take a snapshot and retain some entries before it, for heads a little behind (thesis 5.1).
+
+        Args:
+            snapshot: The new snapshot; its index is at most the last entry's.
+            keep: How many entries before the snapshot to retain, at most.
+
+        Returns:
+            The index of the first entry retained.
+        """
         retained_from = max(self.first, snapshot.index + 1 - keep)
         self.entries = self.entries[retained_from - self.first :]
         self.snapshot = snapshot
--- a/stoatrouter/agreement/machine.py
+++ b/stoatrouter/agreement/machine.py
@@ -1,5 +1,6 @@
-"""What the agreed commands come to, the same at every head: parts of state, and each command's answer. No
-I/O.
+"""The replicated state machine: what the agreed commands come to, the same at every head. No I/O.
+
+Its state is made of parts, one per concern, and the latest answer of each command (thesis 6.3).
 
 A caller that does not know what became of its command sends it again under the same id: the answer of the
 first time is given, and nothing is done twice. Answers are kept for the latest commands only; parts that
--- a/stoatrouter/agreement/raft.py
+++ b/stoatrouter/agreement/raft.py
@@ -107,8 +107,10 @@
         return 2 * sum(v.identity in self.votes for v in self.voters) > len(self.voters)
 
     def _answer_vote_request(self, sender: Voter, ask: RequestVote) -> list[Effect]:
-        """A head that does not know of its vote yet gives it all the same, and to one that it does not
-        know as a voter: its own log may be behind the change (4.2.2)."""
+        """Answer a RequestVote, also from a head not known as a voter (thesis 4.2.2).
+
+        A head that does not know of its vote yet gives it all the same: its own log may be behind the change.
+        """
         if self.voiceless:
             return []
         newer = (ask.last_term, ask.last_index) >= (self.log.last_term, self.log.last)
@@ -196,8 +198,11 @@
         return effects + (self._commit(min(message.commit, match)) if ok else [])
 
     def _learn_contact(self, message: AppendEntries) -> None:
-        """When the leader's majority was connected. The leader wrote this after it had what this head sent at
-        `answers`, so that moment is when this head asked."""
+        """Learn when the leader's majority was connected, from an AppendEntries.
+
+        The leader wrote this after it had what this head sent at `answers`, so that moment is when this
+        head asked.
+        """
         # Guards against what an earlier life of this head sent, by a clock that may have begun anew.
         if message.majority_age is None or message.answers is None:
             return
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -72,6 +72,7 @@
     draws: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
+        """Take up what the disk holds (term, vote, snapshot, entries) and seed the election timer's draws."""
         self.began = self.now
         self.draws = random.Random(f"agreement/{self.seed}/{self.me.identity}")
         self.term, self.voted = self.disk.term, self.disk.voted
