--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -5,7 +5,13 @@
 from stoatrouter.agreement.contact import RoundStarts
 from stoatrouter.agreement.log import read_voters
 from stoatrouter.agreement.records import (
+    LEADER_NOT_SETTLED,
+    NO_LONGER_VOTER,
     NOOP,
+    NOT_LEADER,
+    TOO_MANY_UNCOMMITTED,
+    VOTER_CHANGE_NOT_SINGLE,
+    VOTER_CHANGE_UNDER_WAY,
     VOTERS,
     AppendEntries,
     AppendEntriesReply,
@@ -38,10 +44,10 @@
     # -- the leader ---------------------------------------------------------------------------------------
     def _propose(self, event: Propose) -> list[Effect]:
         if not self.leads:
-            return [NotTaken(event.id, "not the leader")]
+            return [NotTaken(event.id, NOT_LEADER)]
         # Guards memory while no majority answers.
         if self.log.last - self.commit >= MOST_UNCOMMITTED:
-            return [NotTaken(event.id, "too much is not agreed on yet")]
+            return [NotTaken(event.id, TOO_MANY_UNCOMMITTED)]
         if event.kind == VOTERS and (why := self._unfit(event.body)):
             return [NotTaken(event.id, why)]
         effects = self._add(event.kind, event.body)
@@ -52,12 +58,12 @@
         at, voters = self.log.voters()
         after = read_voters(body)
         if at > self.commit:
-            return "another change of voters is under way"
+            return VOTER_CHANGE_UNDER_WAY
         # Guards two majorities of different sets: the correction of 2015 to Raft's single changes.
         if not self.settled:
-            return "the leader is not settled yet"
+            return LEADER_NOT_SETTLED
         if len(set(voters) ^ set(after)) != 1 or len({v.name for v in after}) != len(after) or not after:
-            return "voters change one at a time, each name once"
+            return VOTER_CHANGE_NOT_SINGLE
         return None
 
     def _add(self, kind: str, body: bytes) -> list[Effect]:
@@ -132,12 +138,12 @@
         effects = self._commit(at)
         if self.me not in self.voters and self.log.voters()[0] <= self.commit:
             self._follow(None)  # it led until its own removal was agreed on
-            return effects + self._drop_reads("this head votes no more")
+            return effects + self._drop_reads(NO_LONGER_VOTER)
         return effects + self._broadcast()
 
     def _read(self, id: str) -> list[Effect]:
         if not self.settled:
-            return [NotTaken(id, "not the leader" if not self.leads else "the leader is not settled yet")]
+            return [NotTaken(id, NOT_LEADER if not self.leads else LEADER_NOT_SETTLED)]
         effects = self._broadcast()
         self.reads.append((id, self.commit, self.round))
         return effects + self._confirm()
--- a/stoatrouter/agreement/raft.py
+++ b/stoatrouter/agreement/raft.py
@@ -12,6 +12,9 @@
 from stoatrouter.agreement.leading import Leading
 from stoatrouter.agreement.log import Log
 from stoatrouter.agreement.records import (
+    DISK_FAILED,
+    MAJORITY_LOST,
+    TERM_ENDED,
     AppendEntries,
     AppendEntriesReply,
     Compact,
@@ -79,7 +82,7 @@
         if self.leads:
             if not self.majority_heard(self.now):
                 self._follow(None)
-                return self._drop_reads("the leader lost its majority")
+                return self._drop_reads(MAJORITY_LOST)
             return self._broadcast() if self.now >= self.heartbeat_at else []
         if self.election_at is None:
             self._wait()
@@ -135,7 +138,7 @@
 
     def _new_term(self, term: int) -> list[Effect]:
         """A later term is known: what was held of the one before is over."""
-        dropped = self._drop_reads("another term began") if self.leads else []
+        dropped = self._drop_reads(TERM_ENDED) if self.leads else []
         self.term, self.voted = term, None
         self._follow(None)
         return dropped
@@ -271,7 +274,7 @@
 
     def _lose_voice(self) -> list[Effect]:
         """Neither vote nor acknowledge any more; a leader stands down."""
-        dropped = self._drop_reads("the disk failed") if self.leads else []
+        dropped = self._drop_reads(DISK_FAILED) if self.leads else []
         self.voiceless = True
         self._follow(None)
         return dropped
--- a/stoatrouter/agreement/records.py
+++ b/stoatrouter/agreement/records.py
@@ -224,6 +224,18 @@
     term: int
 
 
+# Why a proposal or read is rejected (`NotTaken.why`). The texts reach callers as they are, so they stay.
+NOT_LEADER = "not the leader"
+TOO_MANY_UNCOMMITTED = "too much is not agreed on yet"
+VOTER_CHANGE_UNDER_WAY = "another change of voters is under way"
+LEADER_NOT_SETTLED = "the leader is not settled yet"
+VOTER_CHANGE_NOT_SINGLE = "voters change one at a time, each name once"
+NO_LONGER_VOTER = "this head votes no more"
+MAJORITY_LOST = "the leader lost its majority"
+TERM_ENDED = "another term began"
+DISK_FAILED = "the disk failed"
+
+
 class NotTaken(msgspec.Struct, frozen=True):
     """A proposal or read that this head cannot take, and why."""
 
