--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -85,23 +85,23 @@
 
     def _to(self, voter: Voter) -> Send:
         peer = self.peers[voter.identity]
-        prev = self.log.term(peer.next - 1)
+        prev = self.log.term(peer.next_index - 1)
         if prev is None:
             return Send(voter, InstallSnapshot(self.term, self.log.snapshot, self.round))
         entries: tuple[Entry, ...] = ()
         # one batch is under way at a time; it is sent again when no answer came for a while
-        if peer.next <= self.log.last and (
+        if peer.next_index <= self.log.last and (
             peer.sent_at is None or self.now >= peer.sent_at + 3 * self.timing.heartbeat
         ):
-            entries, peer.sent_at = self.log.since(peer.next), self.now
+            entries, peer.sent_at = self.log.since(peer.next_index), self.now
         append = AppendEntries(
             self.term,
-            peer.next - 1,
+            peer.next_index - 1,
             prev,
             entries,
             self.commit,
             self.round,
-            peer.match,
+            peer.match_index,
             self.contact.age(self.now) if self.settled else None,
             peer.answered_at,
         )
@@ -115,13 +115,13 @@
         peer.round = max(peer.round, said.round)
         peer.answered_at = said.sent_at
         if said.ok:
-            peer.match = max(peer.match, said.match)
-            peer.next = max(peer.next, peer.match + 1)
+            peer.match_index = max(peer.match_index, said.match_index)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
         else:
-            peer.next = max(peer.match + 1, min(peer.next - 1, said.match + 1))
+            peer.next_index = max(peer.match_index + 1, min(peer.next_index - 1, said.match_index + 1))
         self._see_majority()
         effects = self._count() + self._confirm()
-        if self.leads and (peer.next <= self.log.last or not said.ok):
+        if self.leads and (peer.next_index <= self.log.last or not said.ok):
             effects.append(self._to(sender))
         return effects
 
@@ -130,7 +130,7 @@
         if not self.leads:
             return []
         at = sorted(
-            (self.durable if v == self.me else self.peers[v.identity].match for v in self.voters),
+            (self.durable if v == self.me else self.peers[v.identity].match_index for v in self.voters),
             reverse=True,
         )[len(self.voters) // 2]
         if at <= self.commit or self.log.term(at) != self.term:
--- a/stoatrouter/agreement/raft.py
+++ b/stoatrouter/agreement/raft.py
@@ -198,7 +198,7 @@
         write = Write(term, self.voted, write.cut_from, write.entries) if term is not None else write
         then = (Send(sender, AppendEntriesReply(self.term, ok, match, message.round, self.now)),)
         effects.append(self._durable(write, then))
-        return effects + (self._commit(min(message.commit, match)) if ok else [])
+        return effects + (self._commit(min(message.leader_commit, match)) if ok else [])
 
     def _learn_contact(self, message: AppendEntries) -> None:
         """Learn when the leader's majority was connected, from an AppendEntries.
--- a/stoatrouter/agreement/records.py
+++ b/stoatrouter/agreement/records.py
@@ -66,7 +66,7 @@
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int
     round: int  # of asking all voters; a read waits for a majority of one
     acknowledged: int  # the last index that the receiver said is on its disk, in this term
     majority_age: timedelta | None = None  # since a majority was connected, as the leader knows
@@ -77,7 +77,7 @@
     """A follower's answer to entries, a heartbeat or a snapshot."""
 
     ok: bool
-    match: int  # ok: on disk up to here; else where the leader may try next
+    match_index: int  # ok: on disk up to here; else where the leader may try next
     round: int
     sent_at: timedelta | None = None  # on the sender's clock; the leader sends it back
 
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -29,8 +29,8 @@
 class Peer:
     """What a leader knows of another voter."""
 
-    next: int
-    match: int = 0
+    next_index: int  # the next entry to send it (thesis figure 3.1)
+    match_index: int = 0  # the last entry known to be on its disk
     round: int = 0
     heard: timedelta = NO_TIME
     sent_at: timedelta | None = None  # entries are under way
--- a/stoatrouter/lab/fleet/exhaustive.py
+++ b/stoatrouter/lab/fleet/exhaustive.py
@@ -72,7 +72,7 @@
                     raft.durable,
                     tuple(raft.writes.values()),
                     tuple(sorted(raft.votes)),
-                    tuple((p.next, p.match, p.round) for p in raft.peers.values()),
+                    tuple((p.next_index, p.match_index, p.round) for p in raft.peers.values()),
                     raft.round,
                     raft.log.entries,
                     here.disk,
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -214,4 +214,4 @@
         self.agreed.hear(sender, message)
         raft = self.agreed.raft
         if isinstance(message, AppendEntries) and raft.leader == sender and message.term == raft.term:
-            self.monitor.note_contact(raft.contact, message.commit)
+            self.monitor.note_contact(raft.contact, message.leader_commit)
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -91,7 +91,7 @@
     def _count(self):
         at = (
             sorted(
-                (self.durable if v == self.me else self.peers[v.identity].match for v in self.voters),
+                (self.durable if v == self.me else self.peers[v.identity].match_index for v in self.voters),
                 reverse=True,
             )[len(self.voters) // 2]
             if self.leads
