--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -13,16 +13,16 @@
     VOTER_CHANGE_NOT_SINGLE,
     VOTER_CHANGE_UNDER_WAY,
     VOTERS,
+    Accepted,
     AppendEntries,
     AppendEntriesReply,
     Effect,
     Entry,
     InstallSnapshot,
-    NotTaken,
     Propose,
     Readable,
+    Rejected,
     Send,
-    Taken,
     Voter,
     Write,
 )
@@ -44,14 +44,14 @@
     # -- the leader ---------------------------------------------------------------------------------------
     def _propose(self, event: Propose) -> list[Effect]:
         if not self.leads:
-            return [NotTaken(event.id, NOT_LEADER)]
+            return [Rejected(event.id, NOT_LEADER)]
         # Guards memory while no majority answers.
         if self.log.last - self.commit >= MOST_UNCOMMITTED:
-            return [NotTaken(event.id, TOO_MANY_UNCOMMITTED)]
+            return [Rejected(event.id, TOO_MANY_UNCOMMITTED)]
         if event.kind == VOTERS and (why := self._unfit(event.body)):
-            return [NotTaken(event.id, why)]
+            return [Rejected(event.id, why)]
         effects = self._add(event.kind, event.body)
-        return [Taken(event.id, self.log.last, self.term), *effects]
+        return [Accepted(event.id, self.log.last, self.term), *effects]
 
     def _unfit(self, body: bytes) -> str | None:
         """Why voters cannot be changed so, now."""
@@ -143,7 +143,7 @@
 
     def _read(self, id: str) -> list[Effect]:
         if not self.settled:
-            return [NotTaken(id, NOT_LEADER if not self.leads else LEADER_NOT_SETTLED)]
+            return [Rejected(id, NOT_LEADER if not self.leads else LEADER_NOT_SETTLED)]
         effects = self._broadcast()
         self.reads.append((id, self.commit, self.round))
         return effects + self._confirm()
--- a/stoatrouter/agreement/records.py
+++ b/stoatrouter/agreement/records.py
@@ -216,7 +216,7 @@
     snapshot: Snapshot
 
 
-class Taken(msgspec.Struct, frozen=True):
+class Accepted(msgspec.Struct, frozen=True):
     """A proposal is in the log; it holds once that entry is applied with the same term."""
 
     id: str
@@ -224,7 +224,7 @@
     term: int
 
 
-# Why a proposal or read is rejected (`NotTaken.why`). The texts reach callers as they are, so they stay.
+# Why a proposal or read is rejected (`Rejected.why`). The texts reach callers as they are, so they stay.
 NOT_LEADER = "not the leader"
 TOO_MANY_UNCOMMITTED = "too much is not agreed on yet"
 VOTER_CHANGE_UNDER_WAY = "another change of voters is under way"
@@ -236,7 +236,7 @@
 DISK_FAILED = "the disk failed"
 
 
-class NotTaken(msgspec.Struct, frozen=True):
+class Rejected(msgspec.Struct, frozen=True):
     """A proposal or read that this head cannot take, and why."""
 
     id: str
@@ -265,4 +265,4 @@
     acknowledged: int
 
 
-Effect = Send | Durable | Apply | Restore | Taken | NotTaken | Readable | Role | Forgot
+Effect = Send | Durable | Apply | Restore | Accepted | Rejected | Readable | Role | Forgot
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -8,7 +8,7 @@
 
 from stoatrouter.agreement.contact import MajorityContact, RoundStarts
 from stoatrouter.agreement.log import Log
-from stoatrouter.agreement.records import Apply, Disk, Durable, Effect, NotTaken, Role, Send, Voter, Write
+from stoatrouter.agreement.records import Apply, Disk, Durable, Effect, Rejected, Role, Send, Voter, Write
 
 NO_TIME = timedelta(0)
 MOST_UNCOMMITTED = 4_096  # entries; beyond, proposals are refused
@@ -122,7 +122,7 @@
         self._wait()
 
     def _drop_reads(self, why: str) -> list[Effect]:
-        dropped: list[Effect] = [NotTaken(id, why) for id, _, _ in self.reads]
+        dropped: list[Effect] = [Rejected(id, why) for id, _, _ in self.reads]
         self.reads.clear()
         return dropped
 
--- a/stoatrouter/lab/fleet/voters.py
+++ b/stoatrouter/lab/fleet/voters.py
@@ -19,6 +19,7 @@
 from stoatrouter.agreement.records import (
     COMMAND,
     VOTERS,
+    Accepted,
     Apply,
     Compact,
     Disk,
@@ -28,14 +29,13 @@
     Event,
     Forgot,
     Learnt,
-    NotTaken,
     Propose,
     Read,
     Readable,
     Received,
+    Rejected,
     Restore,
     Send,
-    Taken,
     Tick,
     Voter,
     Write,
@@ -181,10 +181,10 @@
                     self.put(name, Compact(self.world.clock(name), head.index, state))
             case Restore():
                 head.values, head.index = restored(effect.snapshot.state), effect.snapshot.index
-            case Taken():
+            case Accepted():
                 client, value = effect.id.split("=", 1)
                 self.waiting[name, effect.index] = (effect.term, value.encode(), int(client))
-            case NotTaken():
+            case Rejected():
                 self.refused += 1
                 self.reads.pop(effect.id, None)
             case Readable():
--- a/stoatrouter/peering/agreed.py
+++ b/stoatrouter/peering/agreed.py
@@ -12,6 +12,7 @@
 from stoatrouter.agreement.raft import Raft, Timing
 from stoatrouter.agreement.records import (
     VOTERS,
+    Accepted,
     AnyMessage,
     Apply,
     Compact,
@@ -23,16 +24,15 @@
     Event,
     Forgot,
     Learnt,
-    NotTaken,
     Propose,
     Read,
     Readable,
     Received,
+    Rejected,
     Restore,
     Role,
     Send,
     Snapshot,
-    Taken,
     Tick,
     Voter,
     Write,
@@ -167,9 +167,9 @@
                 self.apply(effect.entries)
             case Restore():
                 self.restore(effect.snapshot)
-            case Taken():
+            case Accepted():
                 self.taken[effect.id] = (effect.index, effect.term)
-            case NotTaken():
+            case Rejected():
                 self.not_taken(effect)
             case Readable():
                 if (future := self.reads.get(effect.id)) is not None and not future.done():
@@ -196,7 +196,7 @@
             self.send(send.to, send.message)
         self.put(Wrote(self.now(), effect.number))
 
-    def not_taken(self, effect: NotTaken) -> None:
+    def not_taken(self, effect: Rejected) -> None:
         """A proposal or read is refused: whoever waits for it is told."""
         future = self.reads.get(effect.id)
         if future is None:
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -11,6 +11,7 @@
 from stoatrouter.agreement.log import write_voters
 from stoatrouter.agreement.raft import Raft
 from stoatrouter.agreement.records import (
+    Accepted,
     AppendEntries,
     AppendEntriesReply,
     Apply,
@@ -19,15 +20,14 @@
     Entry,
     Forgot,
     Learnt,
-    NotTaken,
     Propose,
     Readable,
     Received,
+    Rejected,
     RequestVote,
     RequestVoteReply,
     Send,
     Snapshot,
-    Taken,
     Tick,
     Voter,
     Wrote,
@@ -274,15 +274,15 @@
 def test_two_changes_of_voters_at_once_are_refused():
     raft = elected(Raft(voter(0), GENESIS, 1))
     body = write_voters(THREE[:2])
-    (refused,) = [e for e in raft.reduce(Propose(raft.now, "a", body, "v")) if isinstance(e, NotTaken)]
+    (refused,) = [e for e in raft.reduce(Propose(raft.now, "a", body, "v")) if isinstance(e, Rejected)]
     assert "not settled" in refused.why
     raft.reduce(Wrote(raft.now, raft.number))
     raft.reduce(Received(raft.now, voter(1), AppendEntriesReply(raft.term, True, raft.log.last, raft.round)))
-    assert any(isinstance(e, Taken) for e in raft.reduce(Propose(raft.now, "a", body, "v")))
+    assert any(isinstance(e, Accepted) for e in raft.reduce(Propose(raft.now, "a", body, "v")))
     (refused,) = [
         e
         for e in raft.reduce(Propose(raft.now, "b", write_voters(THREE[1:]), "v"))
-        if isinstance(e, NotTaken)
+        if isinstance(e, Rejected)
     ]
     assert "under way" in refused.why
 
