--- a/tests/heads/test_agreement_wire.py
+++ b/tests/heads/test_agreement_wire.py
@@ -46,11 +46,13 @@
 
 @pytest.mark.parametrize(("old", "new"), OLD_MESSAGES)
 def test_old_messages_decode_into_the_renamed_types(old, new):
+    """Each message in the old bytes decodes to the renamed type, and encodes back to the same bytes."""
     assert msgspec.msgpack.decode(old, type=AnyMessage) == new
     assert msgspec.msgpack.encode(new) == old
 
 
 def test_old_snapshot_state_decodes_into_machine_state():
+    """A snapshot's state written as the old `Held` decodes as `MachineState`, and encodes back the same."""
     old = b"\x92\x91\x92\xa3id1\xc4\x03ans\x81\xa6credit\xc4\x01p"
     state = msgspec.msgpack.decode(old, type=MachineState)
     assert state == MachineState([("id1", b"ans")], {"credit": b"p"})
