--- a/stoatrouter/agreement/availability.py
+++ b/stoatrouter/agreement/availability.py
@@ -16,7 +16,7 @@
 
     UNFOUNDED = "unfounded"  # no fleet yet: its voters have not all been up together
     CATCHING_UP = "catching up"  # back, and behind what others have agreed on
-    IN_TOUCH = "in touch"
+    CONNECTED = "in touch"  # hears a majority; the value is what operators see
     CUT_OFF = "cut off"  # hears no majority
 
 
@@ -47,15 +47,27 @@
 def availability_of(
     facts: Facts, cut_off_after: timedelta, waited: timedelta, wait_at_start: timedelta
 ) -> Availability:
-    """What a head may do. `waited` is how long ago it started: a head that comes back catches up before it
-    serves by rules that may be old, but where nobody answers it serves the kept ones after this wait."""
-    in_touch = facts.majority_age is not None and facts.majority_age <= cut_off_after
+    """Decide what a head may do, from the facts it knows of itself.
+
+    A head that comes back catches up before it serves by rules that may be old, but where nobody answers it
+    serves the cached ones after `wait_at_start`.
+
+    Args:
+        facts: What the head knows of itself.
+        cut_off_after: How long after a majority was last connected the head counts as cut off.
+        waited: How long ago the head started, on its monotonic clock.
+        wait_at_start: How long a head that has never heard of a majority waits before it serves.
+
+    Returns:
+        The rights of the head, and its state as operators see it.
+    """
+    majority_reachable = facts.majority_age is not None and facts.majority_age <= cut_off_after
     votes = facts.votes and facts.disk
     if not facts.founded:
         return Availability(
             HeadState.UNFOUNDED, serves=True, changes=False, draws=False, votes=False, ready=True
         )
-    if not in_touch:
+    if not majority_reachable:
         waiting = facts.majority_age is None and waited < wait_at_start
         return Availability(
             HeadState.CUT_OFF,
@@ -74,4 +86,4 @@
             votes=votes,
             ready=False,
         )
-    return Availability(HeadState.IN_TOUCH, serves=True, changes=True, draws=True, votes=votes, ready=True)
+    return Availability(HeadState.CONNECTED, serves=True, changes=True, draws=True, votes=votes, ready=True)
--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -5,22 +5,28 @@
 from stoatrouter.agreement.contact import RoundStarts
 from stoatrouter.agreement.log import read_voters
 from stoatrouter.agreement.records import (
+    LEADER_NOT_SETTLED,
+    NO_LONGER_VOTER,
     NOOP,
+    NOT_LEADER,
+    TOO_MANY_UNCOMMITTED,
+    VOTER_CHANGE_NOT_SINGLE,
+    VOTER_CHANGE_UNDER_WAY,
     VOTERS,
-    Append,
-    Appended,
+    Accepted,
+    AppendEntries,
+    AppendEntriesReply,
     Effect,
     Entry,
-    Install,
-    NotTaken,
+    InstallSnapshot,
     Propose,
     Readable,
+    Rejected,
     Send,
-    Taken,
     Voter,
     Write,
 )
-from stoatrouter.agreement.state import LEADS, MOST_UNCOMMITTED, Peer, State
+from stoatrouter.agreement.state import LEADER, MOST_UNCOMMITTED, Peer, State
 
 
 class Leading(State):
@@ -29,7 +35,7 @@
     __slots__ = ()
 
     def _lead(self) -> list[Effect]:
-        self.role, self.leader = LEADS, self.me
+        self.role, self.leader = LEADER, self.me
         self.round_starts = RoundStarts()
         others = [v for v in self.voters if v != self.me]
         self.peers = {v.identity: Peer(self.log.last + 1, heard=self.now) for v in others}
@@ -38,26 +44,26 @@
     # -- the leader ---------------------------------------------------------------------------------------
     def _propose(self, event: Propose) -> list[Effect]:
         if not self.leads:
-            return [NotTaken(event.id, "not the leader")]
+            return [Rejected(event.id, NOT_LEADER)]
         # Guards memory while no majority answers.
         if self.log.last - self.commit >= MOST_UNCOMMITTED:
-            return [NotTaken(event.id, "too much is not agreed on yet")]
+            return [Rejected(event.id, TOO_MANY_UNCOMMITTED)]
         if event.kind == VOTERS and (why := self._unfit(event.body)):
-            return [NotTaken(event.id, why)]
+            return [Rejected(event.id, why)]
         effects = self._add(event.kind, event.body)
-        return [Taken(event.id, self.log.last, self.term), *effects]
+        return [Accepted(event.id, self.log.last, self.term), *effects]
 
     def _unfit(self, body: bytes) -> str | None:
         """Why voters cannot be changed so, now."""
         at, voters = self.log.voters()
         after = read_voters(body)
         if at > self.commit:
-            return "another change of voters is under way"
+            return VOTER_CHANGE_UNDER_WAY
         # Guards two majorities of different sets: the correction of 2015 to Raft's single changes.
         if not self.settled:
-            return "the leader is not settled yet"
+            return LEADER_NOT_SETTLED
         if len(set(voters) ^ set(after)) != 1 or len({v.name for v in after}) != len(after) or not after:
-            return "voters change one at a time, each name once"
+            return VOTER_CHANGE_NOT_SINGLE
         return None
 
     def _add(self, kind: str, body: bytes) -> list[Effect]:
@@ -79,29 +85,29 @@
 
     def _to(self, voter: Voter) -> Send:
         peer = self.peers[voter.identity]
-        prev = self.log.term(peer.next - 1)
+        prev = self.log.term(peer.next_index - 1)
         if prev is None:
-            return Send(voter, Install(self.term, self.log.snapshot, self.round))
+            return Send(voter, InstallSnapshot(self.term, self.log.snapshot, self.round))
         entries: tuple[Entry, ...] = ()
         # one batch is under way at a time; it is sent again when no answer came for a while
-        if peer.next <= self.log.last and (
+        if peer.next_index <= self.log.last and (
             peer.sent_at is None or self.now >= peer.sent_at + 3 * self.timing.heartbeat
         ):
-            entries, peer.sent_at = self.log.since(peer.next), self.now
-        append = Append(
+            entries, peer.sent_at = self.log.since(peer.next_index), self.now
+        append = AppendEntries(
             self.term,
-            peer.next - 1,
+            peer.next_index - 1,
             prev,
             entries,
             self.commit,
             self.round,
-            peer.match,
+            peer.match_index,
             self.contact.age(self.now) if self.settled else None,
             peer.answered_at,
         )
         return Send(voter, append)
 
-    def _appended(self, sender: Voter, said: Appended) -> list[Effect]:
+    def _appended(self, sender: Voter, said: AppendEntriesReply) -> list[Effect]:
         peer = self.peers.get(sender.identity)
         if not self.leads or peer is None or said.term != self.term:
             return []
@@ -109,13 +115,13 @@
         peer.round = max(peer.round, said.round)
         peer.answered_at = said.sent_at
         if said.ok:
-            peer.match = max(peer.match, said.match)
-            peer.next = max(peer.next, peer.match + 1)
+            peer.match_index = max(peer.match_index, said.match_index)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
         else:
-            peer.next = max(peer.match + 1, min(peer.next - 1, said.match + 1))
+            peer.next_index = max(peer.match_index + 1, min(peer.next_index - 1, said.match_index + 1))
         self._see_majority()
         effects = self._count() + self._confirm()
-        if self.leads and (peer.next <= self.log.last or not said.ok):
+        if self.leads and (peer.next_index <= self.log.last or not said.ok):
             effects.append(self._to(sender))
         return effects
 
@@ -124,7 +130,7 @@
         if not self.leads:
             return []
         at = sorted(
-            (self.durable if v == self.me else self.peers[v.identity].match for v in self.voters),
+            (self.durable if v == self.me else self.peers[v.identity].match_index for v in self.voters),
             reverse=True,
         )[len(self.voters) // 2]
         if at <= self.commit or self.log.term(at) != self.term:
@@ -132,12 +138,12 @@
         effects = self._commit(at)
         if self.me not in self.voters and self.log.voters()[0] <= self.commit:
             self._follow(None)  # it led until its own removal was agreed on
-            return effects + self._drop_reads("this head votes no more")
+            return effects + self._drop_reads(NO_LONGER_VOTER)
         return effects + self._broadcast()
 
     def _read(self, id: str) -> list[Effect]:
         if not self.settled:
-            return [NotTaken(id, "not the leader" if not self.leads else "the leader is not settled yet")]
+            return [Rejected(id, NOT_LEADER if not self.leads else LEADER_NOT_SETTLED)]
         effects = self._broadcast()
         self.reads.append((id, self.commit, self.round))
         return effects + self._confirm()
--- a/stoatrouter/agreement/records.py
+++ b/stoatrouter/agreement/records.py
@@ -45,51 +45,51 @@
     term: int
 
 
-class AskVote(Message, frozen=True, array_like=True, tag="ask"):
+class RequestVote(Message, frozen=True, array_like=True, tag="ask"):
     """Asks for a vote, or whether it would be given."""
 
     last_index: int
     last_term: int
-    pre: bool  # only whether it would be given; nothing is promised
+    pre_vote: bool  # only whether it would be given; nothing is promised (thesis 9.6)
 
 
-class GiveVote(Message, frozen=True, array_like=True, tag="vote"):
+class RequestVoteReply(Message, frozen=True, array_like=True, tag="vote"):
     """Answers to that."""
 
     granted: bool
-    pre: bool
+    pre_vote: bool
 
 
-class Append(Message, frozen=True, array_like=True, tag="append"):
+class AppendEntries(Message, frozen=True, array_like=True, tag="append"):
     """The leader's entries, or its heartbeat where there are none."""
 
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int
     round: int  # of asking all voters; a read waits for a majority of one
     acknowledged: int  # the last index that the receiver said is on its disk, in this term
     majority_age: timedelta | None = None  # since a majority was connected, as the leader knows
     answers: timedelta | None = None  # the latest `sent_at` that the leader has from the receiver
 
 
-class Appended(Message, frozen=True, array_like=True, tag="appended"):
+class AppendEntriesReply(Message, frozen=True, array_like=True, tag="appended"):
     """A follower's answer to entries, a heartbeat or a snapshot."""
 
     ok: bool
-    match: int  # ok: on disk up to here; else where the leader may try next
+    match_index: int  # ok: on disk up to here; else where the leader may try next
     round: int
     sent_at: timedelta | None = None  # on the sender's clock; the leader sends it back
 
 
-class Install(Message, frozen=True, array_like=True, tag="install"):
+class InstallSnapshot(Message, frozen=True, array_like=True, tag="install"):
     """A snapshot for a follower that is behind the log's beginning."""
 
     snapshot: Snapshot
     round: int
 
 
-AnyMessage = AskVote | GiveVote | Append | Appended | Install
+AnyMessage = RequestVote | RequestVoteReply | AppendEntries | AppendEntriesReply | InstallSnapshot
 
 
 # -- what a disk holds ------------------------------------------------------------------------------------
@@ -216,7 +216,7 @@
     snapshot: Snapshot
 
 
-class Taken(msgspec.Struct, frozen=True):
+class Accepted(msgspec.Struct, frozen=True):
     """A proposal is in the log; it holds once that entry is applied with the same term."""
 
     id: str
@@ -224,7 +224,19 @@
     term: int
 
 
-class NotTaken(msgspec.Struct, frozen=True):
+# Why a proposal or read is rejected (`Rejected.why`). The texts reach callers as they are, so they stay.
+NOT_LEADER = "not the leader"
+TOO_MANY_UNCOMMITTED = "too much is not agreed on yet"
+VOTER_CHANGE_UNDER_WAY = "another change of voters is under way"
+LEADER_NOT_SETTLED = "the leader is not settled yet"
+VOTER_CHANGE_NOT_SINGLE = "voters change one at a time, each name once"
+NO_LONGER_VOTER = "this head votes no more"
+MAJORITY_LOST = "the leader lost its majority"
+TERM_ENDED = "another term began"
+DISK_FAILED = "the disk failed"
+
+
+class Rejected(msgspec.Struct, frozen=True):
     """A proposal or read that this head cannot take, and why."""
 
     id: str
@@ -249,8 +261,8 @@
 class Forgot(msgspec.Struct, frozen=True):
     """This head's disk is older than what it acknowledged: it must not vote under this identity again."""
 
-    held: int
+    last_on_disk: int
     acknowledged: int
 
 
-Effect = Send | Durable | Apply | Restore | Taken | NotTaken | Readable | Role | Forgot
+Effect = Send | Durable | Apply | Restore | Accepted | Rejected | Readable | Role | Forgot
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -8,12 +8,13 @@
 
 from stoatrouter.agreement.contact import MajorityContact, RoundStarts
 from stoatrouter.agreement.log import Log
-from stoatrouter.agreement.records import Apply, Disk, Durable, Effect, NotTaken, Role, Send, Voter, Write
+from stoatrouter.agreement.records import Apply, Disk, Durable, Effect, Rejected, Role, Send, Voter, Write
 
 NO_TIME = timedelta(0)
 MOST_UNCOMMITTED = 4_096  # entries; beyond, proposals are refused
 KEEP = 512  # entries kept before a snapshot, for heads a little behind
-FOLLOWS, ASKS, STANDS, LEADS = "follows", "asks", "stands", "leads"
+# Roles of thesis 3.3 and 9.6; values as before: the fleet lab keys its states on them.
+FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follows", "asks", "stands", "leads"
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,8 +29,8 @@
 class Peer:
     """What a leader knows of another voter."""
 
-    next: int
-    match: int = 0
+    next_index: int  # the next entry to send it (thesis figure 3.1)
+    match_index: int = 0  # the last entry known to be on its disk
     round: int = 0
     heard: timedelta = NO_TIME
     sent_at: timedelta | None = None  # entries are under way
@@ -49,7 +50,7 @@
     term: int = 0
     voted: str | None = None
     log: Log = field(init=False)
-    role: str = FOLLOWS
+    role: str = FOLLOWER
     leader: Voter | None = None
     voiceless: bool = False  # its disk broke a promise: it neither votes nor acknowledges
     commit: int = 0
@@ -71,6 +72,7 @@
     draws: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
+        """Take up what the disk holds (term, vote, snapshot, entries) and seed the election timer's draws."""
         self.began = self.now
         self.draws = random.Random(f"agreement/{self.seed}/{self.me.identity}")
         self.term, self.voted = self.disk.term, self.disk.voted
@@ -92,7 +94,7 @@
     @property
     def leads(self) -> bool:
         """Whether this head leads, as far as it knows."""
-        return self.role == LEADS
+        return self.role == LEADER
 
     @property
     def settled(self) -> bool:
@@ -114,13 +116,13 @@
         self.election_at = self.now + span + span * self.draws.random()
 
     def _follow(self, leader: Voter | None) -> None:
-        self.role, self.leader = FOLLOWS, leader
+        self.role, self.leader = FOLLOWER, leader
         self.votes.clear()
         self.peers.clear()
         self._wait()
 
     def _drop_reads(self, why: str) -> list[Effect]:
-        dropped: list[Effect] = [NotTaken(id, why) for id, _, _ in self.reads]
+        dropped: list[Effect] = [Rejected(id, why) for id, _, _ in self.reads]
         self.reads.clear()
         return dropped
 
