--- a/benchmarks/capacity/simulated_peers.py
+++ b/benchmarks/capacity/simulated_peers.py
@@ -12,7 +12,7 @@
 
 from stoatrouter.membership.datagram import Datagram, Kind, decode, encode
 from stoatrouter.membership.detector import Timing
-from stoatrouter.membership.roster import News, Status
+from stoatrouter.membership.roster import MemberUpdate, Status
 
 HOST = "127.0.0.1"
 PERIOD_S = Timing().period.total_seconds()
@@ -35,7 +35,7 @@
     number: int = 0
     sockets: list[PeerSocket] = field(default_factory=list)
     incarnations: list[int] = field(default_factory=list)
-    news: list[News] = field(default_factory=list)  # still to be told
+    news: list[MemberUpdate] = field(default_factory=list)  # still to be told
     head: tuple[str, int] | None = None  # where it was last heard from
 
     def __post_init__(self) -> None:
@@ -80,7 +80,7 @@
             await asyncio.sleep(1 / self.news_rate)
             index = self.draws.randrange(self.count)
             self.incarnations[index] += 1
-            self.news.append(News(self.name(index), self.incarnations[index], Status.ALIVE))
+            self.news.append(MemberUpdate(self.name(index), self.incarnations[index], Status.ALIVE))
 
     def probe(self, index: int) -> None:
         self.number += 1
@@ -103,7 +103,7 @@
         if message.kind is Kind.PING:
             self.send(index, Kind.ACK, message.number)
         elif message.kind is Kind.PING_FOR:
-            self.send(index, Kind.ACK, message.number, message.about)
+            self.send(index, Kind.ACK, message.number, message.target)
 
     def close(self) -> None:
         for each in self.sockets:
--- a/benchmarks/capacity/times.py
+++ b/benchmarks/capacity/times.py
@@ -24,7 +24,7 @@
 from benchmarks.capacity.spread import add_times
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
-from stoatrouter.membership.roster import News, Rumours, Status
+from stoatrouter.membership.roster import GossipQueue, MemberUpdate, Status
 from tests.heads.processes import HeadProcess, Processes
 from tests.peers import Node, listening
 
@@ -41,10 +41,10 @@
     fleet = DetectorFleet(World(seed, names))
     for name, detector in fleet.detectors.items():
         for other in names:
-            detector.roster.take(News(other, 1, Status.ALIVE))
+            detector.roster.apply(MemberUpdate(other, 1, Status.ALIVE))
             if other != name:
                 detector.roster.addresses[other] = other
-        detector.rumours = Rumours()
+        detector.gossip = GossipQueue()
     return fleet
 
 
--- a/benchmarks/heads_detector.py
+++ b/benchmarks/heads_detector.py
@@ -124,7 +124,7 @@
     given = parser.parse_args()
     for title, timing, pauses in (
         ("as shipped", Timing(), False),
-        ("without asking others", Timing(others=0), False),
+        ("without asking others", Timing(indirect_checks=0), False),
         ("heads that pause, local health 4", Timing(local_health=4), True),
         ("heads that pause, no local health", Timing(local_health=0), True),
     ):
--- a/stoatrouter/membership/datagram.py
+++ b/stoatrouter/membership/datagram.py
@@ -1,12 +1,14 @@
 """The detector's messages as bytes: at most 256 of them, with their MAC. No socket, no file, no clock.
 
+This is a wire format between heads: the layout, field order, kinds and sizes below must not change.
+
     offset  bytes  what
-    0       1      version and kind: 0x10 ping, 0x11 ping for another, 0x12 ack
-    1       4      number of the probe, big-endian
+    0       1      version and kind: 0x10 ping, 0x11 ping-req, 0x12 ack
+    1       4      sequence number of the health check, big-endian
     5       6      the sender's incarnation
     11      1+n    the sender's name, UTF-8, 1 to 24 bytes
-            1+n    the head that a ping for another is about; empty otherwise
-            ...    news, to the end: 1+n name, 6 incarnation, 1 status
+            1+n    the target of a ping-req; empty otherwise
+            ...    membership updates, to the end: 1+n name, 6 incarnation, 1 status
     end     16     BLAKE2b of all before it, keyed, personalised by the fleet's name
 
 The fleet's name is not sent; a message of another fleet fails its MAC. Names longer than 24 bytes are refused
@@ -21,93 +23,125 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from stoatrouter.membership.roster import News, Status
+from stoatrouter.membership.roster import MemberUpdate, Status
 
 LARGEST, MAC = 256, 16  # bytes
 LONGEST_NAME = 24  # bytes
-FIXED = struct.Struct(">BI")
+FIXED = struct.Struct(">BI")  # version and kind, sequence number
 VERSION = 0x10
+INCARNATION_BYTES = 6
+LENGTH_BYTES = 1  # before each string
+SEQUENCE_MASK = 0xFFFFFFFF
+KIND_MASK, VERSION_MASK = 0x0F, 0xF0
+SMALLEST = FIXED.size + INCARNATION_BYTES + 2 * LENGTH_BYTES + MAC
 
 
 class Kind(IntEnum):
-    """The kind of a message, in the low half of its first byte."""
+    """The kind of a message, in the low half of its first byte (SWIM section 3.1)."""
 
     PING = 0
-    PING_FOR = 1
+    PING_FOR = 1  # SWIM's ping-req, an indirect health check; the name is in lab counts ("ping_for")
     ACK = 2
 
 
 class Malformed(Exception):
-    """Not a message of this fleet; the text is the reason under which it is counted."""
+    """Not a message of this fleet.
+
+    The text is the reason under which it is counted: too_long, too_short, foreign (its MAC fails),
+    malformed or other_version.
+    """
 
 
 @dataclass(slots=True, frozen=True)
 class Datagram:
-    """One message of the detector."""
+    """One message of the detector.
+
+    Attributes:
+        kind: Ping, ping-req or ack.
+        number: The sequence number of the health check, 0 to 2**32 - 1; 0 in unsolicited acks.
+        sender: The sending member's name, 1 to 24 bytes of UTF-8.
+        incarnation: The sender's incarnation, 0 to 2**48 - 1.
+        target: The member that a ping-req (or the ack relayed for one) is about; empty otherwise.
+        updates: Piggybacked membership updates (SWIM section 4.1).
+    """
 
     kind: Kind
     number: int
     sender: str
     incarnation: int
-    about: str = ""
-    news: tuple[News, ...] = ()
+    target: str = ""
+    updates: tuple[MemberUpdate, ...] = ()
 
-    def room(self) -> int:
-        """How many bytes are left for news."""
-        return LARGEST - MAC - FIXED.size - 6 - 2 - len(self.sender.encode()) - len(self.about.encode())
+    def update_capacity(self) -> int:
+        """How many bytes are left for piggybacked updates."""
+        return LARGEST - SMALLEST - len(self.sender.encode()) - len(self.target.encode())
 
 
 def seal(data: bytes, secret: bytes, fleet: str) -> bytes:
-    """The MAC over `data`. The fleet's name is hashed in, so that a key used twice joins no two fleets."""
+    """The MAC over `data`: BLAKE2b keyed by `secret` (its first 64 bytes), 16 bytes.
+
+    The fleet's name is hashed into the personalisation, so that a key used twice joins no two fleets.
+    """
     person = hashlib.blake2b(fleet.encode(), digest_size=16).digest()
     return hashlib.blake2b(data, key=secret[:64], person=person, digest_size=MAC).digest()
 
 
 def encode(message: Datagram, secret: bytes, fleet: str) -> bytes:
-    """The bytes of a message with its MAC; `news` must fit into Datagram.room()."""
-    data = FIXED.pack(VERSION | message.kind, message.number & 0xFFFFFFFF)
-    data += message.incarnation.to_bytes(6, "big") + text(message.sender) + text(message.about)
-    for news in message.news:
-        data += text(news.name) + news.incarnation.to_bytes(6, "big") + bytes((news.status,))
+    """The bytes of a message with its MAC; `updates` must fit into Datagram.update_capacity()."""
+    data = FIXED.pack(VERSION | message.kind, message.number & SEQUENCE_MASK)
+    data += message.incarnation.to_bytes(INCARNATION_BYTES, "big")
+    data += encode_text(message.sender) + encode_text(message.target)
+    for update in message.updates:
+        data += encode_text(update.name) + update.incarnation.to_bytes(INCARNATION_BYTES, "big")
+        data += bytes((update.status,))
     data += seal(data, secret, fleet)
     assert len(data) <= LARGEST, "a datagram over its bound"
     return data
 
 
-def text(value: str) -> bytes:
-    """A string with its length in one byte before it."""
+def encode_text(value: str) -> bytes:
+    """A string as UTF-8 with its length in one byte before it; at most LONGEST_NAME bytes."""
     data = value.encode()
     assert len(data) <= LONGEST_NAME
     return bytes((len(data),)) + data
 
 
 def decode(data: bytes, secret: bytes, fleet: str) -> Datagram:
-    """Read a datagram; raises Malformed. The MAC is checked before anything inside is used."""
+    """Read a datagram; the MAC is checked before anything inside is used.
+
+    Raises:
+        Malformed: The bytes are not a datagram of this fleet, with the reason.
+    """
     if len(data) > LARGEST:
         raise Malformed("too_long")
-    if len(data) < FIXED.size + 6 + 2 + MAC:
+    if len(data) < SMALLEST:
         raise Malformed("too_short")
     body, mac = data[:-MAC], data[-MAC:]
     if not hmac.compare_digest(mac, seal(body, secret, fleet)):
         raise Malformed("foreign")
     first, number = FIXED.unpack_from(body)
     try:
-        kind = Kind(first & 0x0F)
+        kind = Kind(first & KIND_MASK)
         reader = Reader(body, FIXED.size)
-        incarnation, sender, about = reader.number(), reader.text(), reader.text()
-        news = []
+        incarnation, sender, target = reader.number(), reader.text(), reader.text()
+        updates = []
         while reader.at < len(body):
-            news.append(News(reader.text(), reader.number(), Status(reader.byte())))
+            updates.append(MemberUpdate(reader.text(), reader.number(), Status(reader.byte())))
     except (ValueError, IndexError):
         raise Malformed("malformed") from None
-    if first & 0xF0 != VERSION or not sender:
+    if first & VERSION_MASK != VERSION or not sender:
         raise Malformed("other_version")
-    return Datagram(kind, number, sender, incarnation, about, tuple(news))
+    return Datagram(kind, number, sender, incarnation, target, tuple(updates))
 
 
 @dataclass(slots=True)
 class Reader:
-    """Reads the fields of a datagram one after the other; raises IndexError where the data ends early."""
+    """Reads the fields of a datagram one after the other; raises IndexError where the data ends early.
+
+    Attributes:
+        data: The datagram without its MAC.
+        at: The offset of the next field, in bytes.
+    """
 
     data: bytes
     at: int
@@ -125,8 +159,8 @@
         return self.take(1)[0]
 
     def number(self) -> int:
-        """The next 6 bytes as a big-endian number."""
-        return int.from_bytes(self.take(6), "big")
+        """The next 6 bytes as a big-endian number: an incarnation."""
+        return int.from_bytes(self.take(INCARNATION_BYTES), "big")
 
     def text(self) -> str:
         """The next string; raises ValueError where it is too long or not UTF-8."""
--- a/stoatrouter/membership/roster.py
+++ b/stoatrouter/membership/roster.py
@@ -1,8 +1,8 @@
-"""What one head knows of the others, and which news of a head replaces which. No I/O, no clock.
+"""What one head knows of the other members, and which membership update replaces which. No I/O, no clock.
 
-The order is SWIM's (Das, Gupta, Motivala 2002, section 4.2): a head's incarnation is raised by that head
-alone, so news of a later incarnation replaces news of an earlier one; within one, worse news replaces
-better.
+The order is SWIM's (Das, Gupta, Motivala 2002, section 4.2): a member's incarnation is raised by that member
+alone, so an update of a later incarnation replaces one of an earlier incarnation; within one incarnation,
+the worse status replaces the better.
 """
 
 from __future__ import annotations
@@ -11,99 +11,119 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
+UPDATE_FIXED_BYTES = 1 + 6 + 1  # name length, incarnation, status; see datagram.py
+
 
 class Status(IntEnum):
-    """The status of a head, in the order in which news of one incarnation replaces other news."""
+    """The status of a member, in the order in which updates of one incarnation replace each other.
+
+    The values are sent as one byte (datagram.py) and must not change.
+    """
 
     ALIVE = 0
     SUSPECT = 1
-    FAILED = 2
+    FAILED = 2  # SWIM's "faulty", Lifeguard's "dead"
     LEFT = 3  # it said so itself: it is not taken for failed
 
 
 @dataclass(slots=True, frozen=True)
-class News:
-    """The status of one head at an incarnation."""
+class MemberUpdate:
+    """The status of one member at an incarnation, as SWIM disseminates it (section 4.1).
+
+    Attributes:
+        name: The member's name, UTF-8, 1 to 24 bytes.
+        incarnation: Raised only by the member itself, to refute a suspicion; 0 to 2**48 - 1.
+        status: What is said of the member at that incarnation.
+    """
 
     name: str
     incarnation: int
     status: Status
 
-    def replaces(self, other: News) -> bool:
-        """Whether this news goes before other news of the same head."""
+    def replaces(self, other: MemberUpdate) -> bool:
+        """Whether this update overrides `other`, an update of the same member (SWIM section 4.2)."""
         return (self.incarnation, self.status) > (other.incarnation, other.status)
 
 
 @dataclass(slots=True)
-class Rumours:
-    """News to be passed on, each a bounded number of times; the least sent goes first."""
+class GossipQueue:
+    """Updates to piggyback, each a bounded number of times; the least transmitted goes first.
 
-    sent: dict[str, tuple[News, int]] = field(default_factory=dict)
+    Attributes:
+        transmits: By member name, the latest update and how many times it has been piggybacked.
+    """
 
-    def add(self, news: News) -> None:
-        """Pass news on from now on; it replaces older news of the same head."""
-        self.sent[news.name] = (news, 0)
+    transmits: dict[str, tuple[MemberUpdate, int]] = field(default_factory=dict)
 
-    def take(self, fits: int, most: int) -> tuple[News, ...]:
-        """News for one datagram: at most `fits` bytes in all, each sent at most `most` times."""
-        taken: list[News] = []
-        for name, (news, times) in sorted(self.sent.items(), key=lambda item: (item[1][1], item[0])):
-            cost = wire_size(news)
-            if cost > fits:
+    def add(self, update: MemberUpdate) -> None:
+        """Gossip `update` from now on; it replaces an older update of the same member."""
+        self.transmits[update.name] = (update, 0)
+
+    def take(self, capacity: int, most_transmits: int) -> tuple[MemberUpdate, ...]:
+        """Updates for one datagram: at most `capacity` bytes, each sent at most `most_transmits` times."""
+        taken: list[MemberUpdate] = []
+        for name, (update, times) in sorted(self.transmits.items(), key=lambda item: (item[1][1], item[0])):
+            cost = wire_size(update)
+            if cost > capacity:
                 continue
-            fits -= cost
-            taken.append(news)
-            if times + 1 >= most:
-                del self.sent[name]
+            capacity -= cost
+            taken.append(update)
+            if times + 1 >= most_transmits:
+                del self.transmits[name]
             else:
-                self.sent[name] = (news, times + 1)
+                self.transmits[name] = (update, times + 1)
         return tuple(taken)
 
 
-def wire_size(news: News) -> int:
-    """The size of one piece of news in bytes: length, name, incarnation and status."""
-    return 1 + len(news.name.encode()) + 6 + 1
+def wire_size(update: MemberUpdate) -> int:
+    """The size of one update on the wire in bytes: name length, name, incarnation and status."""
+    return UPDATE_FIXED_BYTES + len(update.name.encode())
 
 
 @dataclass(slots=True)
 class Roster:
-    """The latest news of each head, and the address that datagrams reach it at."""
+    """The membership list: the latest update of each member, and the address its datagrams come from.
+
+    Attributes:
+        members: By name, the latest update of each member known, this head included.
+        addresses: By name, the address of each other member; each head has its own for another.
+    """
 
-    held: dict[str, News] = field(default_factory=dict)
-    addresses: dict[str, str] = field(default_factory=dict)  # by name; each head has its own for another
+    members: dict[str, MemberUpdate] = field(default_factory=dict)
+    addresses: dict[str, str] = field(default_factory=dict)
 
-    def take(self, news: News) -> bool:
-        """Take in news; returns whether it was new."""
-        before = self.held.get(news.name)
-        if before is not None and not news.replaces(before):
+    def apply(self, update: MemberUpdate) -> bool:
+        """Merge `update` into the list; returns whether it replaced what was known."""
+        before = self.members.get(update.name)
+        if before is not None and not update.replaces(before):
             return False
-        self.held[news.name] = news
+        self.members[update.name] = update
         return True
 
     def met(self, name: str, address: str) -> None:
-        """Record the address that a head sent from; it replaces another name at that address."""
+        """Record the address that a member sent from; it replaces another name at that address."""
         for other in [n for n, a in self.addresses.items() if a == address and n != name]:
             del self.addresses[other]
         self.addresses[name] = address
 
     def status(self, name: str) -> Status | None:
-        """The latest status of a head; None where nothing is known of it."""
-        news = self.held.get(name)
-        return None if news is None else news.status
+        """The latest status of a member; None where nothing is known of it."""
+        update = self.members.get(name)
+        return None if update is None else update.status
 
     def participants(self, *but: str) -> list[str]:
-        """The names of heads that take part and whose address is known, without those in `but`."""
+        """The names of alive or suspected members whose address is known, without those in `but`, sorted."""
         return sorted(
             n
-            for n, news in self.held.items()
-            if news.status <= Status.SUSPECT and n in self.addresses and n not in but
+            for n, update in self.members.items()
+            if update.status <= Status.SUSPECT and n in self.addresses and n not in but
         )
 
     def count(self) -> int:
-        """How many heads take part, including this one."""
-        return max(1, sum(news.status <= Status.SUSPECT for news in self.held.values()))
+        """How many members take part (alive or suspected), this head included; at least 1."""
+        return max(1, sum(update.status <= Status.SUSPECT for update in self.members.values()))
 
     def unknown_addresses(self, addresses: Iterable[str]) -> list[str]:
-        """Those of the addresses at which no participating head is known."""
+        """Those of `addresses` at which no participating member is known."""
         known = {self.addresses[name] for name in self.participants()}
         return [address for address in addresses if address not in known]
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -158,7 +158,7 @@
         """Heads that are not known to have failed or left, this one with them."""
         if self.datagrams is None:
             return {self.settings.name, *self.settings.streams}
-        held = self.datagrams.detector.roster.held.values()
+        held = self.datagrams.detector.roster.members.values()
         return {news.name for news in held if news.status <= Status.SUSPECT}
 
     async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
--- a/stoatrouter/peering/operators.py
+++ b/stoatrouter/peering/operators.py
@@ -64,7 +64,7 @@
             if fleet.datagrams is None
             else {
                 name: news.status.name.lower()
-                for name, news in sorted(fleet.datagrams.detector.roster.held.items())
+                for name, news in sorted(fleet.datagrams.detector.roster.members.items())
             }
         )
         return {
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -24,7 +24,7 @@
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.datagram import Datagram, Kind, encode
 from stoatrouter.membership.detector import Detector, Effect, Timing
-from stoatrouter.membership.roster import News, Rumours, Status
+from stoatrouter.membership.roster import GossipQueue, MemberUpdate, Status
 from stoatrouter.peering import calls, streams
 from stoatrouter.peering.agreed import COMPACT_ENTRIES
 from stoatrouter.peering.counts import Counts
@@ -57,9 +57,9 @@
     world = World(1, names)
     fleet = DetectorFleet(world, make)
     for name, detector in fleet.detectors.items():
-        detector.roster.held = {other: News(other, 1, Status.ALIVE) for other in names}
+        detector.roster.members = {other: MemberUpdate(other, 1, Status.ALIVE) for other in names}
         detector.roster.addresses = {other: other for other in names if other != name}
-        detector.rumours = Rumours()
+        detector.gossip = GossipQueue()
     world.run(WATCHED)
     assert not fleet.changes, "nobody is suspected in a calm fleet"
     share = size * (WATCHED / SECOND)
@@ -93,8 +93,8 @@
     __slots__ = ()
 
     def _begin_period(self, now: timedelta) -> list[Effect]:
-        for news in self.roster.held.values():
-            self.rumours.add(news)
+        for news in self.roster.members.values():
+            self.gossip.add(news)
         return super()._begin_period(now)
 
 
--- a/tests/heads/test_detector.py
+++ b/tests/heads/test_detector.py
@@ -15,7 +15,7 @@
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.datagram import LARGEST, Datagram, Kind, Malformed, decode, encode
 from stoatrouter.membership.detector import Detector, Heard, SendTo
-from stoatrouter.membership.roster import News, Status
+from stoatrouter.membership.roster import MemberUpdate, Status
 
 SECOND = timedelta(seconds=1)
 KEY = b"k" * 64
@@ -120,7 +120,7 @@
 
     __slots__ = ()
 
-    def _of_myself(self, news):
+    def _refute(self, update):
         return []
 
 
@@ -129,7 +129,7 @@
 
     __slots__ = ()
 
-    def _ask_others(self, probe):
+    def _send_ping_reqs(self, check):
         return []
 
 
@@ -139,9 +139,11 @@
     __slots__ = ()
 
     def _heard(self, event):
-        known = self.roster.held.get(event.message.sender)
+        known = self.roster.members.get(event.message.sender)
         if known is not None and event.message.incarnation < known.incarnation:
-            self.roster.held[known.name] = News(known.name, event.message.incarnation, Status.ALIVE)
+            self.roster.members[known.name] = MemberUpdate(
+                known.name, event.message.incarnation, Status.ALIVE
+            )
         return super()._heard(event)
 
 
@@ -163,7 +165,7 @@
 def replayed(make) -> Status | None:
     """An old process said LEFT; the new one is there; the old datagram comes again."""
     here = make("a", 1, ("b",), 1)
-    old = Datagram(Kind.ACK, 0, "b", 5, news=(News("b", 5, Status.LEFT),))
+    old = Datagram(Kind.ACK, 0, "b", 5, updates=(MemberUpdate("b", 5, Status.LEFT),))
     here.reduce(Heard(SECOND, "b", old))
     here.reduce(Heard(2 * SECOND, "b", Datagram(Kind.PING, 1, "b", 9)))
     here.reduce(Heard(3 * SECOND, "b", old))
@@ -177,7 +179,7 @@
 
 # -- datagrams -------------------------------------------------------------------------------------------
 names = st.text("abcdefgh0123456789", min_size=1, max_size=24)
-news = st.builds(News, names, st.integers(0, 2**48 - 1), st.sampled_from(Status))
+updates = st.builds(MemberUpdate, names, st.integers(0, 2**48 - 1), st.sampled_from(Status))
 
 
 @given(
@@ -188,7 +190,7 @@
         names,
         st.integers(0, 2**48 - 1),
         st.one_of(st.just(""), names),
-        st.lists(news, max_size=4).map(tuple),
+        st.lists(updates, max_size=4).map(tuple),
     )
 )
 @settings(max_examples=200, deadline=None)
@@ -204,6 +206,25 @@
         decode(data, KEY, "f")
 
 
+# Made by the codec before its Python names changed (commit b966509): the bytes between heads stay the same.
+OLD_PING_REQ = bytes.fromhex(
+    "110000000700000000000302683102683202683300000000000901026831000000000003004eed81828de04619591eac3bb1d8affc"
+)
+
+
+def test_bytes_made_by_the_old_codec_are_read_and_made_again():
+    message = Datagram(
+        Kind.PING_FOR,
+        7,
+        "h1",
+        3,
+        "h2",
+        (MemberUpdate("h3", 9, Status.SUSPECT), MemberUpdate("h1", 3, Status.ALIVE)),
+    )
+    assert decode(OLD_PING_REQ, b"secret", "fleet") == message
+    assert encode(message, b"secret", "fleet") == OLD_PING_REQ
+
+
 def test_each_flipped_bit_another_key_and_another_fleet_are_refused():
     data = encode(Datagram(Kind.PING, 1, "a", 1), KEY, "f")
     for at in range(len(data) * 8):
@@ -219,7 +240,7 @@
 def test_a_full_datagram_with_the_longest_names_still_fits():
     here = Detector("n" * 24, 2**48 - 1, ("p",), 1)
     for i in range(50):
-        here._take(News(f"{i:024d}", 2**47, Status.ALIVE), SECOND)
+        here._apply_update(MemberUpdate(f"{i:024d}", 2**47, Status.ALIVE), SECOND)
     here.roster.met("9" * 24, "p")
     for effect in here.reduce(Heard(SECOND, "p", Datagram(Kind.PING_FOR, 1, "8" * 24, 1, "9" * 24))):
         if isinstance(effect, SendTo):
@@ -230,4 +251,4 @@
     here, draws = Detector("a", 1, ("p",), 1), random.Random(1)
     for i in range(3000):
         here.reduce(Heard(SECOND, "p", Datagram(Kind.PING, i, f"x{draws.randrange(10**9)}", 1)))
-    assert len(here.roster.held) <= 1024
+    assert len(here.roster.members) <= 1024
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -171,7 +171,7 @@
             await victim.crash()
             left = [
                 news
-                for news in witness.heads.fleet.datagrams.detector.roster.held.values()
+                for news in witness.heads.fleet.datagrams.detector.roster.members.values()
                 if news.status.name == "LEFT"
             ]
             assert not left
