--- a/tests/registry_model.py
+++ b/tests/registry_model.py
@@ -42,7 +42,7 @@
     def clone(self):
         other = copy.copy(self)
         other.follower = copy.copy(self.follower)
-        for name in ("told", "older"):
+        for name in ("notified", "older"):
             setattr(other.follower, name, dict(getattr(self.follower, name)))
         other.follower.fragments = list(self.follower.fragments)
         other.applied, other.told = list(self.applied), dict(self.told)
@@ -62,7 +62,7 @@
             fol.revision,
             fol.resync,
             fol.endpoint,
-            tuple(sorted(fol.told.items(), key=str)),
+            tuple(sorted(fol.notified.items(), key=str)),
             tuple(fol.fragments),
             tuple(sorted(fol.older.items())),
             self.done,
@@ -100,7 +100,7 @@
                         if self.stales < 1 and (left := self.next_event()) is not None:
                             self.stale = left
                         self.call = None
-                case f.Tell():
+                case f.Notify():
                     self.hear(effect)
 
     def hear(self, tell):
@@ -135,7 +135,7 @@
         transaction = TRANSACTIONS[at]
         changes = tuple(f.Change(key, FIRST + at, value) for key, value in transaction)
         if len(changes) > 1:  # in two fragments
-            return f.Changed(self.now, call, FIRST + at, changes[part : part + 1], whole=part == 1)
+            return f.Changed(self.now, call, FIRST + at, changes[part : part + 1], complete=part == 1)
         return f.Changed(self.now, call, FIRST + at, changes)
 
     def actions(self, faults=True):
@@ -169,7 +169,7 @@
             if isinstance(event, f.Changed):
                 kind, call, endpoint, at, part = self.call
                 self.call = (
-                    (kind, call, endpoint, at + 1, 0) if event.whole else (kind, call, endpoint, at, 1)
+                    (kind, call, endpoint, at + 1, 0) if event.complete else (kind, call, endpoint, at, 1)
                 )
             self.run(fol.step(event))
         elif action in ("wait", "silence"):
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -130,7 +130,7 @@
         made.step(f.Tick(at))
         said += made.step(f.Read(at, made.call, 4, {"a": f.Entry(3, b"up")}))
     assert [e for e in said if isinstance(e, f.OlderCopy)] == [f.OlderCopy(10, 4)] * 2
-    assert not [e for e in said if isinstance(e, f.Tell)] and made.told["a"].value == b"drain"
+    assert not [e for e in said if isinstance(e, f.Notify)] and made.notified["a"].value == b"drain"
     made.accept_older(at)
     told = made.step(f.Read(at, made.call, 4, {"a": f.Entry(3, b"up")}))[0]
     assert {(c.key, c.value) for c in told.changes} == {("a", b"up"), ("b", None)}
