--- a/stoatrouter/membership/datagram.py
+++ b/stoatrouter/membership/datagram.py
@@ -45,12 +45,50 @@
 
 
 class Malformed(Exception):
-    """Not a message of this fleet.
+    """Bytes that are not a datagram of this fleet.
 
-    The text is the reason under which it is counted: too_long, too_short, foreign (its MAC fails),
-    malformed or other_version.
+    `str()` of it is the reason under which it is counted (peering/datagrams.py): operators see these
+    labels, so they do not change. Each subclass names one reason; `detail` says what was wrong and what
+    would be right.
     """
 
+    reason = "malformed"
+
+    def __init__(self, detail: str = "") -> None:
+        """Record what was wrong; `detail` is for logs and tests, not for the count's label."""
+        super().__init__(self.reason)
+        self.detail = detail
+
+
+class TooLong(Malformed):
+    """More bytes than a datagram may have (LARGEST)."""
+
+    reason = "too_long"
+
+
+class TooShort(Malformed):
+    """Fewer bytes than the smallest datagram has (SMALLEST)."""
+
+    reason = "too_short"
+
+
+class Foreign(Malformed):
+    """The MAC fails: another fleet, another key, or bytes changed on the way."""
+
+    reason = "foreign"
+
+
+class BadField(Malformed):
+    """A field inside a sealed datagram cannot be read: a string too long, not UTF-8, or cut short."""
+
+    reason = "malformed"
+
+
+class OtherVersion(Malformed):
+    """A version this head does not speak, or a datagram without a sender's name."""
+
+    reason = "other_version"
+
 
 @dataclass(slots=True, frozen=True)
 class Datagram:
@@ -110,27 +148,31 @@
     """Read a datagram; the MAC is checked before anything inside is used.
 
     Raises:
-        Malformed: The bytes are not a datagram of this fleet, with the reason.
+        Malformed: The bytes are not a datagram of this fleet; one of its subclasses names the reason.
     """
     if len(data) > LARGEST:
-        raise Malformed("too_long")
+        raise TooLong(f"{len(data)} bytes; at most {LARGEST}")
     if len(data) < SMALLEST:
-        raise Malformed("too_short")
+        raise TooShort(f"{len(data)} bytes; at least {SMALLEST}")
     body, mac = data[:-MAC], data[-MAC:]
     if not hmac.compare_digest(mac, seal(body, secret, fleet)):
-        raise Malformed("foreign")
+        raise Foreign(f"the MAC does not match fleet {fleet!r} and this key")
     first, number = FIXED.unpack_from(body)
+    reader = Reader(body, FIXED.size)
     try:
         kind = Kind(first & KIND_MASK)
-        reader = Reader(body, FIXED.size)
         incarnation, sender, target = reader.number(), reader.text(), reader.text()
         updates = []
         while reader.at < len(body):
             updates.append(MemberUpdate(reader.text(), reader.number(), Status(reader.byte())))
-    except (ValueError, IndexError):
-        raise Malformed("malformed") from None
+    except (ValueError, IndexError) as error:
+        raise BadField(
+            f"a field at or after offset {reader.at} cannot be read ({type(error).__name__})"
+        ) from None
     if first & VERSION_MASK != VERSION or not sender:
-        raise Malformed("other_version")
+        raise OtherVersion(
+            f"version byte {first:#04x} and sender {sender!r}; version {VERSION:#04x} expected"
+        )
     return Datagram(kind, number, sender, incarnation, target, tuple(updates))
 
 
--- a/tests/heads/test_detector.py
+++ b/tests/heads/test_detector.py
@@ -13,7 +13,21 @@
 from stoatrouter.lab.fleet import faults
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
-from stoatrouter.membership.datagram import LARGEST, Datagram, Kind, Malformed, decode, encode
+from stoatrouter.membership.datagram import (
+    LARGEST,
+    MAC,
+    BadField,
+    Datagram,
+    Foreign,
+    Kind,
+    Malformed,
+    OtherVersion,
+    TooLong,
+    TooShort,
+    decode,
+    encode,
+    seal,
+)
 from stoatrouter.membership.detector import Detector, Heard, SendTo
 from stoatrouter.membership.roster import MemberUpdate, Status
 
@@ -225,6 +239,25 @@
     assert encode(message, b"secret", "fleet") == OLD_PING_REQ
 
 
+def test_each_reason_for_refusing_bytes_keeps_its_counted_label():
+    good = encode(Datagram(Kind.PING, 1, "a", 1), KEY, "f")
+    body = bytes((0x1F,)) + good[1:-MAC]  # an unknown kind, sealed
+    cut = good[:-MAC][:-1]  # the sender's name cut short, sealed
+    old = bytes((0x20,)) + good[1:-MAC]  # another version, sealed
+    cases = [
+        (b"x" * 300, TooLong, "too_long"),
+        (b"x" * 5, TooShort, "too_short"),
+        (good[:-1] + bytes((good[-1] ^ 1,)), Foreign, "foreign"),
+        (body + seal(body, KEY, "f"), BadField, "malformed"),
+        (cut + seal(cut, KEY, "f"), BadField, "malformed"),
+        (old + seal(old, KEY, "f"), OtherVersion, "other_version"),
+    ]
+    for data, kind, label in cases:
+        with pytest.raises(kind) as raised:
+            decode(data, KEY, "f")
+        assert isinstance(raised.value, Malformed) and str(raised.value) == label and raised.value.detail
+
+
 def test_each_flipped_bit_another_key_and_another_fleet_are_refused():
     data = encode(Datagram(Kind.PING, 1, "a", 1), KEY, "f")
     for at in range(len(data) * 8):
