--- a/stoatrouter/membership/__init__.py
+++ b/stoatrouter/membership/__init__.py
@@ -1,1 +1,4 @@
-"""Who is there: the nodes that a head may use, followed in a registry. No socket, no file, no clock."""
+"""Membership: which heads are alive (a SWIM failure detector) and which nodes a registry lists (a follower).
+
+No socket, no file, no clock: the callers in stoatrouter/peering run the effects.
+"""
--- a/stoatrouter/membership/detector.py
+++ b/stoatrouter/membership/detector.py
@@ -28,6 +28,8 @@
 MOST_RELAYED = 256  # pings in flight for others' ping-reqs; beyond, the oldest is forgotten
 UNSOLICITED = 0  # the sequence number of an ack that answers no ping
 GOSSIP_FLEET_OFFSET = 9  # log10(count + 9): at least 1 for a fleet of one
+# reasons under which a Dropped datagram is counted (peering/datagrams.py); operators see them
+OWN_NAME, TOO_MANY_HEADS, OLDER_INCARNATION = "own_name", "too_many_heads", "older_incarnation"
 
 
 @dataclass(slots=True, frozen=True)
@@ -272,15 +274,15 @@
     def _heard(self, event: Heard) -> list[Effect]:
         message, now = event.message, event.at
         if message.sender == self.name:
-            return [Dropped("own_name")]
+            return [Dropped(OWN_NAME)]
         before = self.roster.members.get(message.sender)
         if before is None and len(self.roster.members) >= MOST_HEADS:
-            return [Dropped("too_many_heads")]
+            return [Dropped(TOO_MANY_HEADS)]
         # Guards against what an earlier process of that head said, come late or sent again: it is answered
         # with what is known of the head, so that one whose clock went back can go beyond it.
         if before is not None and message.incarnation < before.incarnation:
             answer = self._send(event.address, Kind.ACK, UNSOLICITED, recipient=message.sender)
-            return [Dropped("older_incarnation"), answer]
+            return [Dropped(OLDER_INCARNATION), answer]
         effects: list[Effect] = []
         self.roster.met(message.sender, event.address)
         said = MemberUpdate(message.sender, message.incarnation, Status.ALIVE)
@@ -345,7 +347,7 @@
         if update.name == self.name:
             return self._refute(update)
         if update.name not in self.roster.members and len(self.roster.members) >= MOST_HEADS:
-            return [Dropped("too_many_heads")]
+            return [Dropped(TOO_MANY_HEADS)]
         before = self.roster.status(update.name)
         if not self.roster.apply(update):
             return []
