--- a/stoatrouter/membership/detector.py
+++ b/stoatrouter/membership/detector.py
@@ -331,12 +331,8 @@
         first: tuple[MemberUpdate, ...] = ()
         capacity = bare.update_capacity()
         known = self.roster.members.get(recipient)
-        if (
-            known is not None
-            and known.status is not Status.ALIVE
-            or known is not None
-            and number == UNSOLICITED
-        ):
+        # Lifeguard's buddy system: a suspect learns of it in the very ping that checks it.
+        if known is not None and (known.status is not Status.ALIVE or number == UNSOLICITED):
             first, capacity = (known,), capacity - UPDATE_FIXED_BYTES - len(recipient.encode())
         most = math.ceil(self.timing.gossip * math.log10(self.roster.count() + GOSSIP_FLEET_OFFSET))
         updates = tuple(u for u in self.gossip.take(capacity, most) if u not in first)
