--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -20,7 +20,7 @@
 from cypressworks.interface import ListKind
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.credit.holder import Holder
+from stoatrouter.credit.holder import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Book, Grants, PutCustomer, Turn, Turns
 from stoatrouter.history.records import Content, pack
@@ -164,7 +164,7 @@
     """Words that one head puts to the log, its customers asking twice a second each; virtual time."""
     ledger = rich_ledger(customers)
     with tempfile.TemporaryDirectory() as folder:
-        holder = Holder(LEASE, SpentBook(Path(folder) / "book"))
+        holder = HeadEscrow(LEASE, SpentBook(Path(folder) / "book"))
         draws = random.Random(f"words/{customers}")
         words = turns_said = number = step = 0
         while (now := SECOND + step * STEP) < SECOND + TURNS_SPAN:
--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -15,7 +15,7 @@
 from datetime import timedelta
 from pathlib import Path
 
-from stoatrouter.credit.holder import Holder
+from stoatrouter.credit.holder import HeadEscrow
 from stoatrouter.credit.records import Grant
 from stoatrouter.lab.fleet import faults
 from stoatrouter.lab.fleet.credit import ACCOUNT, CreditFleet
@@ -30,7 +30,7 @@
 def decision(customers: int, rounds: int = 200_000) -> str:
     """One take and one end, with the spent figure written to the mapped file."""
     with tempfile.TemporaryDirectory() as folder:
-        holder, times = Holder(5 * SECOND, SpentBook(Path(folder) / "book")), []
+        holder, times = HeadEscrow(5 * SECOND, SpentBook(Path(folder) / "book")), []
         for i in range(customers):
             holder.want(f"c{i}", 1, SECOND)
         for turn in holder.turns(SECOND, customers):
--- a/stoatrouter/credit/gate.py
+++ b/stoatrouter/credit/gate.py
@@ -12,7 +12,7 @@
 
 from cypressworks import interface as api
 from stoatrouter.core import model
-from stoatrouter.credit.holder import Holder
+from stoatrouter.credit.holder import HeadEscrow
 from stoatrouter.credit.records import charge_of
 
 
@@ -26,7 +26,7 @@
 class Gate:
     """Asked for every request of every front."""
 
-    holder: Holder
+    escrow: HeadEscrow
     customer_of: Callable[[str], str | None]  # of a volume; None: it belongs to nobody, and is free
     prices: tuple[int, ...]  # by class
     ranks: tuple[int, ...]
@@ -37,18 +37,18 @@
         if customer is None:
             return None
         charge = charge_of(request.units, self.prices[request.request_class])
-        turned = self.holder.take(request.id, customer, charge, self.ranks[request.request_class], now)
-        return None if turned is None else model.Refused(turned.retry_in)
+        rejection = self.escrow.take(request.id, customer, charge, self.ranks[request.request_class], now)
+        return None if rejection is None else model.Refused(rejection.retry_in)
 
     def end(self, request: str, may_have_run: bool) -> None:
         """The final answer was given."""
-        self.holder.end(request, may_have_run)
+        self.escrow.end(request, may_have_run)
 
     def lacks(self, request: model.Request, now: timedelta) -> bool:
         """Whether it is worth a moment's wait for an allotment."""
         customer = self.customer_of(request.volume)
         charge = charge_of(request.units, self.prices[request.request_class])
-        return customer is not None and charge > 0 and self.holder.lacks(customer, charge, now)
+        return customer is not None and charge > 0 and self.escrow.lacks(customer, charge, now)
 
     @contextmanager
     def waiting(self, request: model.Request) -> Iterator[None]:
@@ -58,14 +58,14 @@
             yield
             return
         charge = charge_of(request.units, self.prices[request.request_class])
-        self.holder.begin_wait(customer, charge)
+        self.escrow.begin_wait(customer, charge)
         try:
             yield
         finally:
-            self.holder.end_wait(customer, charge)
+            self.escrow.end_wait(customer, charge)
 
     def want(self, request: model.Request, now: timedelta) -> None:
         """A request waits: ask for an allotment that is large enough for it."""
         customer = self.customer_of(request.volume)
         if customer is not None:
-            self.holder.want(customer, charge_of(request.units, self.prices[request.request_class]), now)
+            self.escrow.want(customer, charge_of(request.units, self.prices[request.request_class]), now)
--- a/stoatrouter/credit/holder.py
+++ b/stoatrouter/credit/holder.py
@@ -4,7 +4,7 @@
 | --- | --- | --- |
 | served, whole or passed on as it came | yes | the work was done |
 | refused or failed, no attempt was ever sent | no | nothing was asked of a node |
-| refused or failed, each attempt ended as never run (not connected, turned away, moot) | no | the same |
+| refused or failed, each attempt ended as never run (not connected, rejected, moot) | no | the same |
 | refused or failed, some attempt reset, timed out, ended in an error, or still out | yes | it may have run |
 | client gone, no attempt sent or all never run | no | nothing was done |
 | client gone, an attempt out or ended otherwise | yes | it may have run |
@@ -50,15 +50,15 @@
 
 
 @dataclass(slots=True)
-class Held:
-    """One allotment."""
+class LocalAllotment:
+    """One allotment as this head has it: size, expiry on this head's clock, what is spent and reserved."""
 
     id: str
     amount: int
     expires: timedelta
     spent: int = 0
     reserved: int = 0
-    told: int = 0  # spent, as the account knows
+    notified_spent: int = 0  # spent, as the account was last notified
     closing: bool = False  # nothing more is taken from it
 
     @property
@@ -72,11 +72,11 @@
     """One customer at this head."""
 
     customer: str
-    held: list[Held] = field(default_factory=list)
+    allotments: list[LocalAllotment] = field(default_factory=list)
     balance: int = 0
     low_water: int = 0
     known: bool = True
-    told: timedelta | None = None  # when the account last answered
+    answered_at: timedelta | None = None  # when the account last answered
     empty_since: timedelta | None = None  # told that nothing is left
     asking: bool = False
     least: int = 0  # the largest charge that found nothing
@@ -88,11 +88,11 @@
 
     def fraction(self) -> float:
         """How far the account is above nothing, of its low-water mark: 1 and it is not narrowed."""
-        if self.told is None or self.low_water <= 0:
+        if self.answered_at is None or self.low_water <= 0:
             return 1.0
         return max(0.0, min(1.0, self.balance / self.low_water))
 
-    def share(self, rank: int) -> float:
+    def quota(self, rank: int) -> float:
         """How much of a rank's work passes: work that can wait narrows first, protected reads last."""
         return max(0.0, min(1.0, RANKS * self.fraction() - (RANKS - 1 - rank)))
 
@@ -102,12 +102,12 @@
     """What one request may be charged, and where."""
 
     purse: Purse
-    held: Held
+    allotment: LocalAllotment
     charge: int
 
 
 @dataclass(slots=True, frozen=True)
-class Turned:
+class Rejection:
     """A request that is not taken: after which time trying again may help, where that is known."""
 
     retry_in: timedelta | None
@@ -115,8 +115,8 @@
 
 
 @dataclass(slots=True)
-class Holder:
-    """All purses of one head."""
+class HeadEscrow:
+    """The escrow of one head: its allotments of each customer's credit, and the reservations of requests."""
 
     lease: timedelta
     record: Record
@@ -127,7 +127,7 @@
     refused: int = 0
 
     # -- requests -----------------------------------------------------------------------------------------
-    def take(self, request: str, customer: str, charge: int, rank: int, now: timedelta) -> Turned | None:
+    def take(self, request: str, customer: str, charge: int, rank: int, now: timedelta) -> Rejection | None:
         """Reserve a request's charge; None where it is taken."""
         if charge <= 0:
             return None
@@ -135,16 +135,16 @@
         if purse is None:
             purse = self.purses[customer] = Purse(customer)
         self._came(purse, charge, rank, now)
-        held = self._find(purse, charge, now)
-        if held is None:
+        allotment = self._find(purse, charge, now)
+        if allotment is None:
             self.refused += 1
             purse.least = max(purse.least, charge)
             return self._nothing(purse)
-        if (turned := self._pace(purse, rank)) is not None:
+        if (rejection := self._pace(purse, rank)) is not None:
             self.refused += 1
-            return turned
-        held.reserved += charge
-        self.reservations[request] = Reservation(purse, held, charge)
+            return rejection
+        allotment.reserved += charge
+        self.reservations[request] = Reservation(purse, allotment, charge)
         return None
 
     def end(self, request: str, charged: bool) -> None:
@@ -152,20 +152,20 @@
         reservation = self.reservations.pop(request, None)
         if reservation is None:
             return
-        held = reservation.held
-        held.reserved -= reservation.charge
+        allotment = reservation.allotment
+        allotment.reserved -= reservation.charge
         if charged:
-            held.spent += reservation.charge
+            allotment.spent += reservation.charge
             self.charged += reservation.charge
-            self.record.set(held.id, held.spent)
+            self.record.set(allotment.id, allotment.spent)
 
     @staticmethod
-    def _find(purse: Purse, charge: int, now: timedelta) -> Held | None:
+    def _find(purse: Purse, charge: int, now: timedelta) -> LocalAllotment | None:
         """The allotment to take from: the one that expires first."""
-        for held in purse.held:
+        for allotment in purse.allotments:
             # Guards the sum: what has expired here may be counted otherwise by the account from now on.
-            if held.expires > now and held.left >= charge:
-                return held
+            if allotment.expires > now and allotment.left >= charge:
+                return allotment
         return None
 
     @staticmethod
@@ -179,29 +179,29 @@
         purse.gaps[rank] += 1 / over
         purse.used_at = now
 
-    def _nothing(self, purse: Purse) -> Turned:
+    def _nothing(self, purse: Purse) -> Rejection:
         if not self.reachable:
-            return Turned(None, "this head is cut off, and what it held is spent or has expired")
+            return Rejection(None, "this head is cut off, and what it held is spent or has expired")
         if not purse.known:
-            return Turned(None, "there is no such customer")
+            return Rejection(None, "there is no such customer")
         if purse.empty_since is not None and not purse.asking:
-            return Turned(None, "nothing is left")  # when more is paid in, nobody here knows
-        return Turned(ASK_SOON, "an allotment is asked for")
+            return Rejection(None, "nothing is left")  # when more is paid in, nobody here knows
+        return Rejection(ASK_SOON, "an allotment is asked for")
 
     @staticmethod
-    def _pace(purse: Purse, rank: int) -> Turned | None:
-        share = purse.share(rank)
-        if share >= 1.0:
+    def _pace(purse: Purse, rank: int) -> Rejection | None:
+        quota = purse.quota(rank)
+        if quota >= 1.0:
             return None
-        if share <= 0.0:
-            return Turned(None, "little is left, and other work goes first")
-        purse.credit[rank] += share
+        if quota <= 0.0:
+            return Rejection(None, "little is left, and other work goes first")
+        purse.credit[rank] += quota
         if purse.credit[rank] >= 1.0:
             purse.credit[rank] -= 1.0
             return None
-        missing = (1.0 - purse.credit[rank]) / share  # requests until the next passes
+        missing = (1.0 - purse.credit[rank]) / quota  # requests until the next passes
         wait = timedelta(seconds=missing / max(purse.gaps[rank], 0.01))
-        return Turned(min(wait, MOST_ADVICE), "little is left")
+        return Rejection(min(wait, MOST_ADVICE), "little is left")
 
     def lacks(self, customer: str, charge: int, now: timedelta) -> bool:
         """Whether a request would find no allotment, though more may be given: it may wait a moment."""
@@ -239,36 +239,46 @@
                 turns.append(turn)
                 if len(turns) >= most:
                     break
-            elif not purse.held and not purse.waiting and now - purse.used_at > 4 * USE_OVER:
+            elif not purse.allotments and not purse.waiting and now - purse.used_at > 4 * USE_OVER:
                 del self.purses[customer]  # idle, and all is settled
         return turns
 
     def _turn(self, purse: Purse, now: timedelta) -> Turn | None:
         idle = now - purse.used_at > self.lease / 2
         settles = []
-        for held in purse.held:
-            used_up = held.left <= 0 and held.spent + held.reserved >= held.amount
-            if held.expires <= now or used_up or (idle and not held.reserved):
-                held.closing = True
-            if held.closing and not held.reserved:
-                settles.append(Settle(held.id, held.spent, True))
-        want = 0 if idle or not purse.known and purse.told is not None else self._wanted(purse, now)
+        for allotment in purse.allotments:
+            used_up = allotment.left <= 0 and allotment.spent + allotment.reserved >= allotment.amount
+            if allotment.expires <= now or used_up or (idle and not allotment.reserved):
+                allotment.closing = True
+            if allotment.closing and not allotment.reserved:
+                settles.append(Settle(allotment.id, allotment.spent, True))
+        want = 0 if idle or not purse.known and purse.answered_at is not None else self._wanted(purse, now)
         if want and purse.empty_since is not None and now < purse.empty_since + ASK_AGAIN:
             want = 0
         every = LOW_EVERY if purse.fraction() < 1 else self.lease / 2
-        due = purse.told is None or now - purse.told >= every
-        news = [held for held in purse.held if held.spent > held.told and not held.closing]
-        if not settles and not want and not (due and news):
+        due = purse.answered_at is None or now - purse.answered_at >= every
+        unreported = [
+            allotment
+            for allotment in purse.allotments
+            if allotment.spent > allotment.notified_spent and not allotment.closing
+        ]
+        if not settles and not want and not (due and unreported):
             return None
-        settles += [Settle(held.id, held.spent, False) for held in news]
+        settles += [Settle(allotment.id, allotment.spent, False) for allotment in unreported]
         return Turn(
-            purse.customer, tuple(h.id for h in purse.held), tuple(settles), want, purse.least if want else 0
+            purse.customer,
+            tuple(h.id for h in purse.allotments),
+            tuple(settles),
+            want,
+            purse.least if want else 0,
         )
 
     def _wanted(self, purse: Purse, now: timedelta) -> int:
         """How much more: enough for the recent use over a lease and a half, asked for before it runs out."""
         # a charge is taken from one allotment: what is left of smaller ones helps nobody who found nothing
-        good = sum(h.left for h in purse.held if h.expires > now + self.lease / 3 and h.left >= purse.least)
+        good = sum(
+            h.left for h in purse.allotments if h.expires > now + self.lease / 3 and h.left >= purse.least
+        )
         lease, at_once = self.lease.total_seconds(), max(purse.least, purse.waiting)
         needed = max(at_once, math.ceil(purse.use * lease * 0.5))
         if good >= needed or needed <= 0:
@@ -282,20 +292,20 @@
             return
         purse.asking = False
         purse.balance, purse.low_water, purse.known = grant.balance, grant.low_water, grant.known
-        purse.told = now
+        purse.answered_at = now
         for settle in turn.settles:
-            for held in [h for h in purse.held if h.id == settle.allotment]:
-                held.told = settle.spent
+            for allotment in [h for h in purse.allotments if h.id == settle.allotment]:
+                allotment.notified_spent = settle.spent
                 if settle.final:
-                    purse.held.remove(held)
-                    self.record.end(held.id)
+                    purse.allotments.remove(allotment)
+                    self.record.end(allotment.id)
         if grant.allotment:
             purse.empty_since, purse.least = None, 0
             # Guards the sum: a grant that no record could be kept of is dropped by the next turn.
             if not self.record.begin(grant.allotment):
                 return
-            purse.held.append(Held(grant.allotment, grant.amount, asked_at + self.lease))
-            purse.held.sort(key=lambda h: h.expires)
+            purse.allotments.append(LocalAllotment(grant.allotment, grant.amount, asked_at + self.lease))
+            purse.allotments.sort(key=lambda h: h.expires)
         elif turn.want:
             purse.empty_since, purse.least = now, 0
 
@@ -310,9 +320,9 @@
         """The last word of a head that ends, on all that has no reservation."""
         turns = []
         for purse in self.purses.values():
-            for held in purse.held:
-                held.closing = True
-            settles = [Settle(h.id, h.spent, not h.reserved) for h in purse.held]
+            for allotment in purse.allotments:
+                allotment.closing = True
+            settles = [Settle(h.id, h.spent, not h.reserved) for h in purse.allotments]
             if settles:
-                turns.append(Turn(purse.customer, tuple(h.id for h in purse.held), tuple(settles)))
+                turns.append(Turn(purse.customer, tuple(h.id for h in purse.allotments), tuple(settles)))
         return turns
--- a/stoatrouter/credit/ledger.py
+++ b/stoatrouter/credit/ledger.py
@@ -42,7 +42,7 @@
     """What one head may spend."""
 
     customer: str
-    holder: str
+    head: str
     identity: str
     amount: int
     spent: int = 0  # as far as its head said
@@ -62,14 +62,14 @@
     charged: int = 0
     out: dict[str, Allotment] = msgspec.field(default_factory=dict)
 
-    def held(self) -> int:
+    def in_flight(self) -> int:
         """What heads may still spend, or may have spent and not said."""
         return sum(a.amount - a.spent for a in self.out.values() if not (a.expired and self.returned))
 
     @property
     def free(self) -> int:
         """What may be handed out."""
-        return self.paid + self.overdraft - self.charged - self.held()
+        return self.paid + self.overdraft - self.charged - self.in_flight()
 
     @property
     def balance(self) -> int:
@@ -90,7 +90,7 @@
     when: str
 
 
-class Held(msgspec.Struct, array_like=True):
+class LedgerSnapshot(msgspec.Struct, array_like=True):
     """The ledger's state, as a snapshot has it."""
 
     accounts: list[Account]
@@ -140,17 +140,17 @@
     def state(self) -> bytes:
         """All accounts, for a snapshot."""
         return msgspec.msgpack.encode(
-            Held(list(self.accounts.values()), list(self.entries.values()), self.heads)
+            LedgerSnapshot(list(self.accounts.values()), list(self.entries.values()), self.heads)
         )
 
     def restore(self, state: bytes) -> None:
         """Replace everything by a snapshot's state; b"" is that of a fleet just founded."""
-        held = msgspec.msgpack.decode(state, type=Held) if state else Held([], [], {})
-        self.heads = held.heads
-        self.accounts = {account.name: account for account in held.accounts}
-        self.entries = OrderedDict((entry.id, entry) for entry in held.entries)
-        self.customers = {v: a.name for a in held.accounts for v in a.volumes}
-        self.places = {id: a.name for a in held.accounts for id in a.out}
+        snapshot = msgspec.msgpack.decode(state, type=LedgerSnapshot) if state else LedgerSnapshot([], [], {})
+        self.heads = snapshot.heads
+        self.accounts = {account.name: account for account in snapshot.accounts}
+        self.entries = OrderedDict((entry.id, entry) for entry in snapshot.entries)
+        self.customers = {v: a.name for a in snapshot.accounts for v in a.volumes}
+        self.places = {id: a.name for a in snapshot.accounts for id in a.out}
 
     # -- operators ----------------------------------------------------------------------------------------
     def put(self, command: PutCustomer) -> Booked:
@@ -224,7 +224,7 @@
     def turns(self, index: int, command: Turns) -> Grants:
         """Take in what a head says of its customers, and hand out what it wants."""
         # Guards the sum: what a head said before its last word is no news, in whatever order it comes.
-        if not self._heard(command.holder, command.identity, command.number):
+        if not self._heard(command.head, command.identity, command.number):
             return Grants(())
         grants = []
         for number, turn in enumerate(command.turns):
@@ -234,24 +234,24 @@
             grants.append(self.grant(f"{index}.{number}", command, turn))
         return Grants(tuple(grants))
 
-    def _heard(self, holder: str, identity: str, number: int) -> bool:
+    def _heard(self, head: str, identity: str, number: int) -> bool:
         """Whether this is a word of the identity that stands, later than its last one."""
-        stands, last = self.heads.get(holder, (identity, -1))
+        stands, last = self.heads.get(head, (identity, -1))
         if identity != stands or number <= last:
             return False
-        self.heads[holder] = (identity, number)
+        self.heads[head] = (identity, number)
         return True
 
     def settle(self, identity: str, settle: Settle) -> None:
         """Book what a head says of an allotment. What is not out any more was booked before."""
         account = self.accounts.get(self.places.get(settle.allotment, ""))
-        held = account.out.get(settle.allotment) if account is not None else None
-        if account is None or held is None or held.identity != identity:
+        allotment = account.out.get(settle.allotment) if account is not None else None
+        if account is None or allotment is None or allotment.identity != identity:
             return
         # Guards the sum: a head spends no more than it was given, whatever it says, and never takes back.
-        spent = max(held.spent, min(settle.spent, held.amount))
-        account.charged += spent - held.spent
-        held.spent = spent
+        spent = max(allotment.spent, min(settle.spent, allotment.amount))
+        account.charged += spent - allotment.spent
+        allotment.spent = spent
         if settle.final:
             self._close(account, settle.allotment)
 
@@ -271,9 +271,9 @@
         account = self.accounts.get(turn.customer)
         if account is None:
             return Grant(turn.customer, "", 0, 0, 0, known=False)
-        amount = size(account, command.holder, turn.want, turn.least) if account.open and turn.want > 0 else 0
+        amount = size(account, command.head, turn.want, turn.least) if account.open and turn.want > 0 else 0
         if amount > 0:
-            account.out[id] = Allotment(account.name, command.holder, command.identity, amount)
+            account.out[id] = Allotment(account.name, command.head, command.identity, amount)
             self.places[id] = account.name
         return Grant(
             account.name, id if amount > 0 else "", amount, account.balance, account.low_water, account.open
@@ -288,30 +288,30 @@
         return Booked(True)
 
     def begin(self, command: Begin) -> Booked:
-        """What an earlier disk of a head held, nobody can tell any more: it is charged. What this disk never
-        heard of was never spent from."""
-        stands, last = self.heads.get(command.holder, ("", -1))
+        """What an earlier disk of a head had reserved, nobody can tell any more: it is charged. What this
+        disk never heard of was never spent from."""
+        stands, last = self.heads.get(command.head, ("", -1))
         # Guards a head against its own past: the first word of an earlier disk may come late.
         if command.identity and command.identity != stands and command.over != stands:
             return Booked(False, stands)
         if command.identity and command.identity == stands and command.number <= last:
             return Booked(True)
-        self.heads[command.holder] = (command.identity, command.number if command.identity else -1)
+        self.heads[command.head] = (command.identity, command.number if command.identity else -1)
         for account in list(self.accounts.values()):
-            for id, held in list(account.out.items()):
-                if held.holder != command.holder or id in command.holds:
+            for id, allotment in list(account.out.items()):
+                if allotment.head != command.head or id in command.holds:
                     continue
-                if held.identity != command.identity and not (account.returned and held.expired):
-                    account.charged += held.amount - held.spent
+                if allotment.identity != command.identity and not (account.returned and allotment.expired):
+                    account.charged += allotment.amount - allotment.spent
                 self._close(account, id)
         return Booked(True)
 
 
-def size(account: Account, holder: str, want: int, least: int) -> int:
+def size(account: Account, head: str, want: int, least: int) -> int:
     """How much one head is given: what it wants while the account is rich, less the nearer it is to
     nothing and the more heads serve the customer. Half of what is free stays for the others; the very last
     goes to whoever can use it for a request."""
-    others = {a.holder for a in account.out.values() if not a.expired} | {holder}
+    others = {a.head for a in account.out.values() if not a.expired} | {head}
     free = max(0, account.free)
     amount = min(want, free // (2 * len(others)))
     if amount < least:
--- a/stoatrouter/credit/records.py
+++ b/stoatrouter/credit/records.py
@@ -62,7 +62,7 @@
 class Turns(msgspec.Struct, frozen=True, array_like=True, tag="turns"):
     """What one head has to say of all its customers."""
 
-    holder: str
+    head: str
     identity: str  # of its disk
     number: int  # goes up with each; one that comes again, or late, does nothing
     turns: tuple[Turn, ...]
@@ -77,7 +77,7 @@
 class Begin(msgspec.Struct, frozen=True, array_like=True, tag="begin"):
     """A head began. What it held under an earlier disk nobody can tell any more."""
 
-    holder: str
+    head: str
     identity: str
     over: str  # the identity that it takes over from, as far as it knows: "" none
     number: int
--- a/stoatrouter/lab/fleet/credit.py
+++ b/stoatrouter/lab/fleet/credit.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from stoatrouter.credit.holder import Holder
+from stoatrouter.credit.holder import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
     Begin,
@@ -61,7 +61,7 @@
 
     identity: str
     disk: Disk
-    holder: Holder
+    holder: HeadEscrow
     number: int
     life: int
     begun: bool = False
@@ -78,7 +78,7 @@
     world: World  # the account is the machine named so; all others are heads
     customers: int = 2
     returned: bool = False
-    make: Callable[..., Holder] = Holder
+    make: Callable[..., HeadEscrow] = HeadEscrow
     make_ledger: Callable[[], Ledger] = Ledger
     charged_if_unsent: bool = False
     uneven: bool = False
@@ -277,8 +277,8 @@
         self.taken += 1
         reservation = here.holder.reservations.get(id)
         # Promise: nothing is taken from an allotment after its time, counted from its asking.
-        if reservation is not None and now > here.asked_at[reservation.held.id] + LEASE:
-            raise Broken(f"{name} took from {reservation.held.id} after it had expired")
+        if reservation is not None and now > here.asked_at[reservation.allotment.id] + LEASE:
+            raise Broken(f"{name} took from {reservation.allotment.id} after it had expired")
         sent = world.draws.random() < self.sent
 
         def attempt() -> None:
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -18,7 +18,7 @@
 from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.credit.gate import Gate, ranks
-from stoatrouter.credit.holder import Holder
+from stoatrouter.credit.holder import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Begin, Booked, Command, Expired, Grants, Settle, Turn, Turns
 from stoatrouter.peering.agreed import NotAgreed
@@ -53,7 +53,7 @@
         path = fleet.settings.folder / "spent.book" if fleet.found.lasting else None
         self.book = SpentBook(path)
         self.before = self.book.read()  # of an earlier process
-        self.holder = Holder(settings.lease, self.book)
+        self.holder = HeadEscrow(settings.lease, self.book)
         self.gate = Gate(self.holder, ledger.customers_of, settings.prices, ranks(classes, background))
         self.number = fleet.found.boot << 32  # of this head's words to the account
         self.begun = False
@@ -141,7 +141,7 @@
     async def begin(self) -> None:
         """The first word: what this disk knows of, and what was spent of it by the process before."""
         name, me = self.fleet.settings.name, self.fleet.me
-        held = {h.id for purse in self.holder.purses.values() for h in purse.held}
+        held = {h.id for purse in self.holder.purses.values() for h in purse.allotments}
         over, booked = self.ledger.heads.get(name, ("", 0))[0], Booked(False)
         while not booked.ok and not self.closing:
             self.number += 1
--- a/stoatrouter/peering/creditcalls.py
+++ b/stoatrouter/peering/creditcalls.py
@@ -117,8 +117,8 @@
         holder, service = self.service.holder, self.service
         purses = {
             name: {
-                "left": sum(h.left for h in purse.held),
-                "allotments": len(purse.held),
+                "left": sum(h.left for h in purse.allotments),
+                "allotments": len(purse.allotments),
                 "balance_told": purse.balance,
                 "narrowed_to": round(purse.fraction(), 3),
             }
@@ -154,7 +154,7 @@
                 "low_water": account.low_water,
                 "unsettled": "unspent" if account.returned else "spent",
                 "out": {
-                    id: {"head": a.holder, "amount": a.amount, "spent": a.spent, "expired": a.expired}
+                    id: {"head": a.head, "amount": a.amount, "spent": a.spent, "expired": a.expired}
                     for id, a in account.out.items()
                 },
             },
--- a/tests/heads/test_credit.py
+++ b/tests/heads/test_credit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stoatrouter.credit.holder import Holder
+from stoatrouter.credit.holder import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
     Settle,
@@ -38,20 +38,20 @@
 
 
 # -- mutants ---------------------------------------------------------------------------------------------
-class NoExpiry(Holder):
+class NoExpiry(HeadEscrow):
     """An allotment is spent from for as long as it lasts."""
 
     __slots__ = ()
 
     @staticmethod
     def _find(purse, charge, now):
-        return next((h for h in purse.held if h.left >= charge), None)
+        return next((h for h in purse.allotments if h.left >= charge), None)
 
     def _turn(self, purse, now):
-        return super()._turn(purse, min(now, min((h.expires for h in purse.held), default=now) - MS))
+        return super()._turn(purse, min(now, min((h.expires for h in purse.allotments), default=now) - MS))
 
 
-class ChargesTwice(Holder):
+class ChargesTwice(HeadEscrow):
     """The charge is booked on the reservation and on the answer."""
 
     __slots__ = ()
@@ -59,12 +59,12 @@
     def end(self, request, charged):
         reservation = self.reservations.get(request)
         if reservation is not None and charged:
-            reservation.held.spent += reservation.charge
+            reservation.allotment.spent += reservation.charge
             self.charged += reservation.charge
         super().end(request, charged)
 
 
-class ForgetsOnKill(Holder):
+class ForgetsOnKill(HeadEscrow):
     """What is spent is not recorded."""
 
     __slots__ = ()
@@ -75,17 +75,17 @@
         self.record = record
 
 
-class LastWordTooEarly(Holder):
+class LastWordTooEarly(HeadEscrow):
     """The last word on an allotment does not wait for its reservations."""
 
     __slots__ = ()
 
     def _turn(self, purse, now):
         turn = super()._turn(purse, now)
-        late = tuple(Settle(h.id, h.spent, True) for h in purse.held if h.closing and h.reserved)
+        late = tuple(Settle(h.id, h.spent, True) for h in purse.allotments if h.closing and h.reserved)
         if not late:
             return turn
-        turn = turn or Turn(purse.customer, tuple(h.id for h in purse.held))
+        turn = turn or Turn(purse.customer, tuple(h.id for h in purse.allotments))
         return Turn(turn.customer, turn.holds, (*turn.settles, *late), turn.want, turn.least)
 
 
@@ -97,7 +97,7 @@
     def grant(self, id, command, turn):
         account = self.accounts.get(turn.customer)
         if account is not None:
-            account.overdraft = account.held()
+            account.overdraft = account.in_flight()
         try:
             return super().grant(id, command, turn)
         finally:
@@ -122,7 +122,7 @@
     __slots__ = ()
 
     def turns(self, index, command):
-        self.heads.pop(command.holder, None)
+        self.heads.pop(command.head, None)
         return super().turns(index, command)
 
 
@@ -144,7 +144,7 @@
     def begin(self, command):
         for account in self.accounts.values():
             for held in account.out.values():
-                if held.holder == command.holder and held.identity != command.identity:
+                if held.head == command.head and held.identity != command.identity:
                     held.amount = held.spent
         return super().begin(command)
 
--- a/tests/heads/test_credit_holder.py
+++ b/tests/heads/test_credit_holder.py
@@ -12,7 +12,7 @@
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.credit.gate import Gate, ranks
-from stoatrouter.credit.holder import Holder, Purse
+from stoatrouter.credit.holder import HeadEscrow, Purse
 from stoatrouter.credit.records import (
     Grant,
     Settle,
@@ -26,8 +26,8 @@
 MS = timedelta(milliseconds=1)
 
 
-def held(amount: int = 100, balance: int = 100, low_water: int = 0) -> Holder:
-    holder = Holder(5 * SECOND, Disk())
+def held(amount: int = 100, balance: int = 100, low_water: int = 0) -> HeadEscrow:
+    holder = HeadEscrow(5 * SECOND, Disk())
     holder.want("x", 1, SECOND)
     (asked,) = holder.turns(SECOND)
     holder.granted(asked, Grant("x", "1.0", amount, balance, low_water), SECOND, SECOND)
@@ -89,10 +89,10 @@
 
 
 def test_the_shares_of_ranks_are_whole_above_the_mark():
-    purse = Purse("x", balance=100, low_water=100, told=SECOND)
-    assert [purse.share(rank) for rank in range(3)] == [1, 1, 1]
+    purse = Purse("x", balance=100, low_water=100, answered_at=SECOND)
+    assert [purse.quota(rank) for rank in range(3)] == [1, 1, 1]
     purse.balance = 50
-    assert [round(purse.share(rank), 2) for rank in range(3)] == [0, 0.5, 1]
+    assert [round(purse.quota(rank), 2) for rank in range(3)] == [0, 0.5, 1]
 
 
 @given(st.floats(0.001, 1e4), st.integers(0, 10**9))
@@ -102,7 +102,7 @@
 
 
 # -- the core asks, once for each request ----------------------------------------------------------------
-def core(*outcomes: api.Outcome | None) -> tuple[Holder, list[model.Effect]]:
+def core(*outcomes: api.Outcome | None) -> tuple[HeadEscrow, list[model.Effect]]:
     """A request whose attempts end so (None: stays out); its client gives up at the end."""
     conf = head_config(Node("a", 0), Node("b", 0))
     reducer = Reducer(conf.settings, 1)
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -10,7 +10,7 @@
 import pytest
 
 from stoatrouter.core import model
-from stoatrouter.credit.holder import Held, Holder, Purse
+from stoatrouter.credit.holder import HeadEscrow, LocalAllotment, Purse
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Begin, Book, Booked, Grants, PutCustomer, Turns, charge_of
 from stoatrouter.lab.fleet.credit import Disk
@@ -108,9 +108,9 @@
 
 def test_what_is_left_of_small_allotments_does_not_keep_a_head_from_asking():
     """Two allotments with 1,500 each are enough for one charge of 2,000 by their sum, and not by either."""
-    holder = Holder(LEASE, Disk())
-    held = [Held(f"{number}.0", 1_500, SECOND + LEASE) for number in (1, 2)]
-    holder.purses["acme"] = Purse("acme", held, told=SECOND)
+    holder = HeadEscrow(LEASE, Disk())
+    held = [LocalAllotment(f"{number}.0", 1_500, SECOND + LEASE) for number in (1, 2)]
+    holder.purses["acme"] = Purse("acme", held, answered_at=SECOND)
     assert holder.take("r2", "acme", 2_000, 2, SECOND) is not None
     (turn,) = holder.turns(SECOND)
     assert turn.least == 2_000 and turn.want >= 2_000
@@ -121,7 +121,7 @@
     ledger = Ledger()
     ledger.put(PutCustomer("acme", ("v",)))
     ledger.book(1, Book("t", "acme", 10 * CHARGE, "top-up", "x", "y", "z"))
-    holder = Holder(LEASE, Disk())
+    holder = HeadEscrow(LEASE, Disk())
     for _ in range(MANY):
         holder.begin_wait("acme", CHARGE)
         holder.want("acme", CHARGE, SECOND)
--- a/tests/heads/test_ledger.py
+++ b/tests/heads/test_ledger.py
@@ -113,3 +113,37 @@
     assert not ledger.book(3, Book("1", "x", 60, "top-up", "me", "why", "now")).ok
     assert not ledger.book(4, Book("2", "x", -1, "refund", "me", "why", "now")).ok
     assert ledger.book(5, Book("3", "x", -1, "correction", "me", "why", "now")).balance == 49
+
+
+# Bytes made by the code of b966509, before `holder` became `head` in Turns, Begin and Allotment: the
+# commands go on the wire and into the agreed log, the snapshot onto disk, so the old bytes must still read.
+OLD_TURNS = bytes.fromhex(
+    "95a57475726e73a6686561642d61a66469736b2d31079195a461636d6591a3332e309193a3332e30cd01f4c2cd07d064"
+)
+OLD_BEGIN = bytes.fromhex("96a5626567696ea6686561642d61a66469736b2d32a66469736b2d310891a3332e30")
+OLD_SNAPSHOT = bytes.fromhex(
+    "939199a461636d6591a276310000c2c3ce004c4b400081a3332e3096a461636d65a6686561642d61a66469736b2d31cd07d000c2"
+    "919802a26531a461636d65ce004c4b40a6746f702d7570a26f70a3776879a36e6f7781a6686561642d6192a66469736b2d3107"
+)
+
+
+def test_commands_written_before_the_rename_of_holder_to_head_still_decode():
+    turn = Turn("acme", ("3.0",), (Settle("3.0", 500, False),), 2000, 100)
+    assert msgspec.msgpack.decode(OLD_TURNS, type=Turns) == Turns("head-a", "disk-1", 7, (turn,))
+    assert msgspec.msgpack.decode(OLD_BEGIN, type=Begin) == Begin("head-a", "disk-2", "disk-1", 8, ("3.0",))
+    assert msgspec.msgpack.encode(Turns("head-a", "disk-1", 7, (turn,))) == OLD_TURNS
+
+
+def test_a_snapshot_written_before_the_rename_of_holder_to_head_still_restores():
+    ledger = Ledger()
+    ledger.restore(OLD_SNAPSHOT)
+    allotment = ledger.allotment("3.0")
+    assert (allotment.customer, allotment.head, allotment.identity, allotment.amount) == (
+        "acme",
+        "head-a",
+        "disk-1",
+        2000,
+    )
+    assert ledger.heads == {"head-a": ("disk-1", 7)}
+    assert ledger.accounts["acme"].paid == 5_000_000 and ledger.customers_of("v1") == "acme"
+    assert ledger.state() == OLD_SNAPSHOT
