--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -20,7 +20,7 @@
 from cypressworks.interface import ListKind
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.credit.holder import HeadEscrow
+from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Book, Grants, PutCustomer, Turn, Turns
 from stoatrouter.history.records import Content, pack
--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -15,7 +15,7 @@
 from datetime import timedelta
 from pathlib import Path
 
-from stoatrouter.credit.holder import HeadEscrow
+from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.records import Grant
 from stoatrouter.lab.fleet import faults
 from stoatrouter.lab.fleet.credit import ACCOUNT, CreditFleet
--- a/stoatrouter/credit/gate.py
+++ b/stoatrouter/credit/gate.py
@@ -12,7 +12,7 @@
 
 from cypressworks import interface as api
 from stoatrouter.core import model
-from stoatrouter.credit.holder import HeadEscrow
+from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.records import charge_of
 
 
--- a/stoatrouter/lab/fleet/credit.py
+++ b/stoatrouter/lab/fleet/credit.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from stoatrouter.credit.holder import HeadEscrow
+from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
     Begin,
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -1,7 +1,7 @@
 """Prepaid credit of one head, running: draws and settles with the account, expires what is over at the
 leader.
 
-Decides nothing: what a request is charged stands in credit/holder.py, what an account gives in
+Decides nothing: what a request is charged stands in credit/escrow.py, what an account gives in
 credit/ledger.py.
 """
 
@@ -17,8 +17,8 @@
 
 from cypressworks import interface as api
 from stoatrouter.core import model
+from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
-from stoatrouter.credit.holder import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Begin, Booked, Command, Expired, Grants, Settle, Turn, Turns
 from stoatrouter.peering.agreed import NotAgreed
--- a/tests/heads/test_credit.py
+++ b/tests/heads/test_credit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stoatrouter.credit.holder import HeadEscrow
+from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
     Settle,
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -10,7 +10,7 @@
 import pytest
 
 from stoatrouter.core import model
-from stoatrouter.credit.holder import HeadEscrow, LocalAllotment, Purse
+from stoatrouter.credit.escrow import HeadEscrow, LocalAllotment, Purse
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Begin, Book, Booked, Grants, PutCustomer, Turns, charge_of
 from stoatrouter.lab.fleet.credit import Disk
