--- a/stoatrouter/credit/escrow.py
+++ b/stoatrouter/credit/escrow.py
@@ -310,8 +310,13 @@
             purse.empty_since, purse.least = now, 0
 
     def unanswered(self, turn: Turn) -> None:
-        """The turn was said and what was answered is lost for good: what it granted is dropped by the
-        next."""
+        """Note that the answer to a turn is lost for good.
+
+        What that answer granted, if anything, is dropped by the account on the next turn, as unknown here.
+
+        Args:
+            turn: The turn that was sent to the account.
+        """
         purse = self.purses.get(turn.customer)
         if purse is not None:
             purse.asking = False
--- a/stoatrouter/credit/gate.py
+++ b/stoatrouter/credit/gate.py
@@ -17,8 +17,18 @@
 
 
 def ranks(classes: Sequence[api.RequestClass], background: set[str]) -> tuple[int, ...]:
-    """In which order classes narrow: work that can wait, then writes, then protected reads. These are the
-    decision module's own sets (docs/design/heads.md)."""
+    """Rank each request class by the order in which classes narrow under a low balance.
+
+    Work that can wait narrows first (rank 0), then writes (1), then protected reads (2). These are the
+    decision module's own sets (docs/design/heads.md).
+
+    Args:
+        classes: The request classes of the decision module, in their order.
+        background: Names of the classes whose work can wait.
+
+    Returns:
+        One rank for each class, in the order of `classes`.
+    """
     return tuple(0 if c.name in background else 1 if c.writes else 2 for c in classes)
 
 
--- a/stoatrouter/credit/ledger.py
+++ b/stoatrouter/credit/ledger.py
@@ -288,8 +288,20 @@
         return Booked(True)
 
     def begin(self, command: Begin) -> Booked:
-        """What an earlier disk of a head had reserved, nobody can tell any more: it is charged. What this
-        disk never heard of was never spent from."""
+        """Take in that a head began, perhaps with a new disk (a new identity).
+
+        What an earlier disk of the head had reserved, nobody can tell any more: it is charged (or returned,
+        for a customer marked `returned` once it has expired). What this disk never heard of was never
+        spent from, and is closed.
+
+        Args:
+            command: The head, its disk's identity, the identity it takes over from, and the allotments
+                its disk knows of.
+
+        Returns:
+            `Booked(True)`; or `Booked(False, identity)` with the identity that stands, where the command's
+            identity is neither that one nor takes over from it (the first word of an earlier disk, late).
+        """
         stands, last = self.heads.get(command.head, ("", -1))
         # Guards a head against its own past: the first word of an earlier disk may come late.
         if command.identity and command.identity != stands and command.over != stands:
@@ -308,9 +320,21 @@
 
 
 def size(account: Account, head: str, want: int, least: int) -> int:
-    """How much one head is given: what it wants while the account is rich, less the nearer it is to
-    nothing and the more heads serve the customer. Half of what is free stays for the others; the very last
-    goes to whoever can use it for a request."""
+    """Size the allotment that one head is given.
+
+    The head gets what it wants while the account is rich, less the nearer the account is to nothing and
+    the more heads serve the customer: half of what is free stays for the others. The very last goes to
+    whoever can use it for a request.
+
+    Args:
+        account: The customer's account.
+        head: The name of the head that asks.
+        want: What the head asks for, in millionths of a credit unit.
+        least: The smallest amount of use to it (its largest waiting charge), in millionths.
+
+    Returns:
+        The amount to grant, in millionths of a credit unit; 0 for none.
+    """
     others = {a.head for a in account.out.values() if not a.expired} | {head}
     free = max(0, account.free)
     amount = min(want, free // (2 * len(others)))
