--- a/stoatrouter/credit/escrow.py
+++ b/stoatrouter/credit/escrow.py
@@ -20,6 +20,7 @@
 import math
 from dataclasses import dataclass, field
 from datetime import timedelta
+from enum import StrEnum
 from typing import Protocol
 
 from stoatrouter.credit.records import Grant, Settle, Turn
@@ -31,6 +32,22 @@
 USE_OVER = timedelta(seconds=2)  # the span over which recent use is averaged
 MOST_ADVICE = timedelta(seconds=5)
 RANKS = 3  # work that can wait, writes, protected reads: the order in which they narrow
+MOST_TURNS = 256  # customers in one message to the account
+IDLE_PURSE_AFTER = 4 * USE_OVER  # a purse with nothing out and nothing waiting is dropped after so long idle
+LEAST_REQUEST_RATE = 0.01  # requests a second, so that a wait advised to a rare class stays finite
+LOW_STOCK_LEASES = 0.5  # more is asked for once what is left would last less than so many leases
+REFILL_LEASES = 1.5  # and then enough to last so many leases of recent use
+
+
+class RejectionReason(StrEnum):
+    """Why this head rejects a request's charge; the values are the texts of earlier versions."""
+
+    CUT_OFF = "this head is cut off, and what it held is spent or has expired"
+    UNKNOWN_CUSTOMER = "there is no such customer"
+    EXHAUSTED = "nothing is left"
+    ALLOTMENT_REQUESTED = "an allotment is asked for"
+    LOWER_PRIORITY_SHED = "little is left, and other work goes first"
+    PACED = "little is left"
 
 
 class Record(Protocol):
@@ -108,10 +125,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """A request that is not taken: after which time trying again may help, where that is known."""
+    """A request whose charge is not reserved: after which time a retry may help, where that is known."""
 
     retry_in: timedelta | None
-    why: str
+    why: RejectionReason
 
 
 @dataclass(slots=True)
@@ -134,13 +151,13 @@
         purse = self.purses.get(customer)
         if purse is None:
             purse = self.purses[customer] = Purse(customer)
-        self._came(purse, charge, rank, now)
+        self._count_request(purse, charge, rank, now)
         allotment = self._find(purse, charge, now)
         if allotment is None:
             self.refused += 1
             purse.least = max(purse.least, charge)
-            return self._nothing(purse)
-        if (rejection := self._pace(purse, rank)) is not None:
+            return self._reject_for_lack(purse)
+        if (rejection := self._pace_rank(purse, rank)) is not None:
             self.refused += 1
             return rejection
         allotment.reserved += charge
@@ -169,7 +186,7 @@
         return None
 
     @staticmethod
-    def _came(purse: Purse, charge: int, rank: int, now: timedelta) -> None:
+    def _count_request(purse: Purse, charge: int, rank: int, now: timedelta) -> None:
         """Count a request that came, taken or not: allotments follow what is asked for."""
         passed = (now - purse.used_at) / USE_OVER
         fade = math.exp(-max(0.0, passed))
@@ -179,29 +196,29 @@
         purse.gaps[rank] += 1 / over
         purse.used_at = now
 
-    def _nothing(self, purse: Purse) -> Rejection:
+    def _reject_for_lack(self, purse: Purse) -> Rejection:
         if not self.reachable:
-            return Rejection(None, "this head is cut off, and what it held is spent or has expired")
+            return Rejection(None, RejectionReason.CUT_OFF)
         if not purse.known:
-            return Rejection(None, "there is no such customer")
+            return Rejection(None, RejectionReason.UNKNOWN_CUSTOMER)
         if purse.empty_since is not None and not purse.asking:
-            return Rejection(None, "nothing is left")  # when more is paid in, nobody here knows
-        return Rejection(ASK_SOON, "an allotment is asked for")
+            return Rejection(None, RejectionReason.EXHAUSTED)  # when more is paid in, nobody here knows
+        return Rejection(ASK_SOON, RejectionReason.ALLOTMENT_REQUESTED)
 
     @staticmethod
-    def _pace(purse: Purse, rank: int) -> Rejection | None:
+    def _pace_rank(purse: Purse, rank: int) -> Rejection | None:
         quota = purse.quota(rank)
         if quota >= 1.0:
             return None
         if quota <= 0.0:
-            return Rejection(None, "little is left, and other work goes first")
+            return Rejection(None, RejectionReason.LOWER_PRIORITY_SHED)
         purse.credit[rank] += quota
         if purse.credit[rank] >= 1.0:
             purse.credit[rank] -= 1.0
             return None
         missing = (1.0 - purse.credit[rank]) / quota  # requests until the next passes
-        wait = timedelta(seconds=missing / max(purse.gaps[rank], 0.01))
-        return Rejection(min(wait, MOST_ADVICE), "little is left")
+        wait = timedelta(seconds=missing / max(purse.gaps[rank], LEAST_REQUEST_RATE))
+        return Rejection(min(wait, MOST_ADVICE), RejectionReason.PACED)
 
     def lacks(self, customer: str, charge: int, now: timedelta) -> bool:
         """Whether a request would find no allotment, though more may be given: it may wait a moment."""
@@ -227,7 +244,7 @@
         self.purses[customer].waiting -= charge
 
     # -- the account --------------------------------------------------------------------------------------
-    def turns(self, now: timedelta, most: int = 256) -> list[Turn]:
+    def turns(self, now: timedelta, most: int = MOST_TURNS) -> list[Turn]:
         """What is to be said to the account now, and what more is wanted."""
         turns: list[Turn] = []
         for customer, purse in list(self.purses.items()):
@@ -239,7 +256,7 @@
                 turns.append(turn)
                 if len(turns) >= most:
                     break
-            elif not purse.allotments and not purse.waiting and now - purse.used_at > 4 * USE_OVER:
+            elif not purse.allotments and not purse.waiting and now - purse.used_at > IDLE_PURSE_AFTER:
                 del self.purses[customer]  # idle, and all is settled
         return turns
 
@@ -280,10 +297,10 @@
             h.left for h in purse.allotments if h.expires > now + self.lease / 3 and h.left >= purse.least
         )
         lease, at_once = self.lease.total_seconds(), max(purse.least, purse.waiting)
-        needed = max(at_once, math.ceil(purse.use * lease * 0.5))
+        needed = max(at_once, math.ceil(purse.use * lease * LOW_STOCK_LEASES))
         if good >= needed or needed <= 0:
             return 0
-        return max(at_once, math.ceil(purse.use * lease * 1.5)) - good
+        return max(at_once, math.ceil(purse.use * lease * REFILL_LEASES)) - good
 
     def granted(self, turn: Turn, grant: Grant, asked_at: timedelta, now: timedelta) -> None:
         """The account's answer to one turn."""
--- a/stoatrouter/credit/ledger.py
+++ b/stoatrouter/credit/ledger.py
@@ -36,6 +36,7 @@
 
 MOST_ENTRIES = 50_000  # ids of entries that are known; the oldest go first
 MOST_CUSTOMERS = 20_000
+CORRECTION = "correction"  # the kind of entry that may be negative (or 0)
 
 
 class Allotment(msgspec.Struct, array_like=True):
@@ -203,7 +204,7 @@
             return Booked(same, "" if same else f"{command.id!r} was booked otherwise", balance, again=True)
         if account is None or not account.open:
             return Booked(False, f"there is no customer {command.customer!r}")
-        if command.kind != "correction" and command.amount <= 0:
+        if command.kind != CORRECTION and command.amount <= 0:
             return Booked(False, f"a {command.kind} is more than 0")
         account.paid += command.amount
         self.entries[command.id] = Entry(
