--- a/tests/heads/test_credit_escrow.py
+++ b/tests/heads/test_credit_escrow.py
@@ -11,8 +11,9 @@
 from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.credit.escrow import HeadEscrow, Purse
+from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
+from stoatrouter.credit.purse import Purse
 from stoatrouter.credit.records import (
     Grant,
     Settle,
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -10,8 +10,9 @@
 import pytest
 
 from stoatrouter.core import model
-from stoatrouter.credit.escrow import HeadEscrow, LocalAllotment, Purse
+from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
+from stoatrouter.credit.purse import LocalAllotment, Purse
 from stoatrouter.credit.records import Begin, Book, Booked, Grants, PutCustomer, Turns, charge_of
 from stoatrouter.lab.fleet.credit import Disk
 from stoatrouter.peering.credit import CreditService
--- a/tests/heads/test_ledger.py
+++ b/tests/heads/test_ledger.py
@@ -8,7 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatrouter.credit.ledger import Ledger, size
+from stoatrouter.credit.accounts import size
+from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
     Begin,
     Book,
