--- a/stoatrouter/credit/records.py
+++ b/stoatrouter/credit/records.py
@@ -1,4 +1,9 @@
-"""What heads ask of an account, and what they are told. Amounts are whole millionths of a credit unit."""
+"""What heads ask of an account, and what the account answers. Amounts are whole millionths of a credit unit.
+
+The commands go between heads and into the agreed log on disk, the answers back to the head that asked.
+All are msgpack arrays (`array_like`): fields are encoded by position, never by name, and commands by
+their explicit `tag`. A new field goes at the end, with a default, so that older bytes still decode.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +47,13 @@
 
 
 class Settle(msgspec.Struct, frozen=True, array_like=True):
-    """What was spent of one allotment."""
+    """What was spent of one allotment.
+
+    Attributes:
+        allotment: The id of the allotment, as the grant gave it.
+        spent: What was spent of it in all, in millionths of a credit unit.
+        final: Whether this is the head's last word on it: nothing more is spent, what is left goes back.
+    """
 
     allotment: str
     spent: int  # in all, from it
@@ -50,7 +61,16 @@
 
 
 class Turn(msgspec.Struct, frozen=True, array_like=True):
-    """One customer at one head: what was spent, and how much more is wanted."""
+    """One customer at one head: what was spent, and how much more is wanted.
+
+    Attributes:
+        customer: The customer's name.
+        holds: The ids of all its allotments at this head; the account closes, unspent, any other one
+            that it granted to this head's identity (its grant never reached the head).
+        settles: What was spent of some of them.
+        want: How much more the head asks for, in millionths of a credit unit; 0 for nothing.
+        least: The smallest grant of use to the head (its largest waiting charge), in millionths.
+    """
 
     customer: str
     holds: tuple[str, ...] = ()  # all of its allotments here: another one never came to be known
@@ -60,7 +80,14 @@
 
 
 class Turns(msgspec.Struct, frozen=True, array_like=True, tag="turns"):
-    """What one head has to say of all its customers."""
+    """What one head has to say of all its customers, in one command.
+
+    Attributes:
+        head: The name of the head.
+        identity: The identity of its disk.
+        number: Grows with each command of this identity; one that comes again, or late, does nothing.
+        turns: One for each customer it speaks of.
+    """
 
     head: str
     identity: str  # of its disk
@@ -75,7 +102,15 @@
 
 
 class Begin(msgspec.Struct, frozen=True, array_like=True, tag="begin"):
-    """A head began. What it held under an earlier disk nobody can tell any more."""
+    """A head began. What it had reserved under an earlier disk nobody can tell any more.
+
+    Attributes:
+        head: The name of the head.
+        identity: The identity of its disk; "" for none.
+        over: The identity that it takes over from, as far as it knows; "" for none.
+        number: The number of this command, as in `Turns`.
+        holds: The ids of the allotments that its disk knows of.
+    """
 
     head: str
     identity: str
@@ -89,7 +124,16 @@
 
 # -- answers ----------------------------------------------------------------------------------------------
 class Grant(msgspec.Struct, frozen=True, array_like=True):
-    """To one turn: a new allotment, perhaps, and how the account stands."""
+    """The answer to one turn: a new allotment, perhaps, and how the account stands.
+
+    Attributes:
+        customer: The customer's name.
+        allotment: The id of the new allotment; "" for none.
+        amount: Its size, in millionths of a credit unit.
+        balance: What is not charged yet, the overdraft and allotments that are out counted in, in millionths.
+        low_water: The customer's low-water mark, in millionths: under it, the pace of requests narrows.
+        known: Whether the account is open; False where there is no such customer.
+    """
 
     customer: str
     allotment: str  # "": none
@@ -115,5 +159,10 @@
 
 
 def charge_of(units: float, price: int) -> int:
-    """What a request of so many units costs, rounded up."""
+    """Return what a request costs, in millionths of a credit unit, rounded up.
+
+    Args:
+        units: The request's units of work, as the decision module counts them.
+        price: The price of one unit of its class, in millionths of a credit unit.
+    """
     return -int(-units * price // 1)
