--- a/stoatrouter/__main__.py
+++ b/stoatrouter/__main__.py
@@ -79,6 +79,7 @@
 
 
 def main() -> int:
+    """Run one head until it is asked to stop; returns 2 where its configuration is unusable."""
     write_logs(os.environ.get("STOATROUTER_LOG_FORMAT"))
     try:
         conf = config.load(os.environ)
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -61,6 +61,14 @@
         http: HttpSettings | None = None,
         heads: HeadsSettings | None = None,
     ) -> None:
+        """Wire the parts of one head; nothing listens or connects before `start`.
+
+        Args:
+            conf: what `NODE_CONFIG` says (stoatrouter/config.py).
+            objects: the object front's settings, or None where that front is off.
+            http: the HTTP front's settings, or None where that front is off.
+            heads: the settings of heads that know each other, or None where that part is off.
+        """
         self.conf, self.object_settings, self.http_settings = conf, objects, http
         self.tables: list[TableService] = []
         self.recorder = None
--- a/stoatrouter/management/calls.py
+++ b/stoatrouter/management/calls.py
@@ -28,6 +28,14 @@
     def __init__(
         self, engine: Engine, drain: Drain, serving: Callable[[], bool], heads: HeadsCall | None = None
     ) -> None:
+        """Serve calls on one head.
+
+        Args:
+            engine: the head's engine, whose reducer and counters the calls read and change.
+            drain: the head's draining, which the calls start.
+            serving: whether the head serves requests now, for the readiness call.
+            heads: what answers calls that concern other heads too; None where that part is off.
+        """
         self.engine, self.drain, self.serving, self.heads = engine, drain, serving, heads
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
