--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 	test -x .venv/bin/python || python3 -m venv .venv
 	.venv/bin/pip -q install --disable-pip-version-check -r requirements.txt
 	.venv/bin/python -m compileall -q -o 1 --invalidation-mode unchecked-hash .venv/lib
-	.venv/bin/python -m compileall -q -o 1 --invalidation-mode checked-hash stoatrouter cypressworks
+	.venv/bin/python -m compileall -q -o 1 --invalidation-mode checked-hash stoatrouter
 
 # the environment of the tests is one of its own, so that a build is never touched by them
 .ci-venv/bin/ruff: requirements.txt requirements-rules.txt requirements-cli.txt requirements-dev.txt
--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -17,7 +17,6 @@
 from benchmarks.capacity.harness import Measurement, Run
 from benchmarks.capacity.list_service import entry
 from benchmarks.heads_rules import text_of
-from cypressworks.interface import ListKind
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.credit.escrow import HeadEscrow
@@ -28,6 +27,7 @@
 from stoatrouter.peering.book import SpentBook
 from stoatrouter.peering.credit import CreditService
 from stoatrouter.peering.settings import CreditSettings
+from stoatrouter.policy.interface import ListKind
 from tests.peers import head_config
 
 NODES = (12, 120, 425, 850, 1700)
--- a/benchmarks/capacity/decision.py
+++ b/benchmarks/capacity/decision.py
@@ -17,8 +17,8 @@
 from benchmarks.capacity import harness
 from benchmarks.capacity.children import end_on_signals
 from benchmarks.capacity.virtual import SECOND, Costs, Kind, Load, VirtualHead, node_entries
-from cypressworks import interface as api
-from cypressworks.simhost import read_settings
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.simhost import read_settings
 
 HEADS, NODES, RATE = 740, 1_700, 1_757
 WARM_UP = 3 * SECOND  # in which windows, averages and the requests' timers form; not counted
--- a/benchmarks/capacity/instrumented_head.py
+++ b/benchmarks/capacity/instrumented_head.py
@@ -22,12 +22,12 @@
 from pathlib import Path
 from typing import Any
 
-from cypressworks import Scheduler
 from stoatrouter import __main__ as program
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.net import clients
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.pool import NodeConnection, NodePool
+from stoatrouter.policy import Scheduler
 
 FRONT, NODE_CLIENT, DIAL = "front", "node client", "dial"
 REDUCER, DECISION, READING, LIST = "reducer", "decision", "reading", "list"
--- a/benchmarks/capacity/nodelist.py
+++ b/benchmarks/capacity/nodelist.py
@@ -21,10 +21,10 @@
 from benchmarks.capacity.decision import demo_settings
 from benchmarks.capacity.head_process import node_entries
 from benchmarks.capacity.virtual_watches import INCIDENT_AT, Call, Incident, calls_of_fleet
-from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.net.discovery import Watch, read_list
+from stoatrouter.policy import interface as api
 
 REPEATS = 5
 NODES = 1_700
--- a/benchmarks/capacity/virtual.py
+++ b/benchmarks/capacity/virtual.py
@@ -17,8 +17,8 @@
 from enum import Enum
 from types import FrameType
 
-from cypressworks import Scheduler
-from cypressworks import interface as api
+from stoatrouter.policy import Scheduler
+from stoatrouter.policy import interface as api
 
 MS, SECOND = 1_000, 1_000_000
 START = 100 * SECOND
--- a/benchmarks/readability.py
+++ b/benchmarks/readability.py
@@ -44,7 +44,7 @@
     "in_touch",
     "keyed",
 )
-ROOTS = ("stoatrouter", "cypressworks")
+ROOTS = ("stoatrouter", "cypressworks")  # the second is the package of policy before it was moved
 MAX_LINES = 400
 _CAMEL_BOUNDARY = re.compile(r"(?<=[a-z0-9])(?=[A-Z])")
 
--- a/stoatrouter/config.py
+++ b/stoatrouter/config.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from cypressworks import interface as api
-from cypressworks.simhost import read_settings
 from stoatrouter.core.spans import micros, span
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.simhost import read_settings
 
 LIMIT_SLACK = timedelta(milliseconds=150)  # by what a limit allows in this time its slack grows on sockets
 VARIABLES = {
--- a/stoatrouter/core/events.py
+++ b/stoatrouter/core/events.py
@@ -6,9 +6,9 @@
 from datetime import timedelta
 from typing import Any
 
-from cypressworks import interface as api
 from stoatrouter.core.nodes import AdministrativeState, NodeInfo
 from stoatrouter.core.requests import Head, Request
+from stoatrouter.policy import interface as api
 
 
 @dataclass(slots=True, frozen=True)
--- a/stoatrouter/core/nodes.py
+++ b/stoatrouter/core/nodes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, replace
 from datetime import timedelta
 
-from cypressworks import interface as api
+from stoatrouter.policy import interface as api
 
 
 @dataclass(slots=True, frozen=True)
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -11,11 +11,11 @@
 
 from loguru import logger
 
-from cypressworks import Scheduler, handover
-from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.core.invariants import invariant
 from stoatrouter.core.spans import NO_TIME, micros, span
+from stoatrouter.policy import Scheduler, handover
+from stoatrouter.policy import interface as api
 
 # Longest wait past the client's deadline before the core answers by itself, should a decision be missing.
 OVERDUE_AFTER = timedelta(milliseconds=15)
--- a/stoatrouter/credit/gate.py
+++ b/stoatrouter/credit/gate.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.records import charge_of
+from stoatrouter.policy import interface as api
 
 
 def ranks(classes: Sequence[api.RequestClass], background: set[str]) -> tuple[int, ...]:
--- a/stoatrouter/expressions/environment.py
+++ b/stoatrouter/expressions/environment.py
@@ -1,5 +1,6 @@
 """What an expression may refer to: inputs by name, with their types and the bounds that are
-enforced on them."""
+enforced on them.
+"""
 
 from __future__ import annotations
 
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -8,7 +8,6 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.fronts.exchange import BadRequest, Exchange, answer, last, retry_after
 from stoatrouter.matching.decisions import Decision, Refusal
@@ -19,6 +18,7 @@
 from stoatrouter.net.listener import Drain
 from stoatrouter.net.nodes import HOP_BY_HOP
 from stoatrouter.net.recorder import Recorder
+from stoatrouter.policy import interface as api
 
 # Of a client's request: those of its connection, those that the node client writes itself, and those that the
 # nodes' protocol gives a meaning.
--- a/stoatrouter/fronts/http/settings.py
+++ b/stoatrouter/fronts/http/settings.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from cypressworks import interface as api
 from stoatrouter.config import Config, ConfigError, address
 from stoatrouter.core.spans import span
 from stoatrouter.matching.vocabulary import KnownClass, Vocabulary
+from stoatrouter.policy import interface as api
 from stoatrouter.settings import SettingsError, load
 
 
--- a/stoatrouter/fronts/objects/front.py
+++ b/stoatrouter/fronts/objects/front.py
@@ -14,7 +14,6 @@
 from aiohttp import web
 from loguru import logger
 
-from cypressworks import interface as api
 from stoatrouter.fronts.objects import ranges
 from stoatrouter.fronts.objects.errors import ObjectError, error_response
 from stoatrouter.fronts.objects.extents import BadPiece
@@ -25,6 +24,7 @@
 from stoatrouter.fronts.objects.tokens import Part, Tokens
 from stoatrouter.fronts.objects.xml_bodies import read_parts, xml_response
 from stoatrouter.net.listener import Drain
+from stoatrouter.policy import interface as api
 
 LONGEST_KEY = 1024  # bytes, as clients of this protocol know it
 LARGEST_BODY = 5 << 30
--- a/stoatrouter/fronts/objects/rules.py
+++ b/stoatrouter/fronts/objects/rules.py
@@ -12,13 +12,13 @@
 
 from aiohttp import web
 
-from cypressworks import interface as api
 from stoatrouter.fronts.objects.errors import ObjectError
 from stoatrouter.fronts.objects.settings import Bucket, ObjectSettings
 from stoatrouter.fronts.objects.store import Pieces
 from stoatrouter.matching.decisions import Decision
 from stoatrouter.matching.inputs import Unreadable, read_input
 from stoatrouter.matching.matcher import Matcher
+from stoatrouter.policy import interface as api
 
 Clock = Callable[[], timedelta]
 
--- a/stoatrouter/fronts/objects/settings.py
+++ b/stoatrouter/fronts/objects/settings.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from cypressworks import interface as api
 from stoatrouter.config import ConfigError
+from stoatrouter.policy import interface as api
 from stoatrouter.settings import SettingsError
 from stoatrouter.settings import load as read_file
 
--- a/stoatrouter/fronts/objects/store.py
+++ b/stoatrouter/fronts/objects/store.py
@@ -16,7 +16,6 @@
 from datetime import timedelta
 from typing import Any, Generic, TypeVar
 
-from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.core.spans import span
 from stoatrouter.fronts.objects.errors import ObjectError
@@ -33,6 +32,7 @@
     unpack_page,
 )
 from stoatrouter.fronts.objects.settings import Bucket, ObjectSettings
+from stoatrouter.policy import interface as api
 
 Serve = Callable[[model.Request], Awaitable[model.Answer]]
 Done = TypeVar("Done")
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -9,12 +9,12 @@
 
 from aiohttp import web
 
-from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.fronts.exchange import BadRequest, Exchange, answer, last, retry_after
 from stoatrouter.net.bodies import BodyCapacity, NoCapacity, StoredBody
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.listener import Drain
+from stoatrouter.policy import interface as api
 
 ID = re.compile(r"[0-9A-Za-z_.-]{1,64}")
 HEX16 = re.compile(r"[0-9A-Fa-f]{16}")
--- a/stoatrouter/history/records.py
+++ b/stoatrouter/history/records.py
@@ -1,5 +1,6 @@
 """What is asked of the history, and what it answers. A set of rule files is one whole, named by its
-digest."""
+digest.
+"""
 
 from __future__ import annotations
 
--- a/stoatrouter/history/register.py
+++ b/stoatrouter/history/register.py
@@ -132,7 +132,8 @@
 
     def _since(self, at: int) -> list[Version]:
         """What has changed the rules since a version and is not undone: an edit whose undo is in force too
-        leaves nothing, nor does anything between them."""
+        leaves nothing, nor does anything between them.
+        """
         origins = self._origins()
         changes: dict[int, Version] = {}  # by origin, in order
         for version in self.versions[at:]:
@@ -146,7 +147,8 @@
 
     def _origins(self) -> dict[int, int]:
         """For each version, the edit whose content it has: an edit's is its own, an undo's that of what it
-        restores. Equal contents of two edits have two origins: undoing one must not take the other back."""
+        restores. Equal contents of two edits have two origins: undoing one must not take the other back.
+        """
         origins: dict[int, int] = {}
         for version in self.versions:
             # what is past the history's end stands for itself: then less is known to cancel out, never more
--- a/stoatrouter/lab/fleet/__init__.py
+++ b/stoatrouter/lab/fleet/__init__.py
@@ -1,2 +1,3 @@
 """Fleets of the heads' pure parts in virtual time: one seed, one order of events, the same digest each
-time."""
+time.
+"""
--- a/stoatrouter/lab/fleet/contacts.py
+++ b/stoatrouter/lab/fleet/contacts.py
@@ -28,7 +28,8 @@
 @dataclass
 class ContactFleet(VoterFleet):
     """Heads that learn of the majority from each other. `make_contact` builds what a head holds of it (a
-    mutant's, where a test shows that the promise is checked)."""
+    mutant's, where a test shows that the promise is checked).
+    """
 
     make_contact: Callable[[], MajorityContact] = MajorityContact
     asks: dict[str, list[str]] = field(default_factory=dict)  # whom a head asks; all others by default
@@ -125,7 +126,8 @@
 
     def check(self) -> None:
         """Promise: nobody counts as in touch for longer than the span after the last majority that it can
-        have heard of, by whatever path."""
+        have heard of, by whatever path.
+        """
         self.look()
         for name, last in self.last_majority.items():
             if self.world.now - last > CUT_OFF_AFTER * CLOCK_DRIFT and self.in_touch(name):
@@ -189,7 +191,8 @@
 
 def majority_lost(seed: int, make_contact: Callable[[], MajorityContact] = MajorityContact) -> None:
     """A calm fleet, or a region of it, loses its majority in one of several ways, and gets it back where its
-    disks are left. Raises Broken where a promise is not kept."""
+    disks are left. Raises Broken where a promise is not kept.
+    """
     voters = 3 if seed % 2 else 5
     world = World(seed, [f"h{i}" for i in range(voters + seed % 4)])
     fleet = ContactFleet(world, voters, make_contact=make_contact)
--- a/stoatrouter/lab/fleet/credit.py
+++ b/stoatrouter/lab/fleet/credit.py
@@ -326,7 +326,8 @@
     # -- at the end ---------------------------------------------------------------------------------------
     def check_settled(self) -> None:
         """Promise: balance = paid in - charged, exactly; where a disk was lost, what it held is charged
-        too."""
+        too.
+        """
         for name, account in self.ledger.accounts.items():
             if account.out:
                 raise Broken(f"{name} still has allotments out: {account.out}")
--- a/stoatrouter/lab/fleet/detectors.py
+++ b/stoatrouter/lab/fleet/detectors.py
@@ -1,5 +1,6 @@
 """A fleet of detectors in virtual time, over real datagrams: what each believes of each, against what is
-so."""
+so.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +20,8 @@
 @dataclass
 class DetectorFleet:
     """Detectors, one a machine. Addresses are the machines' names; a restarted one has lost its incarnation
-    and begins with its own clock's, as a head without a disk does."""
+    and begins with its own clock's, as a head without a disk does.
+    """
 
     world: World
     make: Callable[..., Detector] = Detector
--- a/stoatrouter/lab/fleet/exhaustive.py
+++ b/stoatrouter/lab/fleet/exhaustive.py
@@ -158,7 +158,8 @@
     voters: int, depth: int, make: Callable[..., Raft] = Raft, crashes: int = 1, most: int = 1 << 62
 ) -> tuple[int, int]:
     """All states up to a depth, breadth first: how many there were, and the depth that was done. Raises
-    Broken."""
+    Broken.
+    """
     everybody = tuple(Voter(f"h{i}", f"h{i}/0") for i in range(voters))
     disk = Disk(0, None, Snapshot(1, 0, everybody, b""))
     first = Small(make, crashes=crashes)
--- a/stoatrouter/lab/fleet/stories.py
+++ b/stoatrouter/lab/fleet/stories.py
@@ -1,5 +1,6 @@
 """Whole runs of virtual fleets: faults drawn from a seed, clients beside them, promises checked, then a
-calm end."""
+calm end.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +37,8 @@
     script: list[faults.Fault] | None = None,
 ) -> Told:
     """Agreement under faults. Raises Broken (or AssertionError, the program's own) where a promise is not
-    kept."""
+    kept.
+    """
     names = [f"h{i}" for i in range(heads)]
     world = World(seed, names)
     fleet = VoterFleet(world, 3 if seed % 2 else min(5, heads), make)
@@ -62,7 +64,8 @@
 
 def check_reads(fleet: VoterFleet) -> int:
     """Promise: a read shows all that was acknowledged before it was asked, and values in the order of the
-    log. (For a list that only grows this is linearizability.)"""
+    log. (For a list that only grows this is linearizability.)
+    """
     asked, done, reads = {}, [], 0
     final = [entry.body for _, entry in sorted(fleet.applied.items()) if entry.kind == "c"]
     for what, who, at, value in fleet.history:
--- a/stoatrouter/lab/fleet/voters.py
+++ b/stoatrouter/lab/fleet/voters.py
@@ -76,7 +76,8 @@
 @dataclass
 class VoterFleet:
     """Heads that agree, and clients that put values and read them. `make` builds a head's reducer (a
-    mutant's, where a test shows that its promises are checked)."""
+    mutant's, where a test shows that its promises are checked).
+    """
 
     world: World
     voters: int = 3
@@ -126,7 +127,8 @@
 
     def kill(self, name: str, wipe: bool) -> None:
         """What was on its way to the disk may have come there, in order, up to any point; a wiped disk is
-        another identity."""
+        another identity.
+        """
         head = self.heads[name]
         done = self.world.draws.randint(0, len(head.pending))
         for effect in head.pending[:done]:
@@ -139,7 +141,8 @@
 
     def may_wipe(self, name: str) -> bool:
         """Whether a majority keeps its disks in each set of voters that any head holds: beyond that
-        nothing is promised."""
+        nothing is promised.
+        """
         intact = {head.voter for other, head in self.heads.items() if other != name}
         sets = {head.raft.voters for head in self.heads.values()}
         return all(2 * len(intact & set(voters)) > len(voters) for voters in sets)
--- a/stoatrouter/lab/hollow/census.py
+++ b/stoatrouter/lab/hollow/census.py
@@ -64,7 +64,8 @@
 
     def mean_rates(self, before: Census, seconds: float) -> dict[str, float]:
         """Counts a head and second between two rounds, over all heads; raises Incomplete where a head that is
-        expected did not run at both."""
+        expected did not run at both.
+        """
         both = {report.name for report in self.running} & {report.name for report in before.running}
         if missing := [name for name in self.expected if name not in both]:
             named = ", ".join(missing[:20])
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -19,7 +19,6 @@
 import msgspec
 from loguru import logger
 
-from cypressworks import Scheduler
 from stoatrouter.config import Config, ConfigError
 from stoatrouter.core import model
 from stoatrouter.core.list_times import list_times
@@ -33,6 +32,7 @@
 from stoatrouter.net.discovery import Watch
 from stoatrouter.peering.heads import Heads, kept_version
 from stoatrouter.peering.settings import HeadsSettings
+from stoatrouter.policy import Scheduler
 
 
 class Life(Enum):
@@ -148,7 +148,8 @@
 
     def _ended(self, task: asyncio.Task[None]) -> None:
         """A task of the control part has ended. Its loops never do, but by an error or a cancellation; the
-        founding returns when it is done."""
+        founding returns when it is done.
+        """
         if self.life not in (Life.STARTING, Life.RUNNING):
             return
         error = "it was cancelled" if task.cancelled() else task.exception()
--- a/stoatrouter/lab/hollow/launcher.py
+++ b/stoatrouter/lab/hollow/launcher.py
@@ -245,7 +245,8 @@
 
 def choose_addresses(shares: list[tuple[str, ...]]) -> dict[str, str]:
     """An address for the datagrams of each hollow head. Each worker has a loopback address of its own, where
-    ports are held together and then let go: nobody else takes them meanwhile."""
+    ports are held together and then let go: nobody else takes them meanwhile.
+    """
     found: dict[str, str] = {}
     for number, names in enumerate(shares):
         host = f"127.{FIRST_HOST + os.getpid() % 128}.{number}.1"
--- a/stoatrouter/lab/hollow/messages.py
+++ b/stoatrouter/lab/hollow/messages.py
@@ -46,7 +46,8 @@
 
 class Part(msgspec.Struct, frozen=True, tag=True):
     """Put a partition between heads on different sides, or between these pairs of sides alone; nobody named:
-    take it away."""
+    take it away.
+    """
 
     sides: dict[str, int]
     apart: tuple[tuple[int, int], ...] = ()
--- a/stoatrouter/lab/hollow/network.py
+++ b/stoatrouter/lab/hollow/network.py
@@ -52,7 +52,8 @@
 
     def attach_datagrams(self, name: str, datagrams: Datagrams) -> None:
         """Put this network before and behind a head's datagram socket, which is open already, and count what
-        passes by kind."""
+        passes by kind.
+        """
         transport, receive, counts = datagrams.transport, datagrams.datagram_received, datagrams.counts
         assert transport is not None
         datagrams.transport = DelayedTransport(transport, self, name, counts)  # type: ignore[assignment]
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -15,10 +15,10 @@
 from loguru import logger
 from yarl import URL
 
-from cypressworks.interface import ListKind, Phase
 from stoatrouter.core.list_times import ListTimes, list_times
 from stoatrouter.core.model import NodeInfo
 from stoatrouter.net.nodes import Broken, only_once
+from stoatrouter.policy.interface import ListKind, Phase
 
 LEAST_CALL_INTERVAL = timedelta(milliseconds=50)  # of calls that are answered at once and bring nothing
 LARGEST_LIST = 4 * 1024 * 1024
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -11,7 +11,6 @@
 
 from loguru import logger
 
-from cypressworks.interface import ListKind, Outcome
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.net.bodies import BrokenOff
@@ -20,6 +19,7 @@
 from stoatrouter.net.nodes import NodeClient, Reply
 from stoatrouter.net.presence import CLIENT, gone
 from stoatrouter.net.state_file import AdministrativeStateFile
+from stoatrouter.policy.interface import ListKind, Outcome
 
 # A loop this late has too little of its core; in quiet times it is late by a few milliseconds.
 PRESSED_LAG, PRESSED_FOR = timedelta(milliseconds=30), timedelta(milliseconds=500)
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -15,10 +15,10 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
-from cypressworks.interface import Outcome
 from stoatrouter.core import model
 from stoatrouter.net.bodies import SMALL, Flow, StoredBody
 from stoatrouter.net.pool import NodeConnection, NodePool, NotBegun
+from stoatrouter.policy.interface import Outcome
 
 HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=400)
 # Idle connections are given up at this part of the time after which a node closes them: a request written
--- a/stoatrouter/net/state.py
+++ b/stoatrouter/net/state.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from cypressworks.interface import Phase
 from stoatrouter.core.model import AdministrativeState, NodeInfo
 from stoatrouter.core.spans import micros, span
+from stoatrouter.policy.interface import Phase
 
 UNREADABLE = (KeyError, TypeError, AttributeError, OverflowError, ValueError)
 
--- a/stoatrouter/peering/book.py
+++ b/stoatrouter/peering/book.py
@@ -34,7 +34,8 @@
 
     def read(self) -> dict[str, int]:
         """What an earlier process had spent, by allotment. A figure that is torn counts as the larger
-        half."""
+        half.
+        """
         found: dict[str, int] = {}
         for slot in range(SLOTS):
             at = slot * SIZE
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -15,7 +15,6 @@
 import msgspec
 from loguru import logger
 
-from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
@@ -25,6 +24,7 @@
 from stoatrouter.peering.book import SpentBook
 from stoatrouter.peering.fleet import Fleet
 from stoatrouter.peering.settings import CreditSettings
+from stoatrouter.policy import interface as api
 
 PART = "credit"
 EVERY = timedelta(milliseconds=50)
@@ -166,7 +166,8 @@
 
     async def expire(self) -> None:
         """At the leader: say which allotments' time is over, by this head's own clock since it knew of
-        them."""
+        them.
+        """
         now = self.fleet.now()
         if len(self.seen) != len(self.ledger.places) or self.seen.keys() != self.ledger.places.keys():
             self.seen = {id: self.seen.get(id, now) for id in self.ledger.places}
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -163,7 +163,8 @@
 
     async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
         """Bring a command through at whoever leads; its answer. Raises NotAgreed: it may come to hold later,
-        and asked again under its id it gives the one answer."""
+        and asked again under its id it gives the one answer.
+        """
         return await self._client.command(part, body, id, within)
 
     async def read(self, within: timedelta) -> None:
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -1,5 +1,6 @@
 """All that a head has of heads that know each other, put together from its file. Loaded only where it is
-on."""
+on.
+"""
 
 from __future__ import annotations
 
--- a/stoatrouter/peering/leader.py
+++ b/stoatrouter/peering/leader.py
@@ -45,7 +45,8 @@
     # -- asking -------------------------------------------------------------------------------------------
     async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
         """Bring a command through at whoever leads; its answer. Raises NotAgreed: it may come to hold later,
-        and asked again under its id it gives the one answer."""
+        and asked again under its id it gives the one answer.
+        """
         command = Command(id, part, body, self.settings.name)
         encoded = msgspec.msgpack.encode(command)
         answer = await self._ask(calls.COMMAND, encoded, within, lambda: self.answer_command(command))
--- a/stoatrouter/peering/operators.py
+++ b/stoatrouter/peering/operators.py
@@ -116,7 +116,8 @@
 
     async def identify(self, name: str) -> Voter:
         """Under which identity a head is there now. It must follow already: a voter that holds nothing yet
-        would hold up the others."""
+        would hold up the others.
+        """
         fleet = self.fleet
         if name == fleet.settings.name:
             return fleet.me
@@ -135,7 +136,8 @@
 
     async def recover(self) -> web.Response:
         """This head goes on alone with what it holds, as a fleet of a new origin: the old one's voters,
-        should they come back, are not heard, and what only they had agreed on is lost."""
+        should they come back, are not heard, and what only they had agreed on is lost.
+        """
         fleet = self.fleet
         if fleet.availability.changes:
             return answer(409, {"error": "this head hears a majority: there is nothing to recover"})
--- a/stoatrouter/peering/rules.py
+++ b/stoatrouter/peering/rules.py
@@ -193,7 +193,8 @@
 
     def alone(self, digest: str, content: bytes) -> Path:
         """The files of one set, and no older ones beside them: a table that is made needs them no more. Sets
-        are made one at a time, so none goes that is being read."""
+        are made one at a time, so none goes that is being read.
+        """
         for place in self.folder.iterdir() if self.folder.is_dir() else ():
             if place.name != digest:
                 shutil.rmtree(place, ignore_errors=True)
--- a/stoatrouter/peering/streams.py
+++ b/stoatrouter/peering/streams.py
@@ -171,7 +171,8 @@
 
     def tell(self, name: str, message: Any) -> None:
         """Queue a message of the agreement for a head; several go together. None of them is ever waited
-        for."""
+        for.
+        """
         queue = self.queues.setdefault(name, [])
         queue.append(message)
         if len(queue) > MOST_QUEUED:
--- a/cypressworks/handover.py
+++ b/stoatrouter/policy/handover.py
@@ -10,9 +10,9 @@
 from collections import deque
 from typing import Any
 
-from cypressworks import interface as api
-from cypressworks.logic import Scheduler
-from cypressworks.rules import CACHED_KEY_COUNT, Node, Volume
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.logic import Scheduler
+from stoatrouter.policy.rules import CACHED_KEY_COUNT, Node, Volume
 
 # Of what is left of a store beyond what the old process holds for: its clients come until their answers.
 OLD_PART = 0.2
--- a/cypressworks/logic.py
+++ b/stoatrouter/policy/logic.py
@@ -1,4 +1,4 @@
-"""Every decision of cypressworks, to be read aloud. Its settings, events and actions: interface.py."""
+"""Every decision of the policy, as one state machine. Its settings, events and actions: interface.py."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import random
 from collections import deque
 
-from cypressworks import interface as api
-from cypressworks.interface import Attempt, Effect, Group, Outcome, Phase, Request
-from cypressworks.node_index import NodeIndex, RecentKeys
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.interface import Attempt, Effect, Group, Outcome, Phase, Request
+from stoatrouter.policy.node_index import NodeIndex, RecentKeys
 
-from cypressworks.rules import (  # isort: skip
+from stoatrouter.policy.rules import (  # isort: skip
     AVERAGE_SPAN,
     CROWD,
     KEY_BONUS,
--- a/cypressworks/node_index.py
+++ b/stoatrouter/policy/node_index.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import Any
 
-from cypressworks.interface import NodeEntry, Phase
+from stoatrouter.policy.interface import NodeEntry, Phase
 
 Rank = tuple[float, float, int]  # load as of a warm node, since when it has been cold (0: warm), number
 
--- a/cypressworks/rules.py
+++ b/stoatrouter/policy/rules.py
@@ -6,9 +6,9 @@
 from collections import deque
 from itertools import takewhile
 
-from cypressworks import interface as api
-from cypressworks.interface import Attempt, Effect, Group, ListKind, Phase, Request
-from cypressworks.node_index import IndexedNode
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.interface import Attempt, Effect, Group, ListKind, Phase, Request
+from stoatrouter.policy.node_index import IndexedNode
 
 MS, SECOND = 1_000, 1_000_000
 READ_EVERY, REBUILD_EVERY = 100 * MS, SECOND  # the controller's reading; the throttleable set
--- a/cypressworks/simhost.py
+++ b/stoatrouter/policy/simhost.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from cypressworks import interface as api
-from cypressworks.logic import Scheduler
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.logic import Scheduler
 
 Fields = dict[str, Any]
 
--- a/tests/handover_scenario.py
+++ b/tests/handover_scenario.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from cypressworks import Scheduler, handover
-from cypressworks import interface as api
+from stoatrouter.policy import Scheduler, handover
+from stoatrouter.policy import interface as api
 
 SECOND = 1_000_000  # microseconds
 HANDED_AT = 20 * SECOND  # microseconds since the scheduler's clock began
--- a/tests/heads/test_credit_escrow.py
+++ b/tests/heads/test_credit_escrow.py
@@ -8,7 +8,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cypressworks import interface as api
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.credit.escrow import HeadEscrow
@@ -21,6 +20,7 @@
 )
 from stoatrouter.lab.fleet.credit import Disk
 from stoatrouter.peering.book import SpentBook
+from stoatrouter.policy import interface as api
 from tests.peers import Node, head_config
 
 SECOND = timedelta(seconds=1)
--- a/tests/node_stories.py
+++ b/tests/node_stories.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cypressworks import interface as api
-from cypressworks.handover import hand_over, take_over
-from cypressworks.logic import Scheduler
-from cypressworks.node_index import NodeIndex
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.handover import hand_over, take_over
+from stoatrouter.policy.logic import Scheduler
+from stoatrouter.policy.node_index import NodeIndex
 
 MS, SECOND = 1_000, 1_000_000
 START = 1_000 * SECOND
--- a/tests/scheduler_driver.py
+++ b/tests/scheduler_driver.py
@@ -5,8 +5,8 @@
 import heapq
 from typing import Any
 
-from cypressworks import interface as api
-from cypressworks.logic import Scheduler
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.logic import Scheduler
 
 MS, SECOND = 1_000, 1_000_000
 READ = api.RequestClass("read", worth=3, aim=250 * MS, deadline=2 * SECOND, late_worth=0.2)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from cypressworks import interface as api
-from cypressworks import simhost
+from stoatrouter.policy import interface as api
+from stoatrouter.policy import simhost
 
 ROOT = Path(__file__).parent.parent
 JOB = "5d3a91c4-8c0f-4746-a957-3462960d300a"
@@ -274,7 +274,7 @@
 
 def test_the_adapter_runs_and_exits_at_the_end_of_input():
     done = subprocess.run(
-        [sys.executable, "-B", "-m", "cypressworks.simhost"],
+        [sys.executable, "-B", "-m", "stoatrouter.policy.simhost"],
         cwd=ROOT,
         text=True,
         input='{"Time":1,"events":[]}\n',
--- a/tests/test_administrative_state.py
+++ b/tests/test_administrative_state.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from cypressworks.interface import ListKind, Phase
 from stoatrouter.core import model
 from stoatrouter.core.spans import micros
 from stoatrouter.net.state_file import AdministrativeStateFile
+from stoatrouter.policy.interface import ListKind, Phase
 from tests.test_core import MS, START, node, only, reducer, request
 
 SECOND = 1000 * MS
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,10 +12,10 @@
 import aiohttp
 import pytest
 
-from cypressworks.interface import ListKind
 from stoatrouter.net import bodies, clients
 from stoatrouter.net.bodies import BodyCapacity, NoCapacity, TooLarge
 from stoatrouter.net.discovery import read_node
+from stoatrouter.policy.interface import ListKind
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, started
 from tests.test_clients import GOOD, PUT, exchange
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from cypressworks import interface as api
-from cypressworks.interface import ListKind, Outcome, Phase
 from stoatrouter.config import ConfigError, address, on_sockets
 from stoatrouter.core import model
 from stoatrouter.core.invariants import InvariantBroken, invariant
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.core.spans import micros, span
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.interface import ListKind, Outcome, Phase
 from tests.scheduler_driver import CLASSES, PLAN
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,14 +15,14 @@
 import pytest
 from aiohttp.http_writer import StreamWriter
 
-from cypressworks import interface as api
-from cypressworks.interface import Outcome
 from stoatrouter import config
 from stoatrouter.core.list_times import MS
 from stoatrouter.head import Head
 from stoatrouter.net import presence
 from stoatrouter.net.clients import State
 from stoatrouter.net.nodes import NodeClient
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.interface import Outcome
 from tests.peers import HOST, SETTINGS, Node, config_data, head_config, nodes_up, run, told, until
 from tests.platform_client import HEADERS, PATH, WRITE, attempt, started
 from tests.scheduler_driver import MS as MS_
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from cypressworks.interface import ListKind, Phase
 from stoatrouter.net import discovery
 from stoatrouter.net.discovery import Watch
+from stoatrouter.policy.interface import ListKind, Phase
 from tests.peers import HOST, Discovery, Node, listening, run, told, until
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from cypressworks import handover
-from cypressworks import interface as api
-from cypressworks.logic import Scheduler
-from cypressworks.rules import NEVER
+from stoatrouter.policy import handover
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.logic import Scheduler
+from stoatrouter.policy.rules import NEVER
 from tests.scheduler_driver import MS, SECOND, SchedulerDriver, answer_after
 
 FLEET, START, COLD, FALL, FROM, UNITS = 60, 100 * SECOND, 18 * SECOND, 3 * SECOND, 0.16, 34.0
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from cypressworks import interface as api
-from cypressworks.interface import Attempt, Outcome, Phase
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.interface import Attempt, Outcome, Phase
 from tests.scheduler_driver import CLASSES, MS, PLAN, SECOND, SchedulerDriver, answer_after
 
 
--- a/tests/test_half_time.py
+++ b/tests/test_half_time.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cypressworks import interface as api
-from cypressworks.interface import Outcome
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.interface import Outcome
 from tests.scheduler_driver import MS, SECOND, SchedulerDriver
 
 
--- a/tests/test_handover_format.py
+++ b/tests/test_handover_format.py
@@ -3,7 +3,7 @@
 import json
 from pathlib import Path
 
-from cypressworks import handover
+from stoatrouter.policy import handover
 from tests.handover_scenario import HANDED_AT, play_before_handover, take_over_from
 
 WRITTEN_BEFORE = json.loads((Path(__file__).parent / "data" / "handover-8ad4498.json").read_text())
--- a/tests/test_list_and_descriptors.py
+++ b/tests/test_list_and_descriptors.py
@@ -16,13 +16,13 @@
 import aiohttp
 import pytest
 
-from cypressworks.interface import Phase
 from stoatrouter import head as head_module
 from stoatrouter.core.descriptors import divide_descriptors
 from stoatrouter.core.list_times import COUNTS_AS_NOTIFIED, MS, list_times
 from stoatrouter.core.spans import micros
 from stoatrouter.head import Head
 from stoatrouter.net.discovery import Watch
+from stoatrouter.policy.interface import Phase
 from tests.addresses import free_ports, own_host
 from tests.agent import Agent, agent_up
 from tests.heads.processes import end_with_parent
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from cypressworks import interface as api
-from cypressworks.interface import Outcome
-from cypressworks.rules import STEP_DELAY, TOP_STEP, TOP_WINDOW, Node
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.interface import Outcome
+from stoatrouter.policy.rules import STEP_DELAY, TOP_STEP, TOP_WINDOW, Node
 from tests.scheduler_driver import MS, SECOND, SchedulerDriver, answer_after
 
 THRESHOLD = 250 * MS
--- a/tests/test_node_index.py
+++ b/tests/test_node_index.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from cypressworks import interface as api
-from cypressworks.logic import Scheduler
-from cypressworks.node_index import IndexedNode, NodeIndex, RecentKeys
-from cypressworks.rules import Node
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.logic import Scheduler
+from stoatrouter.policy.node_index import IndexedNode, NodeIndex, RecentKeys
+from stoatrouter.policy.rules import Node
 from tests.node_stories import MS, SECOND, START, Differs, Story
 
 SEEDS = range(1, 13)
@@ -123,7 +123,7 @@
 
 def looks_for(count: int, monkeypatch) -> int:
     """How many looks at nodes the same 400 requests take with so many nodes listed, three to a shard."""
-    monkeypatch.setattr("cypressworks.logic.Node", CountingNode)
+    monkeypatch.setattr("stoatrouter.policy.logic.Node", CountingNode)
     monkeypatch.setattr("tests.node_stories.Scheduler", Counting)
     story = Story(7, any_node=0.5)
     story.entries = [api.NodeEntry(f"n{i}", i // 3) for i in range(count)]
@@ -159,7 +159,7 @@
 
 
 def test_a_node_at_rest_is_not_read(monkeypatch):
-    monkeypatch.setattr("cypressworks.logic.Node", CountingNode)
+    monkeypatch.setattr("stoatrouter.policy.logic.Node", CountingNode)
     story = Story(3, count=300)
     story.pass_time(8 * SECOND)
     scheduler = story.schedulers[0]
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from cypressworks.interface import Outcome
 from stoatrouter.net.nodes import NodeClient
+from stoatrouter.policy.interface import Outcome
 from tests.peers import HOST, run, until
 from tests.platform_client import attempt
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from cypressworks import interface as api
-from cypressworks.interface import Outcome, Phase
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.interface import Outcome, Phase
 from tests.scheduler_driver import CLASSES, MS, PLAN, READ, SECOND, WRITE, SchedulerDriver, answer_after
 
 KEYED = api.RequestClass(
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -11,10 +11,10 @@
 from datetime import timedelta
 from pathlib import Path
 
-from cypressworks.interface import Phase
 from stoatrouter.core.model import AdministrativeState, NodeInfo
 from stoatrouter.net.state import read_node, write_node
 from stoatrouter.net.state_file import AdministrativeStateFile
+from stoatrouter.policy.interface import Phase
 
 DATA = Path(__file__).parent / "data"
 STATE_FILE_NAME = "stoatrouter-bricks.json"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,12 +14,12 @@
 import aiohttp
 import pytest
 
-from cypressworks import Scheduler, handover
-from cypressworks import interface as api
-from cypressworks.rules import SECOND
 from stoatrouter.net.early import NAME, Announcement
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.net.succession import Succession
+from stoatrouter.policy import Scheduler, handover
+from stoatrouter.policy import interface as api
+from stoatrouter.policy.rules import SECOND
 from tests.addresses import free_port
 from tests.peers import HOST, Discovery, Node, config_data, listening, nodes_up, run, told, until
 from tests.platform_client import started
