--- a/benchmarks/capacity/times.py
+++ b/benchmarks/capacity/times.py
@@ -57,9 +57,9 @@
             world = fleet.world
             world.run(REST)
             seconds = REST / SECOND
-            messages = sum(world.sent.values()) / size / seconds
+            messages = sum(world.messages_sent.values()) / size / seconds
             run.add(Measurement("datagrams of a head at rest", size, round(messages, 4), "1/s", seed))
-            sent = sum(world.bytes.values()) / size / seconds
+            sent = sum(world.bytes_sent.values()) / size / seconds
             run.add(
                 Measurement("bytes of datagrams of a head at rest", size, round(sent, 2), "bytes/s", seed)
             )
@@ -71,18 +71,18 @@
     """Kill one; when each other head took it for failed, in seconds."""
     world, size = fleet.world, len(fleet.world.names)
     victim, began = world.names[size // 2], world.now
-    world.bytes.clear()
+    world.bytes_sent.clear()
     fleet.kill(victim)
     while world.now < began + KNOWN_WITHIN and fleet.views(victim) != {Status.FAILED}:
         world.run(world.now + SECOND / 10)
     assert fleet.views(victim) == {Status.FAILED}, "not all know of it"
     seconds = (world.now - began) / SECOND
-    sent = sum(world.bytes.values()) / (size - 1) / seconds
+    sent = sum(world.bytes_sent.values()) / (size - 1) / seconds
     run.add(Measurement("bytes of datagrams of a head after a kill", size, round(sent, 2), "bytes/s", seed))
     return [
-        (at - began) / SECOND
-        for at, _, of, status, _ in fleet.changes
-        if of == victim and status is Status.FAILED
+        (change.at - began) / SECOND
+        for change in fleet.changes
+        if change.subject == victim and change.status is Status.FAILED
     ]
 
 
--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -11,15 +11,17 @@
 import statistics
 import tempfile
 import time
+from collections import Counter
 from collections.abc import Callable
 from datetime import timedelta
 from pathlib import Path
 
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.records import Grant
-from stoatrouter.lab.fleet import faults
-from stoatrouter.lab.fleet.credit import ACCOUNT, CreditFleet
-from stoatrouter.lab.fleet.voters import Broken
+from stoatrouter.lab.fleet.credit import CreditFleet
+from stoatrouter.lab.fleet.credit_account import ACCOUNT
+from stoatrouter.lab.fleet.errors import InvariantViolated
+from stoatrouter.lab.fleet.stories import schedule_credit_run
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.peering.book import SpentBook
 
@@ -55,18 +57,21 @@
 class EvenSplit(CreditFleet):
     """Each head may spend its even part of what was paid in, and no more."""
 
+    def __post_init__(self) -> None:
+        super().__post_init__()
+        self.spent: Counter[tuple[str, str]] = Counter()  # by head and customer
+
     def request(self, name: str, customer: str, charge: int, rank: int) -> None:
-        if not running(self, name):
+        if not self.world.is_running(name):
             return
-        self.count += 1
-        spent = self.answers.setdefault(f"{name}/{customer}", b"0")
-        if int(spent) + charge > self.paid[customer] // len(self.names):
-            self.turned += 1
+        spent = self.spent[name, customer]
+        if spent + charge > self.paid[customer] // len(self.names):
+            self.rejected += 1
             return
-        self.answers[f"{name}/{customer}"] = b"%d" % (int(spent) + charge)
-        self.taken += 1
-        self.true[customer] += charge
-        self.check(customer)
+        self.spent[name, customer] = spent + charge
+        self.admitted += 1
+        self.charged[customer] += charge
+        self.check_not_overspent(customer)
 
 
 class NoSharing(EvenSplit):
@@ -85,13 +90,12 @@
     """Each request waits for the account's word; one that does not come in time is refused, booked or not."""
 
     def request(self, name: str, customer: str, charge: int, rank: int) -> None:
-        if not running(self, name):
+        if not self.world.is_running(name):
             return
-        self.count += 1
         answered: list[bool] = []
 
         def arrive() -> None:
-            account = self.ledger.accounts[customer]
+            account = self.account.ledger.accounts[customer]
             ok = account.balance >= charge
             if ok:
                 account.charged += charge
@@ -105,23 +109,18 @@
         def late() -> None:
             if not answered:
                 answered.append(False)
-                self.turned += 1
+                self.rejected += 1
 
         self.world.send(name, ACCOUNT, arrive)
-        self.world.on(name, ANSWER_BY, late)
+        self.world.schedule_on(name, ANSWER_BY, late)
 
     def done(self, customer: str, charge: int, ok: bool) -> None:
         if not ok:
-            self.turned += 1
+            self.rejected += 1
             return
-        self.taken += 1
-        self.true[customer] += charge
-        self.check(customer)
-
-
-def running(fleet: CreditFleet, name: str) -> bool:
-    machine = fleet.world.machines[name]
-    return machine.up and machine.paused_until <= fleet.world.now
+        self.admitted += 1
+        self.charged[customer] += charge
+        self.check_not_overspent(customer)
 
 
 def compared(kind: type[CreditFleet], seed: int, uneven: bool) -> tuple[float, float, float]:
@@ -130,21 +129,17 @@
     names = [*(f"h{i}" for i in range(5)), ACCOUNT]
     world = World(seed, names)
     fleet = kind(world, returned=True)  # no overspending ends the run: it is what is measured
-    fleet.sent, fleet.uneven = 1.0, uneven
+    fleet.sent_fraction, fleet.uneven = 1.0, uneven
     span = 20 * SECOND
-    kinds = tuple(k for k in (*faults.KINDS, "pause", "twice") if k != "wipe")
-    faults.play(world, faults.draw(seed, names, span, kinds), fleet.kill, fleet.start)
-    fleet.load(span, timedelta(milliseconds=25))
-    for i in range(16):
-        amount = world.draws.choice([20, 200, 1500])
-        world.at(span * i / 16, lambda c=f"c{i % 2}", a=amount: fleet.pay(c, a))
-    for account in fleet.ledger.accounts.values():
+    schedule_credit_run(fleet, seed, span, wipes=False)
+    for account in fleet.account.ledger.accounts.values():
         account.low_water = 0  # none of the baselines narrows
         account.returned = kind is not CreditFleet
     world.run(span)
-    paid, true = sum(fleet.paid.values()), fleet.true
-    over = sum(max(0, true[c] - fleet.paid[c]) for c in true)
-    return (sum(true.values()) - over) / paid, over / paid, fleet.turned / max(1, fleet.taken + fleet.turned)
+    paid, charged = sum(fleet.paid.values()), fleet.charged
+    over = sum(max(0, charged[c] - fleet.paid[c]) for c in charged)
+    asked = max(1, fleet.admitted + fleet.rejected)
+    return (sum(charged.values()) - over) / paid, over / paid, fleet.rejected / asked
 
 
 def against_baselines(seeds: int, uneven: bool) -> None:
@@ -166,7 +161,7 @@
         for seed in range(seeds):
             try:
                 rows.append(compared(kind, seed, uneven))
-            except Broken as broken:
+            except InvariantViolated as broken:
                 print(f"seed {seed}: {broken}")
         print(
             f"| {title} | {statistics.mean(r[0] for r in rows):.1%} | {max(r[1] for r in rows):.1%} | "
--- a/benchmarks/heads_detector.py
+++ b/benchmarks/heads_detector.py
@@ -34,16 +34,18 @@
         for link in world.links.values():
             link.loss = loss
         fleet.changes.clear()
-        world.sent.clear()
-        world.bytes.clear()
+        world.messages_sent.clear()
+        world.bytes_sent.clear()
         began = world.now
         if pauses:  # one head in five stands still for 1.5 s now and then
             for i, name in enumerate(world.names[::5]):
                 for at in range(2 + i % 5, span, 7):
-                    world.at(at * SECOND, lambda name=name, world=world: world.pause(name, 1.5 * SECOND))
+                    world.schedule(
+                        at * SECOND, lambda name=name, world=world: world.pause(name, 1.5 * SECOND)
+                    )
         world.run(began + span * SECOND)
-        messages.append(sum(world.sent.values()) / size / span)
-        size_of.append(sum(world.bytes.values()) / size / span)
+        messages.append(sum(world.messages_sent.values()) / size / span)
+        size_of.append(sum(world.bytes_sent.values()) / size / span)
         suspected += fleet.suspicions()
         failed += fleet.false_failures()
         victim = world.names[size // 2]
--- a/benchmarks/heads_virtual.py
+++ b/benchmarks/heads_virtual.py
@@ -23,10 +23,10 @@
     story, seed, heads = job
     try:
         if story == "agreement":
-            told = stories.agreement(seed, heads)
-            return story, seed, "", told.acknowledged, told.events
-        fleet = stories.credit(seed, heads, wipes=seed % 2 == 0)
-        return story, seed, "", fleet.taken, fleet.world.events
+            result = stories.run_agreement(seed, heads)
+            return story, seed, "", result.acknowledged, result.events
+        fleet = stories.run_credit(seed, heads, wipes=seed % 2 == 0)
+        return story, seed, "", fleet.admitted, fleet.world.events
     except Exception as error:  # noqa: BLE001 - a seed's fault is the result
         return story, seed, f"{type(error).__name__}: {error}"[:300], 0, 0
 
@@ -53,7 +53,7 @@
 def exhaustive() -> None:
     for voters, depth, crashes in ((2, 12, 1), (3, 7, 1), (3, 8, 0)):
         began = time.perf_counter()
-        states, done = search(voters, depth, crashes=crashes, most=400_000)
+        states, done = search(voters, depth, crashes=crashes, max_states=400_000)
         print(
             f"{voters} voters, {crashes} crash, depth {done}: {states} states, "
             f"{time.perf_counter() - began:.0f} s",
--- a/stoatrouter/lab/fleet/__init__.py
+++ b/stoatrouter/lab/fleet/__init__.py
@@ -1,3 +1,1 @@
-"""Fleets of the heads' pure parts in virtual time: one seed, one order of events, the same digest each
-time.
-"""
+"""Fleets of the heads' pure parts in virtual time: one seed gives one order of events and one digest."""
--- a/stoatrouter/lab/fleet/detectors.py
+++ b/stoatrouter/lab/fleet/detectors.py
@@ -1,12 +1,11 @@
-"""A fleet of detectors in virtual time, over real datagrams: what each believes of each, against what is
-so.
-"""
+"""A fleet of failure detectors in virtual time, over real datagrams: each one's view against the truth."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from datetime import timedelta
+from typing import NamedTuple
 
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.datagram import decode, encode
@@ -15,101 +14,120 @@
 
 TICK = timedelta(milliseconds=50)
 SECRET = b"s" * 64
+FLEET = "fleet"  # the name under which datagrams are authenticated
+FALSE_FAILURE_WINDOW = timedelta(seconds=30)  # reports of one head within it count as one false failure
+
+
+class StatusChange(NamedTuple):
+    """One head's view of another changed."""
+
+    at: timedelta
+    observer: str
+    subject: str
+    status: Status
+    subject_was_down: bool
 
 
 @dataclass
 class DetectorFleet:
-    """Detectors, one a machine. Addresses are the machines' names; a restarted one has lost its incarnation
-    and begins with its own clock's, as a head without a disk does.
+    """One detector a machine; a machine's name is its address.
+
+    A restarted head has lost its incarnation and begins with that of its own clock, as a head without a disk
+    does. `make_detector` builds a detector (a mutant's, where a test shows that faults are found).
     """
 
     world: World
-    make: Callable[..., Detector] = Detector
+    make_detector: Callable[..., Detector] = Detector
     timing: Timing = field(default_factory=Timing)
     detectors: dict[str, Detector] = field(default_factory=dict)
-    # when, who saw, whom, as what, and whether that one was down
-    changes: list[tuple[timedelta, str, str, Status, bool]] = field(default_factory=list)
-    largest: int = 0  # bytes of a datagram
+    changes: list[StatusChange] = field(default_factory=list)
+    largest_datagram: int = 0  # bytes
     down_since: dict[str, timedelta] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
+        """Start a detector on every machine."""
         for name in self.world.names:
             self.boot(name, 1)
 
     def boot(self, name: str, incarnation: int) -> None:
         """Start a head's detector."""
         peers = tuple(other for other in self.world.names if other != name)
-        self.detectors[name] = self.make(
-            name, incarnation, peers, self.world.seed * 7 + self.world.machines[name].life, self.timing
-        )
-        self.world.on(name, self.timing.period * self.world.draws.random(), lambda: self.tick(name))
+        seed = self.world.seed * 7 + self.world.machines[name].incarnation
+        self.detectors[name] = self.make_detector(name, incarnation, peers, seed, self.timing)
+        first_tick = self.timing.period * self.world.rng.random()
+        self.world.schedule_on(name, first_tick, lambda: self.tick(name))
 
     def tick(self, name: str) -> None:
         """Let time pass for a head."""
-        self.put(name, Tick(self.world.clock(name)))
-        self.world.on(name, TICK, lambda: self.tick(name))
+        self.reduce(name, Tick(self.world.clock(name)))
+        self.world.schedule_on(name, TICK, lambda: self.tick(name))
 
-    def put(self, name: str, event: Event) -> None:
-        """Reduce an event, and run its effects."""
+    def reduce(self, name: str, event: Event) -> None:
+        """Reduce an event at a head, and run its effects."""
         for effect in self.detectors[name].reduce(event):
             match effect:
                 case SendTo():
-                    data = encode(effect.message, SECRET, "fleet")
-                    self.largest = max(self.largest, len(data))
-                    self.world.note(f"{name}>{effect.address} {len(data)}")
-                    self.world.send(
-                        name,
-                        effect.address,
-                        lambda a=effect.address, d=data: self.put(
-                            a, Heard(self.world.clock(a), name, decode(d, SECRET, "fleet"))
-                        ),
-                        len(data),
-                    )
+                    self._send(name, effect)
                 case Changed():
-                    so = effect.name in self.down_since
-                    self.changes.append((self.world.now, name, effect.name, effect.status, so))
+                    was_down = effect.name in self.down_since
+                    change = StatusChange(self.world.now, name, effect.name, effect.status, was_down)
+                    self.changes.append(change)
 
+    def _send(self, sender: str, effect: SendTo) -> None:
+        receiver = effect.address
+        data = encode(effect.message, SECRET, FLEET)
+        self.largest_datagram = max(self.largest_datagram, len(data))
+        self.world.record(f"{sender}>{receiver} {len(data)}")
+
+        def deliver() -> None:
+            self.reduce(receiver, Heard(self.world.clock(receiver), sender, decode(data, SECRET, FLEET)))
+
+        self.world.send(sender, receiver, deliver, len(data))
+
+    # -- faults -------------------------------------------------------------------------------------------
     def kill(self, name: str, wipe: bool = False) -> None:
-        """End a head without a word."""
-        self.world.down(name)
+        """End a head without a word to anybody; there is no disk to wipe."""
+        self.world.stop_machine(name)
         self.down_since[name] = self.world.now
 
     def start(self, name: str) -> None:
         """Start a head again."""
         self.down_since.pop(name, None)
-        self.world.up(name)
-        self.boot(name, 1 + self.world.machines[name].life if self.world.draws.random() < 0.5 else 1)
+        self.world.start_machine(name)
+        clock_went_on = self.world.rng.random() < 0.5
+        self.boot(name, 1 + self.world.machines[name].incarnation if clock_went_on else 1)
 
     def leave(self, name: str) -> None:
-        """End a head that says so."""
-        self.put(name, Leaving(self.world.clock(name)))
+        """End a head that announces that it leaves."""
+        self.reduce(name, Leaving(self.world.clock(name)))
         self.kill(name)
 
-    # -- what is measured and promised --------------------------------------------------------------------
-    def views(self, of: str) -> set[Status | None]:
-        """How those that are up see a head."""
+    # -- measurements and invariants ----------------------------------------------------------------------
+    def views(self, subject: str) -> set[Status | None]:
+        """The statuses that the other heads that are up give to a head."""
         return {
-            d.roster.status(of) for n, d in self.detectors.items() if self.world.machines[n].up and n != of
+            detector.roster.status(subject)
+            for name, detector in self.detectors.items()
+            if self.world.machines[name].up and name != subject
         }
 
     def complete(self) -> bool:
-        """Each head that is down is seen as gone by all that are up, each that is up as alive."""
-        return all(
-            views <= {Status.FAILED, Status.LEFT, None} if n in self.down_since else views == {Status.ALIVE}
-            for n in self.world.names
-            if (views := self.views(n))
-        )
+        """Whether all that are up see each head that is down as gone, and each that is up as alive."""
+        return all(self._seen_as_it_is(name) for name in self.world.names)
+
+    def _seen_as_it_is(self, name: str) -> bool:
+        views = self.views(name)
+        if not views:
+            return True
+        if name in self.down_since:
+            return views <= {Status.FAILED, Status.LEFT, None}
+        return views == {Status.ALIVE}
 
     def false_failures(self) -> int:
-        """Heads that were up and taken for failed, counted by who did first."""
-        return len(
-            {
-                (of, at // timedelta(seconds=30))
-                for at, _, of, status, so in self.changes
-                if status is Status.FAILED and not so
-            }
-        )
+        """Count heads that were up and taken for failed, at most once a head and window."""
+        false = [c for c in self.changes if c.status is Status.FAILED and not c.subject_was_down]
+        return len({(change.subject, change.at // FALSE_FAILURE_WINDOW) for change in false})
 
     def suspicions(self) -> int:
-        """How often a head that was up was suspected."""
-        return sum(status is Status.SUSPECT and not so for _, _, _, status, so in self.changes)
+        """Count how often a head that was up was suspected."""
+        return sum(c.status is Status.SUSPECT and not c.subject_was_down for c in self.changes)
--- a/stoatrouter/lab/fleet/exhaustive.py
+++ b/stoatrouter/lab/fleet/exhaustive.py
@@ -1,4 +1,4 @@
-"""All orders of events of a few voters, up to a depth: messages in any order or lost, writes late, one crash.
+"""A model check of a few voters: all orders of events up to a depth, with lost messages and one crash.
 
 Time is left out: any voter may stand for election at any moment, which is more than clocks allow. Two states
 that differ only in numbers of writes are one.
@@ -11,10 +11,12 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from datetime import timedelta
-from typing import Any
+from enum import Enum, auto
+from typing import NamedTuple
 
 from stoatrouter.agreement.raft import Raft, Timing
 from stoatrouter.agreement.records import (
+    AnyMessage,
     Apply,
     Disk,
     Durable,
@@ -28,154 +30,232 @@
     Voter,
     Wrote,
 )
-from stoatrouter.lab.fleet.voters import Broken, written
+from stoatrouter.lab.fleet.disk import apply_write
+from stoatrouter.lab.fleet.errors import InvariantViolated
 
 NOW = timedelta(0)
 AT_ONCE = Timing(timedelta(0), timedelta(0))
+UNLIMITED = 1 << 62  # states
+
+
+class ActionKind(Enum):
+    """What may happen next in a state."""
+
+    DELIVER = auto()
+    LOSE = auto()
+    WRITE = auto()
+    STAND = auto()
+    PROPOSE = auto()
+    CRASH = auto()
+
+
+class Action(NamedTuple):
+    """One thing that may happen: to a message in flight (DELIVER, LOSE), else to a voter."""
+
+    kind: ActionKind
+    target: int  # an index into the messages in flight, or into the voters
+
+
+class InFlight(NamedTuple):
+    """A message on its way; sender and receiver are indexes of voters."""
+
+    sender: int
+    receiver: int
+    message: AnyMessage
 
 
 @dataclass(slots=True)
-class Here:
-    """One voter."""
+class VoterState:
+    """One voter with its disk."""
 
     raft: Raft
     disk: Disk
     pending: list[Durable] = field(default_factory=list)
-    applied: int = 1
+    applied: int = 1  # index of the entry applied last
+
+    def key(self) -> tuple[object, ...]:
+        """Return all that distinguishes this state of the voter from others."""
+        raft = self.raft
+        return (
+            raft.term,
+            raft.voted,
+            raft.role,
+            raft.leader,
+            raft.commit,
+            raft.applied,
+            raft.durable,
+            tuple(raft.writes.values()),
+            tuple(sorted(raft.votes)),
+            tuple((peer.next_index, peer.match_index, peer.round) for peer in raft.peers.values()),
+            raft.round,
+            raft.log.entries,
+            self.disk,
+            [(effect.write, effect.then) for effect in self.pending],
+        )
 
 
 @dataclass(slots=True)
-class Small:
-    """A state of all voters and of what is between them."""
+class ClusterState:
+    """A state of all voters and of the messages between them."""
 
-    make: Callable[..., Raft]
-    here: list[Here] = field(default_factory=list)
-    between: list[tuple[int, int, Any]] = field(default_factory=list)  # from, to, message
-    agreed: dict[int, Entry] = field(default_factory=dict)
-    leaders: dict[int, int] = field(default_factory=dict)
-    crashes: int = 1
-    proposals: int = 1
+    make_raft: Callable[..., Raft]
+    voters: list[VoterState] = field(default_factory=list)
+    in_flight: list[InFlight] = field(default_factory=list)
+    committed: dict[int, Entry] = field(default_factory=dict)  # by index
+    leaders: dict[int, int] = field(default_factory=dict)  # index of the voter, by term
+    crashes_left: int = 1
+    proposals_left: int = 1
 
     def key(self) -> bytes:
-        """What tells this state from others."""
-        voters = []
-        for here in self.here:
-            raft = here.raft
-            voters.append(
-                (
-                    raft.term,
-                    raft.voted,
-                    raft.role,
-                    raft.leader,
-                    raft.commit,
-                    raft.applied,
-                    raft.durable,
-                    tuple(raft.writes.values()),
-                    tuple(sorted(raft.votes)),
-                    tuple((p.next_index, p.match_index, p.round) for p in raft.peers.values()),
-                    raft.round,
-                    raft.log.entries,
-                    here.disk,
-                    [(d.write, d.then) for d in here.pending],
-                )
-            )
-        between = sorted(pickle.dumps(m) for m in self.between)
-        return pickle.dumps((voters, between, self.crashes, self.proposals, sorted(self.leaders.items())))
+        """Return what distinguishes this state from others."""
+        voters = [voter.key() for voter in self.voters]
+        in_flight = sorted(pickle.dumps(message) for message in self.in_flight)
+        counts = (self.crashes_left, self.proposals_left)
+        return pickle.dumps((voters, in_flight, *counts, sorted(self.leaders.items())))
 
     # -- what may happen next -----------------------------------------------------------------------------
-    def actions(self) -> Iterator[tuple[str, int]]:
-        """All that may happen in this state."""
-        for i, (_, _, message) in enumerate(self.between):
-            yield f"deliver {type(message).__name__}", i
-            yield "lose", i
-        for i, here in enumerate(self.here):
-            if here.pending:
-                yield "write", i
-            if not here.raft.leads:
-                yield "stand", i
-            elif self.proposals:
-                yield "propose", i
-            if self.crashes:
-                yield "crash", i
-
-    def after(self, what: str, i: int) -> Small:
-        """The state after an action; raises Broken."""
-        new = copy.copy(self)
-        new.here = copy.deepcopy(self.here)
-        new.between = list(self.between)
-        new.agreed, new.leaders = dict(self.agreed), dict(self.leaders)
-        if what.startswith("deliver"):
-            sender, to, message = new.between.pop(i)
-            new.put(to, Received(NOW, new.here[sender].raft.me, message))
-        elif what == "lose":
-            new.between.pop(i)
-        elif what == "write":
-            effect = new.here[i].pending.pop(0)
-            new.here[i].disk = written(new.here[i].disk, effect.write)
-            for send in effect.then:
-                new.send(i, send)
-            new.put(i, Wrote(NOW, effect.number))
-        elif what == "stand":
-            new.here[i].raft.election_at = NOW
-            new.put(i, Tick(NOW))
-        elif what == "propose":
-            new.proposals -= 1
-            new.put(i, Propose(NOW, "p", b"x%d" % i))
-        else:
-            new.crashes -= 1
-            disk = new.here[i].disk
-            raft = new.make(new.here[i].raft.me, disk, 1, AT_ONCE)
-            new.here[i] = Here(raft, disk, applied=disk.snapshot.index)
-        return new
-
-    def put(self, i: int, event: Event) -> None:
-        """Reduce an event at one voter, and run its effects."""
-        here = self.here[i]
-        for effect in here.raft.reduce(event):
+    def actions(self) -> Iterator[Action]:
+        """List all that may happen in this state."""
+        for i in range(len(self.in_flight)):
+            yield Action(ActionKind.DELIVER, i)
+            yield Action(ActionKind.LOSE, i)
+        for i, voter in enumerate(self.voters):
+            if voter.pending:
+                yield Action(ActionKind.WRITE, i)
+            if not voter.raft.leads:
+                yield Action(ActionKind.STAND, i)
+            elif self.proposals_left:
+                yield Action(ActionKind.PROPOSE, i)
+            if self.crashes_left:
+                yield Action(ActionKind.CRASH, i)
+
+    def after(self, action: Action) -> ClusterState:
+        """Return the state after an action; raises InvariantViolated."""
+        successor = copy.copy(self)
+        successor.voters = copy.deepcopy(self.voters)
+        successor.in_flight = list(self.in_flight)
+        successor.committed = dict(self.committed)
+        successor.leaders = dict(self.leaders)
+        successor._run_action(action)
+        return successor
+
+    def _run_action(self, action: Action) -> None:
+        i = action.target
+        match action.kind:
+            case ActionKind.DELIVER:
+                sender, receiver, message = self.in_flight.pop(i)
+                self._reduce(receiver, Received(NOW, self.voters[sender].raft.me, message))
+            case ActionKind.LOSE:
+                self.in_flight.pop(i)
+            case ActionKind.WRITE:
+                self._end_write(i)
+            case ActionKind.STAND:
+                self.voters[i].raft.election_at = NOW
+                self._reduce(i, Tick(NOW))
+            case ActionKind.PROPOSE:
+                self.proposals_left -= 1
+                self._reduce(i, Propose(NOW, "p", b"x%d" % i))
+            case ActionKind.CRASH:
+                self._crash(i)
+
+    def _end_write(self, i: int) -> None:
+        voter = self.voters[i]
+        effect = voter.pending.pop(0)
+        voter.disk = apply_write(voter.disk, effect.write)
+        for send in effect.then:
+            self._send(i, send)
+        self._reduce(i, Wrote(NOW, effect.number))
+
+    def _crash(self, i: int) -> None:
+        """End a voter and start it again with what is on its disk."""
+        self.crashes_left -= 1
+        disk = self.voters[i].disk
+        raft = self.make_raft(self.voters[i].raft.me, disk, 1, AT_ONCE)
+        self.voters[i] = VoterState(raft, disk, applied=disk.snapshot.index)
+
+    # -- the reducer and its effects ----------------------------------------------------------------------
+    def _reduce(self, i: int, event: Event) -> None:
+        voter = self.voters[i]
+        for effect in voter.raft.reduce(event):
             match effect:
                 case Send():
-                    self.send(i, effect)
+                    self._send(i, effect)
                 case Durable():
-                    here.pending.append(effect)
+                    voter.pending.append(effect)
                 case Apply():
                     for entry in effect.entries:
-                        if self.agreed.setdefault(entry.index, entry) != entry:
-                            raise Broken(f"two entries agreed on at {entry.index}")
-                        if entry.index != here.applied + 1:
-                            raise Broken(f"{entry.index} applied after {here.applied}")
-                        here.applied = entry.index
-        if here.raft.leads and self.leaders.setdefault(here.raft.term, i) != i:
-            raise Broken(f"two leaders of term {here.raft.term}")
+                        self._apply(voter, entry)
+        if voter.raft.leads and self.leaders.setdefault(voter.raft.term, i) != i:
+            raise InvariantViolated(f"two leaders of term {voter.raft.term}")
+
+    def _apply(self, voter: VoterState, entry: Entry) -> None:
+        if self.committed.setdefault(entry.index, entry) != entry:
+            raise InvariantViolated(f"two entries agreed on at {entry.index}")
+        if entry.index != voter.applied + 1:
+            raise InvariantViolated(f"{entry.index} applied after {voter.applied}")
+        voter.applied = entry.index
+
+    def _send(self, i: int, send: Send) -> None:
+        """Put a message in flight; one that is there already is not doubled."""
+        receiver = next(j for j, voter in enumerate(self.voters) if voter.raft.me == send.to)
+        message = InFlight(i, receiver, send.message)
+        if message not in self.in_flight:
+            self.in_flight.append(message)
+
 
-    def send(self, i: int, send: Send) -> None:
-        """Put a message between two voters, once."""
-        to = next(j for j, here in enumerate(self.here) if here.raft.me == send.to)
-        if (i, to, send.message) not in self.between:
-            self.between.append((i, to, send.message))
+class SearchResult(NamedTuple):
+    """How much of the state space was searched."""
+
+    states: int
+    depth: int  # up to which all states were visited
 
 
 def search(
-    voters: int, depth: int, make: Callable[..., Raft] = Raft, crashes: int = 1, most: int = 1 << 62
-) -> tuple[int, int]:
-    """All states up to a depth, breadth first: how many there were, and the depth that was done. Raises
-    Broken.
+    voters: int,
+    depth: int,
+    make_raft: Callable[..., Raft] = Raft,
+    crashes: int = 1,
+    max_states: int = UNLIMITED,
+) -> SearchResult:
+    """Visit all states up to a depth, breadth first.
+
+    Args:
+        voters: How many voters there are.
+        depth: How many actions in a row are tried.
+        make_raft: Builds a voter's reducer.
+        crashes: How many voters may crash in all.
+        max_states: The search ends once it has seen so many states.
+
+    Returns:
+        How many states were seen, and the depth up to which the search is complete.
+
+    Raises:
+        InvariantViolated: An invariant does not hold in some state.
     """
-    everybody = tuple(Voter(f"h{i}", f"h{i}/0") for i in range(voters))
-    disk = Disk(0, None, Snapshot(1, 0, everybody, b""))
-    first = Small(make, crashes=crashes)
-    first.here = [Here(make(me, disk, 1, AT_ONCE), disk) for me in everybody]
-    seen, level = {first.key()}, [first]
+    first = initial_state(voters, make_raft, crashes)
+    seen = {first.key()}
+    level = [first]
     for done in range(depth):
-        following: list[Small] = []
+        next_level: list[ClusterState] = []
         for state in level:
-            for what, i in state.actions():
-                after = state.after(what, i)
-                if (key := after.key()) not in seen:
-                    seen.add(key)
-                    following.append(after)
-                    if len(seen) >= most:
-                        return len(seen), done
-        level = following
+            for action in state.actions():
+                successor = state.after(action)
+                key = successor.key()
+                if key in seen:
+                    continue
+                seen.add(key)
+                next_level.append(successor)
+                if len(seen) >= max_states:
+                    return SearchResult(len(seen), done)
+        level = next_level
         if not level:
             break
-    return len(seen), depth
+    return SearchResult(len(seen), depth)
+
+
+def initial_state(voters: int, make_raft: Callable[..., Raft], crashes: int) -> ClusterState:
+    """Return the state of voters that have just been founded."""
+    everybody = tuple(Voter(f"h{i}", f"h{i}/0") for i in range(voters))
+    disk = Disk(0, None, Snapshot(1, 0, everybody, b""))
+    states = [VoterState(make_raft(me, disk, 1, AT_ONCE), disk) for me in everybody]
+    return ClusterState(make_raft, states, crashes_left=crashes)
--- /dev/null
+++ b/stoatrouter/lab/fleet/voter_changes.py
@@ -0,0 +1,58 @@
+"""Changes of voters while a virtual fleet runs: one voter at a time, proposed at the leader."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+from stoatrouter.agreement.log import write_voters
+from stoatrouter.agreement.records import VOTERS, Propose, Voter
+from stoatrouter.lab.fleet.voters import VoterFleet
+
+INTERVAL = timedelta(seconds=1)
+MIN_VOTERS, MAX_VOTERS = 3, 5
+MAX_LAG = 50  # entries by which a head may be behind the leader and still become a voter
+
+
+def change_voters(fleet: VoterFleet, until: timedelta) -> None:
+    """Propose a change at every head that leads, now and again every second up to a time."""
+    world = fleet.world
+    if world.now >= until:
+        return
+    for name, head in fleet.heads.items():
+        if head.raft.leads and world.machines[name].up:
+            voters = next_voters(fleet, name)
+            if voters is not None:
+                fleet.voter_changes += 1
+                fleet.reduce(name, Propose(world.clock(name), "0=change", write_voters(voters), VOTERS))
+    world.schedule(INTERVAL, lambda: change_voters(fleet, until))
+
+
+def next_voters(fleet: VoterFleet, leader: str) -> tuple[Voter, ...] | None:
+    """Choose the next voters: without a wiped one, else with one more, else with one less; None: as they are.
+
+    A wiped voter's name comes back as a candidate under its new identity.
+    """
+    rng = fleet.world.rng
+    head = fleet.heads[leader]
+    voters = head.raft.voters
+    present = {other.voter for other in fleet.heads.values()}
+    gone = [voter for voter in voters if voter not in present]
+    candidates = candidates_for(fleet, voters, head.index)
+    if gone:
+        return tuple(voter for voter in voters if voter != gone[0])
+    if candidates and len(voters) < MAX_VOTERS:
+        return tuple(sorted((*voters, rng.choice(candidates))))
+    if len(voters) > MIN_VOTERS:
+        # Drawn anew for each voter, so that none, one or several may go; the leader rejects several.
+        return tuple(voter for voter in voters if voter != rng.choice(voters))
+    return None
+
+
+def candidates_for(fleet: VoterFleet, voters: tuple[Voter, ...], leader_index: int) -> list[Voter]:
+    """List the heads that may become voters: not too far behind, and with a name that no voter has."""
+    names = {voter.name for voter in voters}
+    return [
+        head.voter
+        for name, head in fleet.heads.items()
+        if head.voter not in voters and head.index + MAX_LAG > leader_index and name not in names
+    ]
--- a/stoatrouter/lab/fleet/voters.py
+++ b/stoatrouter/lab/fleet/voters.py
@@ -1,9 +1,7 @@
-"""A fleet of agreements in virtual time, with disks that lose what was not yet on them, and its promises
-checked.
+"""A fleet of Raft voters in virtual time, with disks that lose what was not yet on them; invariants checked.
 
-The register that clients use here is the smallest machine that shows a lost or doubled entry: a list of
-values. Promises are checked after each step on what the world saw (messages and applied entries), never by
-asking a head's own opinion of itself.
+Invariants are checked after each step on what the world saw (messages and applied entries), never by asking a
+head's own opinion of itself.
 """
 
 from __future__ import annotations
@@ -11,14 +9,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from datetime import timedelta
-from typing import Any
 
 from stoatrouter.agreement.founding import Founded
-from stoatrouter.agreement.log import write_voters
 from stoatrouter.agreement.raft import Raft, Timing
 from stoatrouter.agreement.records import (
     COMMAND,
-    VOTERS,
     Accepted,
     Apply,
     Compact,
@@ -29,303 +24,277 @@
     Event,
     Forgot,
     Learnt,
-    Propose,
-    Read,
     Readable,
     Received,
     Rejected,
     Restore,
     Send,
+    Snapshot,
     Tick,
     Voter,
-    Write,
     Wrote,
 )
+from stoatrouter.lab.fleet.disk import apply_write
+from stoatrouter.lab.fleet.errors import InvariantViolated
+from stoatrouter.lab.fleet.register import RegisterHistory
 from stoatrouter.lab.fleet.world import World
 
 TICK = timedelta(milliseconds=50)
-
-
-class Broken(Exception):
-    """A promise was broken; the text says which and when."""
-
-
-def written(disk: Disk, write: Write) -> Disk:
-    """A disk after a write, as SQLite's transaction has it: all of it or nothing."""
-    term, voted = (write.term, write.voted) if write.term is not None else (disk.term, disk.voted)
-    entries = [e for e in disk.entries if write.cut_from is None or e.index < write.cut_from]
-    held = {e.index: e for e in entries} | {e.index: e for e in write.entries}
-    if write.keep_from is not None:
-        held = {i: e for i, e in held.items() if i >= write.keep_from}
-    snapshot = write.snapshot or disk.snapshot
-    return Disk(term, voted, snapshot, tuple(held[i] for i in sorted(held)))
+POLL_INTERVAL = timedelta(milliseconds=150)  # a head without a vote asks others so often
+MIN_DISK_DELAY = timedelta(milliseconds=1)
+MAX_DISK_DELAY = timedelta(milliseconds=12)
 
 
 @dataclass
-class Head:
-    """One machine: its reducer, its disk, and what it applied."""
+class VoterHead:
+    """One machine: its reducer, its disk, and the list of values that it has applied."""
 
     voter: Voter
     raft: Raft
     disk: Disk
     values: list[bytes] = field(default_factory=list)
-    index: int = 0
-    pending: list[Durable] = field(default_factory=list)  # writes under way, in order
+    index: int = 0  # of the entry applied last
+    pending: list[Durable] = field(default_factory=list)  # writes in flight, in order
 
 
 @dataclass
 class VoterFleet:
-    """Heads that agree, and clients that put values and read them. `make` builds a head's reducer (a
-    mutant's, where a test shows that its promises are checked).
+    """Heads that agree on a list of values, and clients that append to it and read it.
+
+    `make_raft` builds a head's reducer (a mutant's, where a test shows that the invariants are checked).
     """
 
     world: World
-    voters: int = 3
-    make: Callable[..., Raft] = Raft
+    voter_count: int = 3
+    make_raft: Callable[..., Raft] = Raft
     timing: Timing = field(default_factory=Timing)
-    disk_most: timedelta = timedelta(milliseconds=12)
-    compact_every: int = 40
-    heads: dict[str, Head] = field(default_factory=dict)
+    max_disk_delay: timedelta = MAX_DISK_DELAY
+    compact_every: int = 40  # entries
+    heads: dict[str, VoterHead] = field(default_factory=dict)
     applied: dict[int, Entry] = field(default_factory=dict)  # the one entry for each index, over all heads
-    leaders: dict[int, str] = field(default_factory=dict)  # by term: the identity that led
-    acknowledged: dict[bytes, int] = field(default_factory=dict)  # values, and their index
-    refused: int = 0
-    history: list[tuple[Any, ...]] = field(default_factory=list)
-    waiting: dict[tuple[str, int], tuple[int, bytes, int]] = field(default_factory=dict)
-    reads: dict[str, tuple[str, int]] = field(default_factory=dict)
-    fresh: int = 0
-    forgot: int = 0
-    changes: int = 0
+    leaders: dict[int, str] = field(default_factory=dict)  # the identity that led, by term
+    history: RegisterHistory = field(default_factory=RegisterHistory)
+    identities_issued: int = 0  # beyond those that heads began with
+    forgotten: int = 0  # times that a head found its disk older than what it had acknowledged
+    voter_changes: int = 0  # proposed
 
     def __post_init__(self) -> None:
+        """Found the fleet with its first machines as voters, and start every machine."""
         names = self.world.names
-        self.firsts = tuple(Voter(name, f"{name}/0") for name in names[: self.voters])
-        founded = Founded(self.firsts[0].identity, self.firsts)
+        self.founders = tuple(Voter(name, f"{name}/0") for name in names[: self.voter_count])
+        founded = Founded(self.founders[0].identity, self.founders)
         for name in names:
-            disk = Disk(0, None, founded.snapshot()) if name in names[: self.voters] else Disk()
+            is_founder = name in names[: self.voter_count]
+            disk = Disk(0, None, founded.snapshot()) if is_founder else Disk()
             self.boot(name, Voter(name, f"{name}/0"), disk)
 
     # -- machines -----------------------------------------------------------------------------------------
     def boot(self, name: str, voter: Voter, disk: Disk) -> None:
-        """Start a head with what its disk holds."""
-        raft = self.make(
-            voter,
-            disk,
-            self.world.seed * 1000 + self.world.machines[name].life,
-            self.timing,
-            now=self.world.clock(name),
-        )
-        head = self.heads[name] = Head(voter, raft, disk, index=disk.snapshot.index)
-        head.values = restored(disk.snapshot.state)
-        self.world.on(name, TICK * self.world.draws.random(), lambda: self.tick(name))
-        self.world.on(name, TICK, lambda: self.fetch(name))
+        """Start a head with what is on its disk."""
+        world = self.world
+        seed = world.seed * 1000 + world.machines[name].incarnation
+        raft = self.make_raft(voter, disk, seed, self.timing, now=world.clock(name))
+        values = decode_values(disk.snapshot.state)
+        self.heads[name] = VoterHead(voter, raft, disk, values, disk.snapshot.index)
+        world.schedule_on(name, TICK * world.rng.random(), lambda: self.tick(name))
+        world.schedule_on(name, TICK, lambda: self.poll(name))
 
     def tick(self, name: str) -> None:
         """Let time pass for a head."""
-        self.put(name, Tick(self.world.clock(name)))
-        self.world.on(name, TICK, lambda: self.tick(name))
+        self.reduce(name, Tick(self.world.clock(name)))
+        self.world.schedule_on(name, TICK, lambda: self.tick(name))
 
     def kill(self, name: str, wipe: bool) -> None:
-        """What was on its way to the disk may have come there, in order, up to any point; a wiped disk is
-        another identity.
+        """End a head; of its writes in flight, some first ones may have reached the disk.
+
+        A wiped disk comes back as another identity. It is wiped only where the algorithm still promises
+        something (see `may_wipe`).
         """
         head = self.heads[name]
-        done = self.world.draws.randint(0, len(head.pending))
-        for effect in head.pending[:done]:
-            head.disk = written(head.disk, effect.write)
+        written = self.world.rng.randint(0, len(head.pending))
+        for effect in head.pending[:written]:
+            head.disk = apply_write(head.disk, effect.write)
         head.pending.clear()
         if wipe and self.may_wipe(name):
-            self.fresh += 1
-            head.disk, head.voter = Disk(), Voter(name, f"{name}/{self.fresh}")
-        self.world.down(name)
+            self.wipe(name)
+        self.world.stop_machine(name)
+
+    def wipe(self, name: str) -> None:
+        """Replace a head's disk by an empty one, which is another identity."""
+        self.identities_issued += 1
+        head = self.heads[name]
+        head.disk = Disk()
+        head.voter = Voter(name, f"{name}/{self.identities_issued}")
 
     def may_wipe(self, name: str) -> bool:
-        """Whether a majority keeps its disks in each set of voters that any head holds: beyond that
-        nothing is promised.
-        """
+        """Whether, without this disk, a majority stays intact of every set of voters that any head knows."""
         intact = {head.voter for other, head in self.heads.items() if other != name}
-        sets = {head.raft.voters for head in self.heads.values()}
-        return all(2 * len(intact & set(voters)) > len(voters) for voters in sets)
+        voter_sets = {head.raft.voters for head in self.heads.values()}
+        return all(2 * len(intact & set(voters)) > len(voters) for voters in voter_sets)
 
     def start(self, name: str) -> None:
         """Start a head again."""
-        self.world.up(name)
-        head = self.heads[name]
-        self.boot(name, head.voter, head.disk)
+        self.world.start_machine(name)
+        self.boot(name, self.heads[name].voter, self.heads[name].disk)
 
-    # -- events and effects -------------------------------------------------------------------------------
-    def put(self, name: str, event: Event) -> None:
+    # -- the reducer and its effects ----------------------------------------------------------------------
+    def reduce(self, name: str, event: Event) -> None:
         """Reduce an event at a head, and run its effects."""
         head = self.heads[name]
         for effect in head.raft.reduce(event):
-            self.run(name, head, effect)
-        raft = head.raft
-        if raft.leads:
-            # Promise: one leader for each term.
-            before = self.leaders.setdefault(raft.term, raft.me.identity)
-            if before != raft.me.identity:
-                raise Broken(f"two leaders of term {raft.term}: {before} and {raft.me.identity}")
-
-    def run(self, name: str, head: Head, effect: Effect) -> None:
-        """Run one effect."""
+            self._run_effect(name, head, effect)
+        self._check_election_safety(head.raft)
+
+    def _check_election_safety(self, raft: Raft) -> None:
+        """Check that a term has at most one leader (Ongaro 2014, figure 3.2: election safety)."""
+        if not raft.leads:
+            return
+        leader = self.leaders.setdefault(raft.term, raft.me.identity)
+        if leader != raft.me.identity:
+            raise InvariantViolated(f"two leaders of term {raft.term}: {leader} and {raft.me.identity}")
+
+    def _run_effect(self, name: str, head: VoterHead, effect: Effect) -> None:
         match effect:
             case Send():
-                self.send(name, head, effect)
+                self._send(name, head, effect)
             case Durable():
-                head.pending.append(effect)
-                delay = timedelta(milliseconds=1) + self.disk_most * self.world.draws.random()
-                if len(head.pending) == 1:
-                    self.world.on(name, delay, lambda: self.wrote(name, head))
+                self._begin_write(name, head, effect)
             case Apply():
-                for entry in effect.entries:
-                    self.apply(name, head, entry)
-                if head.index - head.raft.log.snapshot.index >= self.compact_every:
-                    state = b"\n".join(head.values)
-                    self.put(name, Compact(self.world.clock(name), head.index, state))
+                self._apply_entries(name, head, effect)
             case Restore():
-                head.values, head.index = restored(effect.snapshot.state), effect.snapshot.index
+                head.values = decode_values(effect.snapshot.state)
+                head.index = effect.snapshot.index
             case Accepted():
-                client, value = effect.id.split("=", 1)
-                self.waiting[name, effect.index] = (effect.term, value.encode(), int(client))
+                self.history.accept(name, effect)
             case Rejected():
-                self.refused += 1
-                self.reads.pop(effect.id, None)
+                self.history.reject(effect.id)
             case Readable():
-                if (asked := self.reads.pop(effect.id, None)) is not None and asked[0] == name:
-                    seen = tuple(head.values) if head.index >= effect.index else None
-                    self.history.append(("read", asked[1], self.world.now, seen))
+                values = tuple(head.values) if head.index >= effect.index else None
+                self.history.readable(name, effect.id, self.world.now, values)
             case Forgot():
-                self.forgot += 1
-
-    def send(self, name: str, head: Head, effect: Send) -> None:
-        """Send a message of the agreement."""
-        sender, to = head.voter, effect.to
-        self.world.note(f"{name}>{to.name} {effect.message!r:.60}")
-
-        def arrive() -> None:
-            there = self.heads[to.name]
-            if there.voter == to:  # one of an earlier life may well arrive: promises hold all the same
-                self.put(to.name, Received(self.world.clock(to.name), sender, effect.message))
-
-        self.world.send(name, to.name, arrive)
-
-    def wrote(self, name: str, head: Head) -> None:
-        """A head's oldest write is on its disk."""
+                self.forgotten += 1
+
+    def _send(self, name: str, head: VoterHead, effect: Send) -> None:
+        sender, receiver = head.voter, effect.to
+        self.world.record(f"{name}>{receiver.name} {effect.message!r:.60}")
+
+        def deliver() -> None:
+            # one of an earlier incarnation may well arrive: the invariants hold all the same
+            if self.heads[receiver.name].voter == receiver:
+                clock = self.world.clock(receiver.name)
+                self.reduce(receiver.name, Received(clock, sender, effect.message))
+
+        self.world.send(name, receiver.name, deliver)
+
+    # -- disks --------------------------------------------------------------------------------------------
+    def _begin_write(self, name: str, head: VoterHead, effect: Durable) -> None:
+        """Queue a write: a disk does one at a time, in order."""
+        head.pending.append(effect)
+        delay = self._disk_delay()  # drawn for each write, also for one that waits: seeds depend on it
+        if len(head.pending) == 1:
+            self.world.schedule_on(name, delay, lambda: self._end_write(name, head))
+
+    def _end_write(self, name: str, head: VoterHead) -> None:
+        """Put a head's oldest write on its disk, send what waited for it, and begin the next write."""
         effect = head.pending.pop(0)
-        head.disk = written(head.disk, effect.write)
+        head.disk = apply_write(head.disk, effect.write)
         for send in effect.then:
-            self.send(name, head, send)
+            self._send(name, head, send)
         if head.pending:
-            delay = timedelta(milliseconds=1) + self.disk_most * self.world.draws.random()
-            self.world.on(name, delay, lambda: self.wrote(name, head))
-        self.put(name, Wrote(self.world.clock(name), effect.number))
-
-    def apply(self, name: str, head: Head, entry: Entry) -> None:
-        """A head applies an entry: it is held against what others applied."""
-        # Promise: the same entry at each index of every head, none left out.
-        before = self.applied.setdefault(entry.index, entry)
-        if before != entry:
-            raise Broken(f"{name} applied another entry at {entry.index}: {entry} and {before}")
-        if entry.index != head.index + 1:
-            raise Broken(f"{name} applied {entry.index} after {head.index}")
+            self.world.schedule_on(name, self._disk_delay(), lambda: self._end_write(name, head))
+        self.reduce(name, Wrote(self.world.clock(name), effect.number))
+
+    def _disk_delay(self) -> timedelta:
+        return MIN_DISK_DELAY + self.max_disk_delay * self.world.rng.random()
+
+    # -- applied entries ----------------------------------------------------------------------------------
+    def _apply_entries(self, name: str, head: VoterHead, effect: Apply) -> None:
+        """Apply entries in order, and compact the log once enough of them have been applied."""
+        for entry in effect.entries:
+            self._apply(name, head, entry)
+        if head.index - head.raft.log.snapshot.index >= self.compact_every:
+            state = b"\n".join(head.values)
+            self.reduce(name, Compact(self.world.clock(name), head.index, state))
+
+    def _apply(self, name: str, head: VoterHead, entry: Entry) -> None:
+        """Apply an entry, once it is checked against what all heads applied at its index."""
+        self._check_state_machine_safety(name, head, entry)
         head.index = entry.index
-        if entry.kind == COMMAND:
+        is_command = entry.kind == COMMAND
+        if is_command:
             head.values.append(entry.body)
-        waited = self.waiting.pop((name, entry.index), None)
-        if waited is not None and waited[0] == entry.term and entry.kind == COMMAND:
-            self.acknowledged[waited[1]] = entry.index
-            self.history.append(("put", waited[2], self.world.now, waited[1]))
-
-    # -- heads without a vote, and clients ----------------------------------------------------------------
-    def fetch(self, name: str) -> None:
-        """Ask some voter what was agreed on."""
-        head, world = self.heads[name], self.world
-        raft = head.raft
-        if not raft.leads and not (raft.votes_here and raft.leader is not None):
-            other = world.draws.choice([n for n in world.names if n != name])
-            after = head.index
-            world.send(name, other, lambda: self.answer(other, name, after))
-        world.on(name, timedelta(milliseconds=150), lambda: self.fetch(name))
-
-    def answer(self, name: str, to: str, after: int) -> None:
-        """What a head tells one that follows."""
+        self.history.applied(name, entry.index, entry.term, self.world.now, is_command)
+
+    def _check_state_machine_safety(self, name: str, head: VoterHead, entry: Entry) -> None:
+        """Check that all heads apply the same entry at each index, and leave none out."""
+        known = self.applied.setdefault(entry.index, entry)
+        if known != entry:
+            raise InvariantViolated(f"{name} applied another entry at {entry.index}: {entry} and {known}")
+        if entry.index != head.index + 1:
+            raise InvariantViolated(f"{name} applied {entry.index} after {head.index}")
+
+    def committed_values(self) -> list[bytes]:
+        """All values that any head has applied, in the order of the log."""
+        return [entry.body for _, entry in sorted(self.applied.items()) if entry.kind == COMMAND]
+
+    # -- heads without a vote -----------------------------------------------------------------------------
+    def hears_from_leader(self, name: str) -> bool:
+        """Whether a head leads, or votes under a leader that it knows; others have to poll."""
+        raft = self.heads[name].raft
+        return raft.leads or (raft.votes_here and raft.leader is not None)
+
+    def poll(self, name: str) -> None:
+        """Ask some other head for what was agreed on, unless a leader sends it, and again later."""
+        world = self.world
+        if not self.hears_from_leader(name):
+            other = world.rng.choice([n for n in world.names if n != name])
+            after = self.heads[name].index
+            world.send(name, other, lambda: self.answer_poll(other, name, after))
+        world.schedule_on(name, POLL_INTERVAL, lambda: self.poll(name))
+
+    def answer_poll(self, name: str, poller: str, after: int) -> None:
+        """Send the entries after an index, or a snapshot where they are compacted already."""
         raft = self.heads[name].raft
         term = raft.log.term(after)
+        snapshot: Snapshot | None = None
         if term is not None and after:
-            told = (after, term, raft.log.since(after + 1, raft.commit), raft.commit, None)
+            prev_index, prev_term, entries = after, term, raft.log.since(after + 1, raft.commit)
         elif raft.log.snapshot.index:
-            told = (0, 0, (), raft.commit, raft.log.snapshot)
+            prev_index, prev_term, entries = 0, 0, ()
+            snapshot = raft.log.snapshot
         else:
             return
-        self.world.send(name, to, lambda: self.put(to, Learnt(self.world.clock(to), *told)))
+        commit = raft.commit
 
-    def client(self, number: int, every: timedelta, until: timedelta) -> None:
-        """One client: puts a value or reads, somewhere, now and then."""
-        world = self.world
-        if world.now >= until:
-            return
-        name = world.draws.choice(world.names)
-        if world.machines[name].up and world.machines[name].paused_until <= world.now:
-            if world.draws.random() < 0.6:
-                value = f"{number}.{len(self.history)}.{world.order}"
-                self.history.append(("call", number, world.now, value.encode()))
-                self.put(name, Propose(world.clock(name), f"{number}={value}", value.encode()))
-            else:
-                asked = f"r{world.order}"
-                self.history.append(("ask", world.order, world.now, None))
-                self.reads[asked] = (name, world.order)
-                self.put(name, Read(world.clock(name), asked))
-        world.at(every * world.draws.uniform(0.5, 1.5), lambda: self.client(number, every, until))
-
-    def change_voters(self, until: timedelta) -> None:
-        """Add or remove one voter at the leader, now and then; a wiped one gives way to its new identity."""
-        world = self.world
-        if world.now >= until:
-            return
-        for name, head in self.heads.items():
-            if head.raft.leads and world.machines[name].up:
-                voters = head.raft.voters
-                here = {h.voter for h in self.heads.values()}
-                gone = [v for v in voters if v not in here]
-                others = [
-                    h.voter
-                    for n, h in self.heads.items()
-                    if h.voter not in voters
-                    and h.index + 50 > head.index
-                    and n not in {v.name for v in voters}
-                ]
-                if gone:
-                    after = tuple(v for v in voters if v != gone[0])
-                elif others and len(voters) < 5:
-                    after = tuple(sorted((*voters, world.draws.choice(others))))
-                elif len(voters) > 3:
-                    after = tuple(v for v in voters if v != world.draws.choice(voters))
-                else:
-                    continue
-                self.changes += 1
-                self.put(name, Propose(world.clock(name), "0=change", write_voters(after), VOTERS))
-        world.at(timedelta(seconds=1), lambda: self.change_voters(until))
+        def deliver() -> None:
+            clock = self.world.clock(poller)
+            self.reduce(poller, Learnt(clock, prev_index, prev_term, entries, commit, snapshot))
+
+        self.world.send(name, poller, deliver)
 
     # -- at the end ---------------------------------------------------------------------------------------
-    def check_settled(self) -> None:
-        """After the faults: all hold the same, and nothing acknowledged is lost or doubled."""
-        up = [h for n, h in self.heads.items() if self.world.machines[n].up]
-        longest = max(up, key=lambda h: h.index)
+    def check_converged(self) -> None:
+        """Check, after the faults, that all hold the same, somebody leads, and no acknowledged put is lost.
+
+        Raises:
+            InvariantViolated: Heads differ, a value is lost or there twice, or nobody leads.
+        """
+        up = [head for name, head in self.heads.items() if self.world.machines[name].up]
+        longest = max(up, key=lambda head: head.index)
         for head in up:
             if head.values != longest.values:
-                raise Broken(
+                raise InvariantViolated(
                     f"{head.voter.name} differs after the faults: {len(head.values)} values, "
                     f"{longest.voter.name} has {len(longest.values)}"
                 )
-        for value, index in self.acknowledged.items():
-            if longest.values.count(value) != 1:
-                raise Broken(
-                    f"{value!r}, acknowledged at {index}, is there {longest.values.count(value)} times"
-                )
-        if not any(h.raft.leads for h in up):
-            raise Broken("nobody leads after the faults")
+        for value, index in self.history.acknowledged.items():
+            count = longest.values.count(value)
+            if count != 1:
+                raise InvariantViolated(f"{value!r}, acknowledged at {index}, is there {count} times")
+        if not any(head.raft.leads for head in up):
+            raise InvariantViolated("nobody leads after the faults")
 
 
-def restored(state: bytes) -> list[bytes]:
-    """The values that a snapshot holds."""
+def decode_values(state: bytes) -> list[bytes]:
+    """Read the list of values out of a snapshot's state."""
     return state.split(b"\n") if state else []
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -33,24 +33,24 @@
     Wrote,
 )
 from stoatrouter.lab.fleet import stories
+from stoatrouter.lab.fleet.errors import InvariantViolated
 from stoatrouter.lab.fleet.exhaustive import search
-from stoatrouter.lab.fleet.voters import Broken
 
 MS = timedelta(milliseconds=1)
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_promises_hold_under_drawn_faults(seed):
-    told = stories.agreement(seed)
-    assert told.acknowledged and told.reads
+    result = stories.run_agreement(seed)
+    assert result.acknowledged and result.reads
 
 
 def test_a_seed_replays_byte_for_byte():
-    assert stories.agreement(7) == stories.agreement(7)
+    assert stories.run_agreement(7) == stories.run_agreement(7)
 
 
 def test_a_large_fleet_follows_its_voters():
-    assert stories.agreement(3, heads=20, span=6 * stories.SECOND).acknowledged
+    assert stories.run_agreement(3, heads=20, span=6 * stories.SECOND).acknowledged
 
 
 # -- mutants: each breaks one rule of the program, and a promise must show it
@@ -163,8 +163,8 @@
 def test_a_mutant_is_caught(mutant, first):
     for seed in [first, *range(150)]:
         try:
-            stories.agreement(seed, make=mutant)
-        except (Broken, AssertionError) as caught:
+            stories.run_agreement(seed, make_raft=mutant)
+        except (InvariantViolated, AssertionError) as caught:
             print(f"{mutant.__name__}: seed {seed}: {caught}")
             return
     pytest.fail("no seed caught it")
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -63,7 +63,7 @@
     world.run(WATCHED)
     assert not fleet.changes, "nobody is suspected in a calm fleet"
     share = size * (WATCHED / SECOND)
-    return Load(sum(world.sent.values()) / share, sum(world.bytes.values()) / share)
+    return Load(sum(world.messages_sent.values()) / share, sum(world.bytes_sent.values()) / share)
 
 
 def loads_do_not_grow(sizes: tuple[int, ...], make: Callable[..., Detector] = Detector) -> None:
--- a/tests/heads/test_contact.py
+++ b/tests/heads/test_contact.py
@@ -9,15 +9,15 @@
 
 from stoatrouter.agreement import state
 from stoatrouter.agreement.contact import MOST_ROUNDS, MajorityContact, RoundStarts
-from stoatrouter.lab.fleet.contacts import LOSSES, majority_lost
-from stoatrouter.lab.fleet.voters import Broken
+from stoatrouter.lab.fleet.contact_stories import LOSSES, run_majority_loss
+from stoatrouter.lab.fleet.errors import InvariantViolated
 
 MS = timedelta(milliseconds=1)
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_nobody_counts_as_in_touch_for_longer_than_the_span_after_the_last_majority(seed):
-    majority_lost(seed)
+    run_majority_loss(seed)
 
 
 class CountsFromTheAnswer(MajorityContact):
@@ -40,8 +40,8 @@
     seeds = [seed for seed in range(80) if LOSSES[seed // 4 % len(LOSSES)] == how]
     for seed in seeds:
         try:
-            majority_lost(seed, mutant)
-        except Broken as caught:
+            run_majority_loss(seed, mutant)
+        except InvariantViolated as caught:
             assert "the last majority was at" in str(caught)
             return
     pytest.fail("no seed caught it")
@@ -57,9 +57,9 @@
 
     monkeypatch.setattr("stoatrouter.agreement.leading.RoundStarts", StartsNow)
     monkeypatch.setattr(state, "RoundStarts", StartsNow)
-    with pytest.raises(Broken, match="the last majority was at"):
+    with pytest.raises(InvariantViolated, match="the last majority was at"):
         for seed in range(40):
-            majority_lost(seed)
+            run_majority_loss(seed)
 
 
 def test_an_age_that_was_told_counts_from_the_asking_and_never_goes_back():
--- a/tests/heads/test_credit.py
+++ b/tests/heads/test_credit.py
@@ -13,8 +13,8 @@
     Turn,
 )
 from stoatrouter.lab.fleet import stories
-from stoatrouter.lab.fleet.credit import Disk
-from stoatrouter.lab.fleet.voters import Broken
+from stoatrouter.lab.fleet.credit_head import CreditDisk
+from stoatrouter.lab.fleet.errors import InvariantViolated
 
 SECOND = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
@@ -22,19 +22,19 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_promises_hold_under_drawn_faults(seed):
-    fleet = stories.credit(seed, wipes=seed % 2 == 0)
-    assert fleet.taken and fleet.turned
+    fleet = stories.run_credit(seed, wipes=seed % 2 == 0)
+    assert fleet.admitted and fleet.rejected
 
 
 def test_a_customer_marked_unspent_gets_back_what_a_failed_head_held_and_may_be_overspent_by_that_alone():
     for seed in range(6):
-        fleet = stories.credit(seed, wipes=False, returned=True)
+        fleet = stories.run_credit(seed, wipes=False, returned=True)
         assert fleet.overspent <= 2000
 
 
 def test_many_customers_mostly_idle():
-    fleet = stories.credit(3, heads=20, span=8 * SECOND, customers=1000)
-    assert fleet.taken
+    fleet = stories.run_credit(3, heads=20, span=8 * SECOND, customers=1000)
+    assert fleet.admitted
 
 
 # -- mutants ---------------------------------------------------------------------------------------------
@@ -70,7 +70,7 @@
     __slots__ = ()
 
     def end(self, request, charged):
-        record, self.record = self.record, Disk()
+        record, self.record = self.record, CreditDisk()
         super().end(request, charged)
         self.record = record
 
@@ -150,10 +150,10 @@
 
 
 MUTANTS = [
-    ({"make": NoExpiry}, "had expired"),
-    ({"make": ChargesTwice}, "was charged"),
-    ({"make": ForgetsOnKill}, "charged"),
-    ({"make": LastWordTooEarly}, "charged"),
+    ({"make_escrow": NoExpiry}, "had expired"),
+    ({"make_escrow": ChargesTwice}, "was charged"),
+    ({"make_escrow": ForgetsOnKill}, "charged"),
+    ({"make_escrow": LastWordTooEarly}, "charged"),
     ({"make_ledger": GivesWhatIsOut}, "paid in"),
     ({"make_ledger": GivesBackOnExpiry}, "charged"),
     ({"make_ledger": BooksLateWordsAgain}, "charged"),
@@ -171,8 +171,8 @@
 def test_a_mutant_is_caught(how, words):
     for seed in range(60):
         try:
-            stories.credit(seed, wipes=seed % 2 == 0, **how)
-        except Broken as caught:
+            stories.run_credit(seed, wipes=seed % 2 == 0, **how)
+        except InvariantViolated as caught:
             print(f"seed {seed}: {caught}")
             if words in str(
                 caught
--- a/tests/heads/test_credit_escrow.py
+++ b/tests/heads/test_credit_escrow.py
@@ -18,7 +18,7 @@
     Settle,
     charge_of,
 )
-from stoatrouter.lab.fleet.credit import Disk
+from stoatrouter.lab.fleet.credit_head import CreditDisk
 from stoatrouter.peering.book import SpentBook
 from stoatrouter.policy import interface as api
 from tests.peers import Node, head_config
@@ -28,7 +28,7 @@
 
 
 def held(amount: int = 100, balance: int = 100, low_water: int = 0) -> HeadEscrow:
-    holder = HeadEscrow(5 * SECOND, Disk())
+    holder = HeadEscrow(5 * SECOND, CreditDisk())
     holder.want("x", 1, SECOND)
     (asked,) = holder.turns(SECOND)
     holder.granted(asked, Grant("x", "1.0", amount, balance, low_water), SECOND, SECOND)
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -14,7 +14,7 @@
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.purse import LocalAllotment, Purse
 from stoatrouter.credit.records import Begin, Book, Booked, Grants, PutCustomer, Turns, charge_of
-from stoatrouter.lab.fleet.credit import Disk
+from stoatrouter.lab.fleet.credit_head import CreditDisk
 from stoatrouter.peering.credit import CreditService
 from stoatrouter.peering.settings import CreditSettings
 from tests.peers import Node, head_config, run
@@ -109,7 +109,7 @@
 
 def test_what_is_left_of_small_allotments_does_not_keep_a_head_from_asking():
     """Two allotments with 1,500 each are enough for one charge of 2,000 by their sum, and not by either."""
-    holder = HeadEscrow(LEASE, Disk())
+    holder = HeadEscrow(LEASE, CreditDisk())
     held = [LocalAllotment(f"{number}.0", 1_500, SECOND + LEASE) for number in (1, 2)]
     holder.purses["acme"] = Purse("acme", held, answered_at=SECOND)
     assert holder.take("r2", "acme", 2_000, 2, SECOND) is not None
@@ -122,7 +122,7 @@
     ledger = Ledger()
     ledger.put(PutCustomer("acme", ("v",)))
     ledger.book(1, Book("t", "acme", 10 * CHARGE, "top-up", "x", "y", "z"))
-    holder = HeadEscrow(LEASE, Disk())
+    holder = HeadEscrow(LEASE, CreditDisk())
     for _ in range(MANY):
         holder.begin_wait("acme", CHARGE)
         holder.want("acme", CHARGE, SECOND)
--- a/tests/heads/test_detector.py
+++ b/tests/heads/test_detector.py
@@ -57,8 +57,8 @@
     made.changes.clear()
     made.kill("h001")
     assert settle(made, 30)
-    assert {of for _, _, of, _, _ in made.changes} == {"h001"}
-    assert made.largest <= LARGEST
+    assert {change.subject for change in made.changes} == {"h001"}
+    assert made.largest_datagram <= LARGEST
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
@@ -72,9 +72,9 @@
 def test_load_for_each_head_does_not_grow_with_the_fleet():
     def load(count: int) -> float:
         made = fleet(3, count)
-        made.world.sent.clear()
+        made.world.messages_sent.clear()
         made.world.run(made.world.now + 20 * SECOND)
-        return sum(made.world.sent.values()) / count / 20
+        return sum(made.world.messages_sent.values()) / count / 20
 
     assert load(80) < 1.4 * load(8)
 
@@ -110,7 +110,7 @@
 def test_two_halves_of_a_split_find_each_other_again():
     made = fleet(7, 10)
     names = made.world.names
-    made.world.split(names[:4], names[4:])
+    made.world.partition(names[:4], names[4:])
     made.world.run(made.world.now + 25 * SECOND)
     assert made.detectors["h000"].roster.status("h009") is Status.FAILED
     made.world.heal()
@@ -122,7 +122,7 @@
     made = fleet(100 + seed, 9)
     until = made.world.now + 25 * SECOND
     script = [f for f in faults.draw(seed, made.world.names, until) if f.at > made.world.now]
-    faults.play(made.world, script, made.kill, made.start)
+    faults.schedule(made.world, script, made.kill, made.start)
     made.world.run(until)
     made.world.heal()
     assert settle(made, 60), {n: made.views(n) for n in made.world.names}
