--- a/benchmarks/capacity/spans.py
+++ b/benchmarks/capacity/spans.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stoatrouter.lab.histories.judge import History
+from stoatrouter.lab.histories.history import Down, History, RegisterLine
 
 NEVER = float("inf")
 
@@ -34,9 +34,9 @@
 def accepted_edits(history: History, part: ScenePart) -> list[tuple[int, float]]:
     """The edits asked for within a scene that came in force: number, and when they were asked for."""
     return [
-        (line["answer"][1], line["at"])
-        for line in history.of("register")
-        if line["answer"] is not None and line["answer"][0] == "ok" and part.since <= line["at"] <= part.until
+        (line.answer.number, line.at)
+        for line in history.of(RegisterLine)
+        if line.answer is not None and line.answer.outcome == "ok" and part.since <= line.at <= part.until
     ]
 
 
@@ -67,16 +67,15 @@
 def seen_failed(history: History, part: ScenePart) -> list[SeenFailed]:
     """For each head that was down within a scene, what its witnesses saw."""
     found = []
-    for line in history.of("down"):
-        if not part.since <= line["at"] <= part.until or not line["witnesses"]:
+    for line in history.of(Down):
+        if not part.since <= line.at <= part.until or not line.witnesses:
             continue
         moments = [
-            first_seen_failed(history.logs[name], line["head"], line["at"], line["until"])
-            for name in line["witnesses"]
+            first_seen_failed(history.logs[name], line.head, line.at, line.until) for name in line.witnesses
         ]
-        seen = [moment - line["at"] for moment in moments if moment != NEVER]
+        seen = [moment - line.at for moment in moments if moment != NEVER]
         if seen:
-            found.append(SeenFailed(line["head"], min(seen), max(seen), len(seen)))
+            found.append(SeenFailed(line.head, min(seen), max(seen), len(seen)))
     return found
 
 
--- a/benchmarks/capacity/story.py
+++ b/benchmarks/capacity/story.py
@@ -18,7 +18,8 @@
 from benchmarks.capacity.mixed import CapacityFleet
 from benchmarks.capacity.spans import ScenePart
 from stoatrouter.credit.records import charge_of
-from stoatrouter.lab.histories.judge import History, judge, read
+from stoatrouter.lab.histories.history import History, read_history
+from stoatrouter.lab.histories.judge import judge
 from stoatrouter.lab.hollow.logs import read_events
 from tests.heads.chaos import VOLUMES, Chaos
 from tests.heads.processes import HeadProcess
@@ -121,7 +122,7 @@
     def judged(self) -> tuple[History, list[str]]:
         """The whole history and what of its promises is broken."""
         logs = {head.name: head.logs for head in self.fleet if head.logs.exists()}
-        history = read(self.file, logs | self.gone)
+        history = read_history(self.file, logs | self.gone)
         hollow = read_events(path for path in self.capacity.hollow.logs if path.exists())
         for name in self.capacity.places:
             history.logs.setdefault(name, [])
--- a/benchmarks/heads_history.py
+++ b/benchmarks/heads_history.py
@@ -11,7 +11,8 @@
 from collections import Counter
 from pathlib import Path
 
-from stoatrouter.lab.histories.judge import judge, tell
+from stoatrouter.lab.histories.history import Payment, RegisterLine, Request
+from stoatrouter.lab.histories.judge import describe, judge
 
 
 async def play(folder: Path, heads: int, seed: int, seconds: float) -> int:
@@ -23,18 +24,19 @@
         chaos = Chaos(fleet, seed, folder / "history.jsonl")
         history = await chaos.run(seconds, detect=True)
     wrong = judge(history)
-    statuses = Counter(line["status"] for line in history.of("request"))
+    statuses = Counter(request.status for request in history.of(Request))
     print(
         f"seed {seed}, {heads} heads, {seconds:.0f} s, {len(chaos.faults)} faults: "
         f"{dict(Counter(fault.split()[1] for fault in chaos.faults))}"
     )
     print(
-        f"requests by answer {dict(sorted(statuses.items()))}; {len(list(history.of('pay')))} top-ups asked, "
-        f"{len(list(history.of('register')))} edits, undos and reads of the register"
+        f"requests by answer {dict(sorted(statuses.items()))}; {len(history.of(Payment))} top-ups asked, "
+        f"{len(history.of(RegisterLine))} edits, undos and reads of the register"
     )
-    for line in (*history.of("settled"), *history.of("equal")):
-        print({key: value for key, value in line.items() if key not in ("what", "at")})
-    print(tell(wrong))
+    for line in history.lines:
+        if line["what"] in ("settled", "equal"):
+            print({key: value for key, value in line.items() if key not in ("what", "at")})
+    print(describe(wrong))
     return 1 if wrong else 0
 
 
--- /dev/null
+++ b/stoatrouter/lab/histories/history.py
@@ -0,0 +1,172 @@
+"""The history of a run: what clients asked and were answered, and the events in the logs of heads.
+
+A line of the history file is JSON: {"what", "at", ...}. Logs are the heads' own JSON lines; of them only
+events with their times and fields are read (docs/on-call.md). Times are Unix times in seconds. Records have
+the names of the fields in those files; fields that no judge needs are left out.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any, TypeVar
+
+import msgspec
+
+from stoatrouter.lab.histories.linear import RegisterResponse
+
+
+class Line(msgspec.Struct, frozen=True, tag_field="what"):
+    """A line of the history file."""
+
+    at: float
+
+
+class Payment(Line, frozen=True, tag="pay"):
+    """A call that tops up a customer; a retry has the same id."""
+
+    id: str
+    customer: str
+    amount: int
+    status: int  # of HTTP
+
+
+class Request(Line, frozen=True, tag="request"):
+    """A customer's request."""
+
+    until: float
+    id: str
+    customer: str
+    charge: int
+    status: int  # of HTTP; 0: no answer came
+    head: str = ""
+
+
+class Settled(Line, frozen=True, tag="settled"):
+    """A customer's account at the end, with nothing in flight."""
+
+    customer: str
+    paid: int
+    charged: int
+    balance: int
+    lost: int = 0  # what was in flight on disks that are lost for good
+
+
+class RegisterLine(Line, frozen=True, tag="register"):
+    """A call to the register of rule versions."""
+
+    until: float
+    kind: str
+    id: str
+    base: int
+    answer: RegisterResponse | None
+
+
+class Contents(Line, frozen=True, tag="contents"):
+    """The digest of the rules in force at the end, by head."""
+
+    digests: dict[str, str]
+
+
+class Restored(Line, frozen=True, tag="restored"):
+    """An undo of a version, with digests of what was in force before that version and of what is now."""
+
+    undone: int
+    before: str
+    now: str
+
+
+class Down(Line, frozen=True, tag="down"):
+    """A head was down; its witnesses were up all the while."""
+
+    until: float
+    head: str
+    witnesses: list[str]
+    detect_within: float  # seconds
+
+
+class Calm(Line, frozen=True, tag="calm"):
+    """A span without faults."""
+
+    until: float
+
+
+class LogEvent(msgspec.Struct, frozen=True, tag_field="event"):
+    """An event in a head's log."""
+
+    at: float
+
+
+class RoleChanged(LogEvent, frozen=True, tag="heads.role"):
+    """A head knows of a leader of a term."""
+
+    term: int
+    leader: str
+
+
+class VersionInForce(LogEvent, frozen=True, tag="rules.version"):
+    """A head decides by a version of the rules from now on."""
+
+    number: int
+    digest: str
+
+
+class HeadSeen(LogEvent, frozen=True, tag="heads.seen"):
+    """A head's detector gives another head this status."""
+
+    head: str
+    status: str
+
+
+AnyLine = TypeVar("AnyLine", bound=Line)
+AnyEvent = TypeVar("AnyEvent", bound=LogEvent)
+
+
+@dataclass
+class History:
+    """All that is judged, as read from files."""
+
+    lines: list[dict[str, Any]] = field(default_factory=list)
+    logs: dict[str, list[dict[str, Any]]] = field(default_factory=dict)  # events by head, in order
+
+    def of(self, kind: type[AnyLine]) -> list[AnyLine]:
+        """Return the lines of one kind, in order.
+
+        Raises:
+            msgspec.ValidationError: A line of that kind is malformed.
+        """
+        tag = kind.__struct_config__.tag
+        return [msgspec.convert(line, kind) for line in self.lines if line["what"] == tag]
+
+    def events(self, head: str, kind: type[AnyEvent]) -> list[AnyEvent]:
+        """Return a head's events of one kind, in order.
+
+        Raises:
+            msgspec.ValidationError: An event of that kind is malformed.
+        """
+        tag = kind.__struct_config__.tag
+        return [msgspec.convert(event, kind) for event in self.logs[head] if event["event"] == tag]
+
+
+def read_history(history: Path, logs: dict[str, Path]) -> History:
+    """Read a history file and the logs of heads by name."""
+    lines = [json.loads(line) for line in history.read_text().splitlines() if line]
+    return History(lines, {name: list(read_log(path)) for name, path in logs.items()})
+
+
+def read_log(path: Path) -> Iterator[dict[str, Any]]:
+    """Read the events in a head's log; lines that are not JSON records, as one cut short, are skipped."""
+    return _events(path.read_text(errors="replace").splitlines())
+
+
+def _events(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
+    for line in lines:
+        try:
+            record = json.loads(line)["record"]
+        except (ValueError, KeyError, TypeError):
+            continue
+        extra = record["extra"]
+        if extra.get("event"):
+            yield {**extra, "at": record["time"]["timestamp"]}
--- a/stoatrouter/lab/histories/judge.py
+++ b/stoatrouter/lab/histories/judge.py
@@ -1,207 +1,129 @@
-"""Judges a whole history: a file of what clients asked and were answered, and the logs of heads.
-
-A line of the history is JSON: {"what", "at", "until", ...}. Logs are the heads' own JSON lines; of them only
-events with their times and fields are read (docs/on-call.md). Each promise is one function that returns what
-it found broken.
-"""
+"""Judges a whole history of heads: every invariant is one function that returns its violations as texts."""
 
 from __future__ import annotations
 
-import json
-from collections import Counter, defaultdict
-from collections.abc import Iterable, Iterator
-from dataclasses import dataclass, field
-from pathlib import Path
-from typing import Any
-
-from stoatrouter.lab.histories.linear import NEVER, Asked, Call, linearizable, register_step
-
-
-@dataclass
-class History:
-    """What is judged."""
-
-    lines: list[dict[str, Any]] = field(default_factory=list)
-    logs: dict[str, list[dict[str, Any]]] = field(default_factory=dict)  # events by head, in order
-
-    def of(self, what: str) -> Iterator[dict[str, Any]]:
-        return (line for line in self.lines if line["what"] == what)
-
-
-def read(history: Path, logs: dict[str, Path]) -> History:
-    lines = [json.loads(line) for line in history.read_text().splitlines() if line]
-    return History(lines, {name: list(events(path)) for name, path in logs.items()})
-
-
-def events(path: Path) -> Iterator[dict[str, Any]]:
-    for line in path.read_text(errors="replace").splitlines():
-        try:
-            record = json.loads(line)["record"]
-        except (ValueError, KeyError, TypeError):
-            continue
-        if event := record["extra"].get("event"):
-            yield {**record["extra"], "event": event, "at": record["time"]["timestamp"]}
+from collections import defaultdict
+from collections.abc import Iterable
+
+from stoatrouter.lab.histories.credit import check_charges, check_top_ups
+from stoatrouter.lab.histories.history import (
+    Calm,
+    Contents,
+    Down,
+    HeadSeen,
+    History,
+    RegisterLine,
+    Restored,
+    RoleChanged,
+    VersionInForce,
+)
+from stoatrouter.lab.histories.linear import (
+    NEVER,
+    Call,
+    RegisterCall,
+    RegisterOperation,
+    RegisterState,
+    linearizable,
+    register_model,
+)
+
+GONE = ("failed", "left")  # statuses of a head that is down
 
 
 def judge(history: History) -> list[str]:
-    """All that is broken; nothing where all promises are kept."""
+    """Return all violations of a history; none where every invariant holds."""
     return [
-        *one_leader(history),
-        *versions_go_up(history),
-        *credit(history),
-        *entries(history),
-        *register(history),
-        *contents(history),
-        *detector(history),
+        *check_election_safety(history),
+        *check_versions(history),
+        *check_charges(history),
+        *check_top_ups(history),
+        *check_register(history),
+        *check_contents(history),
+        *check_completeness(history),
+        *check_accuracy(history),
     ]
 
 
-def one_leader(history: History) -> list[str]:
-    """One leader for each term of a fleet."""
+def describe(violations: Iterable[str]) -> str:
+    """Write violations one a line, or that there are none."""
+    return "\n".join(violations) or "all promises are kept"
+
+
+def check_election_safety(history: History) -> list[str]:
+    """Check that every term has at most one leader."""
     leaders: dict[int, set[str]] = defaultdict(set)
-    for name, log in history.logs.items():
-        for event in log:
-            if event["event"] == "heads.role" and event["leader"] == name:
-                leaders[event["term"]].add(name)
+    for name in history.logs:
+        for event in history.events(name, RoleChanged):
+            if event.leader == name:
+                leaders[event.term].add(name)
     return [f"term {term} had leaders {sorted(names)}" for term, names in leaders.items() if len(names) > 1]
 
 
-def versions_go_up(history: History) -> list[str]:
-    """No head's version goes back, over its restarts too; and a number is the same content everywhere."""
-    wrong, digests = [], {}
-    for name, log in history.logs.items():
-        numbers = [(e["number"], e["digest"]) for e in log if e["event"] == "rules.version"]
-        for (before, _), (after, _) in zip(numbers, numbers[1:], strict=False):
-            if after < before:
-                wrong.append(f"{name} went from version {before} back to {after}")
-        for number, digest in numbers:
-            if digests.setdefault(number, digest) != digest:
-                wrong.append(f"version {number} is {digest} at {name} and {digests[number]} elsewhere")
-    return wrong
-
-
-def credit(history: History) -> list[str]:
-    """What was charged never passes what was paid in, at any moment; and the account agrees in the end.
-
-    A served request is charged for sure; one that was refused or turned away is not, unless an attempt may
-    have run; one without an answer may be. Paid in counts from when a top-up was asked, as it may act from
-    then on.
-    """
-    wrong: list[str] = []
-    paid: dict[str, list[tuple[float, int]]] = defaultdict(list)
-    booked: set[str] = set()
-    for line in history.of("pay"):
-        if line["id"] not in booked:
-            booked.add(line["id"])
-            paid[line["customer"]].append((line["at"], line["amount"]))
-    served: dict[str, list[tuple[float, int]]] = defaultdict(list)
-    least: Counter[str] = Counter()
-    most: Counter[str] = Counter()
-    seen: Counter[str] = Counter()
-    for line in history.of("request"):
-        customer, charge = line["customer"], line["charge"]
-        seen[line["id"]] += 1
-        if line["status"] == 200:
-            served[customer].append((line["until"], charge))
-            least[customer] += charge
-        if line["status"] != 503:
-            most[customer] += charge
-    wrong += [f"request {id} is in the history {n} times" for id, n in seen.items() if n > 1]
-    for customer, charges in served.items():
-        moments = sorted(
-            [(at, 1, -amount) for at, amount in charges] + [(at, 0, amount) for at, amount in paid[customer]]
-        )
-        left = 0
-        for at, _, amount in moments:
-            left += amount
-            if left < 0:
-                wrong.append(f"{customer} was served {-left} more than was paid in, at {at:.3f}")
-                break
-    for line in history.of("settled"):
-        customer = line["customer"]
-        lost = line.get("lost", 0)  # what disks lost for good held, as the story knows
-        if line["balance"] != line["paid"] - line["charged"]:
-            wrong.append(f"{customer}: balance {line['balance']} of {line['paid']} less {line['charged']}")
-        if not least[customer] <= line["charged"] <= most[customer] + lost:
-            wrong.append(
-                f"{customer}: charged {line['charged']}, clients say {least[customer]} to "
-                f"{most[customer]}, and {lost} may be lost"
-            )
-    return wrong
-
-
-def entries(history: History) -> list[str]:
-    """No acknowledged top-up is lost, none is booked twice."""
-    wrong = []
-    for line in history.of("settled"):
-        pays = [p for p in history.of("pay") if p["customer"] == line["customer"]]
-        sure = {p["id"]: p["amount"] for p in pays if p["status"] == 200}
-        perhaps = {p["id"]: p["amount"] for p in pays}
-        if not sum(sure.values()) <= line["paid"] <= sum(perhaps.values()):
-            wrong.append(
-                f"{line['customer']}: {line['paid']} is booked, {sum(sure.values())} was "
-                f"acknowledged and {sum(perhaps.values())} asked for"
-            )
-    return wrong
-
-
-def register(history: History) -> list[str]:
-    """The register of versions is linearizable, edits by their base and reads of the newest."""
-    calls = []
-    for line in history.of("register"):
-        answer = tuple(line["answer"]) if line["answer"] is not None else None
-        calls.append(
-            Call(
-                line["at"],
-                line["until"] if answer is not None else NEVER,
-                Asked(line["kind"], line["id"], line["base"]),
-                answer,
-            )
-        )
-    if linearizable(calls, (0, ()), register_step):
+def check_versions(history: History) -> list[str]:
+    """Check that no head's version goes back, also over restarts, and that a number names one content."""
+    violations = []
+    digests: dict[int, str] = {}
+    for name in history.logs:
+        events = history.events(name, VersionInForce)
+        for before, after in zip(events, events[1:], strict=False):
+            if after.number < before.number:
+                violations.append(f"{name} went from version {before.number} back to {after.number}")
+        for event in events:
+            known = digests.setdefault(event.number, event.digest)
+            if known != event.digest:
+                violations.append(f"version {event.number} is {event.digest} at {name} and {known} elsewhere")
+    return violations
+
+
+def check_register(history: History) -> list[str]:
+    """Check that the register of versions is linearizable: edits by their base, reads of the newest."""
+    calls = [register_call(line) for line in history.of(RegisterLine)]
+    if linearizable(calls, RegisterState(), register_model):
         return []
     return [f"the history of {len(calls)} edits and reads has no order that a register allows"]
 
 
-def contents(history: History) -> list[str]:
-    """After the faults all heads hold the same, byte for byte; after an undo, what was in force before."""
-    wrong = []
-    for line in history.of("contents"):
-        if len(set(line["digests"].values())) > 1:
-            wrong.append(f"heads hold different contents: {line['digests']}")
-    for line in history.of("restored"):
-        if line["now"] != line["before"]:
-            wrong.append(f"undo of version {line['undone']} did not restore what was in force before")
-    return wrong
-
-
-def detector(history: History) -> list[str]:
-    """Completeness: a head that was down for long was seen as failed (or left) by all that were up.
-    Accuracy: one that was up, and had no fault near it, was taken for failed by nobody."""
-    wrong = []
-    for line in history.of("down"):
-        name, since, until = line["head"], line["at"], line["until"]
-        if until - since < line["detect_within"]:
+def register_call(line: RegisterLine) -> RegisterCall:
+    """Return a line of the history as a call to the register."""
+    returned_at = line.until if line.answer is not None else NEVER
+    return Call(line.at, returned_at, RegisterOperation(line.kind, line.id, line.base), line.answer)
+
+
+def check_contents(history: History) -> list[str]:
+    """Check that all heads end with the same rules, and that every undo restored what was in force before."""
+    violations = [
+        f"heads hold different contents: {line.digests}"
+        for line in history.of(Contents)
+        if len(set(line.digests.values())) > 1
+    ]
+    violations += [
+        f"undo of version {line.undone} did not restore what was in force before"
+        for line in history.of(Restored)
+        if line.now != line.before
+    ]
+    return violations
+
+
+def check_completeness(history: History) -> list[str]:
+    """Check that a head that was down for long was seen as failed (or left) by all that were up."""
+    violations = []
+    for down in history.of(Down):
+        duration = down.until - down.at
+        if duration < down.detect_within:
             continue
-        for other in line["witnesses"]:
-            seen = [
-                e
-                for e in history.logs[other]
-                if e["event"] == "heads.seen" and e["head"] == name and since <= e["at"] <= until
-            ]
-            if not any(e["status"] in ("failed", "left") for e in seen):
-                wrong.append(f"{other} did not see within {until - since:.1f} s that {name} was down")
-    for line in history.of("calm"):
-        for other, log in history.logs.items():
-            wrong += [
-                f"{other} took {e['head']} for failed in calm times"
-                for e in log
-                if e["event"] == "heads.seen"
-                and e["status"] == "failed"
-                and line["at"] <= e["at"] <= line["until"]
-            ]
-    return wrong
-
-
-def tell(wrong: Iterable[str]) -> str:
-    return "\n".join(wrong) or "all promises are kept"
+        for witness in down.witnesses:
+            seen = [event for event in history.events(witness, HeadSeen) if event.head == down.head]
+            if not any(event.status in GONE and down.at <= event.at <= down.until for event in seen):
+                violations.append(f"{witness} did not see within {duration:.1f} s that {down.head} was down")
+    return violations
+
+
+def check_accuracy(history: History) -> list[str]:
+    """Check that nobody takes a head for failed while all are up and no fault is near."""
+    return [
+        f"{observer} took {event.head} for failed in calm times"
+        for calm in history.of(Calm)
+        for observer in history.logs
+        for event in history.events(observer, HeadSeen)
+        if event.status == "failed" and calm.at <= event.at <= calm.until
+    ]
--- a/stoatrouter/lab/histories/linear.py
+++ b/stoatrouter/lab/histories/linear.py
@@ -1,7 +1,7 @@
-"""Whether a history of calls is linearizable: Wing and Gong's search (1993), with a memory of what was tried.
+"""Linearizability of a history of calls: Wing and Gong's search (1993), with a memory of tried states.
 
-A call is known by when it was asked, when it was answered, and what. One that was never answered may have
-acted at any later time, or never. The model is a function from a state and a call to the states that may
+A call is known by when it was invoked, when it returned, and what. One that never returned may have taken
+effect at any later time, or never. The model is a function from a state and a call to the states that may
 follow.
 """
 
@@ -9,80 +9,115 @@
 
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import Generic, NamedTuple, TypeVar
 
 NEVER = float("inf")
 
+Operation = TypeVar("Operation")
+Response = TypeVar("Response")
+State = TypeVar("State", bound=Hashable)
+
 
 @dataclass(slots=True, frozen=True)
-class Call:
-    """One call of a client."""
+class Call(Generic[Operation, Response]):
+    """One call of a client; times are in seconds of one clock."""
 
-    asked: float
-    answered: float  # NEVER: no answer came
-    what: Any
-    answer: Any = None
+    invoked_at: float
+    returned_at: float  # NEVER: no response came
+    operation: Operation
+    response: Response | None = None
 
 
-Step = Callable[[Hashable, Call], Iterable[Hashable]]
+Model = Callable[[State, Call[Operation, Response]], Iterable[State]]
 
 
-def linearizable(calls: list[Call], first: Hashable, step: Step) -> bool:
+def linearizable(
+    calls: list[Call[Operation, Response]], initial: State, model: Model[State, Operation, Response]
+) -> bool:
     """Whether there is an order of the calls, each within its time, that the model allows."""
-    return explain(calls, first, step) is not None
+    return linearization_of(calls, initial, model) is not None
+
+
+def linearization_of(
+    calls: list[Call[Operation, Response]], initial: State, model: Model[State, Operation, Response]
+) -> list[Call[Operation, Response]] | None:
+    """Find an order of the calls, each within its time, that the model allows.
 
+    Args:
+        calls: The history; a call without a response may be left out of the order.
+        initial: The state before all calls.
+        model: Returns the states that may follow when a call takes effect; none where it cannot.
 
-def explain(calls: list[Call], first: Hashable, step: Step) -> list[Call] | None:
-    """Such an order; None where there is none. A call without an answer may be left out."""
-    calls = sorted(calls, key=lambda call: call.asked)
+    Returns:
+        Such an order, or None where there is none.
+    """
+    calls = sorted(calls, key=lambda call: call.invoked_at)
     everything = (1 << len(calls)) - 1
-    optional = sum(1 << i for i, call in enumerate(calls) if call.answered == NEVER)
-    tried: set[tuple[int, Hashable]] = set()
-    stack: list[tuple[int, Hashable, tuple[int, ...]]] = [(0, first, ())]
+    optional = sum(1 << i for i, call in enumerate(calls) if call.returned_at == NEVER)
+    tried: set[tuple[int, State]] = set()
+    stack: list[tuple[int, State, tuple[int, ...]]] = [(0, initial, ())]
     while stack:
-        done, state, order = stack.pop()
+        done, state, order = stack.pop()  # done: the bits of the calls that have taken effect
         if done | optional == everything:
             return [calls[i] for i in order]
         left = [i for i in range(len(calls)) if not done >> i & 1]
-        soonest = min(calls[i].answered for i in left)
+        first_return = min(calls[i].returned_at for i in left)
         for i in left:
-            # what was asked after another had been answered comes after it
-            if calls[i].asked > soonest:
+            # what was invoked after another call had returned comes after it
+            if calls[i].invoked_at > first_return:
                 break
-            for after in step(state, calls[i]):
-                key = (done | 1 << i, after)
+            for successor in model(state, calls[i]):
+                key = (done | 1 << i, successor)
                 if key not in tried:
                     tried.add(key)
-                    stack.append((done | 1 << i, after, (*order, i)))
+                    stack.append((*key, (*order, i)))
     return None
 
 
 # -- the version register of routing rules ----------------------------------------------------------------
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """An edit against a base, an undo of a version, or a read of the newest."""
+class RegisterOperation:
+    """An edit against a base, an undo of a version, or a read of the newest version's number."""
 
-    kind: str
+    kind: str  # "edit", "undo" or "read"
     id: str = ""
     base: int = 0
 
 
-def register_step(state: Hashable, call: Call) -> Iterable[Hashable]:
-    """The register as its users understand it: numbers go up, an edit holds only against the newest, an id
-    acts once. A state is the newest version's number and the ids that acted, with their numbers.
+class RegisterResponse(NamedTuple):
+    """What the register answered: "ok" and the new number, or "refused" or "read" and the newest number."""
+
+    outcome: str
+    number: int
+
+
+class RegisterState(NamedTuple):
+    """The newest version's number, and the ids that took effect, with their numbers."""
+
+    newest: int = 0
+    numbers: tuple[tuple[str, int], ...] = ()
+
+
+RegisterCall = Call[RegisterOperation, RegisterResponse]
+
+
+def register_model(state: RegisterState, call: RegisterCall) -> list[RegisterState]:
+    """Apply a call to the register as its users understand it.
 
-    Answers: ("ok", number), ("refused", newest), ("read", newest).
+    Numbers go up, an edit holds only against the newest version, and an id takes effect once.
     """
-    newest, acted = state  # type: ignore[misc]
-    known = dict(acted)
-    asked, answer = call.what, call.answer
-    if asked.kind == "read":
-        return [state] if answer == ("read", newest) else []
-    if asked.id in known:
-        return [state] if answer in (None, ("ok", known[asked.id])) else []
-    if answer is not None and answer[0] == "refused":
-        return [state] if answer[1] == newest and newest != asked.base else []
-    if asked.base != newest:
-        return [state] if answer is None else []
-    numbers = [answer[1]] if answer is not None else [newest + 1]
-    return [(n, (*acted, (asked.id, n))) for n in numbers if n > newest]
+    operation, response = call.operation, call.response
+    number_of_id = dict(state.numbers).get(operation.id)
+    if operation.kind == "read":
+        return [state] if response == ("read", state.newest) else []
+    if number_of_id is not None:
+        return [state] if response in (None, ("ok", number_of_id)) else []
+    if response is not None and response.outcome == "refused":
+        was_conflict = operation.base != state.newest
+        return [state] if response.number == state.newest and was_conflict else []
+    if operation.base != state.newest:
+        return [state] if response is None else []
+    number = state.newest + 1 if response is None else response.number
+    if number <= state.newest:
+        return []
+    return [RegisterState(number, (*state.numbers, (operation.id, number)))]
--- a/stoatrouter/lab/histories/requests.py
+++ b/stoatrouter/lab/histories/requests.py
@@ -1,138 +1,257 @@
-"""Judges a history of requests, as clients, nodes and discovery wrote it, by the rules of the platform's
-pages.
+"""Judges requests as clients, nodes and discovery wrote them down, by the rules of the platform's pages.
 
 It knows nothing of the program: it imports no code of a head and reads nothing that one logs. A line is a
-dict: "what", "at" (seconds, one clock for all) and more.
-
-    sent      request, head, kind            a client's request, its last byte
-    answered  request, status                its one final answer, whole
-    ended     request                        its connection ended with no whole answer
-    gone      request                        its client closed before any answer
-    attempt   request, node, first, at       what a node got: its first byte and its last
-    over      request, node, ran             that attempt's end at the node; ran: whether it may have run
-    told      head, node                     from when a head counts as told that the node leaves
-    back      head, node                     from when it counts as told that the node serves
-    killed    head                           a head was killed outright
+dict with "what" and "at" (seconds, one clock for all) and the fields of the record of that tag; the records
+below say what each line means.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any
 
-Line = dict[str, Any]
+import msgspec
+
 NEVER = float("inf")
+KILL_MARGIN = 1.0  # seconds; a request is lost by a kill that is at most so far from it
+
+
+class Effect(StrEnum):
+    """Whether a request may run twice."""
+
+    SAFE = "safe"  # it changes nothing
+    IDEMPOTENT = "keyed"  # by its idempotency key, within a window
+    UNSAFE = "unsafe"
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """What a class allows; spans in seconds."""
+class RequestClass:
+    """What a class of requests allows."""
 
-    effect: str  # "safe", "keyed" or "unsafe"
-    window: float = 0.0
-    group: str = "cell"
+    effect: Effect
+    window: float = 0.0  # seconds in which an idempotency key is known
+    group: str = "cell"  # where a key is known: in one "cell", or else everywhere
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """What is promised; spans in seconds."""
+    """What the platform promises; spans in seconds."""
 
-    kinds: dict[str, Kind]
+    classes: dict[str, RequestClass]
     cells: dict[str, int]  # by node
     drain_grace: float
-    gone_within: float = 0.1  # an attempt may still begin so long after its client has gone
+    cancel_within: float = 0.1  # an attempt may still begin so long after its client has gone
     slack: float = 0.05  # every limit is so much longer
 
 
-def judge(lines: Iterable[Line], terms: Terms) -> list[str]:
-    """All that is broken; nothing where every rule is kept."""
-    lines = sorted(lines, key=lambda line: line["at"])
-    by_request: dict[str, list[Line]] = defaultdict(list)
-    for line in lines:
-        if "request" in line:
-            by_request[line["request"]].append(line)
-    found: list[str] = []
-    for request, own in by_request.items():
-        found += answers(request, own, lines)
-        found += after_gone(request, own, terms)
-        found += repeats(request, own, terms)
-    return [*found, *leaving(lines, terms)]
-
-
-def of(lines: Iterable[Line], what: str) -> list[Line]:
-    return [line for line in lines if line["what"] == what]
-
-
-def answers(request: str, own: list[Line], lines: list[Line]) -> Iterator[str]:
-    """One final answer to what was taken, but where its client left or its head was killed."""
-    given, sent = of(own, "answered"), of(own, "sent")
-    if len(given) > 1:
-        yield f"{request}: {len(given)} answers"
-    if given and any(line["at"] < given[0]["at"] for line in of(own, "ended")):
-        yield f"{request}: an answer after its connection had ended"
-    for line in of(own, "ended"):
-        head, taken = sent[0]["head"], sent[0]["at"]
-        kills = [k["at"] for k in of(lines, "killed") if k["head"] == head]
-        if not any(taken - 1.0 <= at <= line["at"] + 1.0 for at in kills):
-            yield f"{request}: lost by {head}, which ended its connection with no whole answer"
-    if sent and not given and not of(own, "ended") and not of(own, "gone"):
-        yield f"{request}: never answered"
-
-
-def after_gone(request: str, own: list[Line], terms: Terms) -> Iterator[str]:
-    """No attempt begins once its client has gone."""
-    for gone in of(own, "gone"):
-        for attempt in of(own, "attempt"):
-            late = attempt["first"] - gone["at"]
-            if late > terms.gone_within + terms.slack:
-                yield f"{request}: an attempt {late:.3f} s after its client had gone"
-
-
-def repeats(request: str, own: list[Line], terms: Terms) -> Iterator[str]:
-    """Never two at once, and repeats only as the class allows."""
-    sent = of(own, "sent")
-    if not sent:
-        if of(own, "attempt"):
-            yield f"{request}: an attempt of what no client sent"
+# -- lines of the history ---------------------------------------------------------------------------------
+class Line(msgspec.Struct, frozen=True, tag_field="what"):
+    """A line of the history."""
+
+    at: float
+
+
+class Sent(Line, frozen=True, tag="sent"):
+    """A client sent the last byte of its request."""
+
+    request: str
+    head: str
+    kind: str  # the name of its class
+
+
+class Answered(Line, frozen=True, tag="answered"):
+    """A client got its one final answer, complete."""
+
+    request: str
+    status: int
+
+
+class Ended(Line, frozen=True, tag="ended"):
+    """A request's connection ended without a complete answer."""
+
+    request: str
+
+
+class ClientGone(Line, frozen=True, tag="gone"):
+    """A client closed its connection before any answer."""
+
+    request: str
+
+
+class Attempt(Line, frozen=True, tag="attempt"):
+    """A node got a request."""
+
+    request: str
+    node: str
+    first: float  # when its first byte came; `at` is that of the last
+
+
+class AttemptEnded(Line, frozen=True, tag="over"):
+    """An attempt ended at its node."""
+
+    request: str
+    node: str
+    ran: bool  # whether it may have run
+
+
+class LeavingNotified(Line, frozen=True, tag="told"):
+    """From now on a head counts as notified that a node is draining."""
+
+    head: str
+    node: str
+
+
+class ServingNotified(Line, frozen=True, tag="back"):
+    """From now on a head counts as notified that a node serves."""
+
+    head: str
+    node: str
+
+
+class Killed(Line, frozen=True, tag="killed"):
+    """A head was killed outright."""
+
+    head: str
+
+
+RequestLine = Sent | Answered | Ended | ClientGone | Attempt | AttemptEnded
+AnyLine = RequestLine | LeavingNotified | ServingNotified | Killed
+
+
+@dataclass(slots=True)
+class RequestHistory:
+    """All lines of one request, in order."""
+
+    id: str
+    sent: list[Sent] = field(default_factory=list)
+    answers: list[Answered] = field(default_factory=list)
+    ends: list[Ended] = field(default_factory=list)
+    clients_gone: list[ClientGone] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
+    attempt_ends: list[AttemptEnded] = field(default_factory=list)
+
+    def add(self, line: RequestLine) -> None:
+        """Add the next line."""
+        match line:
+            case Sent():
+                self.sent.append(line)
+            case Answered():
+                self.answers.append(line)
+            case Ended():
+                self.ends.append(line)
+            case ClientGone():
+                self.clients_gone.append(line)
+            case Attempt():
+                self.attempts.append(line)
+            case AttemptEnded():
+                self.attempt_ends.append(line)
+
+    def end_of(self, attempt: Attempt) -> AttemptEnded | None:
+        """Return the end of an attempt at its node; None where it never ended."""
+        ends = (end for end in self.attempt_ends if end.node == attempt.node and end.at >= attempt.at)
+        return next(ends, None)
+
+
+# -- the rules --------------------------------------------------------------------------------------------
+def judge(lines: Iterable[dict[str, Any]], terms: Terms) -> list[str]:
+    """Return all violations of a history; none where every rule is kept.
+
+    Args:
+        lines: The history, in any order.
+        terms: What is promised.
+
+    Raises:
+        msgspec.ValidationError: A line is malformed, or of an unknown kind.
+    """
+    ordered = sorted((msgspec.convert(line, AnyLine) for line in lines), key=lambda line: line.at)
+    requests: dict[str, RequestHistory] = {}
+    for line in ordered:
+        if isinstance(line, RequestLine):
+            requests.setdefault(line.request, RequestHistory(line.request)).add(line)
+    kills = [line for line in ordered if isinstance(line, Killed)]
+    violations: list[str] = []
+    for request in requests.values():
+        violations += check_answers(request, kills)
+        violations += check_cancellation(request, terms)
+        violations += check_retries(request, terms)
+    return [*violations, *check_draining(ordered, terms)]
+
+
+def check_answers(request: RequestHistory, kills: list[Killed]) -> Iterator[str]:
+    """Check that a request has one final answer, unless its client left or its head was killed."""
+    answers = request.answers
+    if len(answers) > 1:
+        yield f"{request.id}: {len(answers)} answers"
+    if answers and any(end.at < answers[0].at for end in request.ends):
+        yield f"{request.id}: an answer after its connection had ended"
+    for end in request.ends:
+        sent = request.sent[0]
+        from_, until = sent.at - KILL_MARGIN, end.at + KILL_MARGIN
+        if not any(kill.head == sent.head and from_ <= kill.at <= until for kill in kills):
+            yield f"{request.id}: lost by {sent.head}, which ended its connection with no whole answer"
+    if request.sent and not (answers or request.ends or request.clients_gone):
+        yield f"{request.id}: never answered"
+
+
+def check_cancellation(request: RequestHistory, terms: Terms) -> Iterator[str]:
+    """Check that no attempt begins once the client has gone."""
+    for gone in request.clients_gone:
+        for attempt in request.attempts:
+            late = attempt.first - gone.at
+            if late > terms.cancel_within + terms.slack:
+                yield f"{request.id}: an attempt {late:.3f} s after its client had gone"
+
+
+def check_retries(request: RequestHistory, terms: Terms) -> Iterator[str]:
+    """Check that no two attempts run at once, and that retries are as the class allows."""
+    if not request.sent:
+        if request.attempts:
+            yield f"{request.id}: an attempt of what no client sent"
         return
-    kind, attempts, ends = terms.kinds[sent[0]["kind"]], of(own, "attempt"), of(own, "over")
-    may_have_run: list[Line] = []
-    for number, attempt in enumerate(attempts):
-        for before in attempts[:number]:
-            end = next((e for e in ends if e["node"] == before["node"] and e["at"] >= before["at"]), None)
-            if (end["at"] if end else NEVER) > attempt["first"] + terms.slack:
-                yield f"{request}: two attempts at once"
-        if may_have_run:
-            yield from again(request, attempt, may_have_run[0], kind, terms)
-        end = next((e for e in ends if e["node"] == attempt["node"] and e["at"] >= attempt["at"]), None)
-        if end is None or end["ran"]:
-            may_have_run.append(attempt)
-
-
-def again(request: str, attempt: Line, first: Line, kind: Kind, terms: Terms) -> Iterator[str]:
-    """A further attempt after one that may have run."""
-    if kind.effect == "unsafe":
-        yield f"{request}: repeated, though it may have run and may not run twice"
-    if kind.effect != "keyed":
+    request_class = terms.classes[request.sent[0].kind]
+    first_that_may_have_run: Attempt | None = None
+    for number, attempt in enumerate(request.attempts):
+        for earlier in request.attempts[:number]:
+            end = request.end_of(earlier)
+            if (end.at if end else NEVER) > attempt.first + terms.slack:
+                yield f"{request.id}: two attempts at once"
+        if first_that_may_have_run is not None:
+            yield from check_retry(attempt, first_that_may_have_run, request_class, terms)
+            continue
+        end = request.end_of(attempt)
+        if end is None or end.ran:
+            first_that_may_have_run = attempt
+
+
+def check_retry(attempt: Attempt, first: Attempt, request_class: RequestClass, terms: Terms) -> Iterator[str]:
+    """Check an attempt after one that may have run."""
+    if request_class.effect is Effect.UNSAFE:
+        yield f"{attempt.request}: repeated, though it may have run and may not run twice"
+    if request_class.effect is not Effect.IDEMPOTENT:
         return
-    if attempt["first"] - first["first"] > kind.window + terms.slack:
-        yield f"{request}: repeated outside its window"
-    if kind.group == "cell" and terms.cells[attempt["node"]] != terms.cells[first["node"]]:
-        yield f"{request}: repeated in another cell"
+    if attempt.first - first.first > request_class.window + terms.slack:
+        yield f"{attempt.request}: repeated outside its window"
+    if request_class.group == "cell" and terms.cells[attempt.node] != terms.cells[first.node]:
+        yield f"{attempt.request}: repeated in another cell"
 
 
-def leaving(lines: list[Line], terms: Terms) -> Iterator[str]:
-    """Nothing goes to a node once the grace is over since its head was told that it leaves."""
-    heads = {line["request"]: line["head"] for line in of(lines, "sent")}
-    told: dict[tuple[str, str], list[tuple[float, bool]]] = defaultdict(list)
+def check_draining(lines: list[AnyLine], terms: Terms) -> Iterator[str]:
+    """Check that nothing goes to a draining node once the grace after its head's notification is over."""
+    heads = {line.request: line.head for line in lines if isinstance(line, Sent)}
+    notifications: dict[tuple[str, str], list[LeavingNotified | ServingNotified]] = defaultdict(list)
     for line in lines:
-        if line["what"] in ("told", "back"):
-            told[line["head"], line["node"]].append((line["at"], line["what"] == "told"))
-    for attempt in of(lines, "attempt"):
-        about = told[heads.get(attempt["request"], ""), attempt["node"]]
-        known = [word for word in about if word[0] <= attempt["first"]]
-        if known and known[-1][1] and attempt["first"] - known[-1][0] > terms.drain_grace + terms.slack:
-            late = attempt["first"] - known[-1][0]
-            yield f"{attempt['request']}: sent to {attempt['node']} {late:.3f} s after it was told as leaving"
+        if isinstance(line, LeavingNotified | ServingNotified):
+            notifications[line.head, line.node].append(line)
+    for attempt in lines:
+        if not isinstance(attempt, Attempt):
+            continue
+        about = notifications[heads.get(attempt.request, ""), attempt.node]
+        before = [line for line in about if line.at <= attempt.first]
+        if not before or isinstance(before[-1], ServingNotified):
+            continue
+        late = attempt.first - before[-1].at
+        if late > terms.drain_grace + terms.slack:
+            yield f"{attempt.request}: sent to {attempt.node} {late:.3f} s after it was told as leaving"
--- a/tests/fleet_story.py
+++ b/tests/fleet_story.py
@@ -14,28 +14,32 @@
 from pathlib import Path
 from typing import Any
 
-from stoatrouter.lab.histories.requests import Kind, Terms
+from stoatrouter.lab.histories.requests import Effect, RequestClass, Terms
 from tests.addresses import free_ports, own_host
 from tests.heads.processes import end_with_parent
 from tests.peers import SETTINGS, told, until
 
 ROOT = Path(__file__).parent.parent
 DEADLINE, WINDOW, GRACE = 1.2, 0.5, 0.5
-KINDS = {"look": Kind("safe"), "note": Kind("keyed", WINDOW), "lend": Kind("unsafe")}
-EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+CLASSES_BY_NAME = {
+    "look": RequestClass(Effect.SAFE),
+    "note": RequestClass(Effect.IDEMPOTENT, WINDOW),
+    "lend": RequestClass(Effect.UNSAFE),
+}
+EFFECTS = {Effect.SAFE: "retryable", Effect.IDEMPOTENT: "dedup", Effect.UNSAFE: "fragile"}
 CLASSES = [
     {
         "Name": name,
-        "Effect": EFFECTS[kind.effect],
+        "Effect": EFFECTS[request_class.effect],
         "Group": "cell",
         "Points": 2.0,
         "LateWorth": 0.2,
         "Promise": 400_000,
         "HardLimit": int(DEADLINE * 1e6),
         "Stream": False,
-        "Window": int(kind.window * 1e6),
+        "Window": int(request_class.window * 1e6),
     }
-    for name, kind in KINDS.items()
+    for name, request_class in CLASSES_BY_NAME.items()
 ]
 START = "from stoatrouter.__main__ import main\nimport sys\nsys.exit(main())\n"
 
@@ -259,7 +263,7 @@
         """One request; whether its connection goes on. One whose connection had ended before it was read may
         be sent once more, under a new name here."""
         self.count += 1
-        name, kind = f"c{self.number}-{self.count}", self.draws.choice(list(KINDS))
+        name, kind = f"c{self.number}-{self.count}", self.draws.choice(list(CLASSES_BY_NAME))
         body = b"" if kind == "look" else b"new"
         fields = {
             "Host": "x",
@@ -332,7 +336,7 @@
                     await head.process.wait()
         now = time.monotonic()
     lines = [line for line in history.lines if line["at"] <= now]
-    return lines, Terms(KINDS, {n.name: n.cell for n in nodes}, GRACE, slack=0.4)
+    return lines, Terms(CLASSES_BY_NAME, {n.name: n.cell for n in nodes}, GRACE, slack=0.4)
 
 
 async def faults(
--- a/tests/heads/chaos.py
+++ b/tests/heads/chaos.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from stoatrouter.lab.histories.judge import History, read
+from stoatrouter.lab.histories.history import History, read_history
 from tests.heads.processes import HeadProcess, Processes
 from tests.heads.test_rules_processes import edit, rules, undo
 
@@ -231,7 +231,7 @@
         if detect:
             await self.detect()
         self.out.close()
-        return read(self.file, {h.name: h.logs for h in fleet})
+        return read_history(self.file, {h.name: h.logs for h in fleet})
 
     async def detect(self) -> None:
         """A calm while, then one head is killed: for the judge of what the detectors saw."""
--- a/tests/heads/test_histories.py
+++ b/tests/heads/test_histories.py
@@ -7,18 +7,29 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatrouter.lab.histories.judge import History, judge, tell
-from stoatrouter.lab.histories.linear import NEVER, Asked, Call, linearizable, register_step
+from stoatrouter.lab.histories.history import History, Payment, RegisterLine, Request
+from stoatrouter.lab.histories.judge import describe, judge
+from stoatrouter.lab.histories.linear import (
+    NEVER,
+    Call,
+    RegisterCall,
+    RegisterOperation,
+    RegisterResponse,
+    RegisterState,
+    linearizable,
+    register_model,
+)
 from tests.heads.chaos import MORE, Chaos
 from tests.heads.processes import heads_up
 from tests.heads.test_rules_processes import rules
 from tests.peers import run
 
-FIRST = (0, ())
+FIRST = RegisterState()
 
 
-def call(asked, answered, kind, id="", base=0, answer=None) -> Call:
-    return Call(asked, answered, Asked(kind, id, base), answer)
+def call(invoked, returned, kind, id="", base=0, answer=None) -> RegisterCall:
+    response = None if answer is None else RegisterResponse(*answer)
+    return Call(invoked, returned, RegisterOperation(kind, id, base), response)
 
 
 @pytest.mark.parametrize(
@@ -53,7 +64,7 @@
     ],
 )
 def test_the_register_checker(calls, so):
-    assert linearizable(calls, FIRST, register_step) is so
+    assert linearizable(calls, FIRST, register_model) is so
 
 
 @given(st.lists(st.tuples(st.floats(0, 1), st.floats(0, 1), st.booleans()), max_size=12), st.randoms())
@@ -69,7 +80,7 @@
             calls.append(call(at - before * 5, at + after * 5, "edit", f"i{n}", newest, ("ok", newest + 1)))
             newest += 1
     draws.shuffle(calls)
-    assert linearizable(calls, FIRST, register_step)
+    assert linearizable(calls, FIRST, register_model)
 
 
 def request(id, status, at=5.0, charge=10) -> dict:
@@ -120,7 +131,7 @@
 
 def test_a_whole_history_is_found_whole():
     assert judge(WHOLE) == []
-    assert tell([]) == "all promises are kept"
+    assert describe([]) == "all promises are kept"
 
 
 @pytest.mark.parametrize(
@@ -185,11 +196,11 @@
             chaos = Chaos(fleet, seed, tmp_path / "history.jsonl")
             history = await chaos.run(14, detect=seed == 1)
             wrong = judge(history)
-            assert not wrong, tell(wrong) + "\n" + "\n".join(chaos.faults)
-            done = [r["status"] for r in history.of("request")]
+            assert not wrong, describe(wrong) + "\n" + "\n".join(chaos.faults)
+            done = [request.status for request in history.of(Request)]
             print(
-                f"{len(done)} requests, {done.count(200)} served, {len(list(history.of('pay')))} top-ups, "
-                f"{len(list(history.of('register')))} edits and reads, {len(chaos.faults)} faults"
+                f"{len(done)} requests, {done.count(200)} served, {len(history.of(Payment))} top-ups, "
+                f"{len(history.of(RegisterLine))} edits and reads, {len(chaos.faults)} faults"
             )
             assert done.count(200) > 50
 
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -28,6 +28,7 @@
 from stoatrouter import config
 from stoatrouter.agreement.records import Voter
 from stoatrouter.fronts.http.settings import load_http
+from stoatrouter.lab.histories.history import Request
 from stoatrouter.lab.histories.judge import judge
 from stoatrouter.lab.hollow.census import Census, Incomplete
 from stoatrouter.lab.hollow.head import HollowHead, Life, Surroundings, settings_of
@@ -284,8 +285,8 @@
             assert asking.accepted > 0
             for name in fleet.hollow.names:
                 assert any(event["event"] == "rules.version" for event in history.logs[name]), name
-            served = [line for line in history.of("request") if line["status"] == 200]
-            assert served and {line["head"] for line in served} == set(fleet.hollow.names)
+            served = [line for line in history.of(Request) if line.status == 200]
+            assert served and {line.head for line in served} == set(fleet.hollow.names)
             # the judge reads hollow heads' logs: one that goes back to an older version is found out
             name = fleet.hollow.names[0]
             newest = next(e for e in reversed(history.logs[name]) if e["event"] == "rules.version")
--- a/tests/test_request_histories.py
+++ b/tests/test_request_histories.py
@@ -8,11 +8,15 @@
 
 import pytest
 
-from stoatrouter.lab.histories.requests import Kind, Terms, judge
+from stoatrouter.lab.histories.requests import Effect, RequestClass, Terms, judge
 from tests.fleet_story import play
 
 TERMS = Terms(
-    {"look": Kind("safe"), "note": Kind("keyed", 2.0), "lend": Kind("unsafe")},
+    {
+        "look": RequestClass(Effect.SAFE),
+        "note": RequestClass(Effect.IDEMPOTENT, 2.0),
+        "lend": RequestClass(Effect.UNSAFE),
+    },
     {"a": 0, "b": 0, "c": 1},
     drain_grace=1.0,
 )
