--- a/benchmarks/readability.py
+++ b/benchmarks/readability.py
@@ -5,6 +5,7 @@
 strings and comments do not count. Public items without a doc comment are counted by ruff's D1 rules,
 which this command runs with every D1 rule selected and no per-file exemption; the column "D, Google"
 counts all of pydocstyle's rules under the Google convention, as CI will hold finished packages to.
+"over 30" counts functions of more than 30 lines, "over 400" files of more than 400 lines.
 
 Run from the repository's root::
 
@@ -18,6 +19,7 @@
 from __future__ import annotations
 
 import argparse
+import ast
 import io
 import json
 import re
@@ -46,6 +48,8 @@
 )
 ROOTS = ("stoatrouter", "cypressworks")  # the second is the package of policy before it was moved
 MAX_LINES = 400
+MAX_FUNCTION_LINES = 30
+COLUMNS = ("plain_words", "no_doc_comment", "docstyle", "long_functions", "over_400")
 _CAMEL_BOUNDARY = re.compile(r"(?<=[a-z0-9])(?=[A-Z])")
 
 
@@ -75,6 +79,21 @@
     return counts
 
 
+def long_functions_in(path: Path) -> int:
+    """Count the functions and methods of one file that are longer than the limit, docstring included."""
+    functions = (
+        node
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
+    )
+    return sum((node.end_lineno or node.lineno) - node.lineno + 1 > MAX_FUNCTION_LINES for node in functions)
+
+
+def empty_row() -> dict[str, int]:
+    """A package's row before anything was counted."""
+    return {"plain_words": 0, "over_400": 0, "long_functions": 0, "files": 0}
+
+
 def package_of(path: Path) -> str:
     """The package a file is counted under: its first two parts (``stoatrouter/core``), or its root."""
     parts = path.parts
@@ -112,7 +131,8 @@
     for top in ROOTS:
         for path in sorted((root / top).rglob("*.py")):
             relative = path.relative_to(root)
-            row = table.setdefault(package_of(relative), {"plain_words": 0, "over_400": 0, "files": 0})
+            row = table.setdefault(package_of(relative), empty_row())
+            row["long_functions"] += long_functions_in(path)
             row["plain_words"] += sum(plain_words_in(path).values())
             row["files"] += 1
             if len(path.read_text().splitlines()) > MAX_LINES:
@@ -120,7 +140,7 @@
     for column, rules in (("no_doc_comment", "D1"), ("docstyle", "D")):
         findings = docstring_findings(root, rules)
         for package, count in (findings or {}).items():
-            table.setdefault(package, {"plain_words": 0, "over_400": 0, "files": 0})[column] = count
+            table.setdefault(package, empty_row())[column] = count
     return table
 
 
@@ -133,6 +153,13 @@
     return total
 
 
+def table_line(cells: tuple[str | int, ...], widths: tuple[int, ...]) -> str:
+    """One line of the table: the package to the left of its column, figures to the right of theirs."""
+    first, *figures = (str(cell) for cell in cells)
+    aligned = (figure.rjust(width) for figure, width in zip(figures, widths[1:], strict=True))
+    return " ".join((first.ljust(widths[0]), *aligned))
+
+
 def main(argv: list[str] | None = None) -> int:
     """Print the table, or JSON with ``--json``."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
@@ -145,17 +172,15 @@
         json.dump({"packages": table, "words": dict(by_word)}, sys.stdout, indent=1, sort_keys=True)
         print()
         return 0
-    header = ("package", "files", "plain words", "no doc comment", "D, Google", "over 400")
-    print(f"{header[0]:28} {header[1]:>5} {header[2]:>11} {header[3]:>14} {header[4]:>9} {header[5]:>8}")
+    header = ("package", "files", "plain words", "no doc comment", "D, Google", "over 30", "over 400")
+    widths = (28, 5, 11, 14, 9, 7, 8)
+    print(table_line(header, widths))
     for package in sorted(table):
         row = table[package]
-        cells = (row["files"], row["plain_words"], row.get("no_doc_comment", 0), row.get("docstyle", 0))
-        print(f"{package:28} {cells[0]:5} {cells[1]:11} {cells[2]:14} {cells[3]:9} {row['over_400']:8}")
-    columns = ("plain_words", "no_doc_comment", "docstyle")
-    totals = {key: sum(row.get(key, 0) for row in table.values()) for key in columns}
-    print(
-        f"{'all':28} {'':5} {totals['plain_words']:11} {totals['no_doc_comment']:14} {totals['docstyle']:9}"
-    )
+        cells = (package, row["files"], *(row.get(column, 0) for column in COLUMNS))
+        print(table_line(cells, widths))
+    totals = [sum(row.get(column, 0) for row in table.values()) for column in ("files", *COLUMNS)]
+    print(table_line(("all", *totals), widths))
     print("words: " + ", ".join(f"{word} {by_word[word]}" for word in PLAIN_WORDS))
     return 0
 
