--- a/benchmarks/capacity/instrumented_head.py
+++ b/benchmarks/capacity/instrumented_head.py
@@ -126,7 +126,7 @@
 def decision_place(scheduler: Scheduler, now: int, event: Any) -> str:
     """Readings and lists are counted apart from what requests cost."""
     name = type(event).__name__
-    if name == "NodeList":
+    if name == "EndpointList":
         return LIST
     return READING if name == "TimerFired" and event.token == 0 else DECISION
 
--- a/benchmarks/capacity/virtual.py
+++ b/benchmarks/capacity/virtual.py
@@ -144,7 +144,7 @@
         self.shards = [entry.shard for entry in entries]
         self.chance.shuffle(self.shards)  # which shards are asked for often is drawn too
         self.shard_weights = weights
-        self.tell(api.NodeList(api.ListKind.FULL, tuple(entries)))
+        self.tell(api.EndpointList(api.ListKind.FULL, tuple(entries)))
         self.put_next_arrival()
 
     def run(self, span: int) -> Costs:
@@ -204,7 +204,7 @@
                 return Kind.ARRIVED
             case api.TimerFired():
                 return Kind.READING if event.token == self.reading_token else Kind.REQUEST_TIMER
-            case api.NodeList():
+            case api.EndpointList():
                 return Kind.LIST
             case _:
                 return Kind.ENDED
@@ -220,16 +220,16 @@
                 if self.reading_token is None:
                     self.reading_token = action.token  # a scheduler's first timer is that of its readings
                 self.put(self.now + action.after, api.TimerFired(action.token))
-            case api.Refuse():
+            case api.Reject():
                 outcomes.refused += 1
             case api.Fail():
                 outcomes.failed += 1
             case api.CancelAttempt():
                 raise AssertionError("no virtual node is late enough for a cancel")
-            case api.ProbeNode():
+            case api.CheckHealth():
                 outcomes.probes += 1
                 queue = LONG_QUEUE if action.node in self.full_nodes else 0.0
-                probed = api.ProbeEnded(action.node, api.Outcome.OK, MS, {"queue": queue})
+                probed = api.HealthCheckEnded(action.node, api.Outcome.OK, MS, {"queue": queue})
                 self.put(self.now + MS, probed)
 
     def answer(self, send: api.Send) -> None:
--- a/stoatrouter/config.py
+++ b/stoatrouter/config.py
@@ -166,7 +166,7 @@
     # the decision on. What it fills in the time to connect, beyond the slack, is not spent.
     late = max(timedelta(0), connect_timeout - LIMIT_SLACK).total_seconds()
     plans = tuple(replace(p, tolerance=max(0.0, p.tolerance - p.limit * late)) for p in settings.plans)
-    rules = replace(settings.rules, drain_grace=grace, taken_on_arrival=True)
+    rules = replace(settings.rules, drain_grace=grace, charged_on_arrival=True)
     return replace(settings, plans=plans, rules=rules)
 
 
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -39,8 +39,8 @@
 
         Args:
             settings: the decision module's settings, as read from the operators' file; their classes
-                size the counters, and their `max_advice` (microseconds; 0 unless `takes_advice`) is the
-                Retry-After given to requests that fronts reject.
+                size the counters, and their `max_retry_after` (microseconds; 0 unless
+                `accepts_retry_after`) is the Retry-After given to requests that fronts reject.
             seed: the decision module's random seed, so that a run can be repeated.
             max_open: most requests not yet answered at once; one more is rejected before the module.
         """
@@ -48,7 +48,7 @@
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
         # for what is rejected unseen: as late a Retry-After as the settings let a client be given
-        self.advice = span(settings.max_advice if settings.takes_advice else 0)
+        self.advice = span(settings.max_retry_after if settings.accepts_retry_after else 0)
         self.records: dict[str, model.Record] = {}
         self.flows: dict[str, int] = {}  # classes of requests whose answers are still being passed on
         self.nodes: dict[str, model.NodeInfo] = {}  # as listed
@@ -76,7 +76,9 @@
             case model.EndpointListReceived():
                 return self._list_received(event)
             case model.HealthCheckEnded():
-                return self._decide(api.ProbeEnded(event.node, event.outcome, micros(event.took), event.load))
+                return self._decide(
+                    api.HealthCheckEnded(event.node, event.outcome, micros(event.took), event.load)
+                )
             case model.ClientLeft():
                 return self._client_left(event.request)
             case model.Overdue():
@@ -290,7 +292,7 @@
         self, kind: api.ListKind, nodes: tuple[model.NodeInfo, ...], since: timedelta | None = None
     ) -> list[model.Effect]:
         entries = tuple(node_entry(self.administrative_state.seen(node)) for node in nodes)
-        return self._decide(api.NodeList(kind, entries, micros(self.now if since is None else since)))
+        return self._decide(api.EndpointList(kind, entries, micros(self.now if since is None else since)))
 
     def _set_administrative_state(self, event: model.SetAdministrativeState) -> list[model.Effect]:
         """Set the administrative state of a node; no effects where the node is not known."""
@@ -324,15 +326,15 @@
         match action:
             case api.Send():
                 return self._send(action)
-            case api.Refuse():
-                return self._answer(action.request, model.Refused(span(action.retry_in)))
+            case api.Reject():
+                return self._answer(action.request, model.Refused(span(action.retry_after)))
             case api.Fail():
                 return self._answer(action.request, model.Failed())
             case api.SetTimer():
                 return [model.SetTimer(span(action.after), action.token)]
             case api.CancelAttempt():
                 return [model.CancelAttempt(action.request, action.attempt)]
-            case api.ProbeNode() if action.node in self.nodes:
+            case api.CheckHealth() if action.node in self.nodes:
                 return [model.CheckHealth(action.node, self.nodes[action.node].address)]
             case _:
                 return []  # the list is always watched: nothing is to be asked for
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -103,7 +103,7 @@
         """Make a request of the core out of a decision."""
         chosen = self.settings.classes[decided.request_class]
         key = stated_key(request)
-        if key is None and chosen.effect is api.Effect.KEYED:
+        if key is None and chosen.effect is api.Effect.IDEMPOTENT:
             key = secrets.token_hex(8)  # for the head's own repeats: nodes tell them by it
         return model.Request(
             id=secrets.token_hex(8),
--- a/stoatrouter/fronts/http/settings.py
+++ b/stoatrouter/fronts/http/settings.py
@@ -80,5 +80,5 @@
     return {
         i: span(c.repeat_window)
         for i, c in enumerate(settings.classes)
-        if c.effect is api.Effect.KEYED and c.repeat_window
+        if c.effect is api.Effect.IDEMPOTENT and c.repeat_window
     }
--- a/stoatrouter/fronts/objects/store.py
+++ b/stoatrouter/fronts/objects/store.py
@@ -86,7 +86,7 @@
 
     def _request(self, kind: int, piece: str, shard: int, size: int, body: bytes = b"") -> model.Request:
         chosen, bucket = self.settings.classes[kind], self.bucket
-        keyed = chosen.effect is api.Effect.KEYED
+        keyed = chosen.effect is api.Effect.IDEMPOTENT
         time_left = span(chosen.deadline)
         if self.pieces.deadline is not None:
             time_left = min(time_left, self.pieces.deadline)
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -77,7 +77,7 @@
             conf.connect_timeout,
             conf.conn_idle,
             budget.nodes,
-            span(min(c.aim for c in conf.settings.classes)),
+            span(min(c.latency_objective for c in conf.settings.classes)),
         )
         self.engine = Engine(
             Reducer(conf.settings, conf.seed, conf.max_open),
@@ -90,8 +90,8 @@
             conf.known,
             self.engine.apply_node_list,
             self.engine.reducer.tally.add,
-            not conf.settings.list_on_request,
-            list_times(not conf.settings.list_on_request, conf.drain_grace),
+            not conf.settings.must_subscribe,
+            list_times(not conf.settings.must_subscribe, conf.drain_grace),
             conf.zones,
         )
         self.clients = ClientTable(
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -129,7 +129,7 @@
         conf = self.surroundings.conf
         if not self.surroundings.watches:
             return
-        pushed = not conf.settings.list_on_request
+        pushed = not conf.settings.must_subscribe
         self.watch = Watch(
             conf.discovery,
             {},
--- a/stoatrouter/policy/handover.py
+++ b/stoatrouter/policy/handover.py
@@ -12,7 +12,8 @@
 
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.logic import Scheduler
-from stoatrouter.policy.rules import CACHED_KEY_COUNT, Node, Volume
+from stoatrouter.policy.rules import CACHED_KEY_COUNT, Node
+from stoatrouter.policy.volume import Volume
 
 # Of what is left of a store beyond what the old process holds for: its clients come until their answers.
 OLD_PART = 0.2
--- a/stoatrouter/policy/interface.py
+++ b/stoatrouter/policy/interface.py
@@ -15,12 +15,12 @@
     """What repeating a request does."""
 
     SAFE = "safe"  # repeating is harmless
-    KEYED = "keyed"  # a group of nodes discards repeats for a while
+    IDEMPOTENT = "keyed"  # by an idempotency key: a group of nodes discards repeats for a while
     UNSAFE = "unsafe"  # a repeat takes effect again
 
 
 class Group(Enum):
-    """Which nodes discard a keyed request's repeats."""
+    """Which nodes discard the repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +28,7 @@
 
 
 class Phase(Enum):
-    """What the node list says of a node."""
+    """What the endpoint list says of a node."""
 
     ON = "on"
     DRAINING = "draining"
@@ -36,7 +36,7 @@
 
 
 class ListKind(Enum):
-    """What a message of the node list is."""
+    """What a message of the endpoint list is."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -68,15 +68,15 @@
     """One class of requests."""
 
     name: str
-    worth: float
-    aim: int
+    priority_weight: float
+    latency_objective: int
     deadline: int
-    late_worth: float = 0.0
+    late_weight_factor: float = 0.0
     effect: Effect = Effect.SAFE
     group: Group = Group.ALL
     repeat_window: int = 0
     writes: bool = False
-    in_turn: bool = False
+    ordered_by_key: bool = False
     stream: bool = False
 
     def __post_init__(self) -> None:
@@ -85,10 +85,10 @@
         Raises:
             ValueError: where a time is not positive, or a priority weight is negative.
         """
-        if self.aim <= 0 or self.deadline <= 0 or self.repeat_window < 0:
+        if self.latency_objective <= 0 or self.deadline <= 0 or self.repeat_window < 0:
             raise ValueError(f"class {self.name!r}: times must be positive")
-        if self.worth < 0 or self.late_worth < 0:
-            raise ValueError(f"class {self.name!r}: worth must not be negative")
+        if self.priority_weight < 0 or self.late_weight_factor < 0:
+            raise ValueError(f"class {self.name!r}: priority weights must not be negative")
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,7 +98,7 @@
     name: str
     usual_rate: float
     reserve: float = 0.0
-    share: float = 1.0
+    weight: float = 1.0  # in weighted fair queueing of what goes beyond the reserve
     price: float = 1.0
     limit: float = 0.0  # 0: none
     burst: float = 0.0
@@ -110,7 +110,7 @@
         Raises:
             ValueError: where a figure is negative.
         """
-        if min(self.usual_rate, self.reserve, self.share, self.limit, self.burst, self.tolerance) < 0:
+        if min(self.usual_rate, self.reserve, self.weight, self.limit, self.burst, self.tolerance) < 0:
             raise ValueError(f"plan {self.name!r}: figures must not be negative")
 
 
@@ -120,37 +120,37 @@
 
     answer_slack: int = 0
     drain_grace: int = 0
-    cold_from: float = 1.0
-    cold_time: int = 0
-    cold_units: float = 0.0  # units within fall_time, from all hosts, that a cold node always bears
-    fall_time: int = 0
-    fall_multiple: float = 1.0  # of what a cold node can do now, over fall_time: sent more, it falls over
-    ask_within: int | None = None
-    key_rest: int | None = None
-    budget_time: int | None = None
-    budget_free: float = 0.0
-    budget_share: float = 0.0
-    taken_on_arrival: bool = False  # a request takes its units of a limit where an attempt comes to a node
+    warm_up_from: float = 1.0
+    warm_up_time: int = 0
+    warm_up_units: float = 0.0  # within overload_window, from all hosts, that a warming-up node always bears
+    overload_window: int = 0
+    overload_multiple: float = 1.0  # of what a node can do in overload_window; beyond it, it fails
+    poll_within: int | None = None
+    key_hold_down: int | None = None
+    retry_budget_window: int | None = None
+    retry_budget_min: float = 0.0
+    retry_budget_ratio: float = 0.0
+    charged_on_arrival: bool = False  # units are charged to a limit once an attempt arrives at a node
 
     def __post_init__(self) -> None:
         """Check the rules' figures.
 
         Raises:
-            ValueError: where a time is negative, or `cold_from` is not above 0 and at most 1.
+            ValueError: where a time is negative, or `warm_up_from` is not above 0 and at most 1.
         """
         times = (
             self.answer_slack,
             self.drain_grace,
-            self.cold_time,
-            self.fall_time,
-            self.ask_within or 0,
-            self.key_rest or 0,
-            self.budget_time or 0,
+            self.warm_up_time,
+            self.overload_window,
+            self.poll_within or 0,
+            self.key_hold_down or 0,
+            self.retry_budget_window or 0,
         )
         if min(times) < 0:
             raise ValueError("rules: times must not be negative")
-        if not 0 < self.cold_from <= 1:
-            raise ValueError("rules: cold_from must be above 0 and at most 1")
+        if not 0 < self.warm_up_from <= 1:
+            raise ValueError("rules: warm_up_from must be above 0 and at most 1")
 
 
 @dataclass(slots=True, frozen=True)
@@ -161,18 +161,18 @@
     plans: tuple[Plan, ...]
     rules: Rules = field(default_factory=Rules)
     hosts: int = 1
-    me: int = 0
+    host_index: int = 0
     zone: int = 0
     tick: int = 1000
     max_attempts: int = 1
     parallel_attempts: bool = False
     may_cancel: bool = False
-    may_probe: bool = False
-    takes_advice: bool = False
-    max_advice: int = 0
-    list_on_request: bool = False
-    share_worth: float = 1.0  # part of the worth inside the share, beyond the reserve
-    beyond_worth: float = 1.0  # part of the worth beyond both
+    health_checks: bool = False
+    accepts_retry_after: bool = False
+    max_retry_after: int = 0
+    must_subscribe: bool = False
+    quota_weight_factor: float = 1.0  # of the priority weight inside the quota, beyond the reserve
+    excess_weight_factor: float = 1.0  # of the priority weight beyond both
     mean_units: float = 1.0
     max_units: float = 1.0
     meter_period: int = 0
@@ -190,13 +190,13 @@
             raise ValueError("settings: at least one class and one plan are needed")
         if self.hosts < 1 or self.max_attempts < 1:
             raise ValueError("settings: hosts and max_attempts must be at least 1")
-        if self.tick < 0 or self.meter_period < 0 or self.max_advice < 0:
+        if self.tick < 0 or self.meter_period < 0 or self.max_retry_after < 0:
             raise ValueError("settings: times must not be negative")
 
 
 @dataclass(slots=True, frozen=True)
 class NodeEntry:
-    """One line of the node list."""
+    """One endpoint of the endpoint list."""
 
     node: str
     shard: int
@@ -207,8 +207,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NodeList:
-    """The node list, or changes to it."""
+class EndpointList:
+    """The endpoint list, or a watch event with changes to it."""
 
     kind: ListKind
     entries: tuple[NodeEntry, ...] = ()
@@ -257,8 +257,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeEnded:
-    """What a probe of a node found."""
+class HealthCheckEnded:
+    """The outcome of a health check of a node."""
 
     node: str
     outcome: Outcome
@@ -280,7 +280,9 @@
     token: int
 
 
-Event = NodeList | RequestArrived | AttemptEnded | StreamStarted | ProbeEnded | ClientGone | TimerFired
+Event = (
+    EndpointList | RequestArrived | AttemptEnded | StreamStarted | HealthCheckEnded | ClientGone | TimerFired
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -293,11 +295,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
-    """Final answer: turned away, trying again is harmless."""
+class Reject:
+    """Final answer: rejected before it could take effect twice; a retry is harmless."""
 
     request: str
-    retry_in: int = 0
+    retry_after: int = 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -325,26 +327,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for the changes of the node list from now on."""
+    """Ask for watch events of the endpoint list from now on."""
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeNode:
-    """Ask a node for its load."""
+class CheckHealth:
+    """Ask a node for its load report."""
 
     node: str
 
 
-Action = Send | Refuse | Fail | CancelAttempt | SetTimer | Subscribe | ProbeNode
+Action = Send | Reject | Fail | CancelAttempt | SetTimer | Subscribe | CheckHealth
 
 
 # What a scheduler keeps of a request while it has it: a record, filled in by the decision module.
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request; outcome is None while it is out; node is the module's own record."""
+    """One attempt of a request; outcome is None while it is in flight."""
 
     node: Any
-    sent: int
+    sent_at: int
     outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
@@ -354,7 +356,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request this host owes an answer for, or that still has an attempt out."""
+    """A request this host owes an answer for, or that still has an attempt in flight."""
 
     id: str
     kind: RequestClass
@@ -362,27 +364,27 @@
     units: float
     key: str | None
     shard: int
-    aim: int
+    objective_at: int
     deadline: int
     write: bool
-    half: int = 0  # from when a refusal comes too late to be of use, if nothing was written to a node
+    reject_by: int = 0  # a later rejection is of no use to the client, if nothing was written to a node
     wait_until: int = 0
-    rest: int = 0  # until when its key rests once it is closed
+    key_held_until: int = 0  # until when its key is held down once it is closed
     node: Any = None
     attempts: list[Attempt] = field(default_factory=list)
     done: bool = False
-    charged: bool = False  # its units are off the limit's store
+    charged: bool = False  # its units are off the limit's token bucket
     streaming: bool = False
 
-    def unsent(self) -> bool:
-        """Whether no attempt of it has come to a node."""
-        came_to_none = (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.NOT_BEGUN)
-        return all(a.outcome in came_to_none for a in self.attempts)
+    def reached_no_node(self) -> bool:
+        """Whether no attempt of it has reached a node."""
+        not_reached = (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.NOT_BEGUN)
+        return all(a.outcome in not_reached for a in self.attempts)
 
-    def came(self) -> bool:
-        """Whether the last byte of an attempt may have come to a node."""
+    def may_have_arrived(self) -> bool:
+        """Whether the last byte of an attempt may have reached a node."""
         return any(a.outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_BEGUN) for a in self.attempts)
 
-    def out(self) -> bool:
-        """Whether an attempt is out."""
+    def in_flight(self) -> bool:
+        """Whether an attempt is in flight."""
         return any(a.outcome is None for a in self.attempts)
--- a/stoatrouter/policy/logic.py
+++ b/stoatrouter/policy/logic.py
@@ -16,19 +16,15 @@
     KEY_BONUS,
     CACHED_KEY_COUNT,
     LONGEST_PACE,
-    MS,
-    NEVER,
     READ_EVERY,
     REBUILD_EVERY,
-    SECOND,
     STEP_DELAY,
     TIMER_READ,
-    TINY,
     TOP_WINDOW,
     Node,
     NodeListing,
-    Volume,
 )
+from stoatrouter.policy.volume import MS, NEVER, SECOND, TINY, Volume  # isort: skip
 
 LATE = 0.25  # of the threshold: an answer as an idle node is expected to give it
 LONG = 1.5  # of the threshold: as more no answer counts in the average, or one long read makes all late
@@ -45,20 +41,25 @@
         """Start knowing nothing of nodes, volumes or requests; `seed` makes jitter and ties repeat."""
         self.settings, self.rules, self.random = settings, settings.rules, random.Random(seed)
         classes = settings.classes
-        self.threshold = min(c.aim for c in classes)
+        self.threshold = min(c.latency_objective for c in classes)
         self.quick = int(LATE * self.threshold / 2)  # the least that an answer is expected to take
         self.memory = 60 * SECOND + max(c.deadline for c in classes)  # of unused volumes and gone nodes
         mean_weight, mean_objective = (
-            sum(x) / len(classes) for x in zip(*((c.worth, c.aim) for c in classes), strict=True)
+            sum(x) / len(classes)
+            for x in zip(*((c.priority_weight, c.latency_objective) for c in classes), strict=True)
         )
-        self.background = {c.name for c in classes if c.worth < mean_weight and c.aim > mean_objective}
-        self.longest_advice = settings.max_advice if settings.takes_advice else 0
-        self.nodes = NodeIndex(self.rules.cold_time, self.load)
+        self.background = {
+            c.name
+            for c in classes
+            if c.priority_weight < mean_weight and c.latency_objective > mean_objective
+        }
+        self.longest_advice = settings.max_retry_after if settings.accepts_retry_after else 0
+        self.nodes = NodeIndex(self.rules.warm_up_time, self.load)
         self.requests, self.timers = dict[str, Request](), dict[int, Request]()
         self.volumes, self.turns = dict[str, Volume](), dict[str, deque[Request]]()  # of keys in order
         self.rests: dict[str, int] = {}  # until when such a key rests
         self.put: dict[tuple, tuple[int, int]] = {}  # where new data was lately put, and when
-        self.asked = RecentKeys(self.rules.fall_time)  # shards whose data this host was asked for
+        self.asked = RecentKeys(self.rules.overload_window)  # shards whose data this host was asked for
         self.taken, self.extras = deque[int](), deque[int]()
         self.given: dict[tuple, tuple[int, int]] = {}  # given up lately: aim and deadline
         self.now = self.last_token = self.rebuilt = self.ask_at = 0
@@ -83,9 +84,9 @@
                 self.ended(event)
             case api.TimerFired():
                 self.timer(event.token)
-            case api.NodeList():
+            case api.EndpointList():
                 self.listed(event)
-            case api.ProbeEnded() if event.node in self.nodes and "queue" in (event.load or {}):
+            case api.HealthCheckEnded() if event.node in self.nodes and "queue" in (event.load or {}):
                 node, queue = self.nodes[event.node], event.load["queue"]
                 # once it is short again the pace counts from then, as all hosts hear it at once
                 node.last_sent = now if queue <= CROWD < node.crowd else node.last_sent
@@ -110,7 +111,7 @@
         end = now + max(0, e.time_left)  # clients may leave before the aim
         # a client that comes back with what was given up has not got a new aim
         aim, left = self.given.pop((volume, e.key, kind.name, e.units), (end, 0))
-        aim = min(now + kind.aim, end, aim if e.repeat or end <= left + self.quick else end)
+        aim = min(now + kind.latency_objective, end, aim if e.repeat or end <= left + self.quick else end)
         r = self.requests[e.request] = Request(
             e.request,
             kind,
@@ -126,10 +127,10 @@
         self.taken.append(now)
         if e.shard != -1:
             self.asked.note(e.shard, now)
-        if kind.in_turn and r.key is not None:
+        if kind.ordered_by_key and r.key is not None:
             self.turns.setdefault(r.key, deque()).append(r)
         self.place(r)
-        self.wake(r.half, r)
+        self.wake(r.reject_by, r)
         if (node := r.node) is None:
             return
         self.ask(node)
@@ -145,7 +146,9 @@
         if r.node is not None:
             r.node.pending.pop(r.id, None)
         # what may have run where repeats are dropped by shard or zone is of use nowhere else
-        home = next((a.node for a in r.attempts if r.kind.effect is Effect.KEYED and a.may_have_run()), None)
+        home = next(
+            (a.node for a in r.attempts if r.kind.effect is Effect.IDEMPOTENT and a.may_have_run()), None
+        )
         shard = home.shard if home and r.kind.group is Group.SHARD else r.shard
         zone = home.zone if home and r.kind.group is Group.ZONE else None
         # Guards a node against hosts with little traffic: with nothing out, all would find the same first.
@@ -187,7 +190,11 @@
         r = self.timers.pop(token, None)
         if r is None or r.done or r.streaming:
             return
-        if self.now >= r.deadline - (0 if r.out() else self.quick) or self.now >= r.half and r.unsent():
+        if (
+            self.now >= r.deadline - (0 if r.in_flight() else self.quick)
+            or self.now >= r.reject_by
+            and r.reached_no_node()
+        ):
             return self.finish(r)
         # whatever becomes of it, its answer is not forgotten
         self.wake(r.deadline - self.quick if self.now < r.deadline - self.quick else r.deadline, r)
@@ -220,36 +227,21 @@
             if not (node.pending or node.out or node.reads > self.threshold):  # until its news is old
                 self.nodes.rest(node, self.now, max(node.heard, node.last_sent) + AVERAGE_SPAN)
         # where the list must be asked for, subscribe; after a failure again, later and with jitter
-        if self.settings.list_on_request and not self.subscribed and self.now >= self.ask_at:
+        if self.settings.must_subscribe and not self.subscribed and self.now >= self.ask_at:
             self.actions.append(api.Subscribe())
             self.ask_at = self.now + self.jitter(2 * SECOND)
 
-    def given_up(self, r: Request, node: Node) -> bool:
-        """Whether a pending request will not be sent any more, as far as is known.
-
-        A token bucket, a warming-up node's part, a pace or whatever else holds it too long: its client hears
-        at once. Harm: if wrong, it counts anew.
-        """
-        opens = max(self.now, r.wait_until, node.opens(self.now, self.patience(node)), self.barred(r, node))
-        # late at a node with a pace: its turns are kept for what can still be in time
-        # After half its time an unsent request is late whatever comes, and its client could have tried anew.
-        return (
-            opens + self.quick >= r.deadline
-            or opens >= r.half
-            and r.unsent()
-            or node.window < 1
-            and self.late(r, node, opens)
-        )
-
     def finish(self, r: Request) -> None:
         """The final answer: a refusal where trying again is harmless, else a failure."""
         ran, effect = any(a.may_have_run() for a in r.attempts), r.kind.effect
-        harmless = not ran or effect is Effect.SAFE or effect is Effect.KEYED and r.kind.group is Group.ALL
-        self.given[(r.volume, r.key, r.kind.name, r.units)] = (r.aim, r.deadline)
+        harmless = (
+            not ran or effect is Effect.SAFE or effect is Effect.IDEMPOTENT and r.kind.group is Group.ALL
+        )
+        self.given[(r.volume, r.key, r.kind.name, r.units)] = (r.objective_at, r.deadline)
         # to come back once the limit's store and the node's pace let such a request through
         opens = r.node.opens(self.now, self.patience(r.node)) if r.node is not None else self.now
-        retry_in = min(self.longest_advice, max(opens, r.volume.filled(self.now, r.units)) - self.now)
-        self.actions.append(api.Refuse(r.id, max(0, retry_in)) if harmless else api.Fail(r.id))
+        retry_after = min(self.longest_advice, max(opens, r.volume.filled(self.now, r.units)) - self.now)
+        self.actions.append(api.Reject(r.id, max(0, retry_after)) if harmless else api.Fail(r.id))
         self.close(r)
 
     def close(self, r: Request) -> None:
@@ -257,13 +249,13 @@
         r.done = True
         if r.node is not None:
             r.node.pending.pop(r.id, None)
-        if r.out():
+        if r.in_flight():
             return
         self.requests.pop(r.id, None)
-        turn = self.turns.get(r.key) if r.kind.in_turn else None
+        turn = self.turns.get(r.key) if r.kind.ordered_by_key else None
         if turn and r in turn:
             turn.remove(r)
-            self.rests[r.key] = max(self.rests.get(r.key, 0), r.rest)
+            self.rests[r.key] = max(self.rests.get(r.key, 0), r.key_held_until)
             if turn:
                 self.wake(self.rests[r.key], turn[0])
 
@@ -271,25 +263,17 @@
     def send_priority(self, r: Request, node: Node) -> tuple[int, int]:
         """Worth per unit still due if sent now; the aim stands for the work that a unit of the class is."""
         volume, kind, s = r.volume.at(self.now), r.kind, self.settings
-        due = s.share_worth if volume.excess <= 2 * self.fair * volume.plan.share else s.beyond_worth
+        due = (
+            s.quota_weight_factor
+            if volume.excess <= 2 * self.fair * volume.plan.weight
+            else s.excess_weight_factor
+        )
         due = 1.0 if volume.reserve >= r.units / 2 else due
-        value = kind.worth * volume.plan.price * due * self.threshold / kind.aim
-        value *= kind.late_worth if self.late(r, node, self.now) else 1.0
+        value = kind.priority_weight * volume.plan.price * due * self.threshold / kind.latency_objective
+        value *= kind.late_weight_factor if self.late(r, node, self.now) else 1.0
         value *= KEY_BONUS if r.key is not None and r.key in node.keys else 1.0
         # worth within a factor of two is as good as equal: there the nearest aim goes first
-        return (round(math.log2(value + TINY)), -r.aim)
-
-    def late(self, r: Request, node: Node, sent: int) -> bool:
-        """Whether sent at `sent` (microseconds) it would answer after its latency objective (DESIGN)."""
-        return sent + (node.reads if self.protected(r) else node.answers) > r.aim
-
-    def protected(self, r: Request) -> bool:
-        """Whether a request is a protected read: not a write, and not of a background class."""
-        return not r.write and r.kind.name not in self.background
-
-    def patience(self, node: Node) -> float:
-        """What is out far longer than answers take is presumed lost and holds no place."""
-        return self.threshold / 4 + 4 * node.answers
+        return (round(math.log2(value + TINY)), -r.objective_at)
 
     def pump(self, node: Node) -> None:
         """Send what the node's window lets through; answer what is given up."""
@@ -303,7 +287,7 @@
     def fill(self, node: Node) -> None:
         """The best first, as long as there is room."""
         busy = [r.volume for r in node.pending.values()]
-        self.fair = sum(v.excess for v in busy) / max(1.0, sum(v.plan.share for v in busy))
+        self.fair = sum(v.excess for v in busy) / max(1.0, sum(v.plan.weight for v in busy))
         for r in sorted(node.pending.values(), key=lambda r: self.send_priority(r, node), reverse=True):
             if not node.has_capacity(self.now, self.patience(node)):
                 break
@@ -326,7 +310,7 @@
         r.attempts.append(Attempt(node, now))
         node.sent.append((now, r.units))
         node.spent += r.units
-        while node.sent[0][0] < now - self.rules.fall_time:
+        while node.sent[0][0] < now - self.rules.overload_window:
             node.sent.popleft()
         node.keys.append(r.key)
         self.actions.append(api.Send(r.id, node.id, r.deadline - now))
@@ -340,11 +324,13 @@
         node, attempt.outcome = attempt.node, e.outcome
         node.out.pop((r.id, e.attempt), None)
         self.observe(e, r, node)
-        if self.rules.taken_on_arrival and r.charged and not r.came():  # taken when it comes, not before
+        if (
+            self.rules.charged_on_arrival and r.charged and not r.may_have_arrived()
+        ):  # taken when it comes, not before
             r.volume.store, r.charged = r.volume.store + (r.units if r.volume.plan.limit else 0.0), False
             r.volume.spend(-r.units)
         if e.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            r.rest = max(r.rest, self.now + (self.rules.key_rest or 0))
+            r.key_held_until = max(r.key_held_until, self.now + (self.rules.key_hold_down or 0))
         # held for a further attempt, after a pause that grows
         r.wait_until = self.now + self.jitter(self.threshold / 10 * 2 ** len(r.attempts))
         if e.finished or r.done:
@@ -391,10 +377,10 @@
             if self.protected(r):
                 took = min(e.took, LONG * self.threshold / few)
                 node.reads, node.read_at = node.weigh(node.reads, node.read_at, self.now, took), self.now
-            if not late or node.window < 1 and e.took <= r.kind.aim / 2:
+            if not late or node.window < 1 and e.took <= r.kind.latency_objective / 2:
                 node.window = min(TOP_WINDOW, node.window + min(node.window, 1 / node.window))
         # Node queues are long and refusals late, so a late answer counts as a time-out; one that took more
         # than half its own aim, as a jam.
-        jam = float(e.took > r.kind.aim / 2) if ok else JAMS.get(e.outcome)
+        jam = float(e.took > r.kind.latency_objective / 2) if ok else JAMS.get(e.outcome)
         if jam is not None and not lost and (late or not ok):
             node.cut(self.now, self.now - e.took, jam=jam)
--- a/stoatrouter/policy/node_index.py
+++ b/stoatrouter/policy/node_index.py
@@ -106,10 +106,10 @@
 class NodeIndex(dict[str, Any]):
     """Nodes by name, in the order in which they came, with what finds them faster than a walk."""
 
-    def __init__(self, cold_time: int, load: Callable[[Any], float]) -> None:
-        """`cold_time` is how long a node is cold after its start; `load` is a node's as if it were warm."""
+    def __init__(self, warm_up_time: int, load: Callable[[Any], float]) -> None:
+        """`warm_up_time` is how long a node warms up after its start; `load` is a node's as if warm."""
         super().__init__()
-        self.cold_time, self.load = cold_time, load
+        self.warm_up_time, self.load = warm_up_time, load
         self.next_number = 0
         self.numbered: dict[int, Any] = {}
         self.shards: dict[int, dict[int, Any]] = {}
@@ -254,12 +254,12 @@
         self.unranked.clear()
 
     def _rank(self, node: Any, now: int) -> None:
-        cold = node.up_since and now - node.up_since < self.cold_time
+        cold = node.up_since and now - node.up_since < self.warm_up_time
         rank = (self.load(node), node.up_since if cold else 0, node.number)
         self.ranks[node.number] = rank
         insort(self.ranked, rank)
         if cold:
-            heappush(self.warming, (node.up_since + self.cold_time, node.number))
+            heappush(self.warming, (node.up_since + self.warm_up_time, node.number))
 
     def _unrank(self, node: Any) -> None:
         rank = self.ranks.pop(node.number, None)
--- a/stoatrouter/policy/rules.py
+++ b/stoatrouter/policy/rules.py
@@ -2,15 +2,14 @@
 
 from __future__ import annotations
 
-import math
 from collections import deque
 from itertools import takewhile
 
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.interface import Attempt, Effect, Group, ListKind, Phase, Request
 from stoatrouter.policy.node_index import IndexedNode
+from stoatrouter.policy.volume import MS, NEVER, SECOND
 
-MS, SECOND = 1_000, 1_000_000
 READ_EVERY, REBUILD_EVERY = 100 * MS, SECOND  # the controller's reading; the throttleable set
 STEP_DELAY, TOP_STEP = 5 * MS, 21  # what one step holds a throttleable request back; the highest step
 GAIN_P, GAIN_I, GAIN_D = 2.0, 0.5, 0.5  # steps for an error as large as the threshold
@@ -28,60 +27,7 @@
     2,
 )  # worth of a key the node has just read: a full step; how many keys that is
 SHARERS_MARGIN = 1.5  # on how many hosts are expected to send to a node
-TIMER_READ, TINY, NEVER = 0, 1e-9, 1 << 62
-
-
-class Volume:
-    """One volume's stores. The reserve counts all hosts, as far as answers tell; the limit's is our part."""
-
-    def __init__(self, now: int, plan: api.Plan, hosts: int, most: float) -> None:
-        """Start a volume's token buckets full.
-
-        Args:
-            now: when it was first seen, in microseconds.
-            plan: its plan of usual rate, reserve, limit and burst (interface.py).
-            hosts: through how many hosts its requests come; the limit's bucket is this host's part.
-            most: the largest request, in units, that the reserve must take.
-        """
-        self.plan, self.hosts, self.stamp, self.excess = plan, max(1, hosts), now, 0.0
-        self.full = self.reserve = plan.reserve + most if plan.reserve else 0.0
-        # A restarted host cannot know what it spent, so its part of the limit's store was at the lowest
-        # that it may have reached when this host started (now: that time), and only time fills it.
-        self.lowest = self.store = -plan.tolerance / self.hosts
-        self.fills = True  # not once this host's next process has taken over: only its part fills
-
-    def follow(self, now: int, hosts: int) -> None:
-        """Another number of hosts: what those who left have spent is unknown, so the part starts anew."""
-        if max(1, hosts) != self.hosts:
-            self.at(now).hosts = max(1, hosts)
-            self.lowest = -self.plan.tolerance / self.hosts
-            self.store = min(self.store, self.lowest)
-
-    def at(self, now: int) -> Volume:
-        """Bring the buckets up to `now` (microseconds) and return the volume itself."""
-        if now == self.stamp:  # nothing has passed
-            return self
-        passed, self.stamp, p = (now - self.stamp) / SECOND, now, self.plan
-        self.reserve = min(self.full, self.reserve + p.reserve * passed)
-        self.store = min(p.burst / self.hosts, self.store + p.limit / self.hosts * passed * self.fills)
-        self.excess *= 0.5**passed  # units lately served beyond the reserve
-        return self
-
-    def filled(self, now: int, units: float) -> int:
-        """From when this host's part of the limit's store holds these units above its lowest."""
-        lack = units + self.lowest + TINY - self.at(now).store if self.plan.limit else 0.0
-        if lack > 0 and not self.fills:
-            return NEVER
-        return now + math.ceil(lack * self.hosts / self.plan.limit * SECOND) if lack > 0 else now
-
-    def idle(self, now: int, span: int) -> bool:
-        """Long unused and its limit's part full again: forgetting it refills nothing."""
-        return now - self.stamp > span and self.at(now).store >= self.plan.burst / self.hosts
-
-    def spend(self, units: float) -> None:
-        """Take units from the reserve first; what it lacks counts as excess (negative units give back)."""
-        self.excess += units - min(units, max(0.0, self.reserve))
-        self.reserve = max(-self.plan.reserve, self.reserve - units)
+TIMER_READ = 0
 
 
 class Node(IndexedNode):
@@ -202,10 +148,10 @@
         # 4: a cold node gets this host's part of what it always bears
         if (
             node.up_since
-            and now - node.up_since < rules.cold_time
+            and now - node.up_since < rules.warm_up_time
             and not self.has_warming_capacity(r, node, now)
         ):
-            warm = r.deadline - node.up_since >= rules.cold_time or self.has_warming_capacity(
+            warm = r.deadline - node.up_since >= rules.warm_up_time or self.has_warming_capacity(
                 r, node, r.deadline
             )
             return soon if warm else NEVER
@@ -214,13 +160,17 @@
             return volume.filled(now, r.units)
         # 6: order within a key; a request's own further attempts do not wait for its rest
         if (
-            kind.in_turn
+            kind.ordered_by_key
             and r.key is not None
             and (self.turns[r.key][0] is not r or not again and now < self.rests.get(r.key, 0))
         ):
             return max(soon, self.rests.get(r.key, 0))
         # 7: the budget of further attempts, exact over its sliding window
-        barred = again and rules.budget_time is not None and not self.affordable(now - rules.budget_time)
+        barred = (
+            again
+            and rules.retry_budget_window is not None
+            and not self.affordable(now - rules.retry_budget_window)
+        )
         return soon if barred else 0
 
     def may_begin(self, now: int, request: str, attempt: int) -> bool:
@@ -231,7 +181,7 @@
         a, earlier = r.attempts[attempt], r.attempts[:attempt]
         return (
             a.node.takes(now)
-            and a.node.up_since <= a.sent
+            and a.node.up_since <= a.sent_at
             and not (earlier and self.barred_again(r, a.node, now, earlier))
         )
 
@@ -245,11 +195,11 @@
         kind, ran = r.kind, [a for a in earlier if a.may_have_run()]
         if any(a.outcome is None for a in earlier) or ran and kind.effect is Effect.UNSAFE:
             return True
-        if not ran or kind.effect is not Effect.KEYED:
+        if not ran or kind.effect is not Effect.IDEMPOTENT:
             return False
         home = ran[0].node
         return (
-            at >= ran[0].sent + kind.repeat_window
+            at >= ran[0].sent_at + kind.repeat_window
             or kind.group is Group.SHARD
             and home.shard != node.shard
             or kind.group is Group.ZONE
@@ -258,9 +208,9 @@
 
     def warmth(self, node: Node, at: int) -> float:
         """The part of its capacity that a node has at least, by what is promised of its warming."""
-        first, cold_time = self.rules.cold_from, self.rules.cold_time
-        warm = not node.up_since or at - node.up_since >= cold_time
-        return 1.0 if warm else first + (1 - first) * max(0, at - node.up_since) / cold_time
+        first, warm_up_time = self.rules.warm_up_from, self.rules.warm_up_time
+        warm = not node.up_since or at - node.up_since >= warm_up_time
+        return 1.0 if warm else first + (1 - first) * max(0, at - node.up_since) / warm_up_time
 
     def sharers(self) -> float:
         """How many hosts send to a node, as far as this one can tell.
@@ -270,7 +220,7 @@
         if wrong, a warming-up node gets more than it bears.
         """
         s, nodes = self.settings, self.nodes.listed()
-        if self.now - self.born < self.rules.fall_time or not nodes:
+        if self.now - self.born < self.rules.overload_window or not nodes:
             return s.hosts  # what it is asked for is not known yet
         return max(1.0, s.hosts * min(1.0, SHARERS_MARGIN * (self.asked.count(self.now) + 2) / nodes))
 
@@ -288,16 +238,50 @@
         hosts = s.hosts if r.shard == -1 else self.sharers()
         # Always borne is what the slowest node bears. One that has answered this host bears more: at least
         # what it does in one place. Harm: if that was easy work, it is sent more than it bears.
-        shown = rules.fall_multiple * rules.fall_time / node.unit if node.unit and not node.out else 0.0
-        bears = max(rules.cold_units / rules.cold_from, shown)
+        shown = (
+            rules.overload_multiple * rules.overload_window / node.unit if node.unit and not node.out else 0.0
+        )
+        bears = max(rules.warm_up_units / rules.warm_up_from, shown)
         # what is late leaves half of it to what will come and earn more
         part = bears / hosts * (0.5 if self.late(r, node, at) else 1.0)
-        sent = node.sent_since(at - rules.fall_time)
+        sent = node.sent_since(at - rules.overload_window)
         if sent + r.units <= part * self.warmth(node, at):
             return True
-        windows = (at - node.known) / max(1, rules.fall_time)
+        windows = (at - node.known) / max(1, rules.overload_window)
         earned = 0.75 * part * windows * self.warmth(node, (node.known + at) // 2)
-        return not sent and earned >= node.spent + (s.me + node.up_since // MS) % s.hosts / s.hosts * r.units
+        return (
+            not sent
+            and earned >= node.spent + (s.host_index + node.up_since // MS) % s.hosts / s.hosts * r.units
+        )
+
+    def given_up(self, r: Request, node: Node) -> bool:
+        """Whether a pending request will not be sent any more, as far as is known.
+
+        A token bucket, a warming-up node's part, a pace or whatever else holds it too long: its client hears
+        at once. Harm: if wrong, it counts anew.
+        """
+        opens = max(self.now, r.wait_until, node.opens(self.now, self.patience(node)), self.barred(r, node))
+        # late at a node with a pace: its turns are kept for what can still be in time
+        # After half its time an unsent request is late whatever comes, and its client could have tried anew.
+        return (
+            opens + self.quick >= r.deadline
+            or opens >= r.reject_by
+            and r.reached_no_node()
+            or node.window < 1
+            and self.late(r, node, opens)
+        )
+
+    def late(self, r: Request, node: Node, sent: int) -> bool:
+        """Whether sent at `sent` (microseconds) it would answer after its latency objective (DESIGN)."""
+        return sent + (node.reads if self.protected(r) else node.answers) > r.objective_at
+
+    def protected(self, r: Request) -> bool:
+        """Whether a request is a protected read: not a write, and not of a background class."""
+        return not r.write and r.kind.name not in self.background
+
+    def patience(self, node: Node) -> float:
+        """What is out far longer than answers take is presumed lost and holds no place."""
+        return self.threshold / 4 + 4 * node.answers
 
     def affordable(self, since: int) -> bool:
         """Whether the retry budget takes one more extra attempt, counting what was sent since `since`.
@@ -308,7 +292,9 @@
         for times, first in (self.extras, since), (self.taken, since + 1):
             while times and times[0] < first:
                 times.popleft()
-        return len(self.extras) + 1 <= self.rules.budget_free + self.rules.budget_share * len(self.taken)
+        return len(self.extras) + 1 <= self.rules.retry_budget_min + self.rules.retry_budget_ratio * len(
+            self.taken
+        )
 
 
 class NodeListing(Rulebook):
@@ -322,7 +308,7 @@
             node.phase is not Phase.ON or node.opens(self.now, self.patience(node)) > self.now + SECOND
         )
 
-    def listed(self, e: api.NodeList) -> None:
+    def listed(self, e: api.EndpointList) -> None:
         """Take the node list or a watch event: phases, restarts, and requests filed anew where nodes went."""
         if e.kind is ListKind.UNAVAILABLE:
             self.subscribed = False
@@ -334,7 +320,7 @@
                 node.phase = node.phase if node.id in named else Phase.GONE
         for entry in e.entries:
             # a restarted host cannot know what it sent before; else it earned for a window at the most
-            known = max(entry.up_since, self.now - (self.now > self.born) * self.rules.fall_time)
+            known = max(entry.up_since, self.now - (self.now > self.born) * self.rules.overload_window)
             node = self.nodes.setdefault(entry.node, Node(entry, self.settings.hosts, known))
             if entry.phase is not node.phase:  # the word has just come
                 # one that was gone gets no grace: it may have been told to drain long before
@@ -343,20 +329,20 @@
             if entry.up_since != node.up_since:
                 node.restart(entry.up_since, known)
         for r in self.requests.values():
-            if not r.done and not r.out():
+            if not r.done and not r.in_flight():
                 self.place(r)  # sent with the next reading
 
     def ask(self, node: Node) -> None:
         """Where nodes tell their queue, it is asked for when work comes at a window below one."""
         if (
-            self.settings.may_probe
+            self.settings.health_checks
             and "queue" in self.settings.report_fields
             and node.window < 1
             and node.takes(self.now)
             and self.now >= node.health_check_at
         ):
             node.asked, node.health_check_at = self.now, self.now + self.jitter(HEALTH_CHECK_EVERY)
-            self.actions.append(api.ProbeNode(node.id))
+            self.actions.append(api.CheckHealth(node.id))
 
     def jitter(self, span: float) -> int:
         """A span (microseconds) scaled by a random factor from 0.5 to 1.5."""
--- a/stoatrouter/policy/simhost.py
+++ b/stoatrouter/policy/simhost.py
@@ -15,7 +15,7 @@
 
 Fields = dict[str, Any]
 
-EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
+EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.IDEMPOTENT, "fragile": api.Effect.UNSAFE}
 REGISTRY = {"automatic": False, "subscribe": True}  # whether the list must be asked for
 GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.SHARD}
 PHASES = {"on": api.Phase.ON, "fading": api.Phase.DRAINING, "off": api.Phase.GONE}
@@ -39,15 +39,15 @@
     classes = tuple(
         api.RequestClass(
             name=c["Name"],
-            worth=c["Points"],
-            aim=c["Promise"],
+            priority_weight=c["Points"],
+            latency_objective=c["Promise"],
             deadline=c["HardLimit"],
-            late_worth=c.get("LateWorth") or 0.0,
+            late_weight_factor=c.get("LateWorth") or 0.0,
             effect=EFFECTS[c["Effect"]],
             group=GROUPS[c.get("Group") or "all"],
             repeat_window=c.get("Window") or 0,
             writes=bool(writes[i]) if i < len(writes) else False,
-            in_turn=bool(c.get("InTurn")),
+            ordered_by_key=bool(c.get("InTurn")),
             stream=bool(c.get("Stream")),
         )
         for i, c in enumerate(data["Classes"])
@@ -57,7 +57,7 @@
             name=p["Name"],
             usual_rate=p.get("UsualRate") or 0.0,
             reserve=p.get("Guaranteed") or 0.0,
-            share=p.get("Shares", 1.0),
+            weight=p.get("Shares", 1.0),
             price=p.get("Price", 1.0),
             limit=p.get("Limit") or 0.0,
             burst=p.get("Burst") or 0.0,
@@ -71,30 +71,30 @@
         rules=api.Rules(
             answer_slack=rules.get("AnswerSlack") or 0,
             drain_grace=rules.get("DrainGrace") or 0,
-            cold_from=rules.get("ColdFrom", 1.0),
-            cold_time=rules.get("Cold") or 0,
-            cold_units=extra.get("ColdBears") or 0.0,
-            fall_time=rules.get("Fall") or 0,
-            fall_multiple=rules.get("FallMultiple") or 1.0,
-            ask_within=rules.get("AskWithin"),
-            key_rest=rules.get("KeyRest"),
-            budget_time=rules.get("CountedOver"),
-            budget_free=rules.get("SpareAttempts") or 0.0,
-            budget_share=rules.get("ExtraRatio") or 0.0,
+            warm_up_from=rules.get("ColdFrom", 1.0),
+            warm_up_time=rules.get("Cold") or 0,
+            warm_up_units=extra.get("ColdBears") or 0.0,
+            overload_window=rules.get("Fall") or 0,
+            overload_multiple=rules.get("FallMultiple") or 1.0,
+            poll_within=rules.get("AskWithin"),
+            key_hold_down=rules.get("KeyRest"),
+            retry_budget_window=rules.get("CountedOver"),
+            retry_budget_min=rules.get("SpareAttempts") or 0.0,
+            retry_budget_ratio=rules.get("ExtraRatio") or 0.0,
         ),
         hosts=data["Balancers"],
-        me=data["Me"],
+        host_index=data["Me"],
         zone=data.get("Zone") or 0,
         tick=data.get("Tick") or 0,
         max_attempts=limits["MostTries"],
         parallel_attempts=bool(limits.get("ParallelTries")),
         may_cancel=bool(limits.get("Cancel")),
-        may_probe=bool(limits.get("Probes")),
-        takes_advice=bool(limits.get("RetryAfter")),
-        max_advice=limits.get("MaxRetryAfter") or 0,
-        list_on_request=REGISTRY[data.get("RegistryMode") or "automatic"],
-        share_worth=extra.get("FairWorth", 1.0),
-        beyond_worth=extra.get("BeyondShare", 1.0),
+        health_checks=bool(limits.get("Probes")),
+        accepts_retry_after=bool(limits.get("RetryAfter")),
+        max_retry_after=limits.get("MaxRetryAfter") or 0,
+        must_subscribe=REGISTRY[data.get("RegistryMode") or "automatic"],
+        quota_weight_factor=extra.get("FairWorth", 1.0),
+        excess_weight_factor=extra.get("BeyondShare", 1.0),
         mean_units=extra.get("UnitMean") or 1.0,
         max_units=extra.get("MostUnits") or 1.0,
         meter_period=extra.get("Metering") or 0,
@@ -103,9 +103,9 @@
     )
 
 
-def read_list(e: Fields) -> api.NodeList:
+def read_list(e: Fields) -> api.EndpointList:
     """Read a message of the node list."""
-    return api.NodeList(
+    return api.EndpointList(
         LISTS[e["Form"]],
         tuple(
             api.NodeEntry(
@@ -159,7 +159,7 @@
     "JOB_IN": read_request,
     "RESULT": read_outcome,
     "HEADERS": lambda e: api.StreamStarted(e["MsgId"], e["SeqNo"], e["Brick"]),
-    "CHECK_RESULT": lambda e: api.ProbeEnded(
+    "CHECK_RESULT": lambda e: api.HealthCheckEnded(
         e["Brick"], api.Outcome(e["Status"]), e["TimeTaken"], e.get("Load")
     ),
     "LEFT": lambda e: api.ClientGone(e["MsgId"]),
@@ -169,12 +169,12 @@
 
 WRITERS: dict[type, Callable[[Any], Fields]] = {
     api.Send: lambda a: {"cmd": "CALL_OUT", "MsgId": a.request, "Brick": a.node, "TryFor": a.timeout},
-    api.Refuse: lambda a: {"cmd": "SHED", "MsgId": a.request, "RetryIn": a.retry_in},
+    api.Reject: lambda a: {"cmd": "SHED", "MsgId": a.request, "RetryIn": a.retry_after},
     api.Fail: lambda a: {"cmd": "REPORT_FAILURE", "MsgId": a.request},
     api.CancelAttempt: lambda a: {"cmd": "STOP_ATTEMPT", "MsgId": a.request, "SeqNo": a.attempt},
     api.SetTimer: lambda a: {"cmd": "AFTER", "After": a.after, "Cookie": a.token},
     api.Subscribe: lambda a: {"cmd": "WATCH", "Want": True},
-    api.ProbeNode: lambda a: {"cmd": "SAMPLE", "Brick": a.node},
+    api.CheckHealth: lambda a: {"cmd": "SAMPLE", "Brick": a.node},
 }
 
 
--- a/tests/handover_scenario.py
+++ b/tests/handover_scenario.py
@@ -22,12 +22,12 @@
 SECOND = 1_000_000  # microseconds
 HANDED_AT = 20 * SECOND  # microseconds since the scheduler's clock began
 CLASSES = (
-    api.RequestClass("read", worth=2, aim=400_000, deadline=2 * SECOND),
-    api.RequestClass("write", worth=1, aim=800_000, deadline=4 * SECOND, writes=True),
+    api.RequestClass("read", priority_weight=2, latency_objective=400_000, deadline=2 * SECOND),
+    api.RequestClass("write", priority_weight=1, latency_objective=800_000, deadline=4 * SECOND, writes=True),
 )
 PLANS = (
     api.Plan("plain", usual_rate=100),
-    api.Plan("limited", usual_rate=5, reserve=1, share=1, limit=20, burst=40, tolerance=4),
+    api.Plan("limited", usual_rate=5, reserve=1, weight=1, limit=20, burst=40, tolerance=4),
 )
 NODES = (api.NodeEntry("n0", 0, zone=0), api.NodeEntry("n1", 0, zone=1), api.NodeEntry("n2", 1, zone=0))
 
@@ -40,7 +40,7 @@
 def play_before_handover() -> Scheduler:
     """Requests, answers of every kind and readings, so that nodes and volumes carry learnt state."""
     made = Scheduler(settings(), seed=1)
-    made.handle(SECOND, api.NodeList(api.ListKind.RESTORED, NODES))
+    made.handle(SECOND, api.EndpointList(api.ListKind.RESTORED, NODES))
     outcomes = (api.Outcome.OK, api.Outcome.OK, api.Outcome.TIMEOUT, api.Outcome.OK, api.Outcome.FULL)
     now = SECOND
     for i in range(40):
@@ -68,7 +68,7 @@
 def take_over_from(data: dict[str, Any]) -> Scheduler:
     """A new process that hears the same list, then takes the handed-over data."""
     taker = Scheduler(settings(), seed=2)
-    taker.handle(HANDED_AT, api.NodeList(api.ListKind.RESTORED, NODES))
+    taker.handle(HANDED_AT, api.EndpointList(api.ListKind.RESTORED, NODES))
     handover.take_over(taker, data)
     return taker
 
--- a/tests/node_stories.py
+++ b/tests/node_stories.py
@@ -21,31 +21,40 @@
 START = 1_000 * SECOND
 COLD_TIME = 6 * SECOND
 CLASSES = (
-    api.RequestClass("read", worth=3, aim=250 * MS, deadline=2 * SECOND, late_worth=0.2),
     api.RequestClass(
-        "event", 3, 400 * MS, 2 * SECOND, 0.2, api.Effect.KEYED, api.Group.ZONE, 3 * SECOND, writes=True
+        "read", priority_weight=3, latency_objective=250 * MS, deadline=2 * SECOND, late_weight_factor=0.2
+    ),
+    api.RequestClass(
+        "event", 3, 400 * MS, 2 * SECOND, 0.2, api.Effect.IDEMPOTENT, api.Group.ZONE, 3 * SECOND, writes=True
+    ),
+    api.RequestClass(
+        "export",
+        priority_weight=1,
+        latency_objective=SECOND,
+        deadline=3 * SECOND,
+        late_weight_factor=0.2,
+        ordered_by_key=True,
     ),
-    api.RequestClass("export", worth=1, aim=SECOND, deadline=3 * SECOND, late_worth=0.2, in_turn=True),
 )
 RULES = api.Rules(
     drain_grace=SECOND,
-    cold_from=0.3,
-    cold_time=COLD_TIME,
-    cold_units=8,
-    fall_time=2 * SECOND,
-    key_rest=200 * MS,
+    warm_up_from=0.3,
+    warm_up_time=COLD_TIME,
+    warm_up_units=8,
+    overload_window=2 * SECOND,
+    key_hold_down=200 * MS,
 )
 SETTINGS = api.Settings(
     CLASSES,
     (api.Plan("plan", 20, 20), api.Plan("small", 5, 2, limit=40, burst=10, tolerance=5)),
     RULES,
     hosts=8,
-    me=3,
+    host_index=3,
     max_attempts=3,
-    may_probe=True,
+    health_checks=True,
     max_units=4,
     report_fields=("queue",),
-    list_on_request=True,
+    must_subscribe=True,
 )
 
 
@@ -104,7 +113,7 @@
         self.attempts: dict[str, int] = {}
         self.entries = [self.fresh(i) for i in range(self.count)]
         self.schedulers = self.made()
-        self.tell(api.NodeList(api.ListKind.RESTORED, tuple(self.entries)))
+        self.tell(api.EndpointList(api.ListKind.RESTORED, tuple(self.entries)))
 
     def made(self) -> list[Scheduler]:
         found = []
@@ -135,9 +144,9 @@
                 self.sends += 1
                 attempt = self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
                 self.later(*self.outcome(action, attempt))
-            case api.ProbeNode():
+            case api.CheckHealth():
                 load = {"queue": float(self.random.randrange(20))}
-                self.later(20 * MS, api.ProbeEnded(action.node, api.Outcome.OK, 20 * MS, load))
+                self.later(20 * MS, api.HealthCheckEnded(action.node, api.Outcome.OK, 20 * MS, load))
 
     def outcome(self, send: api.Send, attempt: int) -> tuple[int, api.Event]:
         outcomes = list(api.Outcome)
@@ -183,7 +192,7 @@
         elif draw < 0.98:
             self.next_process()
         elif draw < 0.99:
-            self.tell(api.NodeList(api.ListKind.UNAVAILABLE))
+            self.tell(api.EndpointList(api.ListKind.UNAVAILABLE))
         else:
             gone = self.random.choice(sorted(self.attempts) or ["r0"])
             self.tell(api.ClientGone(gone))
@@ -219,9 +228,9 @@
                 self.entries.append(self.fresh(len(self.entries), self.now))
         if self.random.random() < 0.3:
             there = tuple(e for e in self.entries if e.phase is not api.Phase.GONE)
-            self.tell(api.NodeList(api.ListKind.FULL, there))
+            self.tell(api.EndpointList(api.ListKind.FULL, there))
         else:
-            self.tell(api.NodeList(api.ListKind.CHANGES, tuple(self.entries)))
+            self.tell(api.EndpointList(api.ListKind.CHANGES, tuple(self.entries)))
 
     def next_process(self) -> None:
         """Both hand over to a next process, which goes on with new requests only."""
@@ -229,7 +238,7 @@
         self.schedulers = self.made()
         self.queue, self.attempts = [], {}
         there = tuple(e for e in self.entries if e.phase is not api.Phase.GONE)
-        self.tell(api.NodeList(api.ListKind.RESTORED, there))
+        self.tell(api.EndpointList(api.ListKind.RESTORED, there))
         for scheduler, data in zip(self.schedulers, known, strict=True):
             take_over(scheduler, data)
 
--- a/tests/scheduler_driver.py
+++ b/tests/scheduler_driver.py
@@ -9,11 +9,22 @@
 from stoatrouter.policy.logic import Scheduler
 
 MS, SECOND = 1_000, 1_000_000
-READ = api.RequestClass("read", worth=3, aim=250 * MS, deadline=2 * SECOND, late_worth=0.2)
-WRITE = api.RequestClass("write", worth=3, aim=400 * MS, deadline=2 * SECOND, late_worth=0.2, writes=True)
-EXPORT = api.RequestClass("export", worth=1, aim=1000 * MS, deadline=3 * SECOND, late_worth=0.2)
+READ = api.RequestClass(
+    "read", priority_weight=3, latency_objective=250 * MS, deadline=2 * SECOND, late_weight_factor=0.2
+)
+WRITE = api.RequestClass(
+    "write",
+    priority_weight=3,
+    latency_objective=400 * MS,
+    deadline=2 * SECOND,
+    late_weight_factor=0.2,
+    writes=True,
+)
+EXPORT = api.RequestClass(
+    "export", priority_weight=1, latency_objective=1000 * MS, deadline=3 * SECOND, late_weight_factor=0.2
+)
 CLASSES = (READ, WRITE, EXPORT)
-PLAN = api.Plan("plan", usual_rate=50, reserve=50, share=1)
+PLAN = api.Plan("plan", usual_rate=50, reserve=50, weight=1)
 
 
 class SchedulerDriver:
@@ -57,7 +68,7 @@
         return actions
 
     def listed(self, *entries: api.NodeEntry, kind=api.ListKind.CHANGES) -> list[api.Action]:
-        return self.event(api.NodeList(kind, tuple(entries)))
+        return self.event(api.EndpointList(kind, tuple(entries)))
 
     def request(
         self,
@@ -104,7 +115,7 @@
         return [(t, a) for t, a in self.log if isinstance(a, api.Send) and name in (None, a.request)]
 
     def finals(self, name: str) -> list[api.Action]:
-        return [a for _, a in self.log if isinstance(a, api.Refuse | api.Fail) and a.request == name]
+        return [a for _, a in self.log if isinstance(a, api.Reject | api.Fail) and a.request == name]
 
 
 def answer_after(took: int, outcome=api.Outcome.OK):
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -169,9 +169,9 @@
 
 def test_settings_are_read():
     s = simhost.read_settings(SETTINGS)
-    assert s.hosts == 3 and s.max_attempts == 3 and s.may_probe and s.meters_others
+    assert s.hosts == 3 and s.max_attempts == 3 and s.health_checks and s.meters_others
     assert s.classes[1] == api.RequestClass(
-        "put", 3.0, 400000, 2500000, 0.2, api.Effect.KEYED, api.Group.SHARD, 4000000, True, True
+        "put", 3.0, 400000, 2500000, 0.2, api.Effect.IDEMPOTENT, api.Group.SHARD, 4000000, True, True
     )
     assert s.plans[0] == api.Plan("small", 4.0, 2.0, 1.0, 0.8, 16.0, 40.0, 8.0)
     assert s.rules == api.Rules(
@@ -182,11 +182,11 @@
 def test_figures_of_rules_that_are_not_stated_are_none():
     rules = {k: v for k, v in SETTINGS["Contract"].items() if k not in ("CountedOver", "KeyRest")}
     s = simhost.read_settings({**SETTINGS, "Contract": rules})
-    assert s.rules.budget_time is None and s.rules.key_rest is None
+    assert s.rules.retry_budget_window is None and s.rules.key_hold_down is None
 
 
 def test_messages_are_read():
-    assert simhost.read_list(LIST) == api.NodeList(
+    assert simhost.read_list(LIST) == api.EndpointList(
         api.ListKind.RESTORED,
         (
             api.NodeEntry("10.18.74.7:5003", 0),
@@ -204,7 +204,7 @@
     assert read["DUE"]({"Cookie": 77}) == api.TimerFired(77)
     assert read["HEADERS"]({"MsgId": JOB, "SeqNo": 1, "Brick": "b"}) == api.StreamStarted(JOB, 1, "b")
     assert read["CHECK_RESULT"]({"Brick": "b", "Status": 1, "TimeTaken": 9, "Load": {"util": 0.5}}) == (
-        api.ProbeEnded("b", api.Outcome.OK, 9, {"util": 0.5})
+        api.HealthCheckEnded("b", api.Outcome.OK, 9, {"util": 0.5})
     )
     assert simhost.read_list({"Form": "unavailable", "NodesList": None}).kind is api.ListKind.UNAVAILABLE
 
@@ -213,12 +213,12 @@
     ("action", "wire"),
     [
         (api.Send("r", "b", 80000), {"cmd": "CALL_OUT", "MsgId": "r", "Brick": "b", "TryFor": 80000}),
-        (api.Refuse("r", 5), {"cmd": "SHED", "MsgId": "r", "RetryIn": 5}),
+        (api.Reject("r", 5), {"cmd": "SHED", "MsgId": "r", "RetryIn": 5}),
         (api.Fail("r"), {"cmd": "REPORT_FAILURE", "MsgId": "r"}),
         (api.CancelAttempt("r", 1), {"cmd": "STOP_ATTEMPT", "MsgId": "r", "SeqNo": 1}),
         (api.SetTimer(500000, 77), {"cmd": "AFTER", "After": 500000, "Cookie": 77}),
         (api.Subscribe(), {"cmd": "WATCH", "Want": True}),
-        (api.ProbeNode("b"), {"cmd": "SAMPLE", "Brick": "b"}),
+        (api.CheckHealth("b"), {"cmd": "SAMPLE", "Brick": "b"}),
     ],
 )
 def test_actions_are_written(action, wire):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -265,7 +265,7 @@
     plan = api.Plan("basic", usual_rate=4, limit=4.0, burst=8.0, tolerance=0.0)
     for on_arrival in (True, False):
         driver = SchedulerDriver(
-            plans=[plan], rules={"taken_on_arrival": on_arrival}, nodes=[api.NodeEntry("n1", 0)]
+            plans=[plan], rules={"charged_on_arrival": on_arrival}, nodes=[api.NodeEntry("n1", 0)]
         )
         driver.wait(10 * SECOND)  # the store is full
         driver.request("late", units=7)
--- a/tests/test_early_refusals.py
+++ b/tests/test_early_refusals.py
@@ -11,18 +11,18 @@
     """No request is held that could not be sent and answered any more."""
     s = driver.scheduler
     for r in s.requests.values():
-        if not r.done and not r.out() and r.node is not None:
+        if not r.done and not r.in_flight() and r.node is not None:
             opens = max(driver.now, r.wait_until, s.barred(r, r.node))
             assert opens < r.deadline, f"{r.id} is held though it can only go at {opens}"
 
 
 def test_a_request_beyond_the_limits_store_is_refused_in_the_same_call_with_when_to_come_back():
     plan = api.Plan("small", 4, limit=2.0, burst=4.0, tolerance=0.0)
-    driver = SchedulerDriver(plans=(plan,), takes_advice=True, max_advice=500 * MS)
+    driver = SchedulerDriver(plans=(plan,), accepts_retry_after=True, max_retry_after=500 * MS)
     driver.wait(2100 * MS)
     driver.request("first", units=3.9, left=1 * SECOND)
     driver.request("second", units=3.9, left=1 * SECOND)  # the store fills in two seconds, the client has one
-    assert driver.sends("first") and driver.finals("second") == [api.Refuse("second", 500 * MS)]
+    assert driver.sends("first") and driver.finals("second") == [api.Reject("second", 500 * MS)]
     driver.end("first")
     driver.request("third", units=0.5, left=1 * SECOND)  # a quarter of a second away: held, then sent
     assert not driver.finals("third")
@@ -32,13 +32,15 @@
 
 def test_advice_is_given_only_where_it_is_taken():
     plan = api.Plan("small", 4, limit=2.0, burst=4.0, tolerance=0.0)
-    driver = SchedulerDriver(plans=(plan,), takes_advice=False, max_advice=500 * MS)
+    driver = SchedulerDriver(plans=(plan,), accepts_retry_after=False, max_retry_after=500 * MS)
     driver.request("r", units=4, left=1 * SECOND)
-    assert driver.finals("r") == [api.Refuse("r", 0)]
+    assert driver.finals("r") == [api.Reject("r", 0)]
 
 
 def test_a_keyed_request_whose_repeat_window_is_over_is_failed_in_the_same_call():
-    keyed = api.RequestClass("k", 3, 400 * MS, 9 * SECOND, 0.2, api.Effect.KEYED, api.Group.SHARD, 1 * SECOND)
+    keyed = api.RequestClass(
+        "k", 3, 400 * MS, 9 * SECOND, 0.2, api.Effect.IDEMPOTENT, api.Group.SHARD, 1 * SECOND
+    )
     driver = SchedulerDriver(classes=(keyed,))
     driver.request("r", left=9 * SECOND)
     driver.wait(1100 * MS)
@@ -46,15 +48,22 @@
 
 
 def test_what_a_cold_nodes_part_cannot_bear_in_time_is_refused_in_the_same_call():
-    rules = {"cold_from": 0.2, "cold_time": 60 * SECOND, "cold_units": 4.0, "fall_time": SECOND}
-    driver = SchedulerDriver(hosts=200, me=100, rules=rules, takes_advice=True, max_advice=500 * MS)
+    rules = {
+        "warm_up_from": 0.2,
+        "warm_up_time": 60 * SECOND,
+        "warm_up_units": 4.0,
+        "overload_window": SECOND,
+    }
+    driver = SchedulerDriver(
+        hosts=200, host_index=100, rules=rules, accepts_retry_after=True, max_retry_after=500 * MS
+    )
     driver.listed(api.NodeEntry("n1", 0, up_since=driver.now))
     driver.request("r", units=8, left=1 * SECOND)
     assert not driver.sends("r") and len(driver.finals("r")) == 1
 
 
 def test_late_requests_at_a_paced_node_are_refused_at_once_and_told_its_pace():
-    driver = SchedulerDriver(hosts=200, takes_advice=True, max_advice=500 * MS)
+    driver = SchedulerDriver(hosts=200, accepts_retry_after=True, max_retry_after=500 * MS)
     node = driver.scheduler.nodes["n1"]
     node.window, node.last_sent, node.trip = (
         0.1,
@@ -62,12 +71,12 @@
         300.0 * MS,
     )  # the next turn is three seconds away
     driver.request("r", left=2 * SECOND)
-    assert driver.finals("r") == [api.Refuse("r", 500 * MS)]
+    assert driver.finals("r") == [api.Reject("r", 500 * MS)]
 
 
 def test_nothing_is_held_past_the_moment_when_it_can_no_longer_be_sent_on_a_rough_day():
     plans = (api.Plan("small", 4, limit=6.0, burst=16.0, tolerance=1.0), PLAN)
-    rules = {"budget_time": 5 * SECOND, "budget_free": 1, "budget_share": 0.1}
+    rules = {"retry_budget_window": 5 * SECOND, "retry_budget_min": 1, "retry_budget_ratio": 0.1}
     driver = SchedulerDriver(plans=plans, hosts=20, rules=rules)
     outcomes = [Outcome.OK, Outcome.FULL, Outcome.RESET, Outcome.OK, Outcome.TIMEOUT, Outcome.ERROR]
     for i in range(200):
@@ -77,5 +86,5 @@
         driver.wait(30 * MS, answer_after((5 + 31 * i % 400) * MS, outcomes[i % 6]))
         never_held_in_vain(driver)
     driver.wait(2 * SECOND)
-    done = {a.request for _, a in driver.log if isinstance(a, api.Refuse | api.Fail)}
+    done = {a.request for _, a in driver.log if isinstance(a, api.Reject | api.Fail)}
     assert len(done) > 20 and all(len(driver.finals(f"r{i}")) <= 1 for i in range(200))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,11 +10,11 @@
 from stoatrouter.policy import handover
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.logic import Scheduler
-from stoatrouter.policy.rules import NEVER
+from stoatrouter.policy.volume import NEVER
 from tests.scheduler_driver import MS, SECOND, SchedulerDriver, answer_after
 
 FLEET, START, COLD, FALL, FROM, UNITS = 60, 100 * SECOND, 18 * SECOND, 3 * SECOND, 0.16, 34.0
-RULES = {"cold_from": FROM, "cold_time": COLD, "cold_units": UNITS, "fall_time": FALL}
+RULES = {"warm_up_from": FROM, "warm_up_time": COLD, "warm_up_units": UNITS, "overload_window": FALL}
 
 
 def test_hosts_with_nothing_out_put_new_data_at_nodes_drawn_at_random():
@@ -44,7 +44,7 @@
     for me in range(FLEET):
         nodes = [api.NodeEntry(f"n{i}", i) for i in range(FLEET)]
         driver, size, up = (
-            SchedulerDriver(hosts=FLEET, me=me, nodes=nodes, rules=rules, start=START, seed=me),
+            SchedulerDriver(hosts=FLEET, host_index=me, nodes=nodes, rules=rules, start=START, seed=me),
             {},
             NEVER,
         )
@@ -97,10 +97,10 @@
 @pytest.mark.parametrize(("took", "quick"), [(50 * MS, True), (800 * MS, False)])
 def test_cold_nodes_get_what_their_answers_show_that_they_bear(took, quick):
     """What is always borne is for the slowest node there may be: a quick one gets more, a slow one not."""
-    rules = RULES | {"cold_units": UNITS / 8, "fall_multiple": 3.0}
+    rules = RULES | {"warm_up_units": UNITS / 8, "overload_multiple": 3.0}
     all_sent = ask_all_while_nodes_restart(1, rules, took)
     sent = sum(u for sent in all_sent for _, u in sent)
-    bears = rules["fall_multiple"] * FALL / took * FROM  # with one place
+    bears = rules["overload_multiple"] * FALL / took * FROM  # with one place
     assert max(most_in_a_window(sent, max(bears, UNITS / 8)) for sent in all_sent) <= 1.5
     print("sent", sent)
     assert (sent > 2 * FLEET * 2 * UNITS / 8) == quick
@@ -115,7 +115,7 @@
     few = driver.scheduler.sharers()
     assert 1 <= few < 10
     after = Scheduler(driver.scheduler.settings, 2)
-    after.handle(driver.now, api.NodeList(api.ListKind.RESTORED, tuple(nodes)))
+    after.handle(driver.now, api.EndpointList(api.ListKind.RESTORED, tuple(nodes)))
     handover.take_over(after, handover.hand_over(driver.scheduler, driver.now))
     assert after.sharers() == few
 
@@ -130,7 +130,7 @@
     ten heads in the same seconds or none, nodes are asked for several times as often as others, and heads ask
     differently."""
     chance, up = random.Random(f"cold/{seed}"), START + 5 * SECOND
-    rules = RULES | {"cold_units": units, "fall_multiple": 3.0}
+    rules = RULES | {"warm_up_units": units, "overload_multiple": 3.0}
     cold = [i for i in range(count) if chance.random() < 0.6]
     weight = [(1 + 3 * chance.random()) ** 2 for _ in range(count)]
     taken = {i: [] for i in cold}
@@ -140,7 +140,7 @@
         before = [api.NodeEntry(f"n{i}", i) for i in range(count)]
         driver = SchedulerDriver(
             hosts=heads,
-            me=me,
+            host_index=me,
             nodes=after if dead else before,
             rules=rules,
             start=up + int(chance.random() * 4 * SECOND) if dead else START,
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -44,7 +44,9 @@
 
 
 def test_bars_a_keyed_repeat_on_another_shard():
-    keyed = api.RequestClass("k", 3, 400 * MS, 5 * SECOND, 0.2, api.Effect.KEYED, api.Group.SHARD, 4 * SECOND)
+    keyed = api.RequestClass(
+        "k", 3, 400 * MS, 5 * SECOND, 0.2, api.Effect.IDEMPOTENT, api.Group.SHARD, 4 * SECOND
+    )
     driver, request, node = waiting(classes=(keyed,), nodes=[api.NodeEntry("n1", 0), api.NodeEntry("n2", 1)])
     request.attempts.append(Attempt(node, driver.now, Outcome.RESET))
     assert driver.scheduler.barred(request, driver.scheduler.nodes["n2"])
@@ -65,7 +67,12 @@
 
 
 def test_a_restarted_node_is_cold_again_and_remembers_what_was_sent_to_it():
-    rules = {"cold_from": 0.2, "cold_time": 10 * SECOND, "cold_units": 4.0, "fall_time": SECOND}
+    rules = {
+        "warm_up_from": 0.2,
+        "warm_up_time": 10 * SECOND,
+        "warm_up_units": 4.0,
+        "overload_window": SECOND,
+    }
     driver = SchedulerDriver(rules=rules)
     for i in range(4):
         driver.request(f"r{i}")
@@ -87,7 +94,9 @@
 
 
 def held(plans, **more) -> SchedulerDriver:
-    driver = SchedulerDriver(plans=plans, share_worth=0.4, beyond_worth=0.05, max_units=1, **more)
+    driver = SchedulerDriver(
+        plans=plans, quota_weight_factor=0.4, excess_weight_factor=0.05, max_units=1, **more
+    )
     fill(driver)
     return driver
 
@@ -120,7 +129,7 @@
     driver.scheduler.nodes["n1"].keys.append("warm")
     driver.request("other", key="x")
     driver.request("same", key="warm")
-    driver.scheduler.requests["same"].aim = driver.scheduler.requests["other"].aim
+    driver.scheduler.requests["same"].objective_at = driver.scheduler.requests["other"].objective_at
     node, requests = driver.scheduler.nodes["n1"], driver.scheduler.requests
     assert driver.scheduler.send_priority(requests["same"], node) > driver.scheduler.send_priority(
         requests["other"], node
@@ -149,7 +158,7 @@
         lambda: api.Settings(classes=(), plans=(PLAN,)),
         lambda: api.Settings(classes=CLASSES, plans=(PLAN,), hosts=0),
         lambda: api.Settings(classes=CLASSES, plans=(PLAN,), tick=-1),
-        lambda: api.RequestClass("c", worth=1, aim=-1, deadline=5),
+        lambda: api.RequestClass("c", priority_weight=1, latency_objective=-1, deadline=5),
         lambda: api.Rules(drain_grace=-1),
         lambda: api.Plan("p", usual_rate=-1),
     ):
--- a/tests/test_half_time.py
+++ b/tests/test_half_time.py
@@ -14,7 +14,7 @@
 
 def blocked() -> SchedulerDriver:
     """A driver whose only node is full for this host."""
-    driver = SchedulerDriver(takes_advice=True, max_advice=500 * MS)
+    driver = SchedulerDriver(accepts_retry_after=True, max_retry_after=500 * MS)
     driver.scheduler.nodes["n1"].window, driver.scheduler.nodes["n1"].out = (
         1.0,
         {("other", 0): driver.now + SECOND},
@@ -28,8 +28,8 @@
     driver.request("r", left=2 * SECOND)
     driver.wait(2 * SECOND)
     assert not driver.sends("r")
-    ((answered, final),) = [(t, a) for t, a in driver.log if isinstance(a, api.Refuse | api.Fail)]
-    assert isinstance(final, api.Refuse) and answered - began < SECOND
+    ((answered, final),) = [(t, a) for t, a in driver.log if isinstance(a, api.Reject | api.Fail)]
+    assert isinstance(final, api.Reject) and answered - began < SECOND
 
 
 def test_what_is_out_at_half_its_time_is_waited_for():
@@ -49,5 +49,5 @@
     driver.end("r", outcome)
     driver.scheduler.nodes["n1"].phase = api.Phase.GONE  # nothing more can go out
     driver.wait(2100 * MS)
-    answered = [t for t, a in driver.log if isinstance(a, api.Refuse | api.Fail)]
+    answered = [t for t, a in driver.log if isinstance(a, api.Reject | api.Fail)]
     assert len(answered) == 1 and (answered[0] - began < SECOND) is early
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -234,7 +234,7 @@
 def test_a_jam_drains_as_time_outs_and_refusals_lengthen_the_pace_of_many_hosts():
     sent = 0
     for me in range(20):  # a node that answers nobody in time and refuses some, as with its queue full
-        driver = SchedulerDriver(hosts=200, me=me, seed=me)
+        driver = SchedulerDriver(hosts=200, host_index=me, seed=me)
         for i in range(100):
             driver.request(f"r{i}", left=2 * SECOND)
             driver.wait(
@@ -263,7 +263,7 @@
 
 
 def test_subscribes_again_after_a_failure_where_the_list_must_be_asked_for():
-    driver = SchedulerDriver(list_on_request=True)
+    driver = SchedulerDriver(must_subscribe=True)
     driver.wait(100 * MS)
     asked = [t for t, a in driver.log if isinstance(a, api.Subscribe)]
     assert len(asked) == 1
--- a/tests/test_node_index.py
+++ b/tests/test_node_index.py
@@ -19,7 +19,7 @@
 def test_every_action_is_that_of_walks_over_all_nodes(seed):
     print("seed", seed)
     story = Story(seed, any_node=random.Random(seed).choice((0.0, 0.3, 1.0))).play(600)
-    assert story.sends > 300 and {api.Send, api.Refuse, api.SetTimer} <= story.kinds
+    assert story.sends > 300 and {api.Send, api.Reject, api.SetTimer} <= story.kinds
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
@@ -28,7 +28,7 @@
     story = Story(seed, any_node=1.0)
     for _ in range(4):
         story.entries = [story.fresh(i, story.now - 5 * MS * (i % 7)) for i in range(story.count)]
-        story.tell(api.NodeList(api.ListKind.FULL, tuple(story.entries)))
+        story.tell(api.EndpointList(api.ListKind.FULL, tuple(story.entries)))
         for _ in range(120):
             story.pass_time(story.random.randrange(1, 120) * MS)
             story.tell(story.request())
@@ -80,7 +80,7 @@
     """That a node is cold is not heard of."""
 
     def _rank(self, node, now):
-        super()._rank(node, node.up_since + self.cold_time)
+        super()._rank(node, node.up_since + self.warm_up_time)
 
 
 @pytest.mark.parametrize(
@@ -127,7 +127,7 @@
     monkeypatch.setattr("tests.node_stories.Scheduler", Counting)
     story = Story(7, any_node=0.5)
     story.entries = [api.NodeEntry(f"n{i}", i // 3) for i in range(count)]
-    story.tell(api.NodeList(api.ListKind.FULL, tuple(story.entries)))
+    story.tell(api.EndpointList(api.ListKind.FULL, tuple(story.entries)))
     story.schedulers = story.schedulers[:1] * 2  # the shipped one alone
     scheduler = story.schedulers[0]
     story.pass_time(6 * SECOND)  # all come to rest
@@ -173,7 +173,7 @@
 def test_nodes_that_went_are_forgotten_and_found_nowhere():
     story = Story(5)
     story.entries = story.entries[:2]
-    story.tell(api.NodeList(api.ListKind.FULL, tuple(story.entries)))
+    story.tell(api.EndpointList(api.ListKind.FULL, tuple(story.entries)))
     index = story.schedulers[0].nodes
     assert len(index) == 24 and index.listed() == 2
     story.pass_time(80 * SECOND)
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -45,7 +45,9 @@
     driver.request("hurried", left=100 * MS)
     assert not driver.sends("hurried")
     driver.request("patient", volume="v2")
-    assert driver.sends("patient") and driver.scheduler.requests["hurried"].aim == driver.now + 100 * MS
+    assert (
+        driver.sends("patient") and driver.scheduler.requests["hurried"].objective_at == driver.now + 100 * MS
+    )
 
 
 def test_a_host_that_stood_still_takes_its_own_gap_for_no_jam_and_sends_no_burst():
@@ -93,7 +95,12 @@
     """
     drivers = [
         SchedulerDriver(
-            hosts=hosts, me=me, seed=me, may_probe=probes, report_fields=("queue",), start=(100 + me) * SECOND
+            hosts=hosts,
+            host_index=me,
+            seed=me,
+            health_checks=probes,
+            report_fields=("queue",),
+            start=(100 + me) * SECOND,
         )
         for me in range(hosts)
     ]
@@ -120,8 +127,8 @@
             for name, _, _, at in list(driver.open_sends):
                 if driver.now - at >= 2 * SECOND:
                     driver.end(name, Outcome.TIMEOUT)
-            if any(isinstance(a, api.ProbeNode) for _, a in driver.log[probed:]):
-                driver.event(api.ProbeEnded("n1", Outcome.OK, 1 * MS, {"queue": float(len(queue))}))
+            if any(isinstance(a, api.CheckHealth) for _, a in driver.log[probed:]):
+                driver.event(api.HealthCheckEnded("n1", Outcome.OK, 1 * MS, {"queue": float(len(queue))}))
     return len(queue), int(served)
 
 
@@ -131,20 +138,20 @@
 
 
 def test_a_report_of_a_crowd_holds_work_back_and_an_old_one_does_not():
-    driver = SchedulerDriver(hosts=50, may_probe=True, report_fields=("util", "queue"))
+    driver = SchedulerDriver(hosts=50, health_checks=True, report_fields=("util", "queue"))
     node = driver.scheduler.nodes["n1"]
     node.window, node.last_sent = 0.3, driver.now
-    driver.event(api.ProbeEnded("n1", Outcome.OK, 1 * MS, {"queue": 80.0}))
+    driver.event(api.HealthCheckEnded("n1", Outcome.OK, 1 * MS, {"queue": 80.0}))
     driver.request("r", left=2 * SECOND)
     driver.wait(500 * MS)
-    assert not driver.sends("r") and any(isinstance(a, api.ProbeNode) for _, a in driver.log)
+    assert not driver.sends("r") and any(isinstance(a, api.CheckHealth) for _, a in driver.log)
     driver.wait(1200 * MS)  # nothing more is heard of the queue: a safe default, the window's own pace
     driver.request("s", left=2 * SECOND)
     driver.wait(300 * MS)
     assert driver.sends("s")
-    driver.event(api.ProbeEnded("n1", Outcome.OK, 1 * MS, {"queue": float("nan"), "util": 3.0}))
-    driver.event(api.ProbeEnded("n1", Outcome.TIMEOUT, 250 * MS, None))
-    driver.event(api.ProbeEnded("gone", Outcome.OK, 1 * MS, {"queue": 80.0}))
+    driver.event(api.HealthCheckEnded("n1", Outcome.OK, 1 * MS, {"queue": float("nan"), "util": 3.0}))
+    driver.event(api.HealthCheckEnded("n1", Outcome.TIMEOUT, 250 * MS, None))
+    driver.event(api.HealthCheckEnded("gone", Outcome.OK, 1 * MS, {"queue": 80.0}))
 
 
 def test_a_client_that_comes_back_with_what_was_given_up_has_not_got_a_new_aim():
@@ -160,7 +167,7 @@
     driver.request("again", key="k", left=1850 * MS)
     driver.request("fresh", key="k", left=2 * SECOND)
     requests = driver.scheduler.requests
-    assert requests["again"].aim == aim and requests["fresh"].aim == driver.now + 250 * MS
+    assert requests["again"].objective_at == aim and requests["fresh"].objective_at == driver.now + 250 * MS
 
 
 def test_nothing_goes_past_a_late_request_that_is_worth_more():
@@ -199,11 +206,11 @@
 def test_a_keyed_write_that_may_have_run_goes_on_at_the_shard_it_was_sent_to():
     kind = api.RequestClass(
         "write",
-        worth=3,
-        aim=400 * MS,
+        priority_weight=3,
+        latency_objective=400 * MS,
         deadline=2 * SECOND,
         writes=True,
-        effect=api.Effect.KEYED,
+        effect=api.Effect.IDEMPOTENT,
         group=api.Group.SHARD,
         repeat_window=5 * SECOND,
     )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,13 +14,13 @@
     400 * MS,
     5 * SECOND,
     0.2,
-    api.Effect.KEYED,
+    api.Effect.IDEMPOTENT,
     api.Group.SHARD,
     repeat_window=1 * SECOND,
     writes=True,
 )
 UNSAFE = api.RequestClass("unsafe", 3, 400 * MS, 5 * SECOND, 0.2, api.Effect.UNSAFE, writes=True)
-TURN = api.RequestClass("turn", 3, 400 * MS, 5 * SECOND, 0.2, in_turn=True)
+TURN = api.RequestClass("turn", 3, 400 * MS, 5 * SECOND, 0.2, ordered_by_key=True)
 
 
 # 1 one final answer, in time -----------------------------------------------------------------------------
@@ -28,7 +28,7 @@
     driver = SchedulerDriver(nodes=[api.NodeEntry("n1", 7)])
     driver.request("r", left=300 * MS)
     driver.wait(301 * MS)
-    assert driver.finals("r") == [api.Refuse("r")]
+    assert driver.finals("r") == [api.Reject("r")]
     driver.wait(2 * SECOND)
     assert len(driver.finals("r")) == 1 and not driver.sends("r")
 
@@ -114,7 +114,14 @@
     driver = SchedulerDriver(
         classes=(
             api.RequestClass(
-                "k", 3, 400 * MS, 5 * SECOND, 0.2, api.Effect.KEYED, api.Group.ZONE, repeat_window=4 * SECOND
+                "k",
+                3,
+                400 * MS,
+                5 * SECOND,
+                0.2,
+                api.Effect.IDEMPOTENT,
+                api.Group.ZONE,
+                repeat_window=4 * SECOND,
             ),
         )
     )
@@ -154,9 +161,14 @@
 
 # 4 cold nodes --------------------------------------------------------------------------------------------
 def test_a_cold_node_gets_at_most_this_hosts_part_in_every_window():
-    start, hosts, units, fall, cold, cold_from = 100 * SECOND, 4, 40.0, 1 * SECOND, 10 * SECOND, 0.2
+    start, hosts, units, fall, cold, warm_up_from = 100 * SECOND, 4, 40.0, 1 * SECOND, 10 * SECOND, 0.2
     driver = SchedulerDriver(
-        rules={"cold_from": cold_from, "cold_time": cold, "cold_units": units, "fall_time": fall},
+        rules={
+            "warm_up_from": warm_up_from,
+            "warm_up_time": cold,
+            "warm_up_units": units,
+            "overload_window": fall,
+        },
         hosts=hosts,
         nodes=[api.NodeEntry("n1", 0, up_since=start)],
         start=start,
@@ -167,18 +179,23 @@
     size = {f"r{i}": 1 + i % 3 for i in range(800)}
     sent = [(t, size[a.request]) for t, a in driver.sends()]
     for t, _ in sent:
-        warmed = (cold_from + (1 - cold_from) * max(0, t - start) / cold) / cold_from
+        warmed = (warm_up_from + (1 - warm_up_from) * max(0, t - start) / cold) / warm_up_from
         assert sum(u for at, u in sent if t - fall <= at <= t) <= units / hosts * warmed + 1e-6
     assert len(sent) > 50
 
 
 @pytest.mark.parametrize("hosts", [2, 30, 250])
 def test_all_hosts_together_keep_a_cold_node_within_what_it_bears_and_do_not_starve_it(hosts):
-    start, units, fall, cold, cold_from = 100 * SECOND, 60.0, 1 * SECOND, 5 * SECOND, 0.2
-    rules = {"cold_from": cold_from, "cold_time": cold, "cold_units": units, "fall_time": fall}
+    start, units, fall, cold, warm_up_from = 100 * SECOND, 60.0, 1 * SECOND, 5 * SECOND, 0.2
+    rules = {
+        "warm_up_from": warm_up_from,
+        "warm_up_time": cold,
+        "warm_up_units": units,
+        "overload_window": fall,
+    }
     entry, sent = api.NodeEntry("n1", 0, phase=Phase.DRAINING), []
     for me in range(hosts):  # each holds requests of every size when it hears of the restart, and gets more
-        driver = SchedulerDriver(rules=rules, hosts=hosts, me=me, nodes=[entry], start=start)
+        driver = SchedulerDriver(rules=rules, hosts=hosts, host_index=me, nodes=[entry], start=start)
         size = {}
         for i in range(60):
             size[f"r{i}"] = (2, 8, 1)[(me + i) % 3]
@@ -189,7 +206,7 @@
         sent += [(t, size[a.request]) for t, a in driver.sends()]
     sent.sort()
     for t, _ in sent:
-        warmed = 1 + (1 / cold_from - 1) * max(0, t - start) / cold
+        warmed = 1 + (1 / warm_up_from - 1) * max(0, t - start) / cold
         assert sum(u for at, u in sent if t - fall < at <= t) <= units * warmed + 8
     assert sum(u for t, u in sent if t < start + 1500 * MS) >= units / 4
     assert sum(u for t, u in sent) >= 3 * units
@@ -197,7 +214,7 @@
 
 
 # 5 limits ------------------------------------------------------------------------------------------------
-LIMITED = api.Plan("limited", usual_rate=5, share=1, limit=20, burst=48, tolerance=8)
+LIMITED = api.Plan("limited", usual_rate=5, weight=1, limit=20, burst=48, tolerance=8)
 
 
 def test_first_attempts_stay_within_this_hosts_part_even_over_a_restart():
@@ -230,7 +247,7 @@
 
 # 6 order -------------------------------------------------------------------------------------------------
 def test_requests_of_one_key_go_one_at_a_time_and_in_turn():
-    driver = SchedulerDriver(classes=(TURN,), rules={"key_rest": 300 * MS})
+    driver = SchedulerDriver(classes=(TURN,), rules={"key_hold_down": 300 * MS})
     for name in ("a", "b", "c"):
         driver.request(name, key="k")
     driver.wait(100 * MS)
@@ -241,7 +258,7 @@
 
 
 def test_a_key_rests_after_an_attempt_that_may_still_run():
-    driver = SchedulerDriver(classes=(TURN,), rules={"key_rest": 300 * MS}, max_attempts=1)
+    driver = SchedulerDriver(classes=(TURN,), rules={"key_hold_down": 300 * MS}, max_attempts=1)
     driver.request("a", key="k")
     driver.request("b", key="k")
     driver.end("a", Outcome.RESET)
@@ -253,7 +270,7 @@
 
 
 def test_a_later_arrival_waits_out_the_rest_too():
-    driver = SchedulerDriver(classes=(TURN,), rules={"key_rest": 300 * MS}, max_attempts=1)
+    driver = SchedulerDriver(classes=(TURN,), rules={"key_hold_down": 300 * MS}, max_attempts=1)
     driver.request("a", key="k")
     driver.end("a", Outcome.RESET)
     driver.wait(100 * MS)
@@ -265,7 +282,7 @@
 
 # 7 budget ------------------------------------------------------------------------------------------------
 def test_further_attempts_stay_within_the_budget_over_every_window():
-    rules = {"budget_time": 2 * SECOND, "budget_free": 3, "budget_share": 0.1}
+    rules = {"retry_budget_window": 2 * SECOND, "retry_budget_min": 3, "retry_budget_ratio": 0.1}
     driver = SchedulerDriver(rules=rules, classes=CLASSES)
     for i in range(400):
         driver.request(f"r{i}", left=1 * SECOND, volume=f"v{i % 20}")
@@ -291,7 +308,12 @@
 
 def test_of_a_cold_nodes_part_half_is_kept_for_what_can_still_be_in_time():
     driver = SchedulerDriver(
-        rules={"cold_from": 0.2, "cold_time": 10 * SECOND, "cold_units": 40.0, "fall_time": SECOND},
+        rules={
+            "warm_up_from": 0.2,
+            "warm_up_time": 10 * SECOND,
+            "warm_up_units": 40.0,
+            "overload_window": SECOND,
+        },
         hosts=4,
         nodes=[api.NodeEntry("n0", 1), api.NodeEntry("n1", 0, up_since=100 * SECOND)],
     )
@@ -327,7 +349,7 @@
     driver.request("r", left=1 * SECOND)
     driver.wait(980 * MS)  # past the time when what is held is given up
     driver.listed(api.NodeEntry("n1", 0, phase=Phase.GONE))
-    assert api.Refuse("r") in driver.end("r", Outcome.RESET)  # at once, as no pause before another fits
+    assert api.Reject("r") in driver.end("r", Outcome.RESET)  # at once, as no pause before another fits
     driver = SchedulerDriver()
     driver.scheduler.nodes["n1"].out[("other", 0)] = driver.now
     driver.request("r", left=1 * SECOND)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,14 +19,14 @@
 from stoatrouter.net.succession import Succession
 from stoatrouter.policy import Scheduler, handover
 from stoatrouter.policy import interface as api
-from stoatrouter.policy.rules import SECOND
+from stoatrouter.policy.volume import SECOND
 from tests.addresses import free_port
 from tests.peers import HOST, Discovery, Node, config_data, listening, nodes_up, run, told, until
 from tests.platform_client import started
 from tests.scheduler_driver import CLASSES, PLAN, READ
 from tests.test_program import PATH, ROOT, read
 
-LIMITED = api.Plan("limited", usual_rate=5, reserve=1, share=1, limit=20, burst=40, tolerance=4)
+LIMITED = api.Plan("limited", usual_rate=5, reserve=1, weight=1, limit=20, burst=40, tolerance=4)
 
 
 class Process:
@@ -183,7 +183,7 @@
 # -- what the decision module hands over -------------------------------------------------------------------
 def scheduler(**more) -> Scheduler:
     made = Scheduler(api.Settings(classes=CLASSES, plans=(PLAN, LIMITED), max_units=4, **more), seed=1)
-    made.handle(SECOND, api.NodeList(api.ListKind.RESTORED, (api.NodeEntry("n", 0),)))
+    made.handle(SECOND, api.EndpointList(api.ListKind.RESTORED, (api.NodeEntry("n", 0),)))
     return made
 
 
@@ -195,7 +195,7 @@
 def passed_on(old: Scheduler, now: int) -> Scheduler:
     new = Scheduler(old.settings, seed=2)
     entries = (api.NodeEntry(n.id, n.shard, phase=n.phase, up_since=n.up_since) for n in old.nodes.values())
-    new.handle(now, api.NodeList(api.ListKind.RESTORED, tuple(entries)))
+    new.handle(now, api.EndpointList(api.ListKind.RESTORED, tuple(entries)))
     handover.take_over(new, json.loads(json.dumps(handover.hand_over(old, now))))
     return new
 
@@ -243,11 +243,11 @@
 
 
 def test_a_cold_node_gets_nothing_from_the_old_process():
-    rules = api.Rules(cold_time=18 * SECOND, cold_units=34, fall_time=3 * SECOND)
+    rules = api.Rules(warm_up_time=18 * SECOND, warm_up_units=34, overload_window=3 * SECOND)
     for handed, sent in (False, True), (True, False):
         old = scheduler(rules=rules)
         cold = api.NodeEntry("n", 0, up_since=29 * SECOND)
-        old.handle(30 * SECOND, api.NodeList(api.ListKind.CHANGES, (cold,)))
+        old.handle(30 * SECOND, api.EndpointList(api.ListKind.CHANGES, (cold,)))
         if handed:
             passed_on(old, 30 * SECOND)
         actions = old.handle(31 * SECOND, api.RequestArrived("r", "w", 0, 0, 0, 2 * SECOND, 1.0))
