--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -26,10 +26,20 @@
 from stoatrouter.net.listener import Drain, Listener, shutdown_deadlines
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.state_file import AdministrativeStateFile
+from stoatrouter.optional_fronts import (
+    HttpFrontParts,
+    ObjectFrontParts,
+    build_http_front,
+    build_object_front,
+)
+from stoatrouter.reload import reload_configuration
 
 if TYPE_CHECKING:
+    from stoatrouter.fronts.http.front import HttpFront
     from stoatrouter.fronts.http.settings import HttpSettings
+    from stoatrouter.fronts.objects.front import ObjectFront
     from stoatrouter.fronts.objects.settings import ObjectSettings
+    from stoatrouter.net.recorder import Recorder
     from stoatrouter.net.tables import TableService
     from stoatrouter.peering.heads import Heads
     from stoatrouter.peering.settings import HeadsSettings
@@ -51,8 +61,45 @@
     return max(1, min(int(sockets * BUSY_SHARE), max(PRESSED_LEAST, int(sockets * PRESSED_SHARE))))
 
 
+def build_engine(conf: config.Config, max_node_connections: int) -> Engine:
+    """The engine with the core and the client of all nodes; `max_node_connections` bounds its pool."""
+    nodes = NodeClient(
+        conf.connect_timeout,
+        conf.conn_idle,
+        max_node_connections,
+        span(min(request_class.aim for request_class in conf.settings.classes)),
+    )
+    return Engine(
+        Reducer(conf.settings, conf.seed, conf.max_open),
+        Clock(),
+        nodes,
+        AdministrativeStateFile(conf.folder),
+    )
+
+
+def build_watch(conf: config.Config, engine: Engine) -> Watch:
+    """The watch of discovery's endpoint list, which reports to the engine."""
+    pushed = not conf.settings.list_on_request
+    return Watch(
+        conf.discovery,
+        conf.known,
+        engine.apply_node_list,
+        engine.reducer.tally.add,
+        pushed,
+        list_times(pushed, conf.drain_grace),
+        conf.zones,
+    )
+
+
+def build_client_table(max_connections: int, sockets: int) -> ClientTable:
+    """The table of clients' connections; `sockets` are the descriptors of the whole head."""
+    return ClientTable(
+        max_connections, int(sockets * IDLE_SHARE), int(sockets * BUSY_SHARE), busy_pressed(sockets)
+    )
+
+
 class Head:
-    """The parts of one head."""
+    """The parts of one head, their start and their shutdown."""
 
     def __init__(
         self,
@@ -68,110 +115,76 @@
             objects: the object front's settings, or None where that front is off.
             http: the HTTP front's settings, or None where that front is off.
             heads: the settings of heads that know each other, or None where that part is off.
+
+        Raises:
+            ConfigError: a rule table cannot be loaded.
         """
-        self.conf, self.object_settings, self.http_settings = conf, objects, http
-        self.tables: list[TableService] = []
-        self.recorder = None
+        self.conf = conf
+        self.object_settings = objects
+        self.http_settings = http
+        self.background: list[asyncio.Task[None]] = []
+        self.serving = False
         budget = divide_descriptors(conf.sockets)
-        nodes = NodeClient(
-            conf.connect_timeout,
-            conf.conn_idle,
-            budget.nodes,
-            span(min(c.aim for c in conf.settings.classes)),
-        )
-        self.engine = Engine(
-            Reducer(conf.settings, conf.seed, conf.max_open),
-            Clock(),
-            nodes,
-            AdministrativeStateFile(conf.folder),
-        )
-        self.watch = Watch(
-            conf.discovery,
-            conf.known,
-            self.engine.apply_node_list,
-            self.engine.reducer.tally.add,
-            not conf.settings.list_on_request,
-            list_times(not conf.settings.list_on_request, conf.drain_grace),
-            conf.zones,
-        )
-        self.clients = ClientTable(
-            budget.clients,
-            int(conf.sockets * IDLE_SHARE),
-            int(conf.sockets * BUSY_SHARE),
-            busy_pressed(conf.sockets),
-        )
+        self.engine = build_engine(conf, budget.nodes)
+        self.watch = build_watch(conf, self.engine)
+        self.clients = build_client_table(budget.clients, conf.sockets)
         self.drain = Drain(self.clients)
-        self.room = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE), conf.folder)
-        front = PlatformFront(self.engine, conf.settings, self.drain, self.room)
+        self.body_capacity = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE), conf.folder)
+        front = PlatformFront(self.engine, conf.settings, self.drain, self.body_capacity)
         self.platform = Listener(front.handle, self.drain, front.refuse)
-        self.http_tables: TableService | None = None
-        started_with = 0
+        self._build_optional_parts(objects, http, heads)
+        self.generations = Generations(
+            self.engine, self.watch, self.clients, self.drain, conf.folder, self.stop_accepting, self.accept
+        )
+        self._build_management()
+
+    def _build_optional_parts(
+        self, objects: ObjectSettings | None, http: HttpSettings | None, heads: HeadsSettings | None
+    ) -> None:
+        """Build the fronts and the peering that are switched on; the others import none of their code."""
+        initial_version = 0
         if heads is not None:
             from stoatrouter.peering.heads import kept_version
 
-            started_with, http = kept_version(heads, http)
-        self.object_front = self.objects = self.http_front = self.http = None
+            initial_version, http = kept_version(heads, http)
+        self.tables: list[TableService] = []
+        self.object_front: ObjectFront | None = None
+        self.objects: Listener | None = None
         if objects is not None:
-            self.open_objects(objects)
+            self._use_object_front(build_object_front(self.conf, objects, self.engine, self.drain))
+        self.http_front: HttpFront | None = None
+        self.http: Listener | None = None
+        self.http_tables: TableService | None = None
+        self.recorder: Recorder | None = None
         if http is not None:
-            self.open_http(http)
+            self._use_http_front(
+                build_http_front(self.conf, http, self.engine, self.drain, self.body_capacity)
+            )
         self.heads: Heads | None = None
         if heads is not None:
-            self.open_heads(heads, started_with)
-        # a table of its own: however many clients come, operators are heard
-        self.management_clients = ClientTable(MOST_CALLERS, MOST_CALLERS, MOST_CALLERS)
-        self.generations = Generations(
-            self.engine, self.watch, self.clients, self.drain, conf.folder, self.stop_accepting, self.accept
-        )
-        self.serving = False
-        calls = Management(self.engine, self.drain, self.ready, self.heads.call if self.heads else None)
-        self.management = Listener(calls.handle, Drain(self.management_clients))
-        self.background: list[asyncio.Task[None]] = []
+            from stoatrouter.peering.heads import Heads
 
-    # -- what is off on the platform: a head without it imports none of it -----------------------------------
-    def open_objects(self, objects: ObjectSettings) -> None:
-        """Set up the object front, with its rule table where one is named; raises ConfigError."""
-        from stoatrouter.fronts.objects.front import ObjectFront
+            self.heads = Heads(heads, self, initial_version)
 
-        choose = None
-        if objects.rules is not None:
-            from stoatrouter.fronts.objects.rules import Chooser
-            from stoatrouter.fronts.wiring import object_tables
+    def _use_object_front(self, parts: ObjectFrontParts) -> None:
+        self.object_front = parts.front
+        self.objects = parts.listener
+        if parts.tables is not None:
+            self.tables.append(parts.tables)
 
-            service = object_tables(self.conf, objects)
-            self.tables.append(service)
-            choose = Chooser(
-                service.matcher, self.conf.settings, self.engine.clock.now, self.engine.reducer.advice
-            )
-        self.object_front = ObjectFront(
-            self.engine.serve_whole, self.conf.settings, objects, self.drain, choose
-        )
-        self.objects = Listener(self.object_front.handle, self.drain)
-
-    def open_http(self, http: HttpSettings) -> None:
-        """Set up the HTTP front, its rule tables and its recorder; raises ConfigError."""
-        from stoatrouter.fronts.http.front import HttpFront
-        from stoatrouter.fronts.wiring import http_tables, recorder
-
-        service = self.http_tables = http_tables(self.conf, http)
-        self.tables.append(service)
-        self.recorder = recorder(http)
-        self.http_front = HttpFront(
-            self.engine,
-            self.conf.settings,
-            self.drain,
-            self.room,
-            service.matcher,
-            self.recorder,
-            http.forwarded,
-        )
-        self.http = Listener(self.http_front.handle, self.drain)
-
-    def open_heads(self, settings: HeadsSettings, started_with: int) -> None:
-        """Set up the part that talks to other heads."""
-        from stoatrouter.peering.heads import Heads
+    def _use_http_front(self, parts: HttpFrontParts) -> None:
+        self.http_front = parts.front
+        self.http = parts.listener
+        self.http_tables = parts.tables
+        self.tables.append(parts.tables)
+        self.recorder = parts.recorder
 
-        self.heads = Heads(settings, self, started_with)
+    def _build_management(self) -> None:
+        # a table of its own: however many clients come, operators are heard
+        self.management_clients = ClientTable(MOST_CALLERS, MOST_CALLERS, MOST_CALLERS)
+        peering_call = self.heads.call if self.heads is not None else None
+        calls = Management(self.engine, self.drain, self.ready, peering_call)
+        self.management = Listener(calls.handle, Drain(self.management_clients))
 
     def ready(self) -> bool:
         """Whether this head accepts clients and, where heads talk to each other, takes part among them."""
@@ -186,19 +199,30 @@
         """Restore the node list, follow discovery, and listen once discovery has answered or timed out."""
         if self.conf.management is not None:
             await self.management.start(*config.address(self.conf.management))
-        loop = asyncio.get_running_loop()
-        if await self.generations.take_over():
-            self.background.append(loop.create_task(self.watch.run()))
-        else:
-            self.engine.reducer.administrative_state = self.engine.state_file.read()
-            self.watch.restore()
-            self.background.append(loop.create_task(self.watch.run()))
-            await self.watch.first_answer()
+        await self._start_watch()
         if self.heads is not None:
             await self.heads.start()
         await self.accept()
         announcement.end()
         await self.generations.listen()
+        self._start_background_tasks()
+        logger.info(
+            "start: {name} listens on {address}", event="start", name=self.conf.name, address=self.conf.listen
+        )
+
+    async def _start_watch(self) -> None:
+        """Take the node list over from the previous process, or restore it and wait for discovery."""
+        loop = asyncio.get_running_loop()
+        if await self.generations.take_over():
+            self.background.append(loop.create_task(self.watch.run()))
+            return
+        self.engine.reducer.administrative_state = self.engine.state_file.read()
+        self.watch.restore()
+        self.background.append(loop.create_task(self.watch.run()))
+        await self.watch.first_answer()
+
+    def _start_background_tasks(self) -> None:
+        loop = asyncio.get_running_loop()
         self.background += [
             loop.create_task(self.clients.keep_swept()),
             loop.create_task(self.generations.follow()),
@@ -208,9 +232,6 @@
         ]
         if self.recorder is not None:
             self.background.append(loop.create_task(self.recorder.run()))
-        logger.info(
-            "start: {name} listens on {address}", event="start", name=self.conf.name, address=self.conf.listen
-        )
 
     async def accept(self) -> None:
         """Accept clients at all fronts."""
@@ -235,37 +256,18 @@
         """
         for service in self.tables:
             service.reload()
-        try:
-            conf = config.reload(environ)
-        except config.ConfigError as error:
-            # Guards a serving head against a file that is half written or wrong.
-            logger.error(
-                "reload: the configuration in force stays: {error}", event="reload.refused", error=str(error)
-            )
-            return
-        fixed = ("name", "listen", "settings", "sockets", "memory_mb", "conn_idle", "max_open")
-        later = [name for name in fixed if getattr(conf, name) != getattr(self.conf, name)]
-        if later:
-            logger.warning(
-                "reload: changes of {fields} wait for the next start",
-                event="reload.later",
-                fields=", ".join(later),
-            )
-        logger.info(
-            "reload: discovery at {address}, was {before}",
-            event="reload.taken",
-            address=conf.discovery,
-            before=self.watch.address,
-        )
-        self.watch.move(conf.discovery)
+        reload_configuration(environ, self.conf, self.watch)
 
     async def stop(self) -> None:
         """Serve for as long as answers are certain to arrive, finish open requests, and close everything."""
         logger.info("stop: asked to, {open} requests open", event="stop.asked", open=self.engine.reducer.open)
         self.serving = False
-        times = shutdown_deadlines(span(max(c.deadline for c in self.conf.settings.classes)))
+        longest = max(request_class.deadline for request_class in self.conf.settings.classes)
+        times = shutdown_deadlines(span(longest))
         self.engine.answer_by = self.engine.clock.now() + times.answer_within
-        await asyncio.gather(*(li.stop(lambda: self.engine.busy, times.take_for) for li in self.listeners))
+        await asyncio.gather(
+            *(listener.stop(lambda: self.engine.busy, times.take_for) for listener in self.listeners)
+        )
         self.drain.stop_sending_away()
         await self.generations.close()
         if self.heads is not None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -46,7 +46,7 @@
             assert node.pieces[KEY] == BODY
             assert [seen[3] for seen in node.seen] == [len(BODY)] * 2  # declined, then sent anew
             assert {r.headers["Content-Length"] for r in node.requests} == {str(len(BODY))}
-            assert not head.room.taken
+            assert not head.body_capacity.taken
 
     run(story())
 
@@ -60,7 +60,7 @@
         async with started(node) as (there, _):
             body = in_chunks(b"b" * 200_000) if b"chunked" in head else b""
             assert b" 413 " in await exchange(there, PUT.encode() + head + body)
-            assert not node.seen and not there.room.taken
+            assert not node.seen and not there.body_capacity.taken
 
     monkeypatch.setattr(bodies, "LARGEST", 70_000)
     run(story())
@@ -90,7 +90,7 @@
     async def story():
         async with started(Node("a", 0)) as (head, _):
             assert b" 408 " in await exchange(head, f"{PUT}Content-Length: 90000\r\n\r\n".encode() + b"b" * 9)
-            assert not head.room.taken
+            assert not head.body_capacity.taken
 
     run(story())
 
@@ -100,9 +100,9 @@
         async with started(Node("a", 0)) as (head, _):
             _, writer = await asyncio.open_connection(HOST, head.platform.port)
             writer.write(f"{PUT}Content-Length: 90000\r\n\r\n".encode() + b"b" * 9)
-            await until(lambda: head.room.taken == 90000)
+            await until(lambda: head.body_capacity.taken == 90000)
             writer.close()
-            await until(lambda: not head.room.taken)
+            await until(lambda: not head.body_capacity.taken)
 
     run(story())
 
@@ -111,7 +111,7 @@
     async def story():
         node = Node("a", 0)
         async with started(node) as (head, _):
-            head.room.most = len(BODY)
+            head.body_capacity.most = len(BODY)
             sent = f"{PUT}Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n".encode() + in_chunks(BODY)
             assert (await exchange(head, sent)).startswith(b"HTTP/1.1 200") and node.pieces[KEY] == BODY
 
@@ -121,9 +121,9 @@
 def test_without_a_place_to_keep_it_a_large_body_is_refused(tmp_path):
     async def story():
         async with started(Node("a", 0)) as (head, _):
-            head.room.folder = str(tmp_path / "absent")
+            head.body_capacity.folder = str(tmp_path / "absent")
             sent = f"{PUT}Content-Length: {len(BODY)}\r\n\r\n".encode() + BODY
-            assert (await exchange(head, sent)).startswith(b"HTTP/1.1 503") and not head.room.taken
+            assert (await exchange(head, sent)).startswith(b"HTTP/1.1 503") and not head.body_capacity.taken
             assert sum(head.engine.reducer.counters.shed) == 1
 
     run(story())
