--- a/benchmarks/capacity/instrumented_head.py
+++ b/benchmarks/capacity/instrumented_head.py
@@ -24,7 +24,7 @@
 
 from stoatrouter import __main__ as program
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.net import clients
+from stoatrouter.net import client_table, clients
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.pool import NodeConnection, NodePool
 from stoatrouter.policy import Scheduler
@@ -79,7 +79,7 @@
 PLACES_BY_CALLBACK = {
     "Engine.timer": TIMERS,
     "Engine.overdue": TIMERS,
-    "Engine.ended": NODE_CLIENT,
+    "Engine.attempt_ended": NODE_CLIENT,
     "ClientRequest.__reset_writer": NODE_CLIENT,
     "BaseSelectorEventLoop._accept_connection": ACCEPT,
     "BaseSelectorEventLoop._sock_write_done": NODE_CLIENT,
@@ -178,7 +178,7 @@
     if os.environ.get("CAPACITY_SPLIT"):
         instrument()
     if idle := os.environ.get("CAPACITY_IDLE_SECONDS"):
-        clients.IDLE = timedelta(seconds=float(idle))
+        client_table.IDLE = timedelta(seconds=float(idle))
     start = program.Head.start
 
     async def start_and_watch(head: Any) -> None:
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -17,7 +17,7 @@
 from stoatrouter.fronts.platform import PlatformFront
 from stoatrouter.management.calls import MOST_CALLERS, Management
 from stoatrouter.net.bodies import SMALL, BodyCapacity
-from stoatrouter.net.clients import ClientTable
+from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
 from stoatrouter.net.early import announcement
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -14,7 +14,7 @@
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.net.bodies import BrokenOff
-from stoatrouter.net.clients import ClientTable
+from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.nodes import NodeClient, Reply
 from stoatrouter.net.presence import CLIENT, gone
--- a/stoatrouter/net/generations.py
+++ b/stoatrouter/net/generations.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from stoatrouter.core import model
-from stoatrouter.net.clients import ClientTable
+from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.discovery import Watch
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.listener import Drain
--- a/stoatrouter/net/listener.py
+++ b/stoatrouter/net/listener.py
@@ -14,7 +14,8 @@
 from aiohttp import web
 from loguru import logger
 
-from stoatrouter.net.clients import ClientTable, Refuse, Server
+from stoatrouter.net.client_table import ClientTable
+from stoatrouter.net.clients import Refuse, Server
 from stoatrouter.net.presence import CLIENT
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -11,7 +11,7 @@
 import pytest
 
 from stoatrouter.head import busy_pressed
-from stoatrouter.net import bodies, clients
+from stoatrouter.net import bodies, client_table
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, WRITE, started
 
@@ -62,8 +62,8 @@
 
 @pytest.mark.parametrize("begun", [b"", GOOD[:40]])
 def test_a_client_that_says_nothing_whole_is_left(monkeypatch, begun):
-    monkeypatch.setattr(clients, "IDLE", timedelta(milliseconds=50))
-    monkeypatch.setattr(clients, "HEAD_WITHIN", timedelta(milliseconds=50))
+    monkeypatch.setattr(client_table, "IDLE", timedelta(milliseconds=50))
+    monkeypatch.setattr(client_table, "HEAD_WITHIN", timedelta(milliseconds=50))
 
     async def story():
         async with started(Node("a", 0)) as (head, _):
@@ -83,7 +83,7 @@
             for name in ("x", "y"):
                 async with session.get(PATH, headers=HEADERS | {"Req-Id": name}) as response:
                     assert response.status == 200
-            assert len(head.clients) <= head.clients.most + clients.SPARE
+            assert len(head.clients) <= head.clients.most + client_table.SPARE
 
     run(story())
 
@@ -99,7 +99,7 @@
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
                 await reader.readuntil(b"\r\n\r\n")
             fresh = [await asyncio.open_connection(HOST, head.platform.port) for _ in range(10)]
-            await until(lambda: len(head.clients.by_state[clients.State.SILENT]) == 10)
+            await until(lambda: len(head.clients.by_state[client_table.State.SILENT]) == 10)
             for i, (reader, writer) in enumerate(fresh):
                 stack.callback(writer.close)
                 writer.write(GOOD.replace(b"9b1f", b"f%03d" % i))
@@ -141,7 +141,7 @@
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
                 assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
                 stack.callback(writer.close)
-            assert len(head.clients.by_state[clients.State.IDLE]) == 20 > head.clients.idle_most
+            assert len(head.clients.by_state[client_table.State.IDLE]) == 20 > head.clients.idle_most
 
     run(story())
 
@@ -175,7 +175,7 @@
 
 
 def test_a_client_that_takes_nothing_of_its_answer_is_left(monkeypatch):
-    monkeypatch.setattr(clients, "UNREAD", timedelta(milliseconds=50))
+    monkeypatch.setattr(client_table, "UNREAD", timedelta(milliseconds=50))
 
     async def story():
         node = Node("a", 0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 from stoatrouter.core.list_times import MS
 from stoatrouter.head import Head
 from stoatrouter.net import presence
-from stoatrouter.net.clients import State
+from stoatrouter.net.client_table import State
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.interface import Outcome
