--- a/benchmarks/capacity/instrumented_head.py
+++ b/benchmarks/capacity/instrumented_head.py
@@ -25,8 +25,9 @@
 from stoatrouter import __main__ as program
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.net import client_table, clients
+from stoatrouter.net.node_connection import NodeConnection
 from stoatrouter.net.nodes import NodeClient
-from stoatrouter.net.pool import NodeConnection, NodePool
+from stoatrouter.net.pool import NodePool
 from stoatrouter.policy import Scheduler
 
 FRONT, NODE_CLIENT, DIAL = "front", "node client", "dial"
--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -7,8 +7,9 @@
 from aiohttp import HttpVersion11, web
 
 from stoatrouter.core import model
-from stoatrouter.net.bodies import Body, BodyCapacity, BrokenOff, Flow, TooLarge, TooSlow, read_body
+from stoatrouter.net.bodies import Body, BodyCapacity, Flow, read_body
 from stoatrouter.net.engine import Engine
+from stoatrouter.net.errors import BrokenOff, TooLarge, TooSlow
 from stoatrouter.net.listener import Drain
 
 
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -13,11 +13,12 @@
 from stoatrouter.matching.decisions import Decision, Refusal
 from stoatrouter.matching.inputs import Input, Unreadable, read_input
 from stoatrouter.matching.matcher import Matcher
-from stoatrouter.net.bodies import BodyCapacity, NoCapacity, StoredBody
+from stoatrouter.net.bodies import BodyCapacity, StoredBody
 from stoatrouter.net.engine import Engine
+from stoatrouter.net.errors import NoCapacity
 from stoatrouter.net.listener import Drain
-from stoatrouter.net.nodes import HOP_BY_HOP
 from stoatrouter.net.recorder import Recorder
+from stoatrouter.net.replies import HOP_BY_HOP
 from stoatrouter.policy import interface as api
 
 # Of a client's request: those of its connection, those that the node client writes itself, and those that the
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -11,8 +11,9 @@
 
 from stoatrouter.core import model
 from stoatrouter.fronts.exchange import BadRequest, Exchange, answer, last, retry_after
-from stoatrouter.net.bodies import BodyCapacity, NoCapacity, StoredBody
+from stoatrouter.net.bodies import BodyCapacity, StoredBody
 from stoatrouter.net.engine import Engine
+from stoatrouter.net.errors import NoCapacity
 from stoatrouter.net.listener import Drain
 from stoatrouter.policy import interface as api
 
--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -13,6 +13,8 @@
 import aiohttp
 from aiohttp import web
 
+from stoatrouter.net.errors import BrokenOff, NoCapacity, TooLarge, TooSlow
+
 SMALL = 64 * 1024  # in memory, and checked whole
 LARGEST = 36 * 1024 * 1024  # honest work reaches 32 MB
 PIECE = 64 * 1024
@@ -24,22 +26,6 @@
 SILENT = timedelta(seconds=10)  # how long an answer that has begun may stand still
 
 
-class NoCapacity(Exception):
-    """Stored bodies leave no capacity for this one, or the disk is full."""
-
-
-class TooLarge(Exception):
-    """A body exceeds its bound."""
-
-
-class TooSlow(Exception):
-    """A body arrives too slowly or stands still."""
-
-
-class BrokenOff(Exception):
-    """A node broke off its answer."""
-
-
 class BodyCapacity:
     """The bytes that stored bodies may take together, granted in order of arrival.
 
@@ -62,7 +48,7 @@
         Raises TooLarge where they can never fit, NoCapacity after CAPACITY_WAIT.
         """
         if size > self.most:
-            raise TooLarge
+            raise TooLarge(size, self.most)
         if not self.waiting and self.taken + size <= self.most:
             self.taken += size
             return
@@ -78,7 +64,9 @@
             elif not entry[1].cancelled():
                 self.free(size)  # it was given as the wait ended
             if isinstance(error, TimeoutError):
-                raise NoCapacity from None
+                raise NoCapacity(
+                    f"no {size} bytes came free in {CAPACITY_WAIT.total_seconds():g} s"
+                ) from None
             raise
 
     def free(self, size: int) -> None:
@@ -113,7 +101,7 @@
         try:
             self.file = tempfile.TemporaryFile(dir=capacity.folder, buffering=0)  # noqa: SIM115
         except OSError as error:  # guards against a folder that is full or gone
-            raise NoCapacity from error
+            raise NoCapacity(f"no file in {capacity.folder or tempfile.gettempdir()}: {error}") from error
 
     async def grow(self, size: int) -> None:
         """Reserve capacity for `size` bytes in all; raises as BodyCapacity.take does."""
@@ -128,7 +116,7 @@
             while view:
                 view = view[self.file.write(view) :]
         except OSError as error:  # guards against a folder that is full
-            raise NoCapacity from error
+            raise NoCapacity(f"the body's file cannot grow: {error}") from error
         self.size += len(data)
 
     async def pieces(self) -> AsyncIterator[bytes]:
@@ -163,7 +151,7 @@
     """
     stated = request.content_length or 0
     if stated > LARGEST:
-        raise TooLarge
+        raise TooLarge(stated, LARGEST)
     if not request.can_read_body:
         return b""
     small, stored, rate = bytearray(), None, ReceiveRate()
@@ -177,7 +165,7 @@
         while data := await rate.wait(request.content):
             size = len(data) + (len(small) if stored is None else stored.size)
             if size > LARGEST:
-                raise TooLarge
+                raise TooLarge(size, LARGEST)
             if stored is None and size <= SMALL:
                 small += data
                 continue
@@ -216,11 +204,11 @@
             async with asyncio.timeout(STALL.total_seconds()):
                 data = await content.readany()
         except TimeoutError:
-            raise TooSlow from None
+            raise TooSlow(self.received, timedelta(seconds=loop.time() - began)) from None
         self.spent += loop.time() - began
         self.received += len(data)
         if data and self.spent > START.total_seconds() and self.received < self.spent * SLOWEST:
-            raise TooSlow
+            raise TooSlow(self.received, timedelta(seconds=self.spent))
         return data
 
 
@@ -250,9 +238,9 @@
             data = await self.next()
             size += len(data)
             if size > LARGEST:  # guards clients against an answer without end
-                raise BrokenOff("an answer over the bound")
+                raise BrokenOff(f"an answer of {size} bytes or more (allowed: {LARGEST} or less)")
         if self.length is not None and size != self.length:
-            raise BrokenOff("an answer of another length than it said")
+            raise BrokenOff(f"an answer of {size} bytes that stated {self.length}")
 
     async def next(self) -> bytes:
         """The next bytes, empty at the end; raises BrokenOff where the node broke off or stands still."""
@@ -273,7 +261,7 @@
             async for piece in self.pieces():
                 data += piece
                 if len(data) > most:
-                    raise BrokenOff("an answer over this front's bound")
+                    raise BrokenOff(f"an answer of {len(data)} bytes or more (allowed here: {most} or less)")
         return bytes(data)
 
     def close(self) -> None:
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -17,7 +17,8 @@
 
 from stoatrouter.core.list_times import ListTimes, list_times
 from stoatrouter.core.model import NodeInfo
-from stoatrouter.net.nodes import Broken, only_once
+from stoatrouter.net.errors import Broken
+from stoatrouter.net.tracked_request import only_once
 from stoatrouter.policy.interface import ListKind, Phase
 
 LEAST_CALL_INTERVAL = timedelta(milliseconds=50)  # of calls that are answered at once and bring nothing
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -13,11 +13,12 @@
 
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.net.bodies import BrokenOff
 from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.clock import Clock
-from stoatrouter.net.nodes import NodeClient, Reply
+from stoatrouter.net.errors import BrokenOff
+from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.presence import CLIENT, gone
+from stoatrouter.net.replies import Reply
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.policy.interface import ListKind, Outcome
 
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -1,223 +1,19 @@
-"""Connections to nodes: only a whole, well-formed answer passes, and nothing after it.
-
-Three behaviours of aiohttp's client stand against that, as probes have shown: noise in one segment with a
-good answer makes its parser drop that answer too; an answer that arrives on an idle connection is kept and
-given to the next request; and a message without a length is read until the connection ends.
-"""
+"""The pool of connections to nodes: bounded, and reusing idle ones only while the path keeps them alive."""
 
 from __future__ import annotations
 
 import asyncio
-import select
 from datetime import timedelta
 from functools import partial
 from typing import Any
 
 import aiohttp
-from aiohttp.client_proto import ResponseHandler
 
-from stoatrouter.net.bodies import LARGEST
+from stoatrouter.net.errors import NotBegun
+from stoatrouter.net.node_connection import NodeConnection
 
-LARGEST_HEAD = 16 * 1024
-RECEIVE = 64 * 1024  # at once: what asyncio takes by itself would cost each of many large answers more
 # For how long idle connections are used follows what becomes of those that are used.
 LEAST_REUSE_WITHIN, SHORTEN, LENGTHEN = 0.05, 0.8, 1.05
-HEAD_END = b"\r\n\r\n"
-
-
-class MalformedAnswer(aiohttp.ClientPayloadError):
-    """A node sent a malformed answer; its request may have been executed."""
-
-
-class NotBegun(Exception):
-    """The decision to send no longer held once there was a connection; no byte was written."""
-
-
-class NodeConnection(ResponseHandler):
-    """A connection to a node, with at most one exchange at a time."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, pool: NodePool, rest_within: timedelta) -> None:
-        """Set up a connection to a node, with no exchange yet.
-
-        Args:
-            loop: The event loop that runs the connection.
-            pool: The pool that the connection belongs to.
-            rest_within: How long the rest of an answer may take once it has begun.
-        """
-        super().__init__(loop)
-        self.pool, self.rest_within = pool, rest_within
-        self.awaiting_answer = self.chunked = False
-        self.ends_with_connection = False  # no length is stated: the body ends as the connection does
-        # its client has the first of it, and waits for the rest however slowly it comes
-        self.streaming = False
-        # of the present answer: what has come of its head, and how many bytes its body lacks
-        self.head, self.body_left = b"", 0
-        self.in_body = False
-        self.bodiless = False  # whatever length it states: the answer to HEAD
-        self.stall_timer: asyncio.TimerHandle | None = None
-        self.idle_since, self.idle_for = None, 0.0  # idle_for: before the present request
-
-    # -- what aiohttp calls -------------------------------------------------------------------------------
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection among those that are alive."""
-        super().connection_made(transport)
-        transport.max_size = RECEIVE  # type: ignore[attr-defined]
-        self.pool.alive.add(self)
-
-    def connection_lost(self, exc: BaseException | None) -> None:
-        """End the exchange; a body without a stated length is whole only after a clean end."""
-        self.pool.alive.discard(self)
-        by_peer = self.transport is not None  # an end of our own has dropped it already
-        if by_peer and self.awaiting_answer and not self.head and not self.in_body:
-            self.pool.record_break(self.idle_for)
-        if (
-            self.awaiting_answer
-            and self.ends_with_connection
-            and exc is not None
-            and self._payload is not None
-        ):
-            # Guards against a break that aiohttp takes for the end of an answer without a length.
-            self._payload.set_exception(MalformedAnswer("it broke off"))
-            self._parser = None
-        self._exchange_done()
-        super().connection_lost(exc)
-
-    def set_response_params(self, **params: Any) -> None:
-        """Begin an exchange: a request is about to be written."""
-        self.awaiting_answer = True
-        self.in_body = self.ends_with_connection = self.streaming = False
-        self.head = b""
-        self.idle_for = 0.0 if self.idle_since is None else self._loop.time() - self.idle_since
-        self.bodiless = bool(params.get("skip_payload"))
-        super().set_response_params(**params)
-
-    def is_connected(self) -> bool:
-        """Whether the connection can be reused.
-
-        It cannot where unread bytes or an end have arrived since the last answer: they would be taken for
-        the next one.
-        """
-        return super().is_connected() and (
-            self.awaiting_answer or not self._idle_too_long() and not self._unread()
-        )
-
-    def _idle_too_long(self) -> bool:
-        idle = 0.0 if self.idle_since is None else self._loop.time() - self.idle_since
-        return self.should_close or idle > self.pool.reuse_within
-
-    def data_received(self, data: bytes) -> None:
-        """Pass on one whole, well-formed answer, and end the connection on anything else."""
-        if not data:
-            super().data_received(data)  # aiohttp goes on with what it has
-        elif not self.awaiting_answer:
-            # Guards the next request on this connection: bytes behind an answer belong to nobody.
-            self._end()
-        elif not self.in_body:
-            self._take_head(data)
-        elif self.chunked or self.ends_with_connection:
-            self._take_chunked(data)
-        else:
-            self._take_body(data)
-
-    def start_streaming(self) -> None:
-        """Stop the stall timer, as whoever streams the answer watches for a standstill."""
-        self.streaming = True
-        self._cancel_stall_timer()
-
-    # -- one answer ---------------------------------------------------------------------------------------
-    def _take_head(self, data: bytes) -> None:
-        self.head += data
-        while (end := self.head.find(HEAD_END)) >= 0:
-            head, rest = self.head[: end + len(HEAD_END)], self.head[end + len(HEAD_END) :]
-            status = head[9:12]
-            if status == b"101":
-                return self._fail_exchange("another protocol, which nobody asked for")
-            if not status.isdigit() or status[:1] != b"1":
-                return self._begin(head, rest)
-            self.head = rest  # an interim answer: the one that counts is still to come
-        self._start_stall_timer()
-        # Guards memory against a head that never ends, and time against what is no head at all.
-        if len(self.head) > LARGEST_HEAD or self.head[:7] != b"HTTP/1."[: len(self.head)]:
-            self._fail_exchange("no head")
-
-    def _begin(self, head: bytes, rest: bytes) -> None:
-        try:
-            # RFC 9112, 6.3: no body follows these, whatever length they state
-            length = 0 if self.bodiless or head[9:12] in (b"204", b"304") else body_length(head)
-        except ValueError as error:
-            return self._fail_exchange(str(error))
-        # Guards memory: it may pin the large block that it was read into, as long as the connection lives.
-        self.head = b""
-        self.in_body, self.chunked, self.ends_with_connection = True, length == CHUNKED, length == UNTIL_CLOSE
-        self.body_left = max(0, length)
-        if self.chunked or self.ends_with_connection:
-            self._take_chunked(head + rest)
-        else:
-            self._take_body(rest, head)
-
-    def _take_body(self, data: bytes, head: bytes = b"") -> None:
-        mine, more = data[: self.body_left], data[self.body_left :]
-        self.body_left -= len(mine)
-        if self.body_left:
-            self._start_stall_timer(anew=bool(mine))
-        else:
-            self._exchange_done()
-        super().data_received(head + mine)
-        if more:
-            self._end()
-
-    def _take_chunked(self, data: bytes) -> None:
-        super().data_received(data)
-        if self._payload is not None and self._payload.is_eof():
-            self._exchange_done()
-        else:
-            self._start_stall_timer(anew=True)
-
-    def _start_stall_timer(self, anew: bool = False) -> None:
-        """Start the timer of an answer that has begun and does not go on, anew where `anew`.
-
-        Guards the client's time against such an answer: the rest of it must come within rest_within.
-        """
-        if anew:
-            self._cancel_stall_timer()
-        if self.stall_timer is None and self.awaiting_answer and not self.streaming:
-            self.stall_timer = self._loop.call_later(
-                self.rest_within.total_seconds(), self._fail_exchange, "it stalled"
-            )
-
-    def _exchange_done(self) -> None:
-        """Nothing is due any more."""
-        if self.awaiting_answer and self.in_body:
-            self.pool.record_success(self.idle_for)
-        self.awaiting_answer, self.idle_since = False, self._loop.time()
-        self._cancel_stall_timer()
-
-    def _cancel_stall_timer(self) -> None:
-        if self.stall_timer is not None:
-            self.stall_timer.cancel()
-            self.stall_timer = None
-
-    # -- ends ---------------------------------------------------------------------------------------------
-    def _end(self) -> None:
-        """Never use this connection again; an answer that has come whole stays good."""
-        self.force_close()
-        if self.transport is not None:
-            self.transport.abort()
-
-    def _fail_exchange(self, why: str) -> None:
-        error = MalformedAnswer(why)
-        if self._payload is not None and not self._payload.is_eof():
-            self._payload.set_exception(error)
-        self.set_exception(error)
-        self._end()
-
-    def _unread(self) -> bool:
-        handle = self.transport.get_extra_info("socket") if self.transport is not None else None
-        if handle is None or handle.fileno() < 0:
-            return True
-        poll = select.poll()
-        poll.register(handle.fileno(), select.POLLIN)
-        return bool(poll.poll(0))
 
 
 class NodePool(aiohttp.TCPConnector):
@@ -274,8 +70,9 @@
         may_begin = getattr(req, "may_begin", None)
         if may_begin is not None and not may_begin():
             # Guards drains, windows for repeats and clients that have gone: a dial may outlast all of them.
-            if connection.protocol is not None and connection.protocol.idle_since is None:
-                connection.protocol.idle_since = asyncio.get_running_loop().time()  # it has just come up
+            protocol = connection.protocol
+            if isinstance(protocol, NodeConnection) and protocol.idle_since is None:
+                protocol.idle_since = asyncio.get_running_loop().time()  # it has just come up
             connection.release()
             raise NotBegun
         return connection
@@ -288,34 +85,3 @@
             if not self._conns[key]:
                 del self._conns[key]
             connection.close()
-
-
-CHUNKED, UNTIL_CLOSE = -1, -2
-
-
-def body_length(head: bytes) -> int:
-    """The length of a body by its head: bytes, CHUNKED or UNTIL_CLOSE.
-
-    Raises ValueError where the end is ambiguous: two lengths, none on a persistent connection, a length that
-    is malformed or over the bound, or one together with chunks.
-    """
-    lengths, codings, closes = [], [], head[:8] == b"HTTP/1.0"
-    for line in head[: -len(HEAD_END)].split(b"\r\n")[1:]:
-        name, colon, value = line.partition(b":")
-        if not colon or not name or name.strip() != name:
-            raise ValueError("a header that cannot be read")
-        if name.lower() == b"content-length":
-            lengths.append(value.strip())
-        elif name.lower() == b"transfer-encoding":
-            codings.append(value.strip().lower())
-        elif name.lower() == b"connection":
-            closes = b"close" in value.lower()
-    if codings == [b"chunked"] and not lengths:
-        return CHUNKED
-    if not codings and not lengths and closes:
-        return UNTIL_CLOSE
-    if codings or len(lengths) != 1 or not lengths[0].isdigit() or len(lengths[0]) > 9:
-        raise ValueError("no length that can be read")
-    if int(lengths[0]) > LARGEST:
-        raise ValueError("a body over the bound")
-    return int(lengths[0])
--- /dev/null
+++ b/stoatrouter/net/replies.py
@@ -0,0 +1,118 @@
+"""Reads a node's answer: its body, its outcome, and the load and figures that it reports."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass, replace
+
+import aiohttp
+from multidict import CIMultiDictProxy
+
+from stoatrouter.core import model
+from stoatrouter.net.bodies import SMALL, Flow
+from stoatrouter.net.node_connection import NodeConnection
+from stoatrouter.policy.interface import Outcome
+
+LARGEST_COUNT = 1e6  # that a node can mean
+NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
+HOP_BY_HOP = frozenset(
+    (
+        "connection",
+        "keep-alive",
+        "proxy-authenticate",
+        "proxy-authorization",
+        "proxy-connection",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "srv-load",
+        "srv-declined",
+        "x-served-elsewhere",
+    )
+)
+
+
+@dataclass(slots=True, frozen=True)
+class Reply:
+    """The outcome of an attempt or a health check, with what the node reported."""
+
+    outcome: Outcome
+    body: bytes = b""
+    units_by_others: float = 0.0
+    load: dict[str, float] | None = None
+    flow: Flow | None = None  # of an answer that is too large to be checked whole
+    head: model.Head | None = None  # for a request that passes it on
+
+
+async def take(response: aiohttp.ClientResponse, passes: bool = False) -> Reply:
+    """Read an answer: whole if it is small, else its first part, to be streamed with the rest."""
+    if passes and response.status < 500:
+        reply = await read_complete_reply(response)
+        return replace(reply, head=model.Head(response.status, end_to_end(response.headers)))
+    if response.status != 200:
+        return judge(response.status, response.headers, await read_small(response))
+    return await read_complete_reply(response)
+
+
+def end_to_end(headers: CIMultiDictProxy[str]) -> tuple[tuple[str, str], ...]:
+    """The header fields of an answer that are meant for the client.
+
+    Fields of this connection (RFC 9110, 7.6.1) and of the nodes' protocol are left out.
+    """
+    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
+    left = HOP_BY_HOP | named
+    return tuple((name, value) for name, value in headers.items() if name.lower() not in left)
+
+
+async def read_complete_reply(response: aiohttp.ClientResponse) -> Reply:
+    """Read a successful answer; a large one is returned as a Flow."""
+    stated, body = response.content_length, b""
+    while len(body) <= SMALL and (stated is None or stated <= SMALL or not body):
+        data = await response.content.readany()
+        if not data:
+            return judge(200, response.headers, body)
+        body += data
+    if response.connection is not None and isinstance(response.connection.protocol, NodeConnection):
+        response.connection.protocol.start_streaming()
+    return replace(judge(200, response.headers, b""), flow=Flow(response, body, stated))
+
+
+async def read_small(response: aiohttp.ClientResponse) -> bytes:
+    """Read a body that is not passed on; raises ValueError beyond SMALL bytes."""
+    body = b""
+    while data := await response.content.readany():
+        body += data
+        # Guards memory against a node that never ends its answer.
+        if len(body) > SMALL:
+            raise ValueError("over the bound")
+    return body
+
+
+def judge(status: int, headers: CIMultiDictProxy[str], body: bytes) -> Reply:
+    """Classify an answer of a node."""
+    units, load = read_number(headers.get("X-Served-Elsewhere")) or 0.0, read_load(headers.get("Srv-Load"))
+    if status == 200:
+        return Reply(Outcome.OK, body, units, load)
+    if headers.get("Srv-Declined") != "1" or status not in (503, 504):
+        return Reply(Outcome.ERROR, b"", units, load)
+    # Guards a node's window: 504 tells nothing of its load. The request is over, or its data lies elsewhere.
+    return Reply(Outcome.FULL if status == 503 else Outcome.MOOT, b"", units, load)
+
+
+def read_number(text: str | None) -> float | None:
+    """Parse a figure that a node reports; None where it is absent, malformed or out of range.
+
+    NaN or infinity would corrupt a volume's limits, and an unreadable load is not a load of 0.
+    """
+    if text is None or not NUMBER.fullmatch(text.strip()):
+        return None
+    number = float(text)
+    return number if number <= LARGEST_COUNT else None
+
+
+def read_load(text: str | None) -> dict[str, float] | None:
+    """Parse a load report such as `inflight=7,queue=2,util=0.61`; None where it has no figures."""
+    pairs = (pair.partition("=") for pair in (text or "").split(","))
+    figures = {name.strip(): read_number(value) for name, _, value in pairs if name.strip()}
+    return {name: figure for name, figure in figures.items() if figure is not None} or None
--- /dev/null
+++ b/stoatrouter/net/tracked_request.py
@@ -0,0 +1,71 @@
+"""Requests to nodes and to discovery that are sent once and know whether they were written."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import aiohttp
+from aiohttp.abc import AbstractStreamWriter
+from aiohttp.client_middlewares import ClientHandlerType
+
+from stoatrouter.net.errors import Broken
+from stoatrouter.net.node_connection import NodeConnection
+
+
+class TrackedRequest(aiohttp.ClientRequest):
+    """A client request that knows whether its last byte was handed to the system.
+
+    A node can start a request only once that byte has arrived; a request that breaks before was never
+    executed.
+    """
+
+    written = False
+    may_begin: Callable[[], bool] | None = None  # asked with a connection in hand, before the first byte
+
+    def mark_written(self, written: bool, conn: aiohttp.connector.Connection) -> None:
+        """Note whether the last byte was handed to the system; such an attempt counts as a try."""
+        self.written = written
+        if written and "Req-Id" in self.headers and isinstance(conn.protocol, NodeConnection):
+            conn.protocol.pool.attempts_written += 1  # health checks are none
+
+    async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
+        """Send the request; drain() waits until the system has taken the last byte."""
+        transport = conn.transport
+        if transport is not None:
+            transport.set_write_buffer_limits(high=0)  # drain() then waits for the last byte
+        response = await super().send(conn)
+        if not self.body and transport is not None:
+            # what the system has not taken yet may still go out: nobody asks again before a break
+            self.mark_written(not transport.is_closing(), conn)
+        return response
+
+    async def write_bytes(
+        self,
+        writer: AbstractStreamWriter,
+        conn: aiohttp.connector.Connection,
+        content_length: int | None = None,
+    ) -> None:
+        """Write the body, and note whether the system has taken all of it."""
+        transport = conn.transport
+        broken = transport is None or transport.is_closing()  # then nothing goes out; the call below says so
+        await super().write_bytes(writer, conn, content_length)
+        if broken or conn.transport is None and writer.output_size < (content_length or 0):
+            return  # it broke before the last byte was handed to the system
+        await writer.drain()  # raises where the system had not taken all of it
+        # Guards against a second effect: a node may begin the request and reset its connection before this
+        # task goes on, so an end that has come meanwhile proves nothing.
+        self.mark_written(True, conn)
+
+
+async def only_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
+    """Prevent aiohttp from resending GET and PUT over a dropped connection.
+
+    That would be one more attempt that no decision knows of. Raises Broken in place of the errors that set
+    it off.
+    """
+    try:
+        return await handler(request)
+    except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
+        raise  # never retried by the client
+    except (aiohttp.ClientError, OSError) as error:
+        raise Broken(getattr(request, "written", True), error) from error
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,8 +13,9 @@
 import pytest
 
 from stoatrouter.net import bodies, client_table
-from stoatrouter.net.bodies import BodyCapacity, NoCapacity, TooLarge
+from stoatrouter.net.bodies import BodyCapacity
 from stoatrouter.net.discovery import read_node
+from stoatrouter.net.errors import NoCapacity, TooLarge
 from stoatrouter.policy.interface import ListKind
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, started
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -10,7 +10,7 @@
 
 from stoatrouter.core import model
 from stoatrouter.net import listener
-from stoatrouter.net.nodes import read_load, read_number
+from stoatrouter.net.replies import read_load, read_number
 from stoatrouter.policy.interface import Outcome
 from tests.peers import HOST, Node, nodes_up, run, until
 from tests.platform_client import HEADERS, PATH, attempt, client, started
