--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -23,7 +23,7 @@
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Book, Grants, PutCustomer, Turn, Turns
 from stoatrouter.history.records import Content, pack
-from stoatrouter.net.discovery import read_node
+from stoatrouter.net.endpoint_list import read_node
 from stoatrouter.peering.book import SpentBook
 from stoatrouter.peering.credit import CreditService
 from stoatrouter.peering.settings import CreditSettings
--- a/benchmarks/capacity/nodelist.py
+++ b/benchmarks/capacity/nodelist.py
@@ -23,7 +23,8 @@
 from benchmarks.capacity.virtual_watches import INCIDENT_AT, Call, Incident, calls_of_fleet
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.net.discovery import Watch, read_list
+from stoatrouter.net.discovery import Watch
+from stoatrouter.net.endpoint_list import read_list
 from stoatrouter.policy import interface as api
 
 REPEATS = 5
@@ -93,12 +94,12 @@
 
     def prepare_first() -> Callable[[], object]:
         head = ListedHead()
-        return lambda: head.watch.take(data)
+        return lambda: head.watch.apply(data)
 
     def prepare_again() -> Callable[[], object]:
         head = ListedHead()
-        head.watch.take(data)
-        return lambda: head.watch.take(data)
+        head.watch.apply(data)
+        return lambda: head.watch.apply(data)
 
     add("entries to decision, first", mean_cpu(prepare_first), "us a list")
     add("entries to decision, again", mean_cpu(prepare_again), "us a list")
@@ -112,9 +113,9 @@
 
     def prepare() -> Callable[[], object]:
         head = ListedHead()
-        head.watch.take(whole)
+        head.watch.apply(whole)
         head.hold_requests(waiting)
-        return lambda: head.watch.take(json.loads(raw))
+        return lambda: head.watch.apply(json.loads(raw))
 
     details: dict[str, float | int | str] = {"nodes": nodes, "changed": changed, "waiting": waiting}
 
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -219,7 +219,7 @@
         self.engine.reducer.administrative_state = self.engine.state_file.read()
         self.watch.restore()
         self.background.append(loop.create_task(self.watch.run()))
-        await self.watch.first_answer()
+        await self.watch.wait_for_first_answer()
 
     def _start_background_tasks(self) -> None:
         loop = asyncio.get_running_loop()
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -1,14 +1,13 @@
-"""The watch of discovery's node list; errors, silence or malformed messages never end it."""
+"""The watch of discovery's endpoint list; errors, silence or malformed messages never end it."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import random
-import zlib
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
-from types import MappingProxyType
 from typing import Any
 
 import aiohttp
@@ -17,21 +16,53 @@
 
 from stoatrouter.core.list_times import ListTimes, list_times
 from stoatrouter.core.model import NodeInfo
+from stoatrouter.net.endpoint_list import read_list
 from stoatrouter.net.errors import Broken
 from stoatrouter.net.tracked_request import only_once
 from stoatrouter.policy.interface import ListKind, Phase
 
 LEAST_CALL_INTERVAL = timedelta(milliseconds=50)  # of calls that are answered at once and bring nothing
 LARGEST_LIST = 4 * 1024 * 1024
-UNNAMED_ZONES = 1 << 16  # numbers from here on are of zones that the settings do not name
+MOST_DOUBLINGS = 10  # of the backoff
 MOST_LOGGED_FAULTS = 1000  # faults of entries that are remembered as logged
-NONE_CACHED: Mapping[str, NodeInfo] = MappingProxyType({})
-PHASES = {"SERVING": Phase.ON, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
 
-# the kind, the entries, and how long before now they may have counted as told; None: nobody knows
+# the kind, the entries, and how long before now they may have counted as notified; None: not known
 ListCallback = Callable[[ListKind, tuple[NodeInfo, ...], timedelta | None], None]
 
 
+@dataclass(slots=True, frozen=True)
+class PlannedCall:
+    """One call of discovery: its URL, and the timeout of all of it."""
+
+    url: URL
+    timeout: timedelta
+
+
+class EntryFaults:
+    """Counts unreadable entries, and logs each fault once."""
+
+    def __init__(self, count: Callable[[str], None]) -> None:
+        """Start with no fault logged.
+
+        Args:
+            count: Called with entry_unreadable for each fault.
+        """
+        self.count = count
+        self.logged: set[str] = set()
+
+    def record(self, faults: tuple[str, ...]) -> None:
+        """Count these faults, and log those that are new; at most MOST_LOGGED_FAULTS are logged."""
+        for fault in faults:
+            self.count("entry_unreadable")
+            if fault not in self.logged and len(self.logged) < MOST_LOGGED_FAULTS:
+                self.logged.add(fault)
+                logger.warning(
+                    "discovery: an entry cannot be read, the others are taken: {error}",
+                    event="discovery.entry_unreadable",
+                    error=fault,
+                )
+
+
 class Watch:
     """Follows the node list and reports what changed."""
 
@@ -58,39 +89,43 @@
             times: The timeouts and backoff of calls; None: those that list_times gives for `pushed`.
             zones: The zones by name, in the order in which the settings number them.
         """
-        self.address, self.on_list, self.count, self.pushed = address, on_list, count, pushed
-        self.zones = zones  # by name, as the settings number them
+        self.address = address
+        self.on_list = on_list
+        self.pushed = pushed
+        self.zones = zones
         self.times = times or list_times(pushed, timedelta(seconds=2))
-        # in the loop's time: when the present call began, and up to when the cached list is current
-        self.call_began, self.current_at = 0.0, None
+        self.known = known
+        self.entry_faults = EntryFaults(count)
         self.cached: dict[str, NodeInfo] = {}  # as last notified, for entries that cannot be read
-        self.logged_faults: set[str] = set()
         self.generation: int | None = None
-        self.known = known
+        self.call_started = 0.0  # in the loop's time
+        self.current_at: float | None = None  # in the loop's time: up to when the cached list is current
         self.failures = 0  # calls in a row
-        self.address_changed, self.answered = asyncio.Event(), asyncio.Event()
+        self.address_changed = asyncio.Event()
+        self.answered = asyncio.Event()
 
     def restore(self) -> None:
         """Report the list that this head last had, which may be out of date."""
+        self.generation = None
+        nodes: tuple[NodeInfo, ...] = ()
+        faults: tuple[str, ...] = ()
         try:
-            generation, _, nodes, faults = (
-                read_list(self.known, zones=self.zones) if self.known else (None, True, (), ())
-            )
+            if self.known:
+                message = read_list(self.known, zones=self.zones)
+                self.generation, nodes, faults = message.generation, message.nodes, message.faults
         except ValueError as error:
             logger.warning(
                 "discovery: the known list cannot be read: {error}",
                 event="discovery.known_unreadable",
                 error=str(error),
             )
-            generation, nodes, faults = None, (), ()
-        self.generation = generation
         self.report(ListKind.RESTORED, nodes, faults)
 
-    async def first_answer(self) -> None:
+    async def wait_for_first_answer(self) -> None:
         """Wait for the first answer, within a bound: a start must not depend on discovery.
 
-        What the agent of a new process has is binding from its first moment, and the list it was given may
-        be old.
+        What the agent of a new process has is binding from its first moment, and the restored list may be
+        old.
         """
         try:
             async with asyncio.timeout(self.times.first.total_seconds()):
@@ -100,7 +135,7 @@
                 "discovery: no answer yet, serving on the list known before", event="discovery.unheard"
             )
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Watch at another address from now on.
 
         The list and its generation stay: the next call asks there for newer changes, so that none is missed.
@@ -136,13 +171,13 @@
             while True:
                 try:
                     changed = await self.call(session)
-                    self.recovered()
-                    # Guards the core against an agent that does not hold calls: asking is paced then.
-                    took = asyncio.get_running_loop().time() - self.call_began
-                    if not changed and took < LEAST_CALL_INTERVAL.total_seconds():
+                    self.record_success()
+                    # Guards the core against an agent that does not hold calls: polling is paced then.
+                    elapsed = asyncio.get_running_loop().time() - self.call_started
+                    if not changed and elapsed < LEAST_CALL_INTERVAL.total_seconds():
                         await asyncio.sleep(LEAST_CALL_INTERVAL.total_seconds())
                 except (aiohttp.ClientError, Broken, OSError, ValueError, TimeoutError) as error:
-                    self.failed(error)
+                    self.record_failure(error)
                     await asyncio.sleep(self.backoff().total_seconds())
                 except Exception:
                     # Guards against a list that sets off a fault elsewhere: the watch must outlive it.
@@ -155,59 +190,67 @@
 
         It is jittered, as all heads lose discovery at the same moment.
         """
-        doubled = self.times.pause * 2 ** min(10, max(0, self.failures - 1))
+        doubled = self.times.pause * (1 << min(MOST_DOUBLINGS, max(0, self.failures - 1)))
         return min(self.times.longest_pause, doubled) * (0.5 + random.random() / 2)
 
     async def call(self, session: aiohttp.ClientSession) -> bool:
         """Make one call, for the whole list or for changes; returns whether it brought any.
 
-        After a failure the call is not held: an answer is then due at once, and a silent peer is found out
-        in a fraction of the time. Raises ValueError for a malformed answer, and the client's errors.
+        Raises ValueError for a malformed answer, and the client's errors.
         """
-        times, query = self.times, ""
-        hold = times.hold * (0.75 + random.random() / 4)  # all heads' calls do not come together
-        if self.failures or not self.answered.is_set():
-            hold = times.brief
-        within = hold + times.late if hold > times.brief else times.answer
-        if self.generation is not None:
-            query = f"?from={self.generation}&hold_ms={hold // timedelta(milliseconds=1)}"
-        else:
-            within = times.answer
-        url = URL(f"http://{self.address}/v1/servers{query}", encoded=True)
-        self.call_began = asyncio.get_running_loop().time()
-        # one time for all of it, as bytes may trickle: dial, wait, head and body
-        async with asyncio.timeout(within.total_seconds()):
-            async with session.get(url, allow_redirects=False) as response:
-                if response.status != 200:
-                    raise ValueError(f"status {response.status}")
-                raw = bytearray()
-                while chunk := await response.content.read(LARGEST_LIST):
-                    raw += chunk
-                    if len(raw) > LARGEST_LIST:  # guards memory against an answer without end
-                        raise ValueError("list too large")
+        planned = self.plan_call()
+        self.call_started = asyncio.get_running_loop().time()
+        # one timeout for all of it, as bytes may trickle: dial, wait, head and body
+        async with asyncio.timeout(planned.timeout.total_seconds()):
+            raw = await fetch(session, planned.url)
         try:
             data = json.loads(raw)
         except RecursionError:  # brackets without end
             raise ValueError("list nested too deeply") from None
-        changed = self.take(data, self.age())
+        changed = self.apply(data, self.age())
         self.current_at = asyncio.get_running_loop().time()
         self.answered.set()
         return changed
 
-    def take(self, data: Any, age: timedelta | None = timedelta(0)) -> bool:
+    def plan_call(self) -> PlannedCall:
+        """The next call: for the complete list, or for changes since the generation held.
+
+        After a failure the call is not held: an answer is then due at once, and a silent peer is found out
+        in a fraction of the time.
+        """
+        times = self.times
+        hold = times.hold * (0.75 + random.random() / 4)  # all heads' calls do not come together
+        if self.failures or not self.answered.is_set():
+            hold = times.brief
+        timeout = hold + times.late if hold > times.brief else times.answer
+        query = ""
+        if self.generation is not None:
+            query = f"?from={self.generation}&hold_ms={hold // timedelta(milliseconds=1)}"
+        else:
+            timeout = times.answer
+        return PlannedCall(URL(f"http://{self.address}/v1/servers{query}", encoded=True), timeout)
+
+    def apply(self, data: Any, age: timedelta | None = timedelta(0)) -> bool:
         """Apply one message; returns whether it brought changes.
 
-        Raises ValueError where it does not follow on the list that is held.
+        Args:
+            data: The message as JSON data.
+            age: For how long it may already have been binding; None: not known.
+
+        Raises:
+            ValueError: It breaks the protocol, or does not follow on the cached list.
         """
-        generation, complete, nodes, faults = read_list(data, self.cached, self.zones)
-        if not complete and (self.generation is None or generation < self.generation):
-            # Guards against changes to another list than the one held, as from an agent that counts anew.
+        message = read_list(data, self.cached, self.zones)
+        if not message.complete and (self.generation is None or message.generation < self.generation):
+            # Guards against changes to another list than the cached one, as from an agent that restarted
+            # its generations.
             self.generation = None  # the next call asks for the complete list
-            raise ValueError("changes to a list that is not held")
-        self.generation = generation
-        if complete or nodes or faults:
-            self.report(ListKind.FULL if complete else ListKind.CHANGES, nodes, faults, age)
-        return complete or bool(nodes)
+            raise ValueError("changes to a list that is not cached")
+        self.generation = message.generation
+        if message.complete or message.nodes or message.faults:
+            kind = ListKind.FULL if message.complete else ListKind.CHANGES
+            self.report(kind, message.nodes, message.faults, age)
+        return message.complete or bool(message.nodes)
 
     def age(self) -> timedelta | None:
         """For how long the message just read may already have been binding; None: not known.
@@ -216,10 +259,10 @@
         answer, less the time in which the agent could have answered this call.
         """
         if not self.pushed:
-            return timedelta(0)  # told by being written
+            return timedelta(0)  # it counts as notified once it is written
         if self.current_at is None:
             return None
-        return timedelta(seconds=max(0.0, self.call_began - self.current_at))
+        return timedelta(seconds=max(0.0, self.call_started - self.current_at))
 
     def report(
         self,
@@ -229,15 +272,7 @@
         age: timedelta | None = timedelta(0),
     ) -> None:
         """Report the entries that could be read, and log each unreadable one once."""
-        for fault in faults:
-            self.count("entry_unreadable")
-            if fault not in self.logged_faults and len(self.logged_faults) < MOST_LOGGED_FAULTS:
-                self.logged_faults.add(fault)
-                logger.warning(
-                    "discovery: an entry cannot be read, the others are taken: {error}",
-                    event="discovery.entry_unreadable",
-                    error=fault,
-                )
+        self.entry_faults.record(faults)
         if kind is not ListKind.CHANGES:
             self.cached.clear()
         for node in nodes:
@@ -247,7 +282,7 @@
         if nodes or kind is not ListKind.CHANGES:
             self.on_list(kind, nodes, age)
 
-    def failed(self, error: BaseException) -> None:
+    def record_failure(self, error: BaseException) -> None:
         """Count a failed call; the first one in a row is logged."""
         if not self.failures:
             logger.warning(
@@ -257,7 +292,7 @@
             )
         self.failures += 1
 
-    def recovered(self) -> None:
+    def record_success(self) -> None:
         """End a row of failures; it is logged where there was one."""
         if self.failures:
             logger.info(
@@ -268,60 +303,14 @@
         self.failures = 0
 
 
-def read_list(
-    data: Any,
-    cached: Mapping[str, NodeInfo] = NONE_CACHED,
-    zones: tuple[str, ...] = (),
-) -> tuple[int, bool, tuple[NodeInfo, ...], tuple[str, ...]]:
-    """Parse a message: generation, whether it is complete, its nodes, and faults of unreadable entries.
-
-    Raises ValueError where the message as a whole breaks the protocol.
-    """
-    try:
-        generation, complete, entries = int(data["generation"]), bool(data["reset"]), data["instances"]
-        if not isinstance(entries, list):
-            raise TypeError("instances is no list")
-    except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"bad list: {type(error).__name__}: {error}") from None
-    nodes: list[NodeInfo] = []
-    faults: list[str] = []
-    for entry in entries:
-        # Guards the list against one spoilt entry: it would void all others, and what they say of drains.
-        try:
-            nodes.append(read_node(entry, zones))
-        except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
-            name = entry.get("instanceId") if isinstance(entry, dict) else None
-            faults.append(f"{name!r}: {type(error).__name__}: {error}"[:200])
-            # nor is the node that it stands for taken for gone
-            if complete and isinstance(name, str) and name in cached:
-                nodes.append(cached[name])
-    return generation, complete, tuple(nodes), tuple(faults)
-
-
-def zone_number(name: Any, zones: tuple[str, ...]) -> int:
-    """A zone's number as the settings have it.
-
-    A zone that the settings do not name gets a number of its own, the same in every process, as some repeats
-    are dropped only within one zone.
-    """
-    return zones.index(name) if name in zones else UNNAMED_ZONES + zlib.crc32(str(name).encode())
-
-
-def read_node(entry: dict[str, Any], zones: tuple[str, ...] = ()) -> NodeInfo:
-    """Parse one entry; only an entry of a node that is gone may lack its address.
-
-    Raises KeyError, TypeError or ValueError.
-    """
-    phase = PHASES[entry["lifecycle"]]
-    address = str(entry.get("hostPort") or "")
-    if not address and phase is not Phase.GONE:
-        raise ValueError(f"no hostPort for {entry['instanceId']!r}")
-    return NodeInfo(
-        id=str(entry["instanceId"]),
-        address=address,
-        shard=int(entry.get("cell", -1)),
-        phase=phase,
-        zone=zone_number(entry.get("zone"), zones),
-        weight=float(entry.get("weight") or 1.0),
-        started=timedelta(milliseconds=int(entry.get("startedAtMs") or 0)),
-    )
+async def fetch(session: aiohttp.ClientSession, url: URL) -> bytearray:
+    """Read the body at a URL; raises ValueError for a status but 200 or more than LARGEST_LIST bytes."""
+    async with session.get(url, allow_redirects=False) as response:
+        if response.status != 200:
+            raise ValueError(f"status {response.status}")
+        raw = bytearray()
+        while chunk := await response.content.read(LARGEST_LIST):
+            raw += chunk
+            if len(raw) > LARGEST_LIST:  # guards memory against an answer without end
+                raise ValueError(f"list too large: more than {LARGEST_LIST} bytes")
+    return raw
--- /dev/null
+++ b/stoatrouter/net/endpoint_list.py
@@ -0,0 +1,100 @@
+"""Parses the messages of discovery's endpoint list; one unreadable entry leaves the others valid."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Mapping
+from dataclasses import dataclass
+from datetime import timedelta
+from types import MappingProxyType
+from typing import Any
+
+from stoatrouter.core.model import NodeInfo
+from stoatrouter.policy.interface import Phase
+
+UNNAMED_ZONES = 1 << 16  # numbers from here on are of zones that the settings do not name
+LONGEST_FAULT = 200  # characters of a fault's description
+NONE_CACHED: Mapping[str, NodeInfo] = MappingProxyType({})
+PHASES = {"SERVING": Phase.ON, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
+
+
+@dataclass(slots=True, frozen=True)
+class ListMessage:
+    """One parsed message of the endpoint list.
+
+    Attributes:
+        generation: The generation of the list after this message.
+        complete: Whether it is the complete list; else it holds changes.
+        nodes: The entries, those that cannot be read left out or taken from the cache.
+        faults: What is wrong with each entry that cannot be read.
+    """
+
+    generation: int
+    complete: bool
+    nodes: tuple[NodeInfo, ...]
+    faults: tuple[str, ...]
+
+
+def read_list(
+    data: Any,
+    cached: Mapping[str, NodeInfo] = NONE_CACHED,
+    zones: tuple[str, ...] = (),
+) -> ListMessage:
+    """Parse a message.
+
+    Args:
+        data: The message as JSON data.
+        cached: The entries as last read, which stand in for those that a complete list spoils.
+        zones: The zones by name, in the order in which the settings number them.
+
+    Raises:
+        ValueError: The message as a whole breaks the protocol.
+    """
+    try:
+        generation, complete, entries = int(data["generation"]), bool(data["reset"]), data["instances"]
+        if not isinstance(entries, list):
+            raise TypeError("instances is no list")
+    except (KeyError, TypeError, AttributeError, OverflowError) as error:
+        raise ValueError(f"bad list: {type(error).__name__}: {error}") from None
+    nodes: list[NodeInfo] = []
+    faults: list[str] = []
+    for entry in entries:
+        # Guards the list against one spoilt entry: it would void all others, and what they say of drains.
+        try:
+            nodes.append(read_node(entry, zones))
+        except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
+            name = entry.get("instanceId") if isinstance(entry, dict) else None
+            faults.append(f"{name!r}: {type(error).__name__}: {error}"[:LONGEST_FAULT])
+            # nor is the node that it stands for considered gone
+            if complete and isinstance(name, str) and name in cached:
+                nodes.append(cached[name])
+    return ListMessage(generation, complete, tuple(nodes), tuple(faults))
+
+
+def zone_number(name: Any, zones: tuple[str, ...]) -> int:
+    """A zone's number as the settings have it.
+
+    A zone that the settings do not name gets a number of its own, the same in every process, as some repeats
+    are dropped only within one zone.
+    """
+    return zones.index(name) if name in zones else UNNAMED_ZONES + zlib.crc32(str(name).encode())
+
+
+def read_node(entry: dict[str, Any], zones: tuple[str, ...] = ()) -> NodeInfo:
+    """Parse one entry; only an entry of a node that is gone may lack its address.
+
+    Raises KeyError, TypeError or ValueError.
+    """
+    phase = PHASES[entry["lifecycle"]]
+    address = str(entry.get("hostPort") or "")
+    if not address and phase is not Phase.GONE:
+        raise ValueError(f"no hostPort for {entry['instanceId']!r}")
+    return NodeInfo(
+        id=str(entry["instanceId"]),
+        address=address,
+        shard=int(entry.get("cell", -1)),
+        phase=phase,
+        zone=zone_number(entry.get("zone"), zones),
+        weight=float(entry.get("weight") or 1.0),
+        started=timedelta(milliseconds=int(entry.get("startedAtMs") or 0)),
+    )
--- a/stoatrouter/reload.py
+++ b/stoatrouter/reload.py
@@ -44,4 +44,4 @@
         address=conf.discovery,
         before=watch.address,
     )
-    watch.move(conf.discovery)
+    watch.change_address(conf.discovery)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -14,7 +14,7 @@
 
 from stoatrouter.net import bodies, client_table
 from stoatrouter.net.bodies import BodyCapacity
-from stoatrouter.net.discovery import read_node
+from stoatrouter.net.endpoint_list import read_node
 from stoatrouter.net.errors import NoCapacity, TooLarge
 from stoatrouter.policy.interface import ListKind
 from tests.peers import HOST, Node, run, until
--- a/tests/test_capacity_request.py
+++ b/tests/test_capacity_request.py
@@ -184,11 +184,11 @@
 def test_a_change_reaches_the_decision_module_with_requests_waiting():
     head = nodelist.ListedHead()
     entries = node_entries(list(range(NODES)))
-    head.watch.take(json.loads(nodelist.message(entries, whole=True)))
+    head.watch.apply(json.loads(nodelist.message(entries, whole=True)))
     head.hold_requests(4)
     held = [node for node in head.reducer.scheduler.nodes.values() if node.pending]
     assert len(held) == 1 and len(held[0].pending) == 4 and len(held[0].out) == 1
-    head.watch.take(
+    head.watch.apply(
         json.loads(nodelist.message([entries[1] | {"lifecycle": "DELETED"}], whole=False, generation=2))
     )
     assert len(head.reducer.nodes) == NODES - 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -71,7 +71,7 @@
                 "restarted": {"startedAtMs": now + 1},
             }[change]
             # a long while ago, as where an agent was silent
-            head.watch.take(told(2, left.entry(**entry), reset=False), None)
+            head.watch.apply(told(2, left.entry(**entry), reset=False), None)
             await asyncio.sleep(0.005)  # the start that was told is over
             dials.let.set()
             answer = await asked
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -70,11 +70,11 @@
     watch.restore()
     for generation, reset in (2, True), (3, False), (4, True):
         entries = a.entry(lifecycle="DRAINING"), b.entry(**spoilt), "nonsense"
-        watch.take(told(generation, *entries, reset=reset))
+        watch.apply(told(generation, *entries, reset=reset))
     stays = {} if "instanceId" in spoilt else {"b": Phase.ON}  # what it stood for cannot be told
     assert heard[1] == heard[3] == {"a": Phase.DRAINING} | stays
     assert heard[2] == {"a": Phase.DRAINING} and watch.generation == 4
-    assert counted == ["entry_unreadable"] * 6 and len(watch.logged_faults) == 2
+    assert counted == ["entry_unreadable"] * 6 and len(watch.entry_faults.logged) == 2
 
 
 def test_an_agent_that_holds_no_call_is_asked_at_a_pace():
@@ -106,7 +106,7 @@
             watch.restore()
             task = asyncio.create_task(watch.run())
             await until(lambda: len(old.calls) == 2)
-            watch.move(f"{HOST}:{after}")
+            watch.change_address(f"{HOST}:{after}")
             await until(lambda: len(new.calls) == 3)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -9,7 +9,7 @@
 from stoatrouter.importer import apache, jk
 from stoatrouter.importer.__main__ import main
 from stoatrouter.importer.members import ImportFailed, Member, choose, node_list
-from stoatrouter.net.discovery import read_list
+from stoatrouter.net.endpoint_list import read_list
 
 APACHE = r"""
 # the derby cluster
@@ -86,11 +86,11 @@
 
 def test_what_is_imported_is_a_list_that_a_head_reads():
     listed = node_list(choose(apache.read(APACHE), "scores"))
-    generation, whole, nodes, faults = read_list(listed)
+    message = read_list(listed)
     assert (
-        whole
-        and not faults
-        and [(n.id, n.address, n.shard, n.phase.value) for n in nodes]
+        message.complete
+        and not message.faults
+        and [(n.id, n.address, n.shard, n.phase.value) for n in message.nodes]
         == [
             ("node1", "127.0.0.1:8080", 0, "on"),
             ("node2", "127.0.0.1:8081", 1, "draining"),
--- a/tests/test_list_and_descriptors.py
+++ b/tests/test_list_and_descriptors.py
@@ -104,7 +104,7 @@
                 watch = Watch(f"{HOST}:{full.getsockname()[1]}", told(1), lambda *_: None, times=AT_ONCE)
                 task = asyncio.create_task(watch.run())
                 await until(lambda: watch.failures >= 2)
-                watch.move(f"{HOST}:{port}")
+                watch.change_address(f"{HOST}:{port}")
                 await until(lambda: agent.calls)
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
--- a/tests/test_object_uploads.py
+++ b/tests/test_object_uploads.py
@@ -26,7 +26,7 @@
                 )
             )
             await until(lambda: len(b.seen) > before)
-            client.head.watch.take(told(2, b.entry(lifecycle="DRAINING"), c.entry(), reset=False))
+            client.head.watch.apply(told(2, b.entry(lifecycle="DRAINING"), c.entry(), reset=False))
             etags += list(zip(range(2, 9), await others, strict=True))
             status, _, data = await client.complete("/footage/m", upload, etags)
             assert status == 200, data
--- a/tests/test_request_histories.py
+++ b/tests/test_request_histories.py
@@ -83,8 +83,8 @@
 
 
 BROKEN = {
-    "told as leaving": "from stoatrouter.net import discovery\n"
-    "discovery.PHASES['DRAINING'] = discovery.PHASES['SERVING']\n",
+    "told as leaving": "from stoatrouter.net import endpoint_list\n"
+    "endpoint_list.PHASES['DRAINING'] = endpoint_list.PHASES['SERVING']\n",
     "may not run twice": "from stoatrouter.policy.rules import Rulebook\n"
     "Rulebook.barred_again = lambda *_: False\n",
     "after its client had gone": "from stoatrouter.core.reducer import Reducer\n"
