--- a/benchmarks/capacity/instrumented_head.py
+++ b/benchmarks/capacity/instrumented_head.py
@@ -78,7 +78,7 @@
     "Watch.follow": LIST,
 }
 PLACES_BY_CALLBACK = {
-    "Engine.timer": TIMERS,
+    "Engine.timer_due": TIMERS,
     "Engine.overdue": TIMERS,
     "Engine.attempt_ended": NODE_CLIENT,
     "ClientRequest.__reset_writer": NODE_CLIENT,
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -68,14 +68,14 @@
             wanted = self.translate(request, decided)
             # Guards clients' connections: those that wait must not hold them all.
             if self.drain.crowded():
-                turned_away = answer(self.engine.turn_away(wanted.request_class))
+                turned_away = answer(self.engine.reject(wanted.request_class))
                 return last(turned_away) if request.body_exists else self.drain.mark(turned_away)
             body = await self.read(request)
         except (BadRequest, Unreadable) as error:
             reason = error.reason if isinstance(error, BadRequest) else str(error)
             return last(web.Response(status=error.status, text=f"{reason}\n"))
         except NoCapacity:
-            return last(answer(self.engine.turn_away(wanted.request_class)))
+            return last(answer(self.engine.reject(wanted.request_class)))
         try:
             return await self.put(request, wanted, body)
         finally:
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -41,7 +41,7 @@
             wanted = self.translate(request)
             # Guards clients' connections: those that wait must not hold them all.
             if self.drain.crowded():
-                refused = answer(self.engine.turn_away(wanted.request_class))
+                refused = answer(self.engine.reject(wanted.request_class))
                 return last(refused) if request.body_exists else self.drain.mark(refused)
             body = await self.read(request)
             if request.method == "GET" and len(body):
@@ -51,7 +51,7 @@
         except BadRequest as error:
             return last(web.Response(status=error.status, text=f"{error.reason}\n"))
         except NoCapacity:
-            return last(answer(self.engine.turn_away(wanted.request_class)))
+            return last(answer(self.engine.reject(wanted.request_class)))
         try:
             final = await self.engine.serve(replace(wanted, body=body) if len(body) else wanted)
         finally:
@@ -74,7 +74,7 @@
         length = LENGTH.search(head)
         if len(body) != (int(length[1]) if length is not None else 0):
             return None
-        refused = self.engine.turn_away(kind)
+        refused = self.engine.reject(kind)
         assert isinstance(refused, model.Refused)
         fields = "".join(f"{name}: {value}\r\n" for name, value in retry_after(refused.retry_after).items())
         fields += "Connection: close\r\n" if self.drain.closing else ""
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Mapping
-from datetime import timedelta
 from typing import TYPE_CHECKING
 
 from loguru import logger
@@ -21,9 +20,10 @@
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
 from stoatrouter.net.early import announcement
-from stoatrouter.net.engine import Engine, watch_loop
+from stoatrouter.net.engine import Engine
 from stoatrouter.net.generations import Generations
 from stoatrouter.net.listener import Drain, Listener, shutdown_deadlines
+from stoatrouter.net.loop_monitor import monitor_loop
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.optional_fronts import (
@@ -50,7 +50,6 @@
 # Beyond these what comes is refused as it comes, before clients have no connection left to be heard on.
 BUSY_SHARE, PRESSED_SHARE, PRESSED_LEAST = 0.75 / 3, 0.4 / 3, 48
 BASE = 46_000_000  # of memory: what a head needs beside the bodies it keeps
-LAG_EVERY, LAG_LIMIT = timedelta(milliseconds=100), timedelta(milliseconds=100)
 
 
 def busy_pressed(sockets: int) -> int:
@@ -227,7 +226,7 @@
             loop.create_task(self.clients.keep_swept()),
             loop.create_task(self.generations.follow()),
             loop.create_task(self.management_clients.keep_swept()),
-            loop.create_task(watch_loop(self.engine, self.clients, LAG_EVERY, LAG_LIMIT)),
+            loop.create_task(monitor_loop(self.engine, self.clients)),
             *(loop.create_task(service.log_periodically()) for service in self.tables),
         ]
         if self.recorder is not None:
@@ -264,7 +263,7 @@
         self.serving = False
         longest = max(request_class.deadline for request_class in self.conf.settings.classes)
         times = shutdown_deadlines(span(longest))
-        self.engine.answer_by = self.engine.clock.now() + times.answer_within
+        self.engine.answer_deadline = self.engine.clock.now() + times.answer_within
         await asyncio.gather(
             *(listener.stop(lambda: self.engine.busy, times.take_for) for listener in self.listeners)
         )
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -13,7 +13,6 @@
 
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.errors import BrokenOff
 from stoatrouter.net.nodes import NodeClient
@@ -22,8 +21,6 @@
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.policy.interface import ListKind, Outcome
 
-# A loop this late has too little of its core; in quiet times it is late by a few milliseconds.
-PRESSED_LAG, PRESSED_FOR = timedelta(milliseconds=30), timedelta(milliseconds=500)
 LARGEST_PIECE = 1024 * 1024  # of an answer that a front needs whole
 
 
@@ -41,15 +38,18 @@
             nodes: The client of all nodes.
             state_file: Where the administrative state is saved when it changes.
         """
-        self.reducer, self.clock, self.nodes, self.state_file = reducer, clock, nodes, state_file
+        self.reducer = reducer
+        self.clock = clock
+        self.nodes = nodes
+        self.state_file = state_file
         self.state_saved = True  # whether the administrative state was saved when it last changed
         self.loop = asyncio.get_running_loop()
-        self.waiting: dict[str, asyncio.Future[model.Answer]] = {}
-        self.callers: dict[str, asyncio.Transport | None] = {}  # of those requests
+        self.waiters: dict[str, asyncio.Future[model.Answer]] = {}  # by request
+        self.client_transports: dict[str, asyncio.Transport | None] = {}  # of those requests
         self.attempts: dict[tuple[str, int], asyncio.Task[Reply]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.answer_by: timedelta | None = None  # a stopping head's last moment
-        # asked before a request is taken up: waits where that helps, and says whether it did
+        self.answer_deadline: timedelta | None = None  # of a stopping head, for all requests
+        # called before a request is admitted: waits where that helps, and returns whether it did
         self.prepare: Callable[[model.Request], Awaitable[bool]] | None = None
         self.preparing = 0
 
@@ -59,27 +59,28 @@
         if self.prepare is not None:
             request = await self.prepared(request)
         now = self.clock.now()
-        if self.answer_by is not None:
-            # Guards what a stopping head still takes: no answer is left to come after its end.
-            left = max(timedelta(0), min(request.time_left, self.answer_by - now))
+        if self.answer_deadline is not None:
+            # Guards what a stopping head still admits: no answer is left to come after its end.
+            left = max(timedelta(0), min(request.time_left, self.answer_deadline - now))
             request = replace(request, time_left=left)
         effects = self.reducer.reduce(model.Arrived(now, request))
         # Guards the waiter of a request that is open under the same id: this answer is not for it.
         if effects and isinstance(effects[0], model.RejectRequest):
             return effects[0].answer
-        waiter = self.waiting[request.id] = self.loop.create_future()
-        self.callers[request.id] = CLIENT.get()
+        waiter: asyncio.Future[model.Answer] = self.loop.create_future()
+        self.waiters[request.id] = waiter
+        self.client_transports[request.id] = CLIENT.get()
         try:
             self.run_all(effects)
             return await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
-                self.drop(request.id, waiter.result())
+                self.discard_answer(request.id, waiter.result())
             self.put(model.ClientLeft(self.clock.now(), request.id))
             raise
         finally:
-            self.waiting.pop(request.id, None)
-            self.callers.pop(request.id, None)
+            self.waiters.pop(request.id, None)
+            self.client_transports.pop(request.id, None)
 
     async def prepared(self, request: model.Request) -> model.Request:
         """Wait for what a request needs before it is admitted, such as credit.
@@ -87,17 +88,17 @@
         Returns the request with the time that is left of its deadline.
         """
         assert self.prepare is not None
-        began = self.clock.now()
+        started = self.clock.now()
         self.preparing += 1
         try:
             if not await self.prepare(request):
                 return request
         finally:
             self.preparing -= 1
-        left = max(timedelta(0), request.time_left - (self.clock.now() - began))
+        left = max(timedelta(0), request.time_left - (self.clock.now() - started))
         return replace(request, time_left=left)
 
-    async def serve_whole(self, request: model.Request) -> model.Answer:
+    async def serve_complete(self, request: model.Request) -> model.Answer:
         """As serve, for a front that needs the whole body of an answer, at most LARGEST_PIECE bytes."""
         answer = await self.serve(request)
         if not isinstance(answer, model.Served) or answer.flow is None:
@@ -117,14 +118,14 @@
         """Report the end of a streamed answer: complete, cut off, or None where its client has left."""
         self.put(model.FlowEnded(self.clock.now(), request, complete))
 
-    def drop(self, request: str, answer: model.Answer) -> None:
+    def discard_answer(self, request: str, answer: model.Answer) -> None:
         """Release an answer whose client has left."""
         if isinstance(answer, model.Served) and answer.flow is not None:
             answer.flow.close()
             self.flow_ended(request, None)
 
-    def turn_away(self, request_class: int) -> model.Answer:
-        """The answer to a request that is refused for lack of capacity."""
+    def reject(self, request_class: int) -> model.Answer:
+        """The answer to a request that a front rejects for lack of capacity."""
         effects = self.reducer.reduce(model.RejectedByFront(self.clock.now(), request_class))
         assert isinstance(effects[0], model.RejectRequest)
         return effects[0].answer
@@ -147,9 +148,9 @@
 
     def hand_over(self) -> model.HandoverState:
         """The state for the next process; from now on this process only finishes its requests."""
-        (known,) = self.reducer.reduce(model.HandedOver(self.clock.now()))
-        assert isinstance(known, model.HandoverState)
-        return known
+        (state,) = self.reducer.reduce(model.HandedOver(self.clock.now()))
+        assert isinstance(state, model.HandoverState)
+        return state
 
     def set_administrative_state(self, node: str, out: bool) -> bool | None:
         """Take a node out or put it back; returns whether that is saved, None for an unknown node."""
@@ -167,7 +168,7 @@
     @property
     def busy(self) -> bool:
         """Whether any request is not yet answered."""
-        return bool(self.waiting or self.preparing)
+        return bool(self.waiters or self.preparing)
 
     async def close(self) -> None:
         """Cancel all tasks and close the connections to nodes, once every request is answered."""
@@ -191,32 +192,41 @@
         """Run one effect."""
         match effect:
             case model.SendAttempt():
-                task = self.loop.create_task(self.nodes.attempt(effect, partial(self.may_begin, effect)))
-                self.attempts[(effect.request.id, effect.attempt)] = task
-                task.add_done_callback(partial(self.attempt_ended, effect))
+                self.start_attempt(effect)
             case model.GiveAnswer():
-                waiter = self.waiting.get(effect.request)
-                if waiter is not None and not waiter.done():
-                    if isinstance(effect.answer, model.Served) and effect.answer.flow is not None:
-                        effect.answer.flow.taken = True
-                    waiter.set_result(effect.answer)
+                self.give_answer(effect)
             case model.SetTimer():
-                self.loop.call_later(effect.after.total_seconds(), self.timer, effect.token)
+                self.loop.call_later(effect.after.total_seconds(), self.timer_due, effect.token)
             case model.WatchOverdue():
                 self.loop.call_later(effect.after.total_seconds(), self.overdue, effect.request)
             case model.CancelAttempt():
-                if (task := self.attempts.get((effect.request, effect.attempt))) is not None:
-                    task.cancel()
+                attempt = self.attempts.get((effect.request, effect.attempt))
+                if attempt is not None:
+                    attempt.cancel()
             case model.SaveAdministrativeState():
                 self.state_saved = self.state_file.write(self.reducer.administrative_state)
             case model.CheckHealth():
                 self.spawn(self.check_health(effect))
 
+    def start_attempt(self, effect: model.SendAttempt) -> None:
+        """Start an attempt in a task of its own."""
+        task = self.loop.create_task(self.nodes.attempt(effect, partial(self.may_begin, effect)))
+        self.attempts[(effect.request.id, effect.attempt)] = task
+        task.add_done_callback(partial(self.attempt_ended, effect))
+
+    def give_answer(self, effect: model.GiveAnswer) -> None:
+        """Give a request its answer; nothing is given where its client has left."""
+        waiter = self.waiters.get(effect.request)
+        if waiter is not None and not waiter.done():
+            if isinstance(effect.answer, model.Served) and effect.answer.flow is not None:
+                effect.answer.flow.taken = True
+            waiter.set_result(effect.answer)
+
     def may_begin(self, effect: model.SendAttempt) -> bool:
         """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
-        client = self.callers.get(effect.request.id)
+        client = self.client_transports.get(effect.request.id)
         if gone(client):
-            # Guards nodes against work for nobody: what tells of the client's end is still on its way here.
+            # Guards nodes against work for nobody: the notice of the client's end is still on its way here.
             assert client is not None
             client.abort()
             return False
@@ -229,12 +239,12 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    def timer(self, token: int) -> None:
-        """Report a timer of the reducer."""
+    def timer_due(self, token: int) -> None:
+        """Report that a timer of the reducer has expired."""
         self.put(model.TimerDue(self.clock.now(), token))
 
     def overdue(self, request: str) -> None:
-        """Report a request's last moment."""
+        """Report that a request's deadline has passed."""
         self.put(model.Overdue(self.clock.now(), request))
 
     def attempt_ended(self, effect: model.SendAttempt, task: asyncio.Task[Reply]) -> None:
@@ -243,14 +253,7 @@
         This is a callback: a task that is cancelled before its first step runs none of its own code, and its
         attempt would stay open for ever.
         """
-        reply = Reply(Outcome.RESET)
-        if task.cancelled():
-            reply = Reply(Outcome.CANCELLED)
-        elif (fault := task.exception()) is not None:
-            # Guards against a fault in the client library: the attempt may have run, the head goes on.
-            logger.opt(exception=fault).error("attempt failed in an unforeseen way", event="attempt.fault")
-        else:
-            reply = task.result()
+        reply = attempt_reply(task)
         self.attempts.pop((effect.request.id, effect.attempt), None)
         self.put(
             model.AttemptEnded(
@@ -272,35 +275,18 @@
 
     async def check_health(self, effect: model.CheckHealth) -> None:
         """Run a health check on a node and put its outcome and load to the core."""
-        began = self.clock.now()
+        started = self.clock.now()
         reply = await self.nodes.check_health(effect)
         now = self.clock.now()
-        self.put(model.HealthCheckEnded(now, effect.node, reply.outcome, now - began, reply.load))
-
-
-async def watch_loop(
-    engine: Engine, clients: ClientTable, every: timedelta, lag_limit: timedelta, tally_every: int = 100
-) -> None:
-    """Measure the event loop's lag, and log the tally from time to time."""
-    loop, rounds, worst = asyncio.get_running_loop(), 0, 0.0
-    while True:
-        due = loop.time() + every.total_seconds()
-        await asyncio.sleep(every.total_seconds())
-        lag, rounds = loop.time() - due, rounds + 1
-        worst = max(worst, lag)
-        if lag > PRESSED_LAG.total_seconds():
-            clients.press(PRESSED_FOR)
-        if lag > lag_limit.total_seconds():
-            logger.warning("loop: lagged by {lag_ms:.0f} ms", event="loop.lagged", lag_ms=lag * 1000)
-        if rounds % tally_every == 0:
-            counts = engine.reducer.tally.take()
-            if counts:
-                logger.info(
-                    "tally: open={open} worst_lag_ms={worst_lag_ms:.0f} {said}",
-                    event="tally",
-                    open=engine.reducer.open,
-                    worst_lag_ms=worst * 1000,
-                    counts=counts,
-                    said=" ".join(f"{k}={v}" for k, v in sorted(counts.items())),
-                )
-            worst = 0.0
+        self.put(model.HealthCheckEnded(now, effect.node, reply.outcome, now - started, reply.load))
+
+
+def attempt_reply(task: asyncio.Task[Reply]) -> Reply:
+    """The reply of an attempt whose task is done; a cancellation or a fault of ours is an outcome as well."""
+    if task.cancelled():
+        return Reply(Outcome.CANCELLED)
+    if (fault := task.exception()) is not None:
+        # Guards against a fault in the client library: the attempt may have run, the head goes on.
+        logger.opt(exception=fault).error("attempt failed in an unforeseen way", event="attempt.fault")
+        return Reply(Outcome.RESET)
+    return task.result()
--- /dev/null
+++ b/stoatrouter/net/loop_monitor.py
@@ -0,0 +1,56 @@
+"""Measures the event loop's lag, sheds load while it is late, and logs the core's tally."""
+
+from __future__ import annotations
+
+import asyncio
+from datetime import timedelta
+
+from loguru import logger
+
+from stoatrouter.net.client_table import ClientTable
+from stoatrouter.net.engine import Engine
+
+CHECK_INTERVAL = timedelta(milliseconds=100)
+LOGGED_LAG = timedelta(milliseconds=100)
+# A loop this late has too little of its core; in quiet times it is late by a few milliseconds.
+PRESSED_LAG, PRESSED_FOR = timedelta(milliseconds=30), timedelta(milliseconds=500)
+CHECKS_PER_TALLY = 100
+
+
+async def monitor_loop(engine: Engine, clients: ClientTable) -> None:
+    """Check the event loop's lag every CHECK_INTERVAL, until cancelled.
+
+    Args:
+        engine: Its tally is logged every CHECKS_PER_TALLY checks, with the worst lag since the last time.
+        clients: Their table admits fewer open requests for a while after a lag above PRESSED_LAG.
+    """
+    loop = asyncio.get_running_loop()
+    checks = 0
+    worst_lag = 0.0
+    while True:
+        due = loop.time() + CHECK_INTERVAL.total_seconds()
+        await asyncio.sleep(CHECK_INTERVAL.total_seconds())
+        lag = loop.time() - due
+        checks += 1
+        worst_lag = max(worst_lag, lag)
+        if lag > PRESSED_LAG.total_seconds():
+            clients.press(PRESSED_FOR)
+        if lag > LOGGED_LAG.total_seconds():
+            logger.warning("loop: lagged by {lag_ms:.0f} ms", event="loop.lagged", lag_ms=lag * 1000)
+        if checks % CHECKS_PER_TALLY == 0:
+            log_tally(engine, worst_lag)
+            worst_lag = 0.0
+
+
+def log_tally(engine: Engine, worst_lag: float) -> None:
+    """Log the counts since the last time, if there are any; `worst_lag` in seconds."""
+    counts = engine.reducer.tally.take()
+    if counts:
+        logger.info(
+            "tally: open={open} worst_lag_ms={worst_lag_ms:.0f} {said}",
+            event="tally",
+            open=engine.reducer.open,
+            worst_lag_ms=worst_lag * 1000,
+            counts=counts,
+            said=" ".join(f"{name}={count}" for name, count in sorted(counts.items())),
+        )
--- a/stoatrouter/optional_fronts.py
+++ b/stoatrouter/optional_fronts.py
@@ -67,7 +67,7 @@
 
         tables = object_tables(conf, objects)
         chooser = Chooser(tables.matcher, conf.settings, engine.clock.now, engine.reducer.advice)
-    front = ObjectFront(engine.serve_whole, conf.settings, objects, drain, chooser)
+    front = ObjectFront(engine.serve_complete, conf.settings, objects, drain, chooser)
     return ObjectFrontParts(front, Listener(front.handle, drain), tables)
 
 
--- a/tests/http_client.py
+++ b/tests/http_client.py
@@ -103,4 +103,4 @@
 def settled(head, client):
     """Each request had exactly one final answer, and nothing of it is left in the head."""
     assert set(client.answers.values()) <= {1}
-    assert not head.engine.waiting and not head.engine.attempts
+    assert not head.engine.waiters and not head.engine.attempts
--- a/tests/object_client.py
+++ b/tests/object_client.py
@@ -89,7 +89,7 @@
 def settled(client: Client) -> None:
     """Each call had exactly one final answer, and nothing of it is left in the head."""
     assert set(client.answers.values()) == {1}
-    assert not client.head.engine.waiting and not client.head.engine.attempts
+    assert not client.head.engine.waiters and not client.head.engine.attempts
 
 
 def error_code(data: bytes) -> str:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -145,7 +145,7 @@
             reader, writer = await raw(head)
             writer.write(text(HEADERS))
             await until(lambda: dials.waiting == 1)
-            (client,) = head.engine.callers.values()
+            (client,) = head.engine.client_transports.values()
             client.pause_reading()  # as for a body that waits for room, or a client that sent much at once
             writer.write(b"y" * 1000)
             await writer.drain()
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -107,7 +107,7 @@
             gone = asyncio.create_task(client.ask("GET", "/feed/x"))
             await until(lambda: head.engine.attempts)
             gone.cancel()
-            await until(lambda: not head.engine.waiting and not head.engine.attempts)
+            await until(lambda: not head.engine.waiters and not head.engine.attempts)
             last = asyncio.create_task(client.ask("GET", "/feed/y"))
             await until(lambda: head.engine.attempts)
             head.drain.out_of_service()
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -187,7 +187,7 @@
             await until(lambda: bool(node.seen))
             call.cancel()
             await asyncio.gather(call, return_exceptions=True)
-            await until(lambda: not head.engine.attempts and not head.engine.waiting)
+            await until(lambda: not head.engine.attempts and not head.engine.waiters)
             assert head.engine.reducer.open == 0
             assert head.engine.reducer.tally.counts["client_gone"] == 1
 
@@ -254,9 +254,9 @@
     async def story():
         node = Node("a", 0, "silent")
         async with started(node) as (head, session):
-            head.engine.answer_by = head.engine.clock.now() + timedelta(milliseconds=200)
+            head.engine.answer_deadline = head.engine.clock.now() + timedelta(milliseconds=200)
             async with session.get(PATH, headers=HEADERS) as response:  # it would have 2 s
                 assert response.status == 503
-            assert head.engine.clock.now() < head.engine.answer_by + timedelta(seconds=1)
+            assert head.engine.clock.now() < head.engine.answer_deadline + timedelta(seconds=1)
 
     run(story())
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -167,7 +167,7 @@
             await reached.wait()
             call.cancel()
             await asyncio.gather(call, return_exceptions=True)
-            while client.head.engine.waiting or client.head.engine.attempts:
+            while client.head.engine.waiters or client.head.engine.attempts:
                 await asyncio.sleep(0.005)
             assert client.head.engine.reducer.open == 0
             never.set()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -125,7 +125,7 @@
             reader, writer = await asyncio.open_connection(HOST, client.head.objects.port)
             writer.write(b"GET /footage/match HTTP/1.1\r\nHost: x\r\n\r\n")
             await reached.wait()
-            transport = next(iter(client.head.engine.callers.values()))
+            transport = next(iter(client.head.engine.client_transports.values()))
             transport.pause_reading()
             writer.write(b"y" * 1000)
             await writer.drain()
