--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -8,6 +8,7 @@
 import tempfile
 from collections import deque
 from collections.abc import AsyncIterator
+from dataclasses import dataclass
 from datetime import timedelta
 
 import aiohttp
@@ -19,11 +20,19 @@
 LARGEST = 36 * 1024 * 1024  # honest work reaches 32 MB
 PIECE = 64 * 1024
 STEP = 1024 * 1024  # by which the capacity reserved for a body without a stated length grows
-# A body that stops is left, and so is one far slower than clients in service (64 kB a second).
+# A body that stalls is given up, and so is one far slower than clients in service (64 kB a second).
 STALL, SLOWEST = timedelta(seconds=1), 24 * 1024
 START = timedelta(milliseconds=2500)  # from when on its mean rate counts
-CAPACITY_WAIT = timedelta(seconds=4)  # how long a body waits, unread, for others to be done with theirs
-SILENT = timedelta(seconds=10)  # how long an answer that has begun may stand still
+CAPACITY_WAIT = timedelta(seconds=4)  # how long a body waits, unread, for capacity
+SILENT = timedelta(seconds=10)  # how long an answer that has begun may stall
+
+
+@dataclass(slots=True, frozen=True, eq=False)
+class Reservation:
+    """A body that waits for capacity."""
+
+    size: int
+    granted: asyncio.Future[None]
 
 
 class BodyCapacity:
@@ -32,61 +41,62 @@
     Files count in full, as $TMPDIR may lie in memory.
     """
 
-    def __init__(self, most: int, folder: str | None = None) -> None:
-        """Start with nothing taken.
+    def __init__(self, limit: int, folder: str | None = None) -> None:
+        """Start with nothing reserved.
 
         Args:
-            most: The bytes that stored bodies may take together.
+            limit: The bytes that stored bodies may take together.
             folder: Where their files go; None: the system's temporary folder ($TMPDIR).
         """
-        self.most, self.folder, self.taken = most, folder, 0
-        self.waiting: deque[tuple[int, asyncio.Future[None]]] = deque()
+        self.limit = limit
+        self.folder = folder
+        self.reserved = 0
+        self.waiting: deque[Reservation] = deque()
 
-    async def take(self, size: int) -> None:
-        """Take `size` bytes, waiting in turn so that small bodies do not starve a large one.
+    async def reserve(self, size: int) -> None:
+        """Reserve `size` bytes, waiting in turn so that small bodies do not starve a large one.
 
         Raises TooLarge where they can never fit, NoCapacity after CAPACITY_WAIT.
         """
-        if size > self.most:
-            raise TooLarge(size, self.most)
-        if not self.waiting and self.taken + size <= self.most:
-            self.taken += size
+        if size > self.limit:
+            raise TooLarge(size, self.limit)
+        if not self.waiting and self.reserved + size <= self.limit:
+            self.reserved += size
             return
-        entry = (size, asyncio.get_running_loop().create_future())
-        self.waiting.append(entry)
+        reservation = Reservation(size, asyncio.get_running_loop().create_future())
+        self.waiting.append(reservation)
         try:
             async with asyncio.timeout(CAPACITY_WAIT.total_seconds()):
-                await entry[1]
+                await reservation.granted
         except BaseException as error:
-            if entry in self.waiting:
-                self.waiting.remove(entry)
-                self.pass_on()
-            elif not entry[1].cancelled():
-                self.free(size)  # it was given as the wait ended
+            if reservation in self.waiting:
+                self.waiting.remove(reservation)
+                self.grant_waiting()
+            elif not reservation.granted.cancelled():
+                self.release(size)  # it was granted as the wait ended
             if isinstance(error, TimeoutError):
-                raise NoCapacity(
-                    f"no {size} bytes came free in {CAPACITY_WAIT.total_seconds():g} s"
-                ) from None
+                waited = CAPACITY_WAIT.total_seconds()
+                raise NoCapacity(f"no {size} bytes became free in {waited:g} s") from None
             raise
 
-    def free(self, size: int) -> None:
-        """Give `size` bytes back and serve who waits."""
-        self.taken -= size
-        self.pass_on()
+    def release(self, size: int) -> None:
+        """Give `size` bytes back and grant them to those that wait."""
+        self.reserved -= size
+        self.grant_waiting()
 
-    def pass_on(self) -> None:
+    def grant_waiting(self) -> None:
         """Grant capacity to those that wait, in turn, as far as it goes."""
-        while self.waiting and self.taken + self.waiting[0][0] <= self.most:
-            size, given = self.waiting.popleft()
-            self.taken += size
-            if given.done():
-                self.taken -= size
+        while self.waiting and self.reserved + self.waiting[0].size <= self.limit:
+            reservation = self.waiting.popleft()
+            self.reserved += reservation.size
+            if reservation.granted.done():
+                self.reserved -= reservation.size
             else:
-                given.set_result(None)
+                reservation.granted.set_result(None)
 
 
 class StoredBody:
-    """A large body in an unnamed file; any attempt can read it from its start."""
+    """A large body in an unnamed file; each attempt reads it from its start."""
 
     def __init__(self, capacity: BodyCapacity) -> None:
         """Open an unnamed file for a body; it takes no capacity until it grows.
@@ -97,17 +107,19 @@
         Raises:
             NoCapacity: The file cannot be created, as where the folder is full or gone.
         """
-        self.capacity, self.size, self.taken = capacity, 0, 0
+        self.capacity = capacity
+        self.size = 0  # bytes written
+        self.reserved = 0  # bytes
         try:
             self.file = tempfile.TemporaryFile(dir=capacity.folder, buffering=0)  # noqa: SIM115
         except OSError as error:  # guards against a folder that is full or gone
             raise NoCapacity(f"no file in {capacity.folder or tempfile.gettempdir()}: {error}") from error
 
     async def grow(self, size: int) -> None:
-        """Reserve capacity for `size` bytes in all; raises as BodyCapacity.take does."""
-        if size > self.taken:
-            await self.capacity.take(size - self.taken)
-            self.taken = size
+        """Reserve capacity for `size` bytes in all; raises as BodyCapacity.reserve does."""
+        if size > self.reserved:
+            await self.capacity.reserve(size - self.reserved)
+            self.reserved = size
 
     def write(self, data: bytes) -> None:
         """Append to the file; raises NoCapacity where the disk has no space."""
@@ -121,13 +133,13 @@
 
     async def pieces(self) -> AsyncIterator[bytes]:
         """The body in pieces of at most PIECE bytes; raises OSError once it is closed."""
-        at = 0
-        while at < self.size:
+        offset = 0
+        while offset < self.size:
             if self.file.closed:
                 # Guards against an attempt that outlives its request: its descriptor may be another's by now.
-                raise OSError("the body is no longer kept")
-            piece = os.pread(self.file.fileno(), PIECE, at)
-            at += len(piece)
+                raise OSError("the body is no longer stored")
+            piece = os.pread(self.file.fileno(), PIECE, offset)
+            offset += len(piece)
             yield piece
 
     def __len__(self) -> int:
@@ -138,12 +150,59 @@
         """Delete the file and give its capacity back; calling it again changes nothing."""
         if not self.file.closed:
             self.file.close()
-            self.capacity.free(self.taken)
+            self.capacity.release(self.reserved)
 
 
 Body = bytes | StoredBody
 
 
+class BodyBuffer:
+    """A body as it arrives: in memory while it is small, then in a file."""
+
+    def __init__(self, capacity: BodyCapacity) -> None:
+        """Start empty.
+
+        Args:
+            capacity: The capacity that a file's bytes are reserved from.
+        """
+        self.capacity = capacity
+        self.small = bytearray()
+        self.stored: StoredBody | None = None
+
+    async def reserve(self, size: int) -> None:
+        """Open a file for a body of `size` bytes; raises TooLarge or NoCapacity."""
+        self.stored = StoredBody(self.capacity)
+        await self.stored.grow(size)
+
+    async def append(self, data: bytes) -> None:
+        """Append what has arrived; raises TooLarge or NoCapacity."""
+        size = len(data) + (len(self.small) if self.stored is None else self.stored.size)
+        if size > LARGEST:
+            raise TooLarge(size, LARGEST)
+        if self.stored is None and size <= SMALL:
+            self.small += data
+            return
+        if self.stored is None:  # it stated no length
+            self.stored = StoredBody(self.capacity)
+        stored = self.stored
+        if size > stored.reserved:
+            # a step further, yet no more than there is: it would wait for capacity that never comes
+            await stored.grow(max(size, min(stored.reserved + STEP, self.capacity.limit)))
+        if self.small:
+            stored.write(bytes(self.small))
+            self.small.clear()
+        stored.write(data)
+
+    def body(self) -> Body:
+        """The body that has arrived; a stored one must be closed by the caller."""
+        return bytes(self.small) if self.stored is None else self.stored
+
+    def close(self) -> None:
+        """Delete the file, if there is one."""
+        if self.stored is not None:
+            self.stored.close()
+
+
 async def read_body(request: web.BaseRequest, capacity: BodyCapacity) -> Body:
     """Read a whole body; one over SMALL bytes goes into a file that the caller must close.
 
@@ -154,35 +213,20 @@
         raise TooLarge(stated, LARGEST)
     if not request.can_read_body:
         return b""
-    small, stored, rate = bytearray(), None, ReceiveRate()
+    buffer = BodyBuffer(capacity)
+    rate = ReceiveRate()
     try:
         if stated > SMALL:
-            stored = StoredBody(capacity)
-            await stored.grow(stated)
+            await buffer.reserve(stated)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             request.writer.output_size = 0  # it is no part of the answer
         while data := await rate.wait(request.content):
-            size = len(data) + (len(small) if stored is None else stored.size)
-            if size > LARGEST:
-                raise TooLarge(size, LARGEST)
-            if stored is None and size <= SMALL:
-                small += data
-                continue
-            if stored is None:  # it stated no length
-                stored = StoredBody(capacity)
-            if size > stored.taken:
-                # a step further, yet no more than there is: it would wait for capacity that never comes
-                await stored.grow(max(size, min(stored.taken + STEP, capacity.most)))
-            if small:
-                stored.write(bytes(small))
-                small.clear()
-            stored.write(data)
+            await buffer.append(data)
     except BaseException:
-        if stored is not None:
-            stored.close()
+        buffer.close()
         raise
-    return bytes(small) if stored is None else stored
+    return buffer.body()
 
 
 class ReceiveRate:
@@ -190,22 +234,23 @@
 
     def __init__(self) -> None:
         """Start with no time spent and no byte received."""
-        self.spent, self.received = 0.0, 0
+        self.spent = 0.0  # seconds
+        self.received = 0  # bytes
 
     async def wait(self, content: aiohttp.StreamReader) -> bytes:
         """The next bytes, empty at the end.
 
         Raises TooSlow where a body stands still for STALL or is slower than SLOWEST bytes a second, so that
-        it cannot hold connections, room or a stopping head.
+        it cannot hold connections, capacity or a stopping head.
         """
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         try:
             async with asyncio.timeout(STALL.total_seconds()):
                 data = await content.readany()
         except TimeoutError:
-            raise TooSlow(self.received, timedelta(seconds=loop.time() - began)) from None
-        self.spent += loop.time() - began
+            raise TooSlow(self.received, timedelta(seconds=loop.time() - started)) from None
+        self.spent += loop.time() - started
         self.received += len(data)
         if data and self.spent > START.total_seconds() and self.received < self.spent * SLOWEST:
             raise TooSlow(self.received, timedelta(seconds=self.spent))
@@ -223,18 +268,21 @@
             first: The bytes of its body read so far.
             length: Its body's length in bytes as the node stated it; None where it stated none.
         """
-        self.response, self.first, self.length = response, first, length
-        self.taken = False  # by whoever passes it on
+        self.response = response
+        self.first = first
+        self.length = length
+        self.claimed = False  # by whoever passes it on
 
     async def pieces(self) -> AsyncIterator[bytes]:
         """The whole answer in pieces.
 
         Raises BrokenOff for a truncated or oversized answer, after all that came of it.
         """
-        size, data = len(self.first), self.first
+        data = self.first
+        size = len(data)
         while data:
-            for at in range(0, len(data), PIECE):
-                yield data[at : at + PIECE]
+            for offset in range(0, len(data), PIECE):
+                yield data[offset : offset + PIECE]
             data = await self.next()
             size += len(data)
             if size > LARGEST:  # guards clients against an answer without end
@@ -254,17 +302,17 @@
                 return content._read_nowait(-1)
             raise BrokenOff(repr(error)) from error
 
-    async def read_complete(self, most: int) -> bytes:
-        """The whole answer at once; raises BrokenOff where it is truncated or exceeds `most` bytes."""
+    async def read_complete(self, limit: int) -> bytes:
+        """The whole answer at once; raises BrokenOff where it is truncated or exceeds `limit` bytes."""
         data = bytearray()
         with contextlib.closing(self):
             async for piece in self.pieces():
                 data += piece
-                if len(data) > most:
-                    raise BrokenOff(f"an answer of {len(data)} bytes or more (allowed here: {most} or less)")
+                if len(data) > limit:
+                    raise BrokenOff(f"an answer of {len(data)} bytes or more (allowed here: {limit} or less)")
         return bytes(data)
 
     def close(self) -> None:
         """Release the answer; a connection with some of it unread is closed."""
-        self.taken = True
+        self.claimed = True
         self.response.close()
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -219,7 +219,7 @@
         waiter = self.waiters.get(effect.request)
         if waiter is not None and not waiter.done():
             if isinstance(effect.answer, model.Served) and effect.answer.flow is not None:
-                effect.answer.flow.taken = True
+                effect.answer.flow.claimed = True
             waiter.set_result(effect.answer)
 
     def may_begin(self, effect: model.SendAttempt) -> bool:
@@ -269,7 +269,7 @@
             )
         )
         # Guards a connection against an answer that came after the one that was given.
-        if reply.flow is not None and not reply.flow.taken:
+        if reply.flow is not None and not reply.flow.claimed:
             reply.flow.close()
             self.flow_ended(effect.request.id, None)
 
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import AsyncIterator, Callable
 from datetime import timedelta
 
 import aiohttp
-from aiohttp.client_middlewares import ClientHandlerType
+from aiohttp.client_middlewares import ClientHandlerType, ClientMiddlewareType
 from loguru import logger
 from multidict import CIMultiDict
 from yarl import URL
@@ -16,14 +16,14 @@
 from stoatrouter.net.bodies import StoredBody
 from stoatrouter.net.errors import Broken, NotBegun
 from stoatrouter.net.pool import NodePool
-from stoatrouter.net.replies import Reply, read_load, read_small, take
+from stoatrouter.net.replies import Reply, read_load, read_reply, read_small
 from stoatrouter.net.tracked_request import TrackedRequest, only_once
 from stoatrouter.policy.interface import Outcome
 
 HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=400)
-# Idle connections are given up at this part of the time after which a node closes them: a request written
+# Idle connections are given up at this fraction of the time after which a node closes them: a request written
 # as the node closes would end as a reset.
-IDLE_PART = 0.5
+IDLE_FRACTION = 0.5
 REST_WITHIN = timedelta(milliseconds=400)  # once an answer has begun, its end
 READ_AHEAD = 64 * 1024  # of a body, before reading pauses
 SKIPPED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
@@ -36,7 +36,7 @@
         self,
         connect_timeout: timedelta,
         conn_idle: timedelta,
-        most: int,
+        max_connections: int,
         rest_within: timedelta = REST_WITHIN,
     ) -> None:
         """Set up the client of all nodes with an empty pool.
@@ -44,10 +44,10 @@
         Args:
             connect_timeout: How long a connection to a node may take to open.
             conn_idle: How long a node keeps an idle connection; this head keeps it half as long.
-            most: How many connections to nodes may be open at once, idle ones included.
+            max_connections: How many connections to nodes may be open at once, idle ones included.
             rest_within: How long the rest of an answer may take once it has begun.
         """
-        self.pool = NodePool(most, conn_idle * IDLE_PART, rest_within)
+        self.pool = NodePool(max_connections, conn_idle * IDLE_FRACTION, rest_within)
         self.session = aiohttp.ClientSession(
             connector=self.pool,
             request_class=TrackedRequest,
@@ -65,59 +65,39 @@
         await self.session.close()
 
     async def attempt(self, effect: model.SendAttempt, may_begin: Callable[[], bool] | None = None) -> Reply:
-        """Make one attempt; every error becomes an outcome."""
-
-        async def ask_first(
-            request: aiohttp.ClientRequest, handler: ClientHandlerType
-        ) -> aiohttp.ClientResponse:
-            request.may_begin = may_begin  # type: ignore[attr-defined]
-            return await only_once(request, handler)
-
-        r = effect.request
-        wait_ms = max(1, effect.timeout // timedelta(milliseconds=1))
-        headers: CIMultiDict[str] | dict[str, str] = {"Req-Id": r.id, "Req-Deadline-Ms": str(wait_ms)}
-        if r.fields:
-            headers = CIMultiDict((*headers.items(), *r.fields))
-        if r.idempotency_key is not None:
-            headers["Idempotency-Key"] = r.idempotency_key
-        if isinstance(r.body, StoredBody):
-            headers["Content-Length"] = str(r.body.size)
-        data = r.body.pieces() if isinstance(r.body, StoredBody) else r.body or None
-        url = URL(f"http://{effect.address}{r.target}", encoded=True)  # encoded: bytes pass unchanged
-        response = None
+        """Make one attempt; every error becomes an outcome.
+
+        Args:
+            effect: The request, the node's address, and the timeout of all of it.
+            may_begin: Called with a connection in hand, before the first byte: whether the decision to send
+                still holds; None: it does.
+        """
+        request = effect.request
+        url = URL(f"http://{effect.address}{request.target}", encoded=True)  # encoded: bytes pass unchanged
+        headers, data = attempt_headers(effect), attempt_data(request)
+        response: aiohttp.ClientResponse | None = None
         try:
             async with asyncio.timeout(effect.timeout.total_seconds()):
                 response = await self.session.request(
-                    r.method, url, headers=headers, data=data, allow_redirects=False, middlewares=(ask_first,)
+                    request.method,
+                    url,
+                    headers=headers,
+                    data=data,
+                    allow_redirects=False,
+                    middlewares=(once_if(may_begin),),
                 )
-                reply = await take(response, r.passes)
+                reply = await read_reply(response, request.passes)
             if reply.flow is not None:
                 response = None  # whoever passes it on closes it
             return reply
-        except TimeoutError as error:
-            never = isinstance(error, aiohttp.ConnectionTimeoutError)
-            return Reply(Outcome.CONNECT_FAILED if never else Outcome.TIMEOUT)
-        except NotBegun:
-            return Reply(Outcome.NOT_BEGUN)
-        except aiohttp.ClientConnectorError:
-            return Reply(Outcome.CONNECT_FAILED)
-        except Broken as error:
-            return Reply(Outcome.RESET if error.written else Outcome.CONNECT_FAILED)
-        except (aiohttp.ClientError, OSError, ValueError) as error:
-            # the answer broke off or could not be read: the attempt may have run
-            logger.debug(
-                "attempt at {address}: {error}",
-                event="attempt.broke",
-                address=effect.address,
-                error=repr(error),
-            )
-            return Reply(Outcome.RESET)
+        except (aiohttp.ClientError, NotBegun, Broken, OSError, ValueError) as error:
+            return Reply(failed_outcome(error, effect.address))
         finally:
             if response is not None:
-                response.close()  # what came whole has given its connection back already
+                response.close()  # a complete answer has given its connection back already
 
     async def check_health(self, effect: model.CheckHealth) -> Reply:
-        """Ask a node for its load; every error becomes an outcome."""
+        """Request a node's load report; every error becomes an outcome."""
         try:
             async with asyncio.timeout(HEALTH_CHECK_TIMEOUT.total_seconds()):
                 async with self.session.get(
@@ -132,3 +112,55 @@
             return Reply(Outcome.CONNECT_FAILED)
         except (aiohttp.ClientError, OSError, ValueError):
             return Reply(Outcome.RESET)
+
+
+def once_if(may_begin: Callable[[], bool] | None) -> ClientMiddlewareType:
+    """The middleware of one attempt: it is sent once, and only if `may_begin` says so (NodePool.connect)."""
+
+    async def send_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
+        assert isinstance(request, TrackedRequest)
+        request.may_begin = may_begin
+        return await only_once(request, handler)
+
+    return send_once
+
+
+def attempt_headers(effect: model.SendAttempt) -> CIMultiDict[str] | dict[str, str]:
+    """The header fields of an attempt: the nodes' protocol, and what the front adds."""
+    request = effect.request
+    wait_ms = max(1, effect.timeout // timedelta(milliseconds=1))
+    headers: CIMultiDict[str] | dict[str, str] = {"Req-Id": request.id, "Req-Deadline-Ms": str(wait_ms)}
+    if request.fields:
+        headers = CIMultiDict((*headers.items(), *request.fields))
+    if request.idempotency_key is not None:
+        headers["Idempotency-Key"] = request.idempotency_key
+    if isinstance(request.body, StoredBody):
+        headers["Content-Length"] = str(request.body.size)
+    return headers
+
+
+def attempt_data(request: model.Request) -> AsyncIterator[bytes] | bytes | None:
+    """The body of an attempt, read from its start; None where there is none."""
+    if isinstance(request.body, StoredBody):
+        return request.body.pieces()
+    body: bytes = request.body
+    return body or None
+
+
+def failed_outcome(error: Exception, address: str) -> Outcome:
+    """The outcome of an attempt that ended with an error; an unclear one may have run and is logged."""
+    match error:
+        case aiohttp.ConnectionTimeoutError() | aiohttp.ClientConnectorError():
+            return Outcome.CONNECT_FAILED
+        case TimeoutError():
+            return Outcome.TIMEOUT
+        case NotBegun():
+            return Outcome.NOT_BEGUN
+        case Broken():
+            return Outcome.RESET if error.written else Outcome.CONNECT_FAILED
+        case _:
+            # the answer broke off or could not be read: the attempt may have run
+            logger.debug(
+                "attempt at {address}: {error}", event="attempt.broke", address=address, error=repr(error)
+            )
+            return Outcome.RESET
--- a/stoatrouter/net/replies.py
+++ b/stoatrouter/net/replies.py
@@ -45,8 +45,11 @@
     head: model.Head | None = None  # for a request that passes it on
 
 
-async def take(response: aiohttp.ClientResponse, passes: bool = False) -> Reply:
-    """Read an answer: whole if it is small, else its first part, to be streamed with the rest."""
+async def read_reply(response: aiohttp.ClientResponse, passes: bool = False) -> Reply:
+    """Read an answer: complete if it is small, else its first part, to be streamed with the rest.
+
+    With `passes` any answer below 500 is returned with its status and fields.
+    """
     if passes and response.status < 500:
         reply = await read_complete_reply(response)
         return replace(reply, head=model.Head(response.status, end_to_end(response.headers)))
@@ -67,7 +70,8 @@
 
 async def read_complete_reply(response: aiohttp.ClientResponse) -> Reply:
     """Read a successful answer; a large one is returned as a Flow."""
-    stated, body = response.content_length, b""
+    stated = response.content_length
+    body = b""
     while len(body) <= SMALL and (stated is None or stated <= SMALL or not body):
         data = await response.content.readany()
         if not data:
@@ -91,12 +95,13 @@
 
 def judge(status: int, headers: CIMultiDictProxy[str], body: bytes) -> Reply:
     """Classify an answer of a node."""
-    units, load = read_number(headers.get("X-Served-Elsewhere")) or 0.0, read_load(headers.get("Srv-Load"))
+    units = read_number(headers.get("X-Served-Elsewhere")) or 0.0
+    load = read_load(headers.get("Srv-Load"))
     if status == 200:
         return Reply(Outcome.OK, body, units, load)
     if headers.get("Srv-Declined") != "1" or status not in (503, 504):
         return Reply(Outcome.ERROR, b"", units, load)
-    # Guards a node's window: 504 tells nothing of its load. The request is over, or its data lies elsewhere.
+    # Guards a node's window: 504 is no sign of its load. The request is over, or its data lies elsewhere.
     return Reply(Outcome.FULL if status == 503 else Outcome.MOOT, b"", units, load)
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -47,7 +47,7 @@
             assert node.pieces[KEY] == BODY
             assert [seen[3] for seen in node.seen] == [len(BODY)] * 2  # declined, then sent anew
             assert {r.headers["Content-Length"] for r in node.requests} == {str(len(BODY))}
-            assert not head.body_capacity.taken
+            assert not head.body_capacity.reserved
 
     run(story())
 
@@ -61,7 +61,7 @@
         async with started(node) as (there, _):
             body = in_chunks(b"b" * 200_000) if b"chunked" in head else b""
             assert b" 413 " in await exchange(there, PUT.encode() + head + body)
-            assert not node.seen and not there.body_capacity.taken
+            assert not node.seen and not there.body_capacity.reserved
 
     monkeypatch.setattr(bodies, "LARGEST", 70_000)
     run(story())
@@ -91,7 +91,7 @@
     async def story():
         async with started(Node("a", 0)) as (head, _):
             assert b" 408 " in await exchange(head, f"{PUT}Content-Length: 90000\r\n\r\n".encode() + b"b" * 9)
-            assert not head.body_capacity.taken
+            assert not head.body_capacity.reserved
 
     run(story())
 
@@ -101,9 +101,9 @@
         async with started(Node("a", 0)) as (head, _):
             _, writer = await asyncio.open_connection(HOST, head.platform.port)
             writer.write(f"{PUT}Content-Length: 90000\r\n\r\n".encode() + b"b" * 9)
-            await until(lambda: head.body_capacity.taken == 90000)
+            await until(lambda: head.body_capacity.reserved == 90000)
             writer.close()
-            await until(lambda: not head.body_capacity.taken)
+            await until(lambda: not head.body_capacity.reserved)
 
     run(story())
 
@@ -112,7 +112,7 @@
     async def story():
         node = Node("a", 0)
         async with started(node) as (head, _):
-            head.body_capacity.most = len(BODY)
+            head.body_capacity.limit = len(BODY)
             sent = f"{PUT}Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n".encode() + in_chunks(BODY)
             assert (await exchange(head, sent)).startswith(b"HTTP/1.1 200") and node.pieces[KEY] == BODY
 
@@ -124,7 +124,9 @@
         async with started(Node("a", 0)) as (head, _):
             head.body_capacity.folder = str(tmp_path / "absent")
             sent = f"{PUT}Content-Length: {len(BODY)}\r\n\r\n".encode() + BODY
-            assert (await exchange(head, sent)).startswith(b"HTTP/1.1 503") and not head.body_capacity.taken
+            assert (await exchange(head, sent)).startswith(
+                b"HTTP/1.1 503"
+            ) and not head.body_capacity.reserved
             assert sum(head.engine.reducer.counters.shed) == 1
 
     run(story())
@@ -132,25 +134,25 @@
 
 def test_room_is_given_in_turn_and_nobody_waits_for_ever(monkeypatch):
     async def story():
-        room = BodyCapacity(100)
-        await room.take(60)
-        large, small = asyncio.create_task(room.take(90)), asyncio.create_task(room.take(10))
+        capacity = BodyCapacity(100)
+        await capacity.reserve(60)
+        large, small = asyncio.create_task(capacity.reserve(90)), asyncio.create_task(capacity.reserve(10))
         await asyncio.sleep(0)
-        assert room.taken == 60 and not small.done()  # it would keep the large one waiting
-        room.free(60)
+        assert capacity.reserved == 60 and not small.done()  # it would keep the large one waiting
+        capacity.release(60)
         await asyncio.gather(large, small)
-        assert room.taken == 100
+        assert capacity.reserved == 100
         monkeypatch.setattr(bodies, "CAPACITY_WAIT", timedelta(0))
         with pytest.raises(NoCapacity):
-            await room.take(1)
+            await capacity.reserve(1)
         with pytest.raises(TooLarge):
-            await room.take(101)
-        leaving = asyncio.create_task(room.take(1))
+            await capacity.reserve(101)
+        leaving = asyncio.create_task(capacity.reserve(1))
         await asyncio.sleep(0)
         leaving.cancel()
-        room.free(100)
+        capacity.release(100)
         await asyncio.gather(leaving, return_exceptions=True)
-        assert room.taken == 0 and not room.waiting
+        assert capacity.reserved == 0 and not capacity.waiting
 
     run(story())
 
