--- a/benchmarks/capacity/instrumented_head.py
+++ b/benchmarks/capacity/instrumented_head.py
@@ -72,7 +72,7 @@
     "RequestHandler.start": FRONT,
     "RequestHandler._handle_request": FRONT,
     "BaseSelectorEventLoop._accept_connection2": ACCEPT,
-    "ClientTable.keep_swept": FRONT,
+    "ClientTable.sweep_periodically": FRONT,
     "NodeClient.attempt": NODE_CLIENT,
     "TrackedRequest.write_bytes": NODE_CLIENT,
     "Watch.follow": LIST,
@@ -179,7 +179,7 @@
     if os.environ.get("CAPACITY_SPLIT"):
         instrument()
     if idle := os.environ.get("CAPACITY_IDLE_SECONDS"):
-        client_table.IDLE = timedelta(seconds=float(idle))
+        client_table.IDLE_TIMEOUT = timedelta(seconds=float(idle))
     start = program.Head.start
 
     async def start_and_watch(head: Any) -> None:
--- a/stoatrouter/core/descriptors.py
+++ b/stoatrouter/core/descriptors.py
@@ -11,7 +11,8 @@
 OPERATORS = 12  # callers at the operators' address (management/calls.py), and some that end for them
 DISCOVERY = 4  # the watch, the one that follows a move, and those that the system has not taken back yet
 FILES = 16  # standard streams, the loop's own, listening sockets, the old process, a keyed file being written
-ACCEPTING = 40  # clients that come before others have ended: client_table.SPARE, two turns of ACCEPT_AT_ONCE
+# clients that come before others have ended: client_table.SPARE_CONNECTIONS and two turns of ACCEPT_AT_ONCE
+ACCEPTING = 40
 # parts of what is left; at a thousand descriptors and more a margin stays beside them, for large bodies kept
 # in files
 CLIENTS, NODES, LARGEST_FIXED = 0.58, 0.3, 0.3
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -67,7 +67,7 @@
                 return self.refused(request, decided)
             wanted = self.translate(request, decided)
             # Guards clients' connections: those that wait must not hold them all.
-            if self.drain.crowded():
+            if self.drain.overloaded():
                 turned_away = answer(self.engine.reject(wanted.request_class))
                 return last(turned_away) if request.body_exists else self.drain.mark(turned_away)
             body = await self.read(request)
--- a/stoatrouter/fronts/objects/front.py
+++ b/stoatrouter/fronts/objects/front.py
@@ -78,7 +78,7 @@
         self.operations += 1
         try:
             # Guards memory: each operation holds a few pieces.
-            if self.operations > self.conf.max_operations or self.drain.crowded():
+            if self.operations > self.conf.max_operations or self.drain.overloaded():
                 raise ObjectError("SlowDown", "too many operations at once", timedelta(seconds=1))
             response = await self._route(request)
         except ObjectError as error:
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -40,7 +40,7 @@
         try:
             wanted = self.translate(request)
             # Guards clients' connections: those that wait must not hold them all.
-            if self.drain.crowded():
+            if self.drain.overloaded():
                 refused = answer(self.engine.reject(wanted.request_class))
                 return last(refused) if request.body_exists else self.drain.mark(refused)
             body = await self.read(request)
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -46,18 +46,18 @@
 
 # Of the descriptors (core/descriptors.py): of their part, clients that asked once and rest hold no more than
 # this.
-IDLE_SHARE = 0.125
+IDLE_FRACTION = 0.125
 # Beyond these what comes is refused as it comes, before clients have no connection left to be heard on.
-BUSY_SHARE, PRESSED_SHARE, PRESSED_LEAST = 0.75 / 3, 0.4 / 3, 48
-BASE = 46_000_000  # of memory: what a head needs beside the bodies it keeps
+BUSY_FRACTION, TIGHTENED_FRACTION, TIGHTENED_LEAST = 0.75 / 3, 0.4 / 3, 48
+BASE_MEMORY = 46_000_000  # of memory: what a head needs beside the bodies it keeps
 
 
-def busy_pressed(sockets: int) -> int:
+def tightened_busy_limit(sockets: int) -> int:
     """How many connections may have a request open while the event loop lags.
 
     It is two fifths of the usual bound, but no less than a head has open in quiet times.
     """
-    return max(1, min(int(sockets * BUSY_SHARE), max(PRESSED_LEAST, int(sockets * PRESSED_SHARE))))
+    return max(1, min(int(sockets * BUSY_FRACTION), max(TIGHTENED_LEAST, int(sockets * TIGHTENED_FRACTION))))
 
 
 def build_engine(conf: config.Config, max_node_connections: int) -> Engine:
@@ -93,7 +93,10 @@
 def build_client_table(max_connections: int, sockets: int) -> ClientTable:
     """The table of clients' connections; `sockets` are the descriptors of the whole head."""
     return ClientTable(
-        max_connections, int(sockets * IDLE_SHARE), int(sockets * BUSY_SHARE), busy_pressed(sockets)
+        max_connections,
+        int(sockets * IDLE_FRACTION),
+        int(sockets * BUSY_FRACTION),
+        tightened_busy_limit(sockets),
     )
 
 
@@ -128,7 +131,7 @@
         self.watch = build_watch(conf, self.engine)
         self.clients = build_client_table(budget.clients, conf.sockets)
         self.drain = Drain(self.clients)
-        self.body_capacity = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE), conf.folder)
+        self.body_capacity = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE_MEMORY), conf.folder)
         front = PlatformFront(self.engine, conf.settings, self.drain, self.body_capacity)
         self.platform = Listener(front.handle, self.drain, front.refuse)
         self._build_optional_parts(objects, http, heads)
@@ -223,9 +226,9 @@
     def _start_background_tasks(self) -> None:
         loop = asyncio.get_running_loop()
         self.background += [
-            loop.create_task(self.clients.keep_swept()),
+            loop.create_task(self.clients.sweep_periodically()),
             loop.create_task(self.handover.follow()),
-            loop.create_task(self.management_clients.keep_swept()),
+            loop.create_task(self.management_clients.sweep_periodically()),
             loop.create_task(monitor_loop(self.engine, self.clients)),
             *(loop.create_task(service.log_periodically()) for service in self.tables),
         ]
@@ -265,9 +268,9 @@
         times = shutdown_deadlines(span(longest))
         self.engine.answer_deadline = self.engine.clock.now() + times.answer_within
         await asyncio.gather(
-            *(listener.stop(lambda: self.engine.busy, times.take_for) for listener in self.listeners)
+            *(listener.stop(lambda: self.engine.busy, times.accept_for) for listener in self.listeners)
         )
-        self.drain.stop_sending_away()
+        self.drain.stop_closing_idle()
         await self.handover.close()
         if self.heads is not None:
             await self.heads.close()
--- a/stoatrouter/net/clients.py
+++ b/stoatrouter/net/clients.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from stoatrouter.net import client_table
-from stoatrouter.net.client_table import LINGER, ClientTable, State
+from stoatrouter.net.client_table import LINGER_TIMEOUT, ClientTable, State
 from stoatrouter.net.disconnects import has_unread_bytes
 
 Refuse = Callable[[bytes], bytes | None]
@@ -23,7 +23,17 @@
 class ClientConnection(RequestHandler):
     """aiohttp's server connection, with bounds on what a misbehaving client can do to it."""
 
-    __slots__ = ("clients", "loop", "state", "since", "begun", "unread", "unread_since", "answered", "refuse")
+    __slots__ = (
+        "clients",
+        "loop",
+        "state",
+        "since",
+        "begun",
+        "stalled_bytes",
+        "stalled_since",
+        "answered",
+        "refuse",
+    )
 
     def __init__(
         self,
@@ -47,27 +57,35 @@
         super().__init__(
             manager,
             loop=loop,
-            keepalive_timeout=10 * client_table.IDLE.total_seconds(),
+            keepalive_timeout=10 * client_table.IDLE_TIMEOUT.total_seconds(),
             lingering_time=0,
             **more,
         )
-        self.clients, self.refuse, self.loop = clients, refuse, loop
-        self.state, self.since, self.begun = State.SILENT, 0.0, 0.0
-        self.unread, self.unread_since, self.answered = 0, 0.0, False
+        self.clients = clients
+        self.refuse = refuse
+        self.loop = loop
+        self.state = State.SILENT
+        # in the loop's time: when it entered its state, and when the head that is under way began
+        self.since = 0.0
+        self.begun = 0.0
+        # bytes of an answer that the client does not read, and since when, in the loop's time
+        self.stalled_bytes = 0
+        self.stalled_since = 0.0
+        self.answered = False  # whether any answer was sent
 
     def end(self) -> None:
         """Close at once.
 
         force_close is used, as close() would leave the socket open and swallow what arrives there.
         """
-        self.clients.leave(self)
+        self.clients.remove(self)
         self.force_close()
 
     def seconds_in_state(self) -> float:
         """For how many seconds the connection has been in its present state."""
         return self.loop.time() - self.since
 
-    def end_unless_asked(self) -> None:
+    def end_unless_unread(self) -> None:
         """Close at once, unless bytes have arrived that the loop has not yet read.
 
         Closing over unread bytes would reset the connection and lose that request.
@@ -76,38 +94,38 @@
         if sock is None or not has_unread_bytes(sock):
             self.end()
 
-    def unread_for(self) -> float:
+    def seconds_stalled(self) -> float:
         """For how many seconds the client has read nothing of a waiting answer.
 
-        It bounds connections and memory, as answers are held until they are read.
+        It bounds connections and memory, as answers are buffered until they are read.
         """
         left = self.transport.get_write_buffer_size() if self.writing_paused and self.transport else 0
-        if not left or left != self.unread:
-            self.unread, self.unread_since = left, self.loop.time()
-        return self.loop.time() - self.unread_since
+        if not left or left != self.stalled_bytes:
+            self.stalled_bytes, self.stalled_since = left, self.loop.time()
+        return self.loop.time() - self.stalled_since
 
     # -- the protocol's callbacks -------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Enter the connection in the table; that may end another one."""
         super().connection_made(transport)
-        self.clients.enter(self)
+        self.clients.add(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Remove the connection from the table."""
-        self.clients.leave(self)
+        self.clients.remove(self)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came and follow the connection's state; a crowded head refuses plain requests here."""
+        """Parse what came and follow the connection's state; an overloaded head rejects requests here."""
         if self.state is State.ENDING:
             return  # read only so that the answer arrives
         if (
             self.refuse is not None
-            and self.clients.open >= self.clients.busy_bound()
+            and self.clients.open >= self.clients.busy_limit()
             and self.state in (State.SILENT, State.ONCE, State.IDLE)
             and (refusal := self.refuse(data))
         ):
-            return self._refused(refusal)
+            return self._reject(refusal)
         open_before = self.state is State.BUSY
         super().data_received(data)
         if not self._messages:
@@ -119,26 +137,26 @@
                 # Guards a client's time: unreadable input behind an open request would get its error only
                 # after that. It also may be what a request of wrong length left over.
                 return self.end()
-            self.clients.put(self, State.ENDING)
+            self.clients.set_state(self, State.ENDING)
         elif not open_before:
-            self.clients.put(self, State.BUSY)
+            self.clients.set_state(self, State.BUSY)
 
-    def _refused(self, refusal: bytes) -> None:
-        """What came was refused as it came; this connection goes on, unless that was its last answer."""
+    def _reject(self, refusal: bytes) -> None:
+        """Reject a request before it is parsed; the connection goes on, unless that was its last answer."""
         if self.transport is None:
             return
         self.transport.write(refusal)
         if b"Connection: close" in refusal:
-            self._last()
+            self._linger()
         else:
-            self.clients.put(self, State.IDLE if self.answered else State.ONCE)
+            self.clients.set_state(self, State.IDLE if self.answered else State.ONCE)
             self.answered = True
 
     def _begin(self) -> None:
-        """More of a head has come. A first one counts from the connection's start, whatever came when."""
+        """Record that more of a head has come; a first one counts from the connection's start."""
         if self.state is not State.BEGUN:
             self.begun = self.since if self.state is State.SILENT else self.loop.time()
-        self.clients.put(self, State.BEGUN)
+        self.clients.set_state(self, State.BEGUN)
 
     # -- answers ------------------------------------------------------------------------------------------
     def handle_error(
@@ -168,27 +186,27 @@
         transport = self.transport
         if reset or self._force_close or transport is None:
             return resp, reset
-        if resp.keep_alive and request.content.is_eof() and self._renew(request):
+        if resp.keep_alive and request.content.is_eof() and self._can_continue(request):
             if not self._messages:
-                self.clients.put(self, State.IDLE if self.answered else State.ONCE)
+                self.clients.set_state(self, State.IDLE if self.answered else State.ONCE)
                 self.answered = True
             return resp, reset
         self._messages.clear()
-        self._last()
+        self._linger()
         if not transport.is_reading():
             transport.resume_reading()
         # the client's own close ends this at once, the sweep at the latest
-        await asyncio.sleep(2 * LINGER.total_seconds())
+        await asyncio.sleep(2 * LINGER_TIMEOUT.total_seconds())
         return resp, reset
 
-    def _last(self) -> None:
-        """Nothing more is said here; the connection ends once that has arrived."""
-        self.clients.put(self, State.ENDING)
+    def _linger(self) -> None:
+        """Send nothing more; the connection ends once the last answer has arrived."""
+        self.clients.set_state(self, State.ENDING)
         with contextlib.suppress(OSError):  # a client may have gone in this moment
             if self.transport is not None and self.transport.can_write_eof():
                 self.transport.write_eof()
 
-    def _renew(self, request: web.BaseRequest) -> bool:
+    def _can_continue(self, request: web.BaseRequest) -> bool:
         """Whether the connection can go on.
 
         Guards the next request against trailers of this one, which aiohttp's parser takes for the first
--- a/stoatrouter/net/handover.py
+++ b/stoatrouter/net/handover.py
@@ -71,8 +71,8 @@
         self.resume_accepting = resume_accepting
         self.socket = HandoverSocket(folder)
         # the limits of both processes together
-        self.clients_most = clients.most
-        self.nodes_most = engine.nodes.pool.most
+        self.max_clients = clients.max_connections
+        self.max_node_connections = engine.nodes.pool.max_connections
         self.predecessor: Predecessor | None = None
         self.takeover_tasks: set[asyncio.Task[None]] = set()
 
@@ -121,10 +121,10 @@
 
     def apply_holdings(self, holdings: Holdings) -> None:
         """Reduce this process's limits by the holdings of the previous one, as both count as one head."""
-        self.clients.most = max(1, self.clients_most - holdings.clients)
-        self.clients.busy_elsewhere = holdings.busy
-        self.clients.press(UNSETTLED)
-        self.engine.nodes.pool.set_limit(max(1, self.nodes_most - holdings.connections))
+        self.clients.max_connections = max(1, self.max_clients - holdings.clients)
+        self.clients.busy_at_predecessor = holdings.busy
+        self.clients.tighten_busy_limit(UNSETTLED)
+        self.engine.nodes.pool.set_limit(max(1, self.max_node_connections - holdings.connections))
         self.engine.put(model.AttemptsElsewhere(self.engine.clock.now(), holdings.attempts))
 
     # -- the old process ----------------------------------------------------------------------------------
@@ -134,7 +134,8 @@
 
     def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Leave a starting process some of this host's time, and serve its request for the state."""
-        self.clients.press(STARTING)  # it connects as it starts, long before it requests the state
+        # it connects as it starts, long before it requests the state
+        self.clients.tighten_busy_limit(STARTING)
         task = asyncio.get_running_loop().create_task(self.serve_takeover(reader, writer))
         self.takeover_tasks.add(task)
         task.add_done_callback(self.takeover_tasks.discard)
@@ -160,7 +161,7 @@
             open=self.engine.reducer.open,
         )
         self.drain.handed_over = True
-        self.clients.press(UNSETTLED)
+        self.clients.tighten_busy_limit(UNSETTLED)
         await self.stop_accepting()
         try:
             await send_line(writer, self.state())
--- a/stoatrouter/net/listener.py
+++ b/stoatrouter/net/listener.py
@@ -25,22 +25,22 @@
 # the next one.
 ACCEPT_AT_ONCE = 16
 # A stopping head is killed no sooner than this after the longest deadline, which counts as 3 s at most.
-KILLED_AFTER, LONGEST_COUNTED = timedelta(milliseconds=700), timedelta(seconds=3)
-ANSWERED_BEFORE = timedelta(milliseconds=350)  # the kill: by then all is answered that came since the signal
-LAST_TAKEN_BEFORE = timedelta(milliseconds=400)  # that: what comes later has too little time to be of use
-LONGEST_TAKE = timedelta(seconds=3)
+KILLED_AFTER, LONGEST_DEADLINE = timedelta(milliseconds=700), timedelta(seconds=3)
+ANSWERED_BEFORE = timedelta(milliseconds=350)  # the kill: by then all that arrived is answered
+LAST_ACCEPTED_BEFORE = timedelta(milliseconds=400)  # that: what comes later has too little time to be of use
+LONGEST_ACCEPT = timedelta(seconds=3)
 # Then connections end between requests. A request that crosses such an end is sent once more over a new one:
 # these are still accepted.
-RESENT_FOR = timedelta(milliseconds=200)
+RESEND_WINDOW = timedelta(milliseconds=200)
 # After a head was drained: its front asks ten times a second and then needs 0.2 s.
-NEW_ONES_STOP, AWAY_EVERY = timedelta(milliseconds=1000), timedelta(milliseconds=100)
+CLOSE_IDLE_AFTER, CLOSE_IDLE_INTERVAL = timedelta(milliseconds=1000), timedelta(milliseconds=100)
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownDeadlines:
     """How long a stopping head accepts requests, and by when it has answered them."""
 
-    take_for: timedelta
+    accept_for: timedelta
     answer_within: timedelta
 
 
@@ -50,12 +50,12 @@
     Clients keep their connections and cannot reach this head otherwise until it is back, so it serves for as
     long as it is certain to answer.
     """
-    within = min(longest_deadline, LONGEST_COUNTED) + KILLED_AFTER - ANSWERED_BEFORE
-    return ShutdownDeadlines(min(LONGEST_TAKE, within - LAST_TAKEN_BEFORE), within)
+    within = min(longest_deadline, LONGEST_DEADLINE) + KILLED_AFTER - ANSWERED_BEFORE
+    return ShutdownDeadlines(min(LONGEST_ACCEPT, within - LAST_ACCEPTED_BEFORE), within)
 
 
 class Drain:
-    """Whether this head sends its clients away, and how its answers mark their connections."""
+    """Whether this head drains its clients, and how its answers mark their connections."""
 
     def __init__(self, clients: ClientTable) -> None:
         """Start open, neither draining nor out of service.
@@ -64,14 +64,16 @@
             clients: The table of clients' connections that draining closes.
         """
         self.clients = clients
-        self.asked_to_end = self.stopping = self.out = False
-        self.handed_over = False  # a new process of this head takes what is new
-        self.sending_away: asyncio.Task[None] | None = None
+        self.shutdown_requested = False
+        self.stopping = False  # each answer is the last of its connection
+        self.out = False  # an operator took this head out of service
+        self.handed_over = False  # a new process of this head accepts clients
+        self.closing_idle: asyncio.Task[None] | None = None
 
     @property
     def open(self) -> bool:
         """Whether this head accepts new clients."""
-        return not self.out and (self.handed_over or not self.asked_to_end)
+        return not self.out and (self.handed_over or not self.shutdown_requested)
 
     def health(self) -> web.Response:
         """The answer to /healthz at every front."""
@@ -79,17 +81,17 @@
 
     @property
     def closing(self) -> bool:
-        """Whether each answer is the last of its connection, as clients are sent away."""
+        """Whether each answer is the last of its connection, as clients are drained."""
         return self.stopping or self.out or self.handed_over
 
     def mark(self, response: Response) -> Response:
-        """Let the connection end with this answer while clients are sent away."""
+        """Let the connection end with this answer while clients are drained."""
         if self.closing:
             response.force_close()
         return response
 
     def out_of_service(self) -> None:
-        """Send clients away; calling it again changes nothing."""
+        """Drain clients; calling it again changes nothing."""
         if not self.out:
             logger.info(
                 "drain: out of service, {connections} connections",
@@ -97,35 +99,35 @@
                 connections=len(self.clients),
             )
             self.out = True
-            self.sending_away = asyncio.get_running_loop().create_task(self.send_away())
+            self.closing_idle = asyncio.get_running_loop().create_task(self.close_idle_connections())
 
     def in_service(self) -> None:
         """Serve clients again; without effect where the head is not out of service."""
         if self.out:
             logger.info("drain: back in service", event="drain.back")
             self.out = False
-        self.stop_sending_away()
+        self.stop_closing_idle()
 
-    def stop_sending_away(self) -> None:
+    def stop_closing_idle(self) -> None:
         """Cancel the ending of idle connections."""
-        if self.sending_away is not None:
-            self.sending_away.cancel()
-            self.sending_away = None
+        if self.closing_idle is not None:
+            self.closing_idle.cancel()
+            self.closing_idle = None
 
-    async def send_away(self) -> None:
+    async def close_idle_connections(self) -> None:
         """Close idle connections, again and again.
 
         It begins once no new connections come; by then connections in use have ended with their answers, so
         that no request crosses the closing.
         """
-        await asyncio.sleep(NEW_ONES_STOP.total_seconds())
+        await asyncio.sleep(CLOSE_IDLE_AFTER.total_seconds())
         while True:
-            self.clients.end_idle(silent=False)  # what has just come is still heard; the sweep ends it later
-            await asyncio.sleep(AWAY_EVERY.total_seconds())
+            self.clients.end_idle(silent=False)  # what has just come is still read; the sweep ends it later
+            await asyncio.sleep(CLOSE_IDLE_INTERVAL.total_seconds())
 
-    def crowded(self) -> bool:
-        """Whether requests are to be refused, as too many are open."""
-        return self.clients.crowded()
+    def overloaded(self) -> bool:
+        """Whether requests are to be rejected, as too many are open."""
+        return self.clients.over_busy_limit()
 
 
 class ListeningSocket(socket.socket):
@@ -161,44 +163,45 @@
         self.server = Server(
             serve, drain.clients, refuse, handler_cancellation=True, access_log=None, auto_decompress=False
         )
-        self.sockets: asyncio.Server | None = None
+        self.acceptor: asyncio.Server | None = None
 
     async def start(self, host: str, port: int, inherited: int | None = None) -> None:
         """Listen at an address, or on an inherited socket that all processes of this head share."""
         if inherited is None:
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
-            with contextlib.closing(socket.create_server((host, port), family=family)) as made:
-                listening_socket = ListeningSocket(fileno=made.detach())
+            with contextlib.closing(socket.create_server((host, port), family=family)) as bound:
+                listening_socket = ListeningSocket(fileno=bound.detach())
         else:
             listening_socket = ListeningSocket(fileno=os.dup(inherited))  # closing ours leaves theirs
         listening_socket.keeps_backlog = inherited is not None
         listening_socket.setblocking(False)
         # Guards the descriptors: asyncio accepts as many at once as it believes the backlog to be.
-        self.sockets = await asyncio.get_running_loop().create_server(
+        self.acceptor = await asyncio.get_running_loop().create_server(
             self.server, sock=listening_socket, backlog=ACCEPT_AT_ONCE
         )
 
     def stop_accepting(self) -> None:
         """Stop accepting; connections waiting at an inherited socket are left to the next process."""
-        if self.sockets is not None:
-            self.sockets.close()
-            self.sockets = None
+        if self.acceptor is not None:
+            self.acceptor.close()
+            self.acceptor = None
 
     @property
     def port(self) -> int:
         """The port that it listens at."""
-        assert self.sockets is not None
-        return int(self.sockets.sockets[0].getsockname()[1])
+        assert self.acceptor is not None
+        return int(self.acceptor.sockets[0].getsockname()[1])
 
-    async def stop(self, busy: Callable[[], bool], take_for: timedelta) -> None:
-        """Serve for `take_for`, finish all open requests, then close the connections."""
+    async def stop(self, busy: Callable[[], bool], accept_for: timedelta) -> None:
+        """Serve for `accept_for`, finish all open requests, then close the connections."""
         clients = self.drain.clients
-        self.drain.asked_to_end, clients.keep_idle = True, True
-        await self.wait(take_for)
+        self.drain.shutdown_requested = True
+        clients.keep_idle = True
+        await self.serve_for(accept_for)
         self.drain.stopping = True
         clients.end_idle()
         if not self.drain.handed_over:
-            await asyncio.sleep(RESENT_FOR.total_seconds())
+            await asyncio.sleep(RESEND_WINDOW.total_seconds())
         self.stop_accepting()
         clients.end_idle()
         while busy() or clients.open or clients.any_just_connected():
@@ -207,10 +210,10 @@
         logger.info("stop: all that was taken is answered", event="stop.answered")
         await self.close()
 
-    async def wait(self, take_for: timedelta) -> None:
-        """Serve for `take_for`; a head that has handed over returns as soon as all its clients have gone."""
+    async def serve_for(self, accept_for: timedelta) -> None:
+        """Serve for `accept_for`; a head that has handed over returns once all its clients have gone."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + take_for.total_seconds()
+        until = loop.time() + accept_for.total_seconds()
         while loop.time() < until and not (self.drain.handed_over and not len(self.drain.clients)):
             await asyncio.sleep(min(0.02, until - loop.time()))
 
--- a/stoatrouter/net/loop_monitor.py
+++ b/stoatrouter/net/loop_monitor.py
@@ -13,7 +13,7 @@
 CHECK_INTERVAL = timedelta(milliseconds=100)
 LOGGED_LAG = timedelta(milliseconds=100)
 # A loop this late has too little of its core; in quiet times it is late by a few milliseconds.
-PRESSED_LAG, PRESSED_FOR = timedelta(milliseconds=30), timedelta(milliseconds=500)
+TIGHTENING_LAG, TIGHTENED_FOR = timedelta(milliseconds=30), timedelta(milliseconds=500)
 CHECKS_PER_TALLY = 100
 
 
@@ -22,7 +22,7 @@
 
     Args:
         engine: Its tally is logged every CHECKS_PER_TALLY checks, with the worst lag since the last time.
-        clients: Their table admits fewer open requests for a while after a lag above PRESSED_LAG.
+        clients: Their table admits fewer open requests for a while after a lag above TIGHTENING_LAG.
     """
     loop = asyncio.get_running_loop()
     checks = 0
@@ -33,8 +33,8 @@
         lag = loop.time() - due
         checks += 1
         worst_lag = max(worst_lag, lag)
-        if lag > PRESSED_LAG.total_seconds():
-            clients.press(PRESSED_FOR)
+        if lag > TIGHTENING_LAG.total_seconds():
+            clients.tighten_busy_limit(TIGHTENED_FOR)
         if lag > LOGGED_LAG.total_seconds():
             logger.warning("loop: lagged by {lag_ms:.0f} ms", event="loop.lagged", lag_ms=lag * 1000)
         if checks % CHECKS_PER_TALLY == 0:
--- a/stoatrouter/net/node_connection.py
+++ b/stoatrouter/net/node_connection.py
@@ -49,13 +49,15 @@
             rest_within: How long the rest of an answer may take once it has begun.
         """
         super().__init__(loop)
-        self.pool, self.rest_within = pool, rest_within
-        self.awaiting_answer = self.chunked = False
+        self.pool = pool
+        self.rest_within = rest_within
+        self.awaiting_answer = False
+        self.chunked = False
         self.ends_with_connection = False  # no length is stated: the body ends as the connection does
         # its client has the first of it, and waits for the rest however slowly it comes
         self.streaming = False
-        # of the present answer: what has come of its head, and how many bytes its body lacks
-        self.head, self.body_left = b"", 0
+        self.head = b""  # of the present answer: what has come of its head
+        self.body_left = 0  # how many bytes its body lacks
         self.in_body = False
         self.bodiless = False  # whatever length it states: the answer to HEAD
         self.stall_timer: asyncio.TimerHandle | None = None
@@ -161,14 +163,14 @@
             self._take_body(rest, head)
 
     def _take_body(self, data: bytes, head: bytes = b"") -> None:
-        mine, more = data[: self.body_left], data[self.body_left :]
-        self.body_left -= len(mine)
+        body, surplus = data[: self.body_left], data[self.body_left :]
+        self.body_left -= len(body)
         if self.body_left:
-            self._start_stall_timer(anew=bool(mine))
+            self._start_stall_timer(restart=bool(body))
         else:
             self._exchange_done()
-        super().data_received(head + mine)
-        if more:
+        super().data_received(head + body)
+        if surplus:
             self._end()
 
     def _take_chunked(self, data: bytes) -> None:
@@ -176,14 +178,14 @@
         if self._payload is not None and self._payload.is_eof():
             self._exchange_done()
         else:
-            self._start_stall_timer(anew=True)
+            self._start_stall_timer(restart=True)
 
-    def _start_stall_timer(self, anew: bool = False) -> None:
-        """Start the timer of an answer that has begun and does not go on, anew where `anew`.
+    def _start_stall_timer(self, restart: bool = False) -> None:
+        """Start the timer of an answer that has begun and stalls; `restart` replaces one that runs.
 
         Guards the client's time against such an answer: the rest of it must come within rest_within.
         """
-        if anew:
+        if restart:
             self._cancel_stall_timer()
         if self.stall_timer is None and self.awaiting_answer and not self.streaming:
             self.stall_timer = self._loop.call_later(
@@ -191,7 +193,7 @@
             )
 
     def _exchange_done(self) -> None:
-        """Nothing is due any more."""
+        """End the exchange: nothing is due any more."""
         if self.awaiting_answer and self.in_body:
             self.pool.record_success(self.idle_for)
         self.awaiting_answer, self.idle_since = False, self._loop.time()
@@ -204,7 +206,7 @@
 
     # -- ends ---------------------------------------------------------------------------------------------
     def _end(self) -> None:
-        """Never use this connection again; an answer that has come whole stays good."""
+        """Never use this connection again; a complete answer stays valid."""
         self.force_close()
         if self.transport is not None:
             self.transport.abort()
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -12,37 +12,40 @@
 from stoatrouter.net.errors import NotBegun
 from stoatrouter.net.node_connection import NodeConnection
 
-# For how long idle connections are used follows what becomes of those that are used.
-LEAST_REUSE_WITHIN, SHORTEN, LENGTHEN = 0.05, 0.8, 1.05
+# How long an idle connection may be reused adapts to what becomes of those that are reused.
+LEAST_REUSE_WITHIN = 0.05  # seconds
+SHORTEN = 0.8  # by a break
+LENGTHEN = 1.05  # by a success near the bound
 
 
 class NodePool(aiohttp.TCPConnector):
     """Connections to all nodes; idle ones count against the bound as well."""
 
-    def __init__(self, most: int, keep: timedelta, rest_within: timedelta) -> None:
+    def __init__(self, max_connections: int, keep: timedelta, rest_within: timedelta) -> None:
         """Set up an empty pool.
 
         Args:
-            most: How many connections may be open at once, idle ones included.
+            max_connections: How many connections may be open at once, idle ones included.
             keep: How long an idle connection is kept.
             rest_within: How long the rest of an answer may take once it has begun.
         """
-        super().__init__(limit=most, keepalive_timeout=keep.total_seconds(), use_dns_cache=False)
-        self.most, self.keep = most, keep.total_seconds()
-        self.reuse_within = self.keep  # how long a connection may have been idle to be used again
+        super().__init__(limit=max_connections, keepalive_timeout=keep.total_seconds(), use_dns_cache=False)
+        self.max_connections = max_connections
+        self.keep = keep.total_seconds()
+        self.reuse_within = self.keep  # seconds that a connection may have been idle to be reused
         self.alive: set[NodeConnection] = set()
         self.attempts_written = 0  # attempts written complete, since the start
         # aiohttp has no public way to say which connections a connector makes
-        self._factory = partial(
+        self._factory = partial(  # type: ignore[assignment]  # partial is invariant in what it returns
             NodeConnection,
             loop=asyncio.get_running_loop(),
-            pool=self,  # type: ignore
+            pool=self,
             rest_within=rest_within,
         )
 
-    def set_limit(self, most: int) -> None:
+    def set_limit(self, max_connections: int) -> None:
         """Set the bound, as the previous process still holds connections."""
-        self.most = self._limit = most
+        self.max_connections = self._limit = max_connections
 
     def record_break(self, idle: float) -> None:
         """Record that a connection which had been idle for `idle` seconds broke before any answer.
@@ -64,7 +67,7 @@
     async def connect(self, req: Any, traces: Any, timeout: Any) -> Any:
         """A connection for a request; raises NotBegun where the decision to send it no longer holds."""
         # Guards the descriptors: aiohttp's limit counts connections in use only.
-        if len(self.alive) >= self.most:
+        if len(self.alive) >= self.max_connections:
             self._end_oldest_idle()
         connection = await super().connect(req, traces, timeout)
         may_begin = getattr(req, "may_begin", None)
@@ -78,8 +81,8 @@
         return connection
 
     def _end_oldest_idle(self) -> None:
-        waiting = ((conns[0][1], key) for key, conns in self._conns.items() if conns)
-        _, key = min(waiting, key=lambda pair: pair[0], default=(0.0, None))
+        oldest = ((conns[0][1], key) for key, conns in self._conns.items() if conns)
+        _, key = min(oldest, key=lambda pair: pair[0], default=(0.0, None))
         if key is not None:
             connection, _ = self._conns[key].popleft()
             if not self._conns[key]:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -306,9 +306,9 @@
 # -- slow heads in a crowd ---------------------------------------------------------------------------------
 def test_a_head_that_comes_slowly_is_heard(monkeypatch):
     """Idle connections may be ended long before; one on which a request has begun may not."""
-    monkeypatch.setattr(client_table, "IDLE", timedelta(milliseconds=20))
-    monkeypatch.setattr(client_table, "SWEEP_EVERY", timedelta(milliseconds=5))
-    monkeypatch.setattr(client_table, "HEAD_WITHIN", timedelta(seconds=60))
+    monkeypatch.setattr(client_table, "IDLE_TIMEOUT", timedelta(milliseconds=20))
+    monkeypatch.setattr(client_table, "SWEEP_INTERVAL", timedelta(milliseconds=5))
+    monkeypatch.setattr(client_table, "HEAD_TIMEOUT", timedelta(seconds=60))
 
     async def story():
         async with started(Node("a", 0)) as (head, _):
@@ -327,12 +327,12 @@
 
 
 def test_heads_of_which_nothing_more_comes_make_room_for_those_that_go_on(monkeypatch):
-    monkeypatch.setattr(client_table, "STALE", timedelta(0))
+    monkeypatch.setattr(client_table, "STALE_HEAD_AFTER", timedelta(0))
 
     async def story():
         async with started(Node("a", 0), sockets=32) as (head, _), contextlib.AsyncExitStack() as stack:
             begun = []
-            for _ in range(head.clients.most - 1):
+            for _ in range(head.clients.max_connections - 1):
                 _, writer = await asyncio.open_connection(HOST, head.platform.port)
                 stack.callback(writer.close)
                 writer.write(b"GET /")
@@ -341,13 +341,13 @@
             stack.callback(writer.close)
             writer.write(GOOD[:50])
             held = head.clients.by_state[client_table.State.BEGUN]
-            await until(lambda: len(held) == head.clients.most)
-            for _ in range(head.clients.most - 1):
+            await until(lambda: len(held) == head.clients.max_connections)
+            for _ in range(head.clients.max_connections - 1):
                 _, more = await asyncio.open_connection(HOST, head.platform.port)
                 stack.callback(more.close)
                 writer.write(b"")
             writer.write(GOOD[50:])
             assert (await slow.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-            assert len(head.clients) <= head.clients.most + client_table.SPARE
+            assert len(head.clients) <= head.clients.max_connections + client_table.SPARE_CONNECTIONS
 
     run(story())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from stoatrouter.head import busy_pressed
+from stoatrouter.head import tightened_busy_limit
 from stoatrouter.net import bodies, client_table
 from stoatrouter.net.state_format import Holdings
 from tests.peers import HOST, Node, run, until
@@ -63,8 +63,8 @@
 
 @pytest.mark.parametrize("begun", [b"", GOOD[:40]])
 def test_a_client_that_says_nothing_whole_is_left(monkeypatch, begun):
-    monkeypatch.setattr(client_table, "IDLE", timedelta(milliseconds=50))
-    monkeypatch.setattr(client_table, "HEAD_WITHIN", timedelta(milliseconds=50))
+    monkeypatch.setattr(client_table, "IDLE_TIMEOUT", timedelta(milliseconds=50))
+    monkeypatch.setattr(client_table, "HEAD_TIMEOUT", timedelta(milliseconds=50))
 
     async def story():
         async with started(Node("a", 0)) as (head, _):
@@ -77,14 +77,14 @@
     async def story():
         node = Node("a", 0)
         async with started(node, sockets=32) as (head, session), contextlib.AsyncExitStack() as stack:
-            for i in range(3 * head.clients.most):
+            for i in range(3 * head.clients.max_connections):
                 _, writer = await asyncio.open_connection(HOST, head.platform.port)
                 stack.callback(writer.close)
                 writer.write(GOOD if i % 3 == 0 else b"")
             for name in ("x", "y"):
                 async with session.get(PATH, headers=HEADERS | {"Req-Id": name}) as response:
                     assert response.status == 200
-            assert len(head.clients) <= head.clients.most + client_table.SPARE
+            assert len(head.clients) <= head.clients.max_connections + client_table.SPARE_CONNECTIONS
 
     run(story())
 
@@ -93,8 +93,8 @@
     async def story():
         node = Node("a", 0)
         async with started(node, sockets=64) as (head, _), contextlib.AsyncExitStack() as stack:
-            head.clients.idle_most = head.clients.most
-            for i in range(head.clients.most):  # asked once, then kept
+            head.clients.max_idle = head.clients.max_connections
+            for i in range(head.clients.max_connections):  # asked once, then kept
                 reader, writer = await asyncio.open_connection(HOST, head.platform.port)
                 stack.callback(writer.close)
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
@@ -114,7 +114,7 @@
 
     async def story():
         async with started(Node("a", 0), sockets=64) as (head, session), contextlib.AsyncExitStack() as stack:
-            assert head.clients.idle_most == 8
+            assert head.clients.max_idle == 8
             kept = []
             for i in range(9):
                 async with session.get(PATH, headers=HEADERS | {"Req-Id": f"s{i}"}) as response:
@@ -142,7 +142,7 @@
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
                 assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
                 stack.callback(writer.close)
-            assert len(head.clients.by_state[client_table.State.IDLE]) == 20 > head.clients.idle_most
+            assert len(head.clients.by_state[client_table.State.IDLE]) == 20 > head.clients.max_idle
 
     run(story())
 
@@ -176,7 +176,7 @@
 
 
 def test_a_client_that_takes_nothing_of_its_answer_is_left(monkeypatch):
-    monkeypatch.setattr(client_table, "UNREAD", timedelta(milliseconds=50))
+    monkeypatch.setattr(client_table, "WRITE_STALL_TIMEOUT", timedelta(milliseconds=50))
 
     async def story():
         node = Node("a", 0)
@@ -208,7 +208,7 @@
     async def story():
         node = Node("a", 0)
         async with started(node) as (head, _):
-            head.clients.busy_most = 0
+            head.clients.max_busy = 0
             reader, writer = await asyncio.open_connection(HOST, head.platform.port)
             for shed in (1, 2) if plain else (1,):
                 writer.write(sent)
@@ -217,7 +217,7 @@
                 assert sum(head.engine.reducer.counters.shed) == shed
                 assert (b"Date" in said) is not plain
             if plain:  # and once there is room, it is heard
-                head.clients.busy_most = 8
+                head.clients.max_busy = 8
                 writer.write(sent)
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
             assert len(node.seen) == int(plain)
@@ -246,7 +246,7 @@
 def test_a_head_that_sends_clients_away_ends_the_connections_it_refuses_on():
     async def story():
         async with started(Node("a", 0)) as (head, _):
-            head.clients.busy_most, head.drain.out = 0, True
+            head.clients.max_busy, head.drain.out = 0, True
             said = await exchange(head, GOOD)
             assert b"Connection: close\r\n" in said and said.startswith(b"HTTP/1.1 503 ")
 
@@ -257,20 +257,20 @@
     ("sockets", "most"), [(1024, 136), (384, 51), (256, 48), (192, 48), (128, 32), (1, 1)]
 )
 def test_how_many_may_be_open_while_time_is_short_follows_what_clients_may_hold(sockets, most):
-    assert busy_pressed(sockets) == most
+    assert tightened_busy_limit(sockets) == most
 
 
 def test_fewer_may_be_open_while_the_loop_is_late_or_a_new_process_takes_over():
     async def story():
         async with started(Node("a", 0)) as (head, _):
             table = head.clients
-            assert table.busy_bound() == table.busy_most > table.busy_pressed
+            assert table.busy_limit() == table.max_busy > table.max_busy_tightened
             head.handover.apply_holdings(Holdings(busy=7))
-            assert table.busy_bound() == table.busy_pressed - 7
+            assert table.busy_limit() == table.max_busy_tightened - 7
             head.handover.apply_holdings(Holdings())
-            table.pressed_until = 0.0
-            assert table.busy_bound() == table.busy_most
-            table.press(timedelta(seconds=60))
-            assert table.busy_bound() == table.busy_pressed
+            table.tightened_until = 0.0
+            assert table.busy_limit() == table.max_busy
+            table.tighten_busy_limit(timedelta(seconds=60))
+            assert table.busy_limit() == table.max_busy_tightened
 
     run(story())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -289,10 +289,10 @@
         async with started(Node("a", 0)) as (head, _):
             head.handover.socket.folder = str(tmp_path)
             await head.handover.listen()
-            assert head.clients.busy_bound() == head.clients.busy_most
+            assert head.clients.busy_limit() == head.clients.max_busy
             notification = StartupNotification()
             notification.connect(str(tmp_path))
-            await until(lambda: head.clients.busy_bound() == head.clients.busy_pressed)
+            await until(lambda: head.clients.busy_limit() == head.clients.max_busy_tightened)
             notification.close()
             assert head.serving and not head.drain.handed_over
 
