--- a/stoatrouter/core/events.py
+++ b/stoatrouter/core/events.py
@@ -138,6 +138,8 @@
     counts: dict[str, int]
 
 
+ControlEvent = SetAdministrativeState | HandedOver | TakenBack | TakenOver | AttemptsElsewhere
+
 Event = (
     Arrived
     | RejectedByFront
@@ -148,9 +150,5 @@
     | ClientLeft
     | TimerDue
     | Overdue
-    | SetAdministrativeState
-    | HandedOver
-    | TakenBack
-    | TakenOver
-    | AttemptsElsewhere
+    | ControlEvent
 )
--- a/stoatrouter/core/list_times.py
+++ b/stoatrouter/core/list_times.py
@@ -19,14 +19,14 @@
 class ListTimes:
     """The timeouts of one deployment."""
 
-    hold: timedelta  # for how long discovery is asked to hold a watch; drawn from three quarters of it up
-    late: timedelta  # past that the watch has fallen silent
-    dial: timedelta  # for a connection to come up
-    answer: timedelta  # for the answer to a call that is not held, its dial included
-    brief: timedelta  # what such a call asks discovery to wait
-    pause: timedelta  # before the first call after one that failed
-    longest_pause: timedelta  # pauses double up to this, where calls cost
-    first: timedelta  # for how long a start waits for its first answer
+    hold: timedelta  # the requested hold of a watch; drawn from three quarters of it up
+    late: timedelta  # past the hold, until the watch counts as silent
+    connect: timedelta  # for a connection to come up
+    answer: timedelta  # for the answer to a call that is not held, its connect included
+    brief: timedelta  # the hold that such a call requests
+    backoff: timedelta  # before the first call after one that failed
+    max_backoff: timedelta  # the backoff doubles up to this, where calls cost
+    first_answer: timedelta  # for how long a start waits for its first answer
 
     @property
     def silence(self) -> timedelta:
@@ -34,23 +34,41 @@
 
         It includes a first new connection that never comes up.
         """
-        return self.hold + self.late + self.pause + self.dial + 2 * self.pause + self.answer
+        return self.hold + self.late + self.backoff + self.connect + 2 * self.backoff + self.answer
 
     @property
     def outage(self) -> timedelta:
-        """The longest time from discovery's return to its answer, with a call or a pause just begun."""
-        return max(self.answer, self.longest_pause) + self.pause + self.answer
+        """The longest time from discovery's return to its answer, with a call or a backoff just begun."""
+        return max(self.answer, self.max_backoff) + self.backoff + self.answer
 
 
 def list_times(pushed: bool, drain_grace: timedelta) -> ListTimes:
     """The timeouts of a deployment.
 
-    With `pushed` an agent on this machine answers at no cost, so it is asked often, which leaves half of the
-    drain grace. Otherwise one discovery service serves all heads in turn and refuses calls after 2 s, so it
-    is asked as seldom as the 6 s allow.
+    With `pushed` an agent on this machine answers at no cost, so it is polled often, which leaves half of the
+    drain grace. Otherwise one discovery service serves all heads in turn and rejects calls after 2 s, so it
+    is polled as seldom as the 6 s allow.
     """
     if pushed:
         hold = min(500 * MS, max(100 * MS, drain_grace / 4))
         late = max(100 * MS, hold / 2)
-        return ListTimes(hold, late, 200 * MS, 350 * MS, MS, 50 * MS, 50 * MS, 500 * MS)
-    return ListTimes(2500 * MS, 400 * MS, 400 * MS, 2100 * MS, MS, 100 * MS, 1500 * MS, 300 * MS)
+        return ListTimes(
+            hold,
+            late,
+            connect=200 * MS,
+            answer=350 * MS,
+            brief=MS,
+            backoff=50 * MS,
+            max_backoff=50 * MS,
+            first_answer=500 * MS,
+        )
+    return ListTimes(
+        hold=2500 * MS,
+        late=400 * MS,
+        connect=400 * MS,
+        answer=2100 * MS,
+        brief=MS,
+        backoff=100 * MS,
+        max_backoff=1500 * MS,
+        first_answer=300 * MS,
+    )
--- a/stoatrouter/core/nodes.py
+++ b/stoatrouter/core/nodes.py
@@ -28,7 +28,7 @@
     out: dict[str, timedelta] = field(default_factory=dict)  # since when
     back: dict[str, tuple[timedelta, timedelta]] = field(default_factory=dict)  # out since, back since
 
-    def put_out(self, node: str, now: timedelta) -> None:
+    def take_out(self, node: str, now: timedelta) -> None:
         """Mark a node as out since now; if it was put back meanwhile, since it first was out."""
         since, _ = self.back.pop(node, (now, now))
         self.out.setdefault(node, min(since, now))
@@ -38,8 +38,8 @@
         if (since := self.out.pop(node, None)) is not None:
             self.back[node] = (since, now)
 
-    def seen(self, node: NodeInfo) -> NodeInfo:
-        """A listed node as the decision module is to see it, with its phase or start time overridden."""
+    def effective(self, node: NodeInfo) -> NodeInfo:
+        """A listed node with the phase or start time that operators override, for the decision module."""
         if node.id in self.out:
             return node if node.phase is api.Phase.GONE else replace(node, phase=api.Phase.DRAINING)
         since, back = self.back.get(node.id, (node.started, node.started))
--- a/stoatrouter/core/records.py
+++ b/stoatrouter/core/records.py
@@ -4,7 +4,6 @@
 
 from dataclasses import dataclass, field
 from datetime import timedelta
-from typing import Any
 
 from stoatrouter.core.requests import Answer, Failed, Refused, Request, Served
 
@@ -28,13 +27,19 @@
     answered: bool = False
     attempts: list[Attempt] = field(default_factory=list)
 
+    def attempt_in_flight(self, number: int) -> Attempt | None:
+        """The attempt of this number; None where there is none or its end was reported already."""
+        if number >= len(self.attempts) or not self.attempts[number].in_flight:
+            return None
+        return self.attempts[number]
+
     def may_have_run(self) -> bool:
         """Whether any node may have executed the request."""
         return any(not attempt.never_ran for attempt in self.attempts)
 
     def is_finished(self) -> bool:
         """Whether the request is answered and no attempt is open."""
-        return self.answered and not any(a.in_flight for a in self.attempts)
+        return self.answered and not any(attempt.in_flight for attempt in self.attempts)
 
 
 @dataclass(slots=True)
@@ -48,8 +53,8 @@
 
     def count(self, request_class: int, answer: Answer) -> None:
         """Count a final answer under its class and kind."""
-        ends = {Served: self.ok, Refused: self.shed, Failed: self.errors}[type(answer)]
-        ends[request_class] += 1
+        counts = {Served: self.ok, Refused: self.shed, Failed: self.errors}[type(answer)]
+        counts[request_class] += 1
 
 
 @dataclass(slots=True)
@@ -62,7 +67,8 @@
         """Count one occurrence under a name."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
-    def take(self) -> dict[str, Any]:
+    def take(self) -> dict[str, int]:
         """Return the counts since the last call, and start again from none."""
-        taken, self.counts = self.counts, {}
-        return taken
+        counts = self.counts
+        self.counts = {}
+        return counts
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -81,6 +81,12 @@
                 return self._client_left(event.request)
             case model.Overdue():
                 return self._overdue(event.request)
+            case _:
+                return self._reduce_control_event(event)
+
+    def _reduce_control_event(self, event: model.ControlEvent) -> list[model.Effect]:
+        """Take an event of operators or of the handover between processes."""
+        match event:
             case model.SetAdministrativeState():
                 return self._set_administrative_state(event)
             case model.HandedOver():
@@ -99,7 +105,12 @@
 
     def nodes_in_flight(self) -> list[str]:
         """The node of each attempt in flight, once per attempt."""
-        return [a.node for record in self.records.values() for a in record.attempts if a.in_flight]
+        return [
+            attempt.node
+            for record in self.records.values()
+            for attempt in record.attempts
+            if attempt.in_flight
+        ]
 
     @property
     def avoided(self) -> int:
@@ -134,47 +145,46 @@
         self.counters.count(request_class, answer)
         return [model.RejectRequest(answer)]
 
-    def _client_left(self, name: str) -> list[model.Effect]:
-        record = self.records.get(name)
+    def _client_left(self, request_id: str) -> list[model.Effect]:
+        record = self.records.get(request_id)
         if record is None or record.answered:
             return []
         self.tally.add("client_gone")
         self.counters.active -= 1
         record.answered = True
         if self.gate is not None:
-            self.gate.end(name, record.may_have_run())
-        effects = self._decide(api.ClientGone(name))
+            self.gate.end(request_id, record.may_have_run())
+        effects = self._decide(api.ClientGone(request_id))
         # nobody waits for it any more: nodes stop work that is cancelled
-        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.in_flight]
-        self._forget(name)
+        effects += cancel_attempts(record)
+        self._forget(request_id)
         return effects
 
-    def _overdue(self, name: str) -> list[model.Effect]:
-        record = self.records.get(name)
+    def _overdue(self, request_id: str) -> list[model.Effect]:
+        record = self.records.get(request_id)
         if record is None:
             return []
         effects: list[model.Effect] = []
         # Guards against a decision that never came (the module failed on it): no request goes unanswered.
-        if not invariant(record.answered, "a request had no answer at its deadline", request=name):
-            effects += self._answer(name, model.Failed())
-        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.in_flight]
-        return effects
+        if not invariant(record.answered, "a request had no answer at its deadline", request=request_id):
+            effects += self._answer(request_id, model.Failed())
+        return effects + cancel_attempts(record)
 
-    def _answer(self, name: str, answer: model.Answer) -> list[model.Effect]:
-        """Exactly one final answer: whatever would be a second one is dropped."""
-        record = self.records.get(name)
+    def _answer(self, request_id: str, answer: model.Answer) -> list[model.Effect]:
+        """Give exactly one final answer: whatever would be a second one is dropped."""
+        record = self.records.get(request_id)
         if record is None or record.answered:
             return []
         record.answered = True
         if self.gate is not None:
-            self.gate.end(name, isinstance(answer, model.Served) or record.may_have_run())
+            self.gate.end(request_id, isinstance(answer, model.Served) or record.may_have_run())
         self.tally.add(type(answer).__name__.lower())
         if isinstance(answer, model.Served) and answer.flow is not None:
-            self.flows[name] = record.request.request_class  # it ends with its last byte
+            self.flows[request_id] = record.request.request_class  # it ends with its last byte
         else:
             self._count(record.request.request_class, answer)
-        self._forget(name)
-        return [model.GiveAnswer(name, answer)]
+        self._forget(request_id)
+        return [model.GiveAnswer(request_id, answer)]
 
     def _count(self, request_class: int, answer: model.Answer) -> None:
         self.counters.active -= 1
@@ -191,22 +201,19 @@
             self.tally.add("passed_on" if event.complete else "broken_off")
         return []
 
-    def _forget(self, name: str) -> None:
-        if self.records[name].is_finished():
-            del self.records[name]
+    def _forget(self, request_id: str) -> None:
+        if self.records[request_id].is_finished():
+            del self.records[request_id]
 
     # -- attempts -----------------------------------------------------------------------------------------
     def _attempt_ended(self, event: model.AttemptEnded) -> list[model.Effect]:
         record = self.records.get(event.request)
+        attempt = record.attempt_in_flight(event.attempt) if record is not None else None
         # Guards against an outcome reported twice (an attempt cancelled as its answer came): first counts.
-        if (
-            record is None
-            or event.attempt >= len(record.attempts)
-            or not record.attempts[event.attempt].in_flight
-        ):
+        if record is None or attempt is None:
             return []
-        attempt = record.attempts[event.attempt]
-        attempt.in_flight, attempt.never_ran = False, event.outcome.never_ran
+        attempt.in_flight = False
+        attempt.never_ran = event.outcome.never_ran
         ok = event.outcome is api.Outcome.OK
         self.tally.add(event.outcome.name.lower())
         finished = ok or record.answered
@@ -289,7 +296,7 @@
     def _pass_on_nodes(
         self, kind: api.ListKind, nodes: tuple[model.NodeInfo, ...], since: timedelta | None = None
     ) -> list[model.Effect]:
-        entries = tuple(node_entry(self.administrative_state.seen(node)) for node in nodes)
+        entries = tuple(node_entry(self.administrative_state.effective(node)) for node in nodes)
         return self._decide(api.NodeList(kind, entries, micros(self.now if since is None else since)))
 
     def _set_administrative_state(self, event: model.SetAdministrativeState) -> list[model.Effect]:
@@ -297,9 +304,10 @@
         node = self.nodes.get(event.node)
         if node is None and event.node not in self.administrative_state.out:
             return []
-        (self.administrative_state.put_out if event.out else self.administrative_state.put_back)(
-            event.node, self.now
-        )
+        if event.out:
+            self.administrative_state.take_out(event.node, self.now)
+        else:
+            self.administrative_state.put_back(event.node, self.now)
         effects: list[model.Effect] = [model.SaveAdministrativeState()]
         return effects + (self._pass_on_nodes(api.ListKind.CHANGES, (node,)) if node is not None else [])
 
@@ -335,7 +343,16 @@
             case api.ProbeNode() if action.node in self.nodes:
                 return [model.CheckHealth(action.node, self.nodes[action.node].address)]
             case _:
-                return []  # the list is always watched: nothing is to be asked for
+                return []  # the list is always watched: no poll is needed
+
+
+def cancel_attempts(record: model.Record) -> list[model.Effect]:
+    """The effects that cancel the attempts of a request that are in flight."""
+    return [
+        model.CancelAttempt(record.request.id, number)
+        for number, attempt in enumerate(record.attempts)
+        if attempt.in_flight
+    ]
 
 
 def request_arrived(request: model.Request) -> api.RequestArrived:
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -128,7 +128,7 @@
         old.
         """
         try:
-            async with asyncio.timeout(self.times.first.total_seconds()):
+            async with asyncio.timeout(self.times.first_answer.total_seconds()):
                 await self.answered.wait()
         except TimeoutError:
             logger.warning(
@@ -160,7 +160,7 @@
         """Watch at one address until cancelled."""
         # one connection of its own: nothing of the pool to nodes can hold it up
         connector = aiohttp.TCPConnector(limit=2, keepalive_timeout=2 * self.times.hold.total_seconds())
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.times.dial.total_seconds())
+        timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.times.connect.total_seconds())
         async with aiohttp.ClientSession(
             connector=connector,
             middlewares=(only_once,),
@@ -186,12 +186,12 @@
                     await asyncio.sleep(self.backoff().total_seconds())
 
     def backoff(self) -> timedelta:
-        """The backoff after a failure: doubled per failure in a row, up to times.longest_pause.
+        """The backoff after a failure: doubled per failure in a row, up to times.max_backoff.
 
         It is jittered, as all heads lose discovery at the same moment.
         """
-        doubled = self.times.pause * (1 << min(MOST_DOUBLINGS, max(0, self.failures - 1)))
-        return min(self.times.longest_pause, doubled) * (0.5 + random.random() / 2)
+        doubled = self.times.backoff * (1 << min(MOST_DOUBLINGS, max(0, self.failures - 1)))
+        return min(self.times.max_backoff, doubled) * (0.5 + random.random() / 2)
 
     async def call(self, session: aiohttp.ClientSession) -> bool:
         """Make one call, for the whole list or for changes; returns whether it brought any.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -47,4 +47,4 @@
 def short_first_answer(monkeypatch):
     """Heads inside a test start at once where it has no discovery; tests of a start have the real time."""
     short = timedelta(milliseconds=5)
-    monkeypatch.setattr(head, "list_times", lambda *told: replace(list_times(*told), first=short))
+    monkeypatch.setattr(head, "list_times", lambda *told: replace(list_times(*told), first_answer=short))
--- a/tests/test_administrative_state.py
+++ b/tests/test_administrative_state.py
@@ -75,8 +75,8 @@
 
 def test_what_is_out_is_kept_for_a_new_process(tmp_path):
     out = model.AdministrativeState()
-    out.put_out("n1", START)
-    out.put_out("n2", START), out.put_back("n2", START + SECOND)
+    out.take_out("n1", START)
+    out.take_out("n2", START), out.put_back("n2", START + SECOND)
     assert AdministrativeStateFile(str(tmp_path)).write(out)
     assert AdministrativeStateFile(str(tmp_path)).read() == out
     assert [p.name for p in tmp_path.iterdir()] == ["stoatrouter-bricks.json"]
--- a/tests/test_list_and_descriptors.py
+++ b/tests/test_list_and_descriptors.py
@@ -42,7 +42,12 @@
 from tests.test_program import ROOT, ready
 
 AT_ONCE = replace(
-    list_times(True, 2000 * MS), hold=30 * MS, late=30 * MS, dial=30 * MS, answer=60 * MS, first=50 * MS
+    list_times(True, 2000 * MS),
+    hold=30 * MS,
+    late=30 * MS,
+    connect=30 * MS,
+    answer=60 * MS,
+    first_answer=50 * MS,
 )
 
 
@@ -52,7 +57,7 @@
     for pushed in (True, False):
         times = list_times(pushed, grace * MS)
         assert times.silence < COUNTS_AS_NOTIFIED and times.outage < COUNTS_AS_NOTIFIED
-        assert times.first <= timedelta(seconds=1)
+        assert times.first_answer <= timedelta(seconds=1)
     if grace >= 1000:  # what an agent got at its return counts at once: it is known within the grace
         assert list_times(True, grace * MS).outage < grace * MS
 
@@ -148,7 +153,7 @@
 def test_what_all_may_hold_together_is_within_the_limit(sockets):
     budget = divide_descriptors(sockets)
     assert budget.clients >= 1 and budget.nodes >= 1
-    assert budget.all <= max(sockets, 2)
+    assert budget.total <= max(sockets, 2)
     assert budget.fixed == 72 or sockets < 240
 
 
