--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -13,11 +13,12 @@
 from stoatrouter.matching.decisions import Decision, Refusal
 from stoatrouter.matching.inputs import Input, Unreadable, read_input
 from stoatrouter.matching.matcher import Matcher
-from stoatrouter.net.bodies import BodyCapacity, NoCapacity, StoredBody
+from stoatrouter.net.bodies import BodyCapacity, StoredBody
 from stoatrouter.net.engine import Engine
+from stoatrouter.net.errors import NoCapacity
 from stoatrouter.net.listener import Drain
-from stoatrouter.net.nodes import HOP_BY_HOP
 from stoatrouter.net.recorder import Recorder
+from stoatrouter.net.replies import HOP_BY_HOP
 from stoatrouter.policy import interface as api
 
 # Of a client's request: those of its connection, those that the node client writes itself, and those that the
@@ -66,15 +67,15 @@
                 return self.refused(request, decided)
             wanted = self.translate(request, decided)
             # Guards clients' connections: those that wait must not hold them all.
-            if self.drain.crowded():
-                turned_away = answer(self.engine.turn_away(wanted.request_class))
+            if self.drain.overloaded():
+                turned_away = answer(self.engine.reject(wanted.request_class))
                 return last(turned_away) if request.body_exists else self.drain.mark(turned_away)
             body = await self.read(request)
         except (BadRequest, Unreadable) as error:
             reason = error.reason if isinstance(error, BadRequest) else str(error)
             return last(web.Response(status=error.status, text=f"{reason}\n"))
         except NoCapacity:
-            return last(answer(self.engine.turn_away(wanted.request_class)))
+            return last(answer(self.engine.reject(wanted.request_class)))
         try:
             return await self.put(request, wanted, body)
         finally:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -39,7 +39,7 @@
 @pytest.fixture(autouse=True)
 def short_farewell(monkeypatch):
     """Heads inside a test need not wait for late connections; the program's own tests do."""
-    for name in ("LONGEST_TAKE", "RESENT_FOR"):
+    for name in ("LONGEST_ACCEPT", "RESEND_WINDOW"):
         monkeypatch.setattr(listener, name, timedelta(milliseconds=5))
 
 
@@ -47,4 +47,4 @@
 def short_first_answer(monkeypatch):
     """Heads inside a test start at once where it has no discovery; tests of a start have the real time."""
     short = timedelta(milliseconds=5)
-    monkeypatch.setattr(head, "list_times", lambda *told: replace(list_times(*told), first=short))
+    monkeypatch.setattr(head, "list_times", lambda *told: replace(list_times(*told), first_answer=short))
