--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -15,7 +15,7 @@
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.core.spans import span
 from stoatrouter.fronts.platform import PlatformFront
-from stoatrouter.management.calls import MOST_CALLERS, Management
+from stoatrouter.management.calls import MAX_CALLERS, Management
 from stoatrouter.net.bodies import SMALL, BodyCapacity
 from stoatrouter.net.clients import ClientTable
 from stoatrouter.net.clock import Clock
@@ -119,7 +119,7 @@
         if heads is not None:
             self.open_heads(heads, started_with)
         # a table of its own: however many clients come, operators are heard
-        self.management_clients = ClientTable(MOST_CALLERS, MOST_CALLERS, MOST_CALLERS)
+        self.management_clients = ClientTable(MAX_CALLERS, MAX_CALLERS, MAX_CALLERS)
         self.generations = Generations(
             self.engine, self.watch, self.clients, self.drain, conf.folder, self.stop_accepting, self.accept
         )
--- a/stoatrouter/management/calls.py
+++ b/stoatrouter/management/calls.py
@@ -1,4 +1,7 @@
-"""The operators' calls: each is routed to the part that it concerns, and answered."""
+"""The operators' calls: each is routed to the part of the head that it concerns, and answered.
+
+It knows nothing of sockets: a `stoatrouter.net.listener.Listener` passes the calls in and writes the answers.
+"""
 
 from __future__ import annotations
 
@@ -11,131 +14,144 @@
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.listener import Drain
 
-COUNTERS, READY = "/control/counters", "/control/ready"
-OUT, BACK = "/control/out-of-service", "/control/in-service"
-BRICKS = "/control/bricks/"
+COUNTERS_PATH = "/control/counters"
+READY_PATH = "/control/ready"
+OUT_OF_SERVICE_PATH = "/control/out-of-service"
+IN_SERVICE_PATH = "/control/in-service"
+NODES_PATH = "/control/bricks/"  # followed by the node's name and a state of NODE_STATES
+NODE_STATES = ("offline", "online")
 # Callers at once: a few that finish no call must not keep out one that does, nor take clients' descriptors.
-MOST_CALLERS = 8
-LARGEST = 32 * 1024 * 1024  # bytes of a call's body, where calls with bodies are on
+MAX_CALLERS = 8
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of a call, where calls with bodies are on
 
-# What answers calls that concern other heads as well: method, path and body; None: it is no such call.
-HeadsCall = Callable[[str, str, bytes], Awaitable[web.Response | None]]
+# Answers calls that concern other heads as well, by method, path and body; returns None for any other call.
+PeerCallHandler = Callable[[str, str, bytes], Awaitable[web.Response | None]]
+CallHandler = Callable[[], web.Response]
 
 
 class Management:
-    """Serves the operators' calls."""
+    """Serves the operators' calls on one head."""
 
     def __init__(
-        self, engine: Engine, drain: Drain, serving: Callable[[], bool], heads: HeadsCall | None = None
+        self,
+        engine: Engine,
+        drain: Drain,
+        is_serving: Callable[[], bool],
+        handle_peer_call: PeerCallHandler | None = None,
     ) -> None:
         """Serve calls on one head.
 
         Args:
-            engine: the head's engine, whose reducer and counters the calls read and change.
-            drain: the head's draining, which the calls start.
-            serving: whether the head serves requests now, for the readiness call.
-            heads: what answers calls that concern other heads too; None where that part is off.
+            engine: The head's engine, whose reducer and counters the calls read and change.
+            drain: The head's draining, which the calls start and end.
+            is_serving: Whether the head serves requests now, for the readiness call.
+            handle_peer_call: Answers calls that concern other heads too; None where that part is off.
         """
-        self.engine, self.drain, self.serving, self.heads = engine, drain, serving, heads
+        self.engine = engine
+        self.drain = drain
+        self.is_serving = is_serving
+        self.handle_peer_call = handle_peer_call
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one call; the connection ends with the answer."""
         path = request.raw_path.partition("?")[0]
         response = None
-        if self.heads is not None:
-            body = await read(request)
+        if self.handle_peer_call is not None:
+            body = await read_body(request)
             if body is None:
-                response = text_response(413, f"more than {LARGEST} bytes")
+                response = text_response(413, f"more than {MAX_BODY_BYTES} bytes")
             else:
-                response = await self.heads(request.method, path, body)
+                response = await self.handle_peer_call(request.method, path, body)
         response = response or self.answer(request.method, path)
         response.force_close()
         return response
 
     def answer(self, method: str, path: str) -> web.Response:
-        """Answer a call by its method and path; 404 and 405 for calls that do not exist."""
-        calls = self.calls(path)
-        if calls is None:
+        """Answer a call by its method and path: 404 for an unknown path, 405 for another method."""
+        handlers = self.find_handlers(path)
+        if handlers is None:
             return text_response(404, "no such call")
-        if method not in calls:
-            return web.Response(status=405, headers={"Allow": ", ".join(calls)}, text="not by this method\n")
-        return calls[method]()
-
-    def calls(self, path: str) -> dict[str, Callable[[], web.Response]] | None:
-        """The handlers at a path, by method; None for an unknown path."""
-        match path:
-            case _ if path == READY:
-                return {"GET": self.ready}
-            case _ if path == COUNTERS:
-                return {"GET": self.counters}
-            case _ if path == OUT:
-                return {"POST": self.out_of_service}
-            case _ if path == BACK:
-                return {"POST": self.in_service}
-        name, slash, word = path.removeprefix(BRICKS).rpartition("/")
-        if path.startswith(BRICKS) and slash and name and word in ("offline", "online"):
-            return {"POST": partial(self.brick, unquote(name), word == "offline")}
+        if method not in handlers:
+            return web.Response(
+                status=405, headers={"Allow": ", ".join(handlers)}, text="not by this method\n"
+            )
+        return handlers[method]()
+
+    def find_handlers(self, path: str) -> dict[str, CallHandler] | None:
+        """Find the handlers at a path, by method; returns None for an unknown path."""
+        fixed: dict[str, dict[str, CallHandler]] = {
+            READY_PATH: {"GET": self.report_readiness},
+            COUNTERS_PATH: {"GET": self.report_counters},
+            OUT_OF_SERVICE_PATH: {"POST": self.take_out_of_service},
+            IN_SERVICE_PATH: {"POST": self.put_in_service},
+        }
+        if path in fixed:
+            return fixed[path]
+        node, slash, state = path.removeprefix(NODES_PATH).rpartition("/")
+        if path.startswith(NODES_PATH) and slash and node and state in NODE_STATES:
+            return {"POST": partial(self.set_node_state, unquote(node), state == "offline")}
         return None
 
-    def brick(self, name: str, out: bool) -> web.Response:
+    def set_node_state(self, node: str, offline: bool) -> web.Response:
         """Take a node out of service or put it back; 404 for an unknown node, 500 if it cannot be saved."""
-        kept = self.engine.set_administrative_state(name, out)
-        if kept is None:
+        persisted = self.engine.set_administrative_state(node, offline)
+        if persisted is None:
             return text_response(404, "no such brick")
-        if not kept:
+        if not persisted:
             return text_response(500, "done, but not kept")
-        return text_response(200, "out" if out else "back")
+        return text_response(200, "out" if offline else "back")
 
-    def ready(self) -> web.Response:
-        """200 where this head serves, else 503."""
-        return text_response(200, "ready") if self.serving() else text_response(503, "not ready")
+    def report_readiness(self) -> web.Response:
+        """Answer 200 where this head serves, else 503."""
+        return text_response(200, "ready") if self.is_serving() else text_response(503, "not ready")
 
-    def counters(self) -> web.Response:
-        """All counters and gauges, a line each."""
+    def report_counters(self) -> web.Response:
+        """Answer with all counters and gauges, one per line."""
         return text_response(200, "\n".join(counter_lines(self.engine)))
 
-    def out_of_service(self) -> web.Response:
-        """Send the clients away; calling it again changes nothing."""
+    def take_out_of_service(self) -> web.Response:
+        """Drain the head of its clients; calling it again changes nothing."""
         self.drain.out_of_service()
         return text_response(200, "out of service")
 
-    def in_service(self) -> web.Response:
-        """Serve clients again after out_of_service."""
+    def put_in_service(self) -> web.Response:
+        """Serve clients again after `take_out_of_service`."""
         self.drain.in_service()
         return text_response(200, "in service")
 
 
 def counter_lines(engine: Engine) -> list[str]:
-    """All counters and gauges as `name:value|type`; each is present from the start."""
-    core = engine.reducer
+    """Render all counters and gauges as `name:value|type`; each is present from the start."""
+    reducer = engine.reducer
+    outcomes = (
+        ("ok", reducer.counters.ok),
+        ("shed", reducer.counters.shed),
+        ("errors", reducer.counters.errors),
+    )
     responses = [
-        f"app.responses.{kind.name}.{end}:{counts[i]}|c"
-        for i, kind in enumerate(core.scheduler.settings.classes)
-        for end, counts in (
-            ("ok", core.counters.ok),
-            ("shed", core.counters.shed),
-            ("errors", core.counters.errors),
-        )
+        f"app.responses.{request_class.name}.{outcome}:{counts[number]}|c"
+        for number, request_class in enumerate(reducer.scheduler.settings.classes)
+        for outcome, counts in outcomes
     ]
     return [
         *responses,
         f"app.tries:{engine.nodes.pool.attempts_written}|c",
-        f"app.active:{core.counters.active}|g",
-        f"app.pool_size:{len(core.nodes)}|g",
-        f"app.pool_ejected:{core.avoided}|g",
+        f"app.active:{reducer.counters.active}|g",
+        f"app.pool_size:{len(reducer.nodes)}|g",
+        f"app.pool_ejected:{reducer.avoided}|g",
     ]
 
 
-async def read(request: web.BaseRequest) -> bytes | None:
-    """Read a call's body; None where it has more than LARGEST bytes."""
+async def read_body(request: web.BaseRequest) -> bytes | None:
+    """Read a call's body; returns None where it exceeds MAX_BODY_BYTES."""
     body = bytearray()
-    async for piece in request.content.iter_any():
-        body += piece
-        if len(body) > LARGEST:
+    async for chunk in request.content.iter_any():
+        body += chunk
+        if len(body) > MAX_BODY_BYTES:
             return None
     return bytes(body)
 
 
 def text_response(status: int, text: str) -> web.Response:
-    """A plain-text answer of one line."""
+    """Build a plain-text answer of one line."""
     return web.Response(status=status, text=text + "\n")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stoatrouter.management.calls import MOST_CALLERS
+from stoatrouter.management.calls import MAX_CALLERS
 from stoatrouter.net import listener
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, WRITE, started
@@ -59,12 +59,12 @@
 def test_callers_that_finish_no_call_do_not_keep_out_one_that_does():
     async def story():
         async with managed(Node("a", 0)) as (head, _), contextlib.AsyncExitStack() as stack:
-            for i in range(3 * MOST_CALLERS):
+            for i in range(3 * MAX_CALLERS):
                 _, writer = await asyncio.open_connection(HOST, head.management.port)
                 stack.callback(writer.close)
                 writer.write(b"GET /control/re" if i % 2 else b"")
             assert (await call(head, "GET", READY))[0] == 200
-            assert len(head.management_clients) <= MOST_CALLERS + 8
+            assert len(head.management_clients) <= MAX_CALLERS + 8
 
     run(story())
 
