--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -1,4 +1,7 @@
-"""The HTTP front: a request is parsed, matched by the rules and put to the core once."""
+"""The HTTP front: a request is parsed, matched by the rules and put to the core once.
+
+Which rules there are is known to `stoatrouter.matching`, how requests are retried to the core.
+"""
 
 from __future__ import annotations
 
@@ -9,20 +12,29 @@
 from multidict import CIMultiDict
 
 from stoatrouter.core import model
-from stoatrouter.fronts.exchange import BadRequest, Exchange, answer, last, retry_after
+from stoatrouter.fronts.exchange import (
+    HEALTH_PATH,
+    BadRequest,
+    Exchange,
+    answer_response,
+    check_expectation,
+    close_after,
+    release_body,
+    retry_after_field,
+)
 from stoatrouter.matching.decisions import Decision, Refusal
 from stoatrouter.matching.inputs import Input, Unreadable, read_input
 from stoatrouter.matching.matcher import Matcher
-from stoatrouter.net.bodies import BodyCapacity, NoCapacity, StoredBody
+from stoatrouter.net.bodies import Body, BodyCapacity, NoCapacity
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.listener import Drain
 from stoatrouter.net.nodes import HOP_BY_HOP
 from stoatrouter.net.recorder import Recorder
 from stoatrouter.policy import interface as api
 
-# Of a client's request: those of its connection, those that the node client writes itself, and those that the
-# nodes' protocol gives a meaning.
-OWN = HOP_BY_HOP | {
+# Fields of a client's request that nodes don't get: those of its connection, those that the node client
+# writes itself, and those that the nodes' protocol gives a meaning.
+NOT_FORWARDED = HOP_BY_HOP | {
     "content-length",
     "expect",
     "req-id",
@@ -33,8 +45,10 @@
     "x-io",
     "idempotency-key",
 }
-KEY = "Idempotency-Key"
-LONGEST_KEY = 255  # characters
+IDEMPOTENCY_KEY = "Idempotency-Key"
+MAX_KEY_LENGTH = 255  # characters
+RETRY_LATER_STATUSES = (429, 503)  # of refusals by rules: these carry Retry-After
+BODILESS_STATUSES = (204, 304)
 
 
 class HttpFront(Exchange):
@@ -45,131 +59,155 @@
         engine: Engine,
         settings: api.Settings,
         drain: Drain,
-        room: BodyCapacity,
+        body_capacity: BodyCapacity,
         matcher: Matcher,
         recorder: Recorder | None = None,
         forwarded: bool = True,
     ) -> None:
-        super().__init__(engine, drain, room)
-        self.settings, self.matcher, self.recorder, self.forwarded = settings, matcher, recorder, forwarded
+        """Serve requests by the rules of a matcher.
+
+        Args:
+            engine: Serves the requests of the core.
+            settings: The platform's settings.
+            drain: Whether the head is draining.
+            body_capacity: What large request bodies may take while they are stored.
+            matcher: Decides by the rules in force.
+            recorder: Records a sample of request heads; None: nothing is recorded.
+            forwarded: Whether nodes get X-Forwarded-For and Via.
+        """
+        super().__init__(engine, drain, body_capacity)
+        self.settings = settings
+        self.matcher = matcher
+        self.recorder = recorder
+        self.forwarded = forwarded
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one HTTP request with one final answer."""
-        if request.raw_path == "/healthz":
+        if request.raw_path == HEALTH_PATH:
             return self.drain.mark(self.drain.health())
         try:
-            given = read_request(request)
+            rule_input = read_request(request)
             if self.recorder is not None:
-                self.recorder.take(given, request.raw_path, request.raw_headers)
-            decided = self.matcher.decide(given, self.engine.clock.now(), stated_key(request))
-            if isinstance(decided, Refusal):
-                return self.refused(request, decided)
-            wanted = self.translate(request, decided)
+                self.recorder.take(rule_input, request.raw_path, request.raw_headers)
+            key = read_idempotency_key(request)
+            decision = self.matcher.decide(rule_input, self.engine.clock.now(), key)
+            if isinstance(decision, Refusal):
+                return self.refuse(request, decision)
+            translated = self.translate(request, decision, key)
             # Guards clients' connections: those that wait must not hold them all.
             if self.drain.crowded():
-                turned_away = answer(self.engine.turn_away(wanted.request_class))
-                return last(turned_away) if request.body_exists else self.drain.mark(turned_away)
-            body = await self.read(request)
+                return self.reject_crowded(request, translated.request_class)
+            body = await self.read_body(request)
         except (BadRequest, Unreadable) as error:
             reason = error.reason if isinstance(error, BadRequest) else str(error)
-            return last(web.Response(status=error.status, text=f"{reason}\n"))
+            return close_after(web.Response(status=error.status, text=f"{reason}\n"))
         except NoCapacity:
-            return last(answer(self.engine.turn_away(wanted.request_class)))
+            return close_after(self.reject(translated.request_class))
         try:
-            return await self.put(request, wanted, body)
+            return await self.serve(request, translated, body)
         finally:
-            if isinstance(body, StoredBody):
-                body.close()
-
-    async def put(self, request: web.BaseRequest, wanted: model.Request, body: object) -> web.StreamResponse:
-        """Put a request to the core and return its answer as an HTTP response."""
-        final = await self.engine.serve(replace(wanted, body=body))
-        if not isinstance(final, model.Served):
-            return self.drain.mark(answer(final))
-        head = final.head or model.Head(200, ())
-        if final.flow is not None:
+            release_body(body)
+
+    async def serve(
+        self, request: web.BaseRequest, translated: model.Request, body: Body
+    ) -> web.StreamResponse:
+        """Serve a request of the core and return its answer as an HTTP response."""
+        answer = await self.engine.serve(replace(translated, body=body))
+        if not isinstance(answer, model.Served):
+            return self.drain.mark(answer_response(answer))
+        head = answer.head or model.Head(200, ())
+        if answer.flow is not None:
             response = web.StreamResponse(status=head.status, headers=without_length(head))
-            return await self.pass_on(request, wanted.id, final.flow, response)
-        return self.drain.mark(whole(request, head, final.body))
-
-    def refused(self, request: web.BaseRequest, refusal: Refusal) -> web.StreamResponse:
-        """The answer to a request that a rule refuses, with Retry-After for 429 and 503."""
-        self.engine.reducer.tally.add("refused_by_rule")
-        headers = retry_after(self.engine.reducer.advice) if refusal.status in (429, 503) else None
+            return await self.stream_answer(request, translated.id, answer.flow, response)
+        return self.drain.mark(complete_response(request, head, answer.body))
+
+    def refuse(self, request: web.BaseRequest, refusal: Refusal) -> web.StreamResponse:
+        """Answer a request that a rule refuses, with Retry-After for RETRY_LATER_STATUSES."""
+        reducer = self.engine.reducer
+        reducer.tally.add("refused_by_rule")
+        headers = retry_after_field(reducer.advice) if refusal.status in RETRY_LATER_STATUSES else None
         response = web.Response(status=refusal.status, text=f"{refusal.reason}\n", headers=headers)
-        return last(response) if request.body_exists else self.drain.mark(response)
-
-    def translate(self, request: web.BaseRequest, decided: Decision) -> model.Request:
-        """Make a request of the core out of a decision."""
-        chosen = self.settings.classes[decided.request_class]
-        key = stated_key(request)
-        if key is None and chosen.effect is api.Effect.KEYED:
-            key = secrets.token_hex(8)  # for the head's own repeats: nodes tell them by it
+        return close_after(response) if request.body_exists else self.drain.mark(response)
+
+    def translate(self, request: web.BaseRequest, decision: Decision, key: str | None) -> model.Request:
+        """Translate a decision to a request of the core.
+
+        Args:
+            request: The client's request.
+            decision: What the rules say of it.
+            key: The client's idempotency key; where it gives none, a class with keys gets a fresh one.
+        """
+        request_class = self.settings.classes[decision.request_class]
+        if key is None and request_class.effect is api.Effect.KEYED:
+            key = secrets.token_hex(8)  # for the head's own retries: nodes recognize them by it
         return model.Request(
             id=secrets.token_hex(8),
-            request_class=decided.request_class,
-            plan=decided.plan,
-            volume=decided.volume,
-            key=decided.key,
-            shard=decided.shard,
-            units=decided.units,
-            hosts=decided.hosts,
-            time_left=decided.deadline,
-            write=chosen.writes,
-            repeat=decided.repeat,
+            request_class=decision.request_class,
+            plan=decision.plan,
+            volume=decision.volume,
+            key=decision.key,
+            shard=decision.shard,
+            units=decision.units,
+            hosts=decision.hosts,
+            time_left=decision.deadline,
+            write=request_class.writes,
+            repeat=decision.repeat,
             method=request.method,
             target=origin_form(request.raw_path),
             idempotency_key=key,
-            fields=self.fields(request),
+            fields=self.forwarded_fields(request),
             passes=True,
         )
 
-    def fields(self, request: web.BaseRequest) -> tuple[tuple[str, str], ...]:
-        """The header fields that are sent to the node."""
-        named = {name.strip().lower() for name in request.headers.get("Connection", "").split(",")}
-        left = OWN | named
-        kept = [(name, value) for name, value in request.headers.items() if name.lower() not in left]
+    def forwarded_fields(self, request: web.BaseRequest) -> tuple[tuple[str, str], ...]:
+        """The header fields that are forwarded to the node."""
+        connection = request.headers.get("Connection", "")
+        excluded = NOT_FORWARDED | {name.strip().lower() for name in connection.split(",")}
+        fields = [(name, value) for name, value in request.headers.items() if name.lower() not in excluded]
         if self.forwarded and request.remote:
-            before = ", ".join(request.headers.getall("X-Forwarded-For", []))
-            kept = [pair for pair in kept if pair[0].lower() != "x-forwarded-for"]
-            kept.append(("X-Forwarded-For", f"{before}, {request.remote}" if before else request.remote))
-            kept.append(("Via", f"{request.version.major}.{request.version.minor} stoatrouter"))
-        return tuple(kept)
+            previous = ", ".join(request.headers.getall("X-Forwarded-For", []))
+            fields = [field for field in fields if field[0].lower() != "x-forwarded-for"]
+            fields.append(
+                ("X-Forwarded-For", f"{previous}, {request.remote}" if previous else request.remote)
+            )
+            fields.append(("Via", f"{request.version.major}.{request.version.minor} stoatrouter"))
+        return tuple(fields)
 
 
 def read_request(request: web.BaseRequest) -> Input:
     """Parse a request into the input of rules; raises Unreadable or BadRequest."""
     if request.method == "CONNECT" or "Upgrade" in request.headers:
         raise BadRequest("tunnels and upgrades are not served", 501)
-    if request.headers.get("Expect", "100-continue").lower() != "100-continue":
-        raise BadRequest("an expectation that cannot be met", 417)
+    check_expectation(request)
     size = request.content_length
-    stated = size if size is not None else -1 if request.body_exists else 0
+    if size is None:
+        size = -1 if request.body_exists else 0
     return read_input(
-        request.method, request.raw_path, request.raw_headers, request.remote or "0.0.0.0", stated
+        request.method, request.raw_path, request.raw_headers, request.remote or "0.0.0.0", size
     )
 
 
-def stated_key(request: web.BaseRequest) -> str | None:
-    """The client's idempotency key, or None; raises BadRequest where it is malformed."""
-    key = request.headers.get(KEY)
+def read_idempotency_key(request: web.BaseRequest) -> str | None:
+    """Read the client's idempotency key, or None; raises BadRequest where it is malformed."""
+    key = request.headers.get(IDEMPOTENCY_KEY)
     if key is None:
         return None
-    # Guards the nodes' protocol: what goes on as a header must be one, and of a bounded length.
-    if not key or len(key) > LONGEST_KEY or not key.isascii() or not key.isprintable():
-        raise BadRequest(f"{KEY} must have 1 to {LONGEST_KEY} visible characters")
+    # Guards the nodes' protocol: what is forwarded as a header must be one, and of a bounded length.
+    if not key or len(key) > MAX_KEY_LENGTH or not key.isascii() or not key.isprintable():
+        raise BadRequest(f"{IDEMPOTENCY_KEY} must have 1 to {MAX_KEY_LENGTH} visible characters")
     return key
 
 
 def origin_form(target: str) -> str:
-    """The request target in origin form (RFC 9112, 3.2.1), without scheme and host."""
+    """Return a request target in origin form (RFC 9112, 3.2.1), without scheme and host."""
     if target.startswith("/"):
         return target
     rest = target.partition("://")[2]
-    slash = min((at for at in (rest.find("/"), rest.find("?")) if at >= 0), default=-1)
-    if slash < 0:
+    starts = (rest.find("/"), rest.find("?"))  # of the path, or of the query where there is no path
+    start = min((position for position in starts if position >= 0), default=-1)
+    if start < 0:
         return "/"
-    return rest[slash:] if rest[slash] == "/" else "/" + rest[slash:]
+    return rest[start:] if rest[start] == "/" else "/" + rest[start:]
 
 
 def without_length(head: model.Head) -> CIMultiDict[str]:
@@ -177,15 +215,15 @@
     return CIMultiDict((name, value) for name, value in head.fields if name.lower() != "content-length")
 
 
-def whole(request: web.BaseRequest, head: model.Head, body: bytes) -> web.Response:
-    """A complete answer as a response; the answer to HEAD keeps the length that the node stated."""
+def complete_response(request: web.BaseRequest, head: model.Head, body: bytes) -> web.Response:
+    """Build the response for a complete answer; that to HEAD has the length that the node stated."""
     fields = without_length(head)
     if request.method == "HEAD":
-        stated = next((value for name, value in head.fields if name.lower() == "content-length"), None)
+        length = next((value for name, value in head.fields if name.lower() == "content-length"), None)
         response = web.Response(status=head.status, headers=fields)
-        if stated is not None and stated.isdigit():
-            response.headers["Content-Length"] = stated
+        if length is not None and length.isdigit():
+            response.headers["Content-Length"] = length
         return response
     return web.Response(
-        status=head.status, headers=fields, body=body if head.status not in (204, 304) else None
+        status=head.status, headers=fields, body=None if head.status in BODILESS_STATUSES else body
     )
--- a/stoatrouter/fronts/http/settings.py
+++ b/stoatrouter/fronts/http/settings.py
@@ -14,8 +14,15 @@
 from stoatrouter.settings import SettingsError, load
 
 
-class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of the sample of request heads that `rules explain` and `rules diff` read."""
+class SampleSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Settings of the sample of request heads that `rules explain` and `rules diff` read.
+
+    Attributes:
+        file: Where samples are written, relative to the settings' folder.
+        one_in: One of so many requests is recorded.
+        most_bytes: The bound on the bytes of all files of samples.
+        mask: Header fields whose values are not recorded.
+    """
 
     file: str
     one_in: int
@@ -24,61 +31,82 @@
 
 
 class HttpFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The contents of the file."""
+    """The contents of the file; its keys are documented in docs/http-front.md."""
 
     listen: str
     rules: str
     shadow: str | None = None
     forwarded: bool = True
-    record: Record | None = None
+    record: SampleSettings | None = None
 
 
 class HttpSettings(msgspec.Struct, frozen=True):
-    """The contents of the file with its paths resolved."""
+    """The contents of the file with its paths resolved.
+
+    Attributes:
+        listen: The address that the front listens at, `host:port`.
+        rules: The operator's rule file.
+        shadow: The rule file whose decisions are only compared; None: no shadow table.
+        forwarded: Whether nodes get X-Forwarded-For and Via.
+        record: The sample of request heads; None: nothing is recorded.
+        record_file: The file of the sample.
+    """
 
     listen: str
     rules: Path
     shadow: Path | None
     forwarded: bool
-    record: Record | None
+    record: SampleSettings | None
     record_file: Path | None
 
 
 def load_http(path: Path) -> HttpSettings:
-    """Read the operator's file; raises ConfigError with all faults."""
+    """Read the operator's file; paths in it are relative to its folder.
+
+    Raises:
+        ConfigError: The file cannot be read or has faults; the text names them all.
+    """
     try:
-        made = load(path, HttpFile, "http.#Http").record
+        record = load(path, HttpFile, "http.#Http").record
     except SettingsError as error:
         raise ConfigError(f"bad settings of the HTTP front:\n{error}") from None
-    address(made.listen)
+    address(record.listen)  # raises ConfigError where it is none
     folder = path.parent
     return HttpSettings(
-        made.listen,
-        folder / made.rules,
-        folder / made.shadow if made.shadow else None,
-        made.forwarded,
-        made.record,
-        folder / made.record.file if made.record else None,
+        listen=record.listen,
+        rules=folder / record.rules,
+        shadow=folder / record.shadow if record.shadow else None,
+        forwarded=record.forwarded,
+        record=record.record,
+        record_file=folder / record.record.file if record.record else None,
     )
 
 
 def vocabulary(conf: Config) -> Vocabulary:
-    """The words that rules may use under this configuration."""
-    return words_of(conf.settings, conf.shards)
+    """Build the vocabulary that rules may use under a head's configuration."""
+    return settings_vocabulary(conf.settings, conf.shards)
 
 
-def words_of(settings: api.Settings, shards: int) -> Vocabulary:
-    """The vocabulary that the platform's settings give; `shards` 0: the number of shards is not known."""
+def settings_vocabulary(settings: api.Settings, shards: int) -> Vocabulary:
+    """Build the vocabulary that the platform's settings give.
+
+    Args:
+        settings: The platform's settings.
+        shards: The number of shards; 0 where it is not known.
+    """
     classes = tuple(
         KnownClass(c.name, c.effect is api.Effect.SAFE, span(c.deadline)) for c in settings.classes
     )
     return Vocabulary(classes, tuple(p.name for p in settings.plans), shards, settings.max_units)
 
 
-def windows(settings: api.Settings) -> dict[int, timedelta]:
-    """The repeat windows of keyed classes, by the number of the class."""
+def idempotency_windows(settings: api.Settings) -> dict[int, timedelta]:
+    """How long nodes know the idempotency keys of a class, by the number of the class.
+
+    Classes without keys and those without a window are left out.
+    """
     return {
-        i: span(c.repeat_window)
-        for i, c in enumerate(settings.classes)
+        number: span(c.repeat_window)
+        for number, c in enumerate(settings.classes)
         if c.effect is api.Effect.KEYED and c.repeat_window
     }
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -1,4 +1,8 @@
-"""The platform's protocol: one HTTP request is one request of the core."""
+"""The front of the platform's protocol: one HTTP request is one request of the core.
+
+The request line names class, volume and key; header fields give the id, the plan, the time left and the
+cost of the request.
+"""
 
 from __future__ import annotations
 
@@ -6,134 +10,198 @@
 import re
 from dataclasses import replace
 from datetime import timedelta
+from typing import NamedTuple
 
 from aiohttp import web
 
 from stoatrouter.core import model
-from stoatrouter.fronts.exchange import BadRequest, Exchange, answer, last, retry_after
-from stoatrouter.net.bodies import BodyCapacity, NoCapacity, StoredBody
+from stoatrouter.fronts.exchange import (
+    HEALTH_PATH,
+    BadRequest,
+    Exchange,
+    answer_response,
+    check_expectation,
+    close_after,
+    release_body,
+    retry_after_field,
+)
+from stoatrouter.net.bodies import Body, BodyCapacity, NoCapacity
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.listener import Drain
 from stoatrouter.policy import interface as api
 
-ID = re.compile(r"[0-9A-Za-z_.-]{1,64}")
+REQUEST_ID = re.compile(r"[0-9A-Za-z_.-]{1,64}")
 HEX16 = re.compile(r"[0-9A-Fa-f]{16}")
-PLAIN = re.compile(rb"(?:GET|PUT) /([!-.0-~]{1,64})/[0-9A-Fa-f]{16}/[0-9A-Fa-f]{16} HTTP/1\.1\r\n")
-UNUSUAL = re.compile(rb"\r\n(?:transfer-encoding|expect|connection|upgrade)[ \t]*:", re.IGNORECASE)
-LENGTH = re.compile(rb"\r\ncontent-length: *([0-9]{1,6}) *(?:\r|$)", re.IGNORECASE)
+# A request that can be rejected without parsing: its request line, header fields that exclude it, its length.
+PLAIN_REQUEST_LINE = re.compile(
+    rb"(?:GET|PUT) /([!-.0-~]{1,64})/[0-9A-Fa-f]{16}/[0-9A-Fa-f]{16} HTTP/1\.1\r\n"
+)
+UNUSUAL_FIELD = re.compile(rb"\r\n(?:transfer-encoding|expect|connection|upgrade)[ \t]*:", re.IGNORECASE)
+CONTENT_LENGTH = re.compile(rb"\r\ncontent-length: *([0-9]{1,6}) *(?:\r|$)", re.IGNORECASE)
+
+
+class Target(NamedTuple):
+    """The path of a request: /class/volume/key."""
+
+    class_name: str
+    volume: str
+    key: str
+
+
+class Cost(NamedTuple):
+    """What X-IO says of a request."""
+
+    units: float
+    shard: int  # -1: any
+    hosts: int
 
 
 class PlatformFront(Exchange):
     """Serves the platform's clients."""
 
-    def __init__(self, engine: Engine, settings: api.Settings, drain: Drain, room: BodyCapacity) -> None:
-        super().__init__(engine, drain, room)
+    def __init__(
+        self, engine: Engine, settings: api.Settings, drain: Drain, body_capacity: BodyCapacity
+    ) -> None:
+        """Serve the classes and plans that the settings name.
+
+        Args:
+            engine: Serves the requests of the core.
+            settings: The platform's settings.
+            drain: Whether the head is draining.
+            body_capacity: What large request bodies may take while they are stored.
+        """
+        super().__init__(engine, drain, body_capacity)
         self.settings = settings
-        self.classes = {c.name: i for i, c in enumerate(settings.classes)}
-        self.plans = {p.name: i for i, p in enumerate(settings.plans)}
+        self.class_numbers = {c.name: number for number, c in enumerate(settings.classes)}
+        self.plan_numbers = {p.name: number for number, p in enumerate(settings.plans)}
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one HTTP request: /healthz, or one request of the core and its one final answer."""
-        if request.raw_path == "/healthz":
+        if request.raw_path == HEALTH_PATH:
             return self.drain.mark(self.drain.health())
         try:
-            wanted = self.translate(request)
+            translated = self.translate(request)
             # Guards clients' connections: those that wait must not hold them all.
             if self.drain.crowded():
-                refused = answer(self.engine.turn_away(wanted.request_class))
-                return last(refused) if request.body_exists else self.drain.mark(refused)
-            body = await self.read(request)
+                return self.reject_crowded(request, translated.request_class)
+            body = await self.read_body(request)
             if request.method == "GET" and len(body):
-                if isinstance(body, StoredBody):
-                    body.close()
+                release_body(body)
                 raise BadRequest("a read has no body")
         except BadRequest as error:
-            return last(web.Response(status=error.status, text=f"{error.reason}\n"))
+            return close_after(web.Response(status=error.status, text=f"{error.reason}\n"))
         except NoCapacity:
-            return last(answer(self.engine.turn_away(wanted.request_class)))
+            return close_after(self.reject(translated.request_class))
+        return await self.serve(request, translated, body)
+
+    async def serve(
+        self, request: web.BaseRequest, translated: model.Request, body: Body
+    ) -> web.StreamResponse:
+        """Serve a request of the core, release its body, and return its answer as an HTTP response."""
         try:
-            final = await self.engine.serve(replace(wanted, body=body) if len(body) else wanted)
+            answer = await self.engine.serve(replace(translated, body=body) if len(body) else translated)
         finally:
-            if isinstance(body, StoredBody):
-                body.close()
-        if isinstance(final, model.Served) and final.flow is not None:
-            return await self.pass_on(request, wanted.id, final.flow)
-        return self.drain.mark(answer(final))
+            release_body(body)
+        if isinstance(answer, model.Served) and answer.flow is not None:
+            return await self.stream_answer(request, translated.id, answer.flow)
+        return self.drain.mark(answer_response(answer))
 
-    def refuse(self, data: bytes) -> bytes | None:
-        """The refusal of a plain request that lies whole in `data`; None for any other request.
+    def reject_unparsed(self, data: bytes) -> bytes | None:
+        """Reject a plain request that lies complete in `data`; returns None for any other request.
 
-        Creating a response object for each refusal would cost a crowded head more time than it has.
+        Creating a response object for each rejection would cost a crowded head more time than it has.
         """
         head, end, body = data.partition(b"\r\n\r\n")
-        line = PLAIN.match(head)
-        kind = self.classes.get(line[1].decode()) if line is not None and end else None
-        if kind is None or UNUSUAL.search(head):
+        line = PLAIN_REQUEST_LINE.match(head)
+        request_class = self.class_numbers.get(line[1].decode()) if line is not None and end else None
+        if request_class is None or UNUSUAL_FIELD.search(head):
             return None
-        length = LENGTH.search(head)
+        length = CONTENT_LENGTH.search(head)
         if len(body) != (int(length[1]) if length is not None else 0):
             return None
-        refused = self.engine.turn_away(kind)
-        assert isinstance(refused, model.Refused)
-        fields = "".join(f"{name}: {value}\r\n" for name, value in retry_after(refused.retry_after).items())
-        fields += "Connection: close\r\n" if self.drain.closing else ""
-        return f"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n{fields}\r\n".encode()
+        answer = self.engine.turn_away(request_class)
+        assert isinstance(answer, model.Refused)  # what the engine gives for lack of capacity
+        fields = retry_after_field(answer.retry_after)
+        if self.drain.closing:
+            fields["Connection"] = "close"
+        lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
+        return f"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n{lines}\r\n".encode()
 
     def translate(self, request: web.BaseRequest) -> model.Request:
-        """Make a request of the core out of the client's; raises BadRequest."""
-        headers, target = request.headers, request.raw_path
-        parts = target.partition("?")[0].split("/")
-        if len(parts) != 4 or parts[0] or not HEX16.fullmatch(parts[2]) or not HEX16.fullmatch(parts[3]):
-            raise BadRequest("path is not /class/volume/data", 404)
-        name = headers.get("Req-Id", "")
-        if not ID.fullmatch(name):
+        """Translate the client's request to one of the core; raises BadRequest."""
+        headers = request.headers
+        target = parse_target(request.raw_path)
+        request_id = headers.get("Req-Id", "")
+        if not REQUEST_ID.fullmatch(request_id):
             raise BadRequest("bad or missing Req-Id")
-        kind = self.classes.get(headers.get("Req-Kind", parts[1]))
-        if kind is None or self.settings.classes[kind].name != parts[1]:
-            raise BadRequest("unknown class, or not that of the path")
-        plan = self.plans.get(headers.get("X-Plan", ""))
+        request_class = self.find_class(headers.get("Req-Kind", target.class_name), target)
+        plan = self.plan_numbers.get(headers.get("X-Plan", ""))
         if plan is None:
             raise BadRequest("unknown or missing X-Plan")
-        if request.method not in ("GET", "PUT"):
-            raise BadRequest("method is neither GET nor PUT", 405)
-        if request.headers.get("Expect", "100-continue").lower() != "100-continue":
-            raise BadRequest("an expectation that cannot be met", 417)
-        units, shard, hosts = read_extras(headers.get("X-IO", ""))
-        if units > self.settings.max_units:
-            raise BadRequest("more units than a request may have")
+        check_served(request)
+        cost = self.read_cost(headers.get("X-IO", ""))
         return model.Request(
-            id=name,
-            request_class=kind,
+            id=request_id,
+            request_class=request_class,
             plan=plan,
-            volume=parts[2],
-            key=parts[3],
-            shard=shard,
-            units=units,
-            hosts=hosts,
-            time_left=self.time_left(headers.get("Req-Deadline-Ms", ""), kind),
+            volume=target.volume,
+            key=target.key,
+            shard=cost.shard,
+            units=cost.units,
+            hosts=cost.hosts,
+            time_left=self.read_time_left(headers.get("Req-Deadline-Ms", ""), request_class),
             write=request.method == "PUT",
             repeat=headers.get("Req-Retry") == "1",
             method=request.method,
-            target=target,
+            target=request.raw_path,
             idempotency_key=headers.get("Idempotency-Key"),
         )
 
-    def time_left(self, text: str, kind: int) -> timedelta:
-        """The time that the client allows, at most the class's deadline; raises BadRequest."""
+    def find_class(self, name: str, target: Target) -> int:
+        """Find the number of a class that must be the path's; raises BadRequest."""
+        number = self.class_numbers.get(name)
+        if number is None or self.settings.classes[number].name != target.class_name:
+            raise BadRequest("unknown class, or not that of the path")
+        return number
+
+    def read_cost(self, text: str) -> Cost:
+        """Parse X-IO and check it against the settings; raises BadRequest."""
+        cost = parse_cost(text)
+        if cost.units > self.settings.max_units:
+            raise BadRequest("more units than a request may have")
+        return cost
+
+    def read_time_left(self, text: str, request_class: int) -> timedelta:
+        """Parse Req-Deadline-Ms, bounded by the class's deadline; raises BadRequest."""
         if not text.isascii() or not text.isdigit():
             raise BadRequest("bad or missing Req-Deadline-Ms")
         # bounded by the class: a larger figure would only keep the request in memory
-        most = timedelta(microseconds=self.settings.classes[kind].deadline)
-        return min(most, timedelta(milliseconds=int(text[:12])))
+        limit = timedelta(microseconds=self.settings.classes[request_class].deadline)
+        return min(limit, timedelta(milliseconds=int(text[:12])))
+
+
+def parse_target(raw_path: str) -> Target:
+    """Parse a request target, whose query is ignored; raises BadRequest."""
+    parts = raw_path.partition("?")[0].split("/")
+    if len(parts) != 4 or parts[0] or not HEX16.fullmatch(parts[2]) or not HEX16.fullmatch(parts[3]):
+        raise BadRequest("path is not /class/volume/data", 404)
+    return Target(parts[1], parts[2], parts[3])
+
+
+def check_served(request: web.BaseRequest) -> None:
+    """Check that the method and the expectation are served; raises BadRequest."""
+    if request.method not in ("GET", "PUT"):
+        raise BadRequest("method is neither GET nor PUT", 405)
+    check_expectation(request)
 
 
-def read_extras(text: str) -> tuple[float, int, int]:
-    """Parse X-IO to units, shard (-1: any) and hosts; raises BadRequest."""
+def parse_cost(text: str) -> Cost:
+    """Parse X-IO, such as `units=1,shard=-1,hosts=3`; raises BadRequest."""
     fields = dict(pair.strip().partition("=")[::2] for pair in text.split(","))
     try:
-        units, shard, hosts = float(fields["units"]), int(fields["shard"]), int(fields["hosts"])
+        cost = Cost(float(fields["units"]), int(fields["shard"]), int(fields["hosts"]))
     except (KeyError, ValueError):
         raise BadRequest("bad or missing X-IO") from None
-    if not math.isfinite(units) or units <= 0 or shard < -1 or hosts < 1:
+    if not math.isfinite(cost.units) or cost.units <= 0 or cost.shard < -1 or cost.hosts < 1:
         raise BadRequest("X-IO out of range")
-    return units, shard, hosts
+    return cost
--- a/stoatrouter/fronts/wiring.py
+++ b/stoatrouter/fronts/wiring.py
@@ -6,7 +6,7 @@
 
 from stoatrouter.config import Config, ConfigError
 from stoatrouter.expressions.environment import Environment
-from stoatrouter.fronts.http.settings import HttpSettings, vocabulary, windows
+from stoatrouter.fronts.http.settings import HttpSettings, idempotency_windows, vocabulary
 from stoatrouter.fronts.objects.settings import ObjectSettings
 from stoatrouter.matching.files import Tables
 from stoatrouter.matching.inputs import HTTP, OBJECTS
@@ -18,39 +18,54 @@
 
 
 def http_tables(conf: Config, http: HttpSettings) -> TableService:
-    """The table service of the HTTP front; raises ConfigError."""
-    shadow = tables(conf, http.shadow) if http.shadow is not None else None
-    return service(conf, tables(conf, http.rules), shadow)
+    """Create the table service of the HTTP front, with its shadow table where one is configured.
+
+    Raises:
+        ConfigError: The rules have faults; the text names them all.
+    """
+    shadow = create_tables(conf, http.shadow) if http.shadow is not None else None
+    return create_service(conf, create_tables(conf, http.rules), shadow)
 
 
 def object_tables(conf: Config, objects: ObjectSettings) -> TableService:
-    """The table service of the object front; raises ConfigError."""
-    assert objects.rules is not None
+    """Create the table service of an object front whose settings name a rule file.
+
+    Raises:
+        ConfigError: The rules have faults; the text names them all.
+    """
+    assert objects.rules is not None  # the caller sets up tables only where a rule file is named
     plans = [plan.name for plan in conf.settings.plans]
     buckets = {
         name: Bucket(bucket.volume, plans[bucket.plan] if bucket.plan >= 0 else None)
         for name, bucket in objects.buckets.items()
     }
-    return service(conf, tables(conf, objects.rules, OBJECTS, buckets), None)
+    return create_service(conf, create_tables(conf, objects.rules, OBJECTS, buckets), shadow=None)
 
 
-def tables(
+def create_tables(
     conf: Config, path: Path, environment: Environment = HTTP, buckets: dict[str, Bucket] | None = None
 ) -> Tables:
-    """What loads the tables of a rule file, with the words of this configuration."""
+    """Create the loader of a rule file's tables, with the vocabulary of this configuration.
+
+    Args:
+        conf: The head's configuration, whose classes and plans rules may name.
+        path: The operator's rule file.
+        environment: What expressions may use: the HTTP front's requests or the object front's calls.
+        buckets: The buckets that rules may name; None for the HTTP front.
+    """
     return Tables(path, vocabulary(conf), environment, buckets)
 
 
-def service(conf: Config, made: Tables, shadow: Tables | None) -> TableService:
-    """The service that puts tables in force and in shadow; raises ConfigError where the rules are wrong."""
+def create_service(conf: Config, tables: Tables, shadow: Tables | None) -> TableService:
+    """Create the service that puts tables in force and in shadow; raises ConfigError for faulty rules."""
     try:
-        return TableService(made, shadow, windows(conf.settings))
+        return TableService(tables, shadow, idempotency_windows(conf.settings))
     except SettingsError as error:
         raise ConfigError(f"bad rules:\n{error}") from None
 
 
-def recorder(http: HttpSettings) -> Recorder | None:
-    """The recorder of request samples; None where none is configured."""
+def create_recorder(http: HttpSettings) -> Recorder | None:
+    """Create the recorder of request samples; returns None where none is configured."""
     if http.record is None or http.record_file is None:
         return None
     return Recorder(http.record_file, http.record.most_bytes, Sampler(http.record.one_in, http.record.mask))
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -103,7 +103,7 @@
         self.drain = Drain(self.clients)
         self.room = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE), conf.folder)
         front = PlatformFront(self.engine, conf.settings, self.drain, self.room)
-        self.platform = Listener(front.handle, self.drain, front.refuse)
+        self.platform = Listener(front.handle, self.drain, front.reject_unparsed)
         self.http_tables: TableService | None = None
         started_with = 0
         if heads is not None:
@@ -151,11 +151,11 @@
     def open_http(self, http: HttpSettings) -> None:
         """Set up the HTTP front, its rule tables and its recorder; raises ConfigError."""
         from stoatrouter.fronts.http.front import HttpFront
-        from stoatrouter.fronts.wiring import http_tables, recorder
+        from stoatrouter.fronts.wiring import create_recorder, http_tables
 
         service = self.http_tables = http_tables(self.conf, http)
         self.tables.append(service)
-        self.recorder = recorder(http)
+        self.recorder = create_recorder(http)
         self.http_front = HttpFront(
             self.engine,
             self.conf.settings,
