--- a/stoatrouter/__main__.py
+++ b/stoatrouter/__main__.py
@@ -89,7 +89,7 @@
 
             http = load_http(Path(conf.http))
         if conf.objects:
-            from stoatrouter.fronts.objects.settings import load as load_objects
+            from stoatrouter.fronts.objects.settings import load_objects
 
             objects = load_objects(Path(conf.objects), conf.settings, conf.shards)
         if conf.heads:
--- a/stoatrouter/fronts/objects/errors.py
+++ b/stoatrouter/fronts/objects/errors.py
@@ -4,33 +4,60 @@
 
 import math
 from datetime import timedelta
+from enum import StrEnum
 from xml.sax.saxutils import escape
 
 from aiohttp import web
 
-STATUS = {
-    "AccessDenied": 403,
-    "BadDigest": 400,
-    "EntityTooLarge": 413,
-    "IncompleteBody": 400,
-    "InternalError": 500,
-    "InvalidArgument": 400,
-    "InvalidDigest": 400,
-    "InvalidPart": 400,
-    "InvalidPartOrder": 400,
-    "InvalidRange": 416,
-    "InvalidRequest": 400,
-    "KeyTooLongError": 400,
-    "MalformedXML": 400,
-    "MethodNotAllowed": 405,
-    "MissingContentLength": 411,
-    "NoSuchBucket": 404,
-    "NoSuchKey": 404,
-    "NoSuchUpload": 404,
-    "NotImplemented": 501,
-    "PreconditionFailed": 412,
-    "RequestTimeout": 400,
-    "SlowDown": 503,
+
+class ErrorCode(StrEnum):
+    """The error codes of the S3 protocol that this front answers with."""
+
+    ACCESS_DENIED = "AccessDenied"
+    BAD_DIGEST = "BadDigest"
+    ENTITY_TOO_LARGE = "EntityTooLarge"
+    INCOMPLETE_BODY = "IncompleteBody"
+    INTERNAL_ERROR = "InternalError"
+    INVALID_ARGUMENT = "InvalidArgument"
+    INVALID_DIGEST = "InvalidDigest"
+    INVALID_PART = "InvalidPart"
+    INVALID_PART_ORDER = "InvalidPartOrder"
+    INVALID_RANGE = "InvalidRange"
+    INVALID_REQUEST = "InvalidRequest"
+    KEY_TOO_LONG = "KeyTooLongError"
+    MALFORMED_XML = "MalformedXML"
+    MISSING_CONTENT_LENGTH = "MissingContentLength"
+    NO_SUCH_BUCKET = "NoSuchBucket"
+    NO_SUCH_KEY = "NoSuchKey"
+    NO_SUCH_UPLOAD = "NoSuchUpload"
+    NOT_IMPLEMENTED = "NotImplemented"
+    PRECONDITION_FAILED = "PreconditionFailed"
+    REQUEST_TIMEOUT = "RequestTimeout"
+    SLOW_DOWN = "SlowDown"
+
+
+STATUSES = {
+    ErrorCode.ACCESS_DENIED: 403,
+    ErrorCode.BAD_DIGEST: 400,
+    ErrorCode.ENTITY_TOO_LARGE: 413,
+    ErrorCode.INCOMPLETE_BODY: 400,
+    ErrorCode.INTERNAL_ERROR: 500,
+    ErrorCode.INVALID_ARGUMENT: 400,
+    ErrorCode.INVALID_DIGEST: 400,
+    ErrorCode.INVALID_PART: 400,
+    ErrorCode.INVALID_PART_ORDER: 400,
+    ErrorCode.INVALID_RANGE: 416,
+    ErrorCode.INVALID_REQUEST: 400,
+    ErrorCode.KEY_TOO_LONG: 400,
+    ErrorCode.MALFORMED_XML: 400,
+    ErrorCode.MISSING_CONTENT_LENGTH: 411,
+    ErrorCode.NO_SUCH_BUCKET: 404,
+    ErrorCode.NO_SUCH_KEY: 404,
+    ErrorCode.NO_SUCH_UPLOAD: 404,
+    ErrorCode.NOT_IMPLEMENTED: 501,
+    ErrorCode.PRECONDITION_FAILED: 412,
+    ErrorCode.REQUEST_TIMEOUT: 400,
+    ErrorCode.SLOW_DOWN: 503,
 }
 
 
@@ -39,26 +66,39 @@
 
     def __init__(
         self,
-        code: str,
+        code: ErrorCode,
         message: str,
-        retry_in: timedelta | None = None,
+        retry_after: timedelta | None = None,
         headers: dict[str, str] | None = None,
     ) -> None:
+        """Describe the failure of an operation.
+
+        Args:
+            code: What kind of failure it is; the code implies the HTTP status.
+            message: What is wrong, for the client's log.
+            retry_after: After how long the client may retry; None: no time is known.
+            headers: Further header fields of the response.
+        """
         super().__init__(f"{code}: {message}")
-        self.code, self.message, self.retry_in, self.headers = code, message, retry_in, headers or {}
+        self.code = code
+        self.message = message
+        self.retry_after = retry_after
+        self.headers = headers or {}
 
     @property
     def status(self) -> int:
         """The HTTP status of the error's code."""
-        return STATUS[self.code]
+        return STATUSES[self.code]
 
 
-def error_response(error: ObjectError, resource: str, request_id: str, body: bool = True) -> web.Response:
-    """An error as an S3 response; the answer to HEAD has no body."""
+def error_response(
+    error: ObjectError, resource: str, request_id: str, with_body: bool = True
+) -> web.Response:
+    """Build the S3 response for an error; the answer to HEAD has no body."""
     headers = dict(error.headers)
-    if error.retry_in is not None:
+    if error.retry_after is not None:
         # whole seconds, as clients of this protocol read them
-        headers["Retry-After"] = str(max(1, math.ceil(error.retry_in.total_seconds())))
+        headers["Retry-After"] = str(max(1, math.ceil(error.retry_after.total_seconds())))
     text = (
         '<?xml version="1.0" encoding="UTF-8"?>\n<Error>'
         f"<Code>{error.code}</Code><Message>{escape(error.message)}</Message>"
@@ -68,5 +108,5 @@
         status=error.status,
         headers=headers,
         content_type="application/xml",
-        body=text.encode("utf-8", "replace") if body else None,
+        body=text.encode("utf-8", "replace") if with_body else None,
     )
--- a/stoatrouter/fronts/objects/extents.py
+++ b/stoatrouter/fronts/objects/extents.py
@@ -2,7 +2,7 @@
 
 A reference names a piece, the shard that took it, and how many bytes of the body lie below it. References of
 a long body are themselves written as pages, with pages of pages above them, until few enough are left for a
-manifest or an ETag. A head keeps none of this.
+manifest or an ETag. A head stores none of this.
 """
 
 from __future__ import annotations
@@ -11,10 +11,11 @@
 import struct
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
-PIECE = 64 * 1024  # what one request of the core may carry
+PIECE = 64 * 1024  # bytes: what one request of the core may carry
 MAGIC = b"SRp1"
-DIGEST = 12
+DIGEST = 12  # bytes
 HEADER = len(MAGIC) + DIGEST
 PAYLOAD = PIECE - HEADER
 REF = struct.Struct(">8sHQB")
@@ -25,6 +26,13 @@
     """A node returned something else than was written."""
 
 
+class PieceAddress(NamedTuple):
+    """Where a piece lies: its name, 16 hexadecimal digits, and its shard."""
+
+    piece: str
+    shard: int
+
+
 @dataclass(slots=True, frozen=True)
 class Ref:
     """A reference to a part of a body; with depth 0 the piece holds the bytes, else references."""
@@ -34,31 +42,45 @@
     size: int
     depth: int = 0
 
+    @property
+    def address(self) -> PieceAddress:
+        """Where the referenced piece lies."""
+        return PieceAddress(self.piece, self.shard)
+
     def pack(self) -> bytes:
-        """The reference as REF.size bytes."""
+        """Serialize the reference to REF.size bytes."""
         return REF.pack(bytes.fromhex(self.piece), self.shard, self.size, self.depth)
 
     @classmethod
     def unpack(cls, data: bytes) -> Ref:
-        """Read what pack wrote; raises struct.error where the length is wrong."""
+        """Parse what `pack` wrote; raises struct.error where the length is wrong."""
         piece, shard, size, depth = REF.unpack(data)
         return cls(piece.hex(), shard, size, depth)
 
 
+class Overlap(NamedTuple):
+    """A reference with the bytes `start` to `stop` of its own part of a body, `stop` excluded."""
+
+    ref: Ref
+    start: int
+    stop: int
+
+
 def frame(piece: str, payload: bytes) -> bytes:
-    """A piece as it is written: its payload behind a keyed digest."""
+    """Frame a payload as it is written to a piece: behind a digest that is keyed by the piece's name."""
     return MAGIC + digest(piece, payload) + payload
 
 
 def unframe(piece: str, data: bytes) -> bytes | None:
-    """The payload of a piece; None where it was never written, as nodes then send an empty body.
+    """Return the payload of a piece; None where it was never written, as nodes then send an empty body.
 
-    Raises BadPiece where the digest does not match.
+    Raises:
+        BadPiece: The digest does not match.
     """
     if not data:
         return None
     payload = data[HEADER:]
-    # Guards against an answer that belongs to another piece, or is not whole.
+    # Guards against an answer that belongs to another piece, or is truncated.
     if data[: len(MAGIC)] != MAGIC or data[len(MAGIC) : HEADER] != digest(piece, payload):
         raise BadPiece(piece)
     return payload
@@ -70,23 +92,25 @@
 
 
 def pack_page(refs: Sequence[Ref]) -> bytes:
-    """The payload of a page: its references, one after the other."""
+    """Serialize references, one after the other, to the payload of a page."""
     return b"".join(ref.pack() for ref in refs)
 
 
 def unpack_page(payload: bytes) -> list[Ref]:
-    """The references of a page; raises BadPiece where the payload is cut off."""
+    """Parse the references of a page; raises BadPiece where the payload is truncated."""
     if len(payload) % REF.size:
         raise BadPiece("a page of references is not whole")
-    return [Ref.unpack(payload[i : i + REF.size]) for i in range(0, len(payload), REF.size)]
+    return [Ref.unpack(payload[start : start + REF.size]) for start in range(0, len(payload), REF.size)]
 
 
-def overlapping(refs: Sequence[Ref], start: int, stop: int) -> list[tuple[Ref, int, int]]:
-    """The references that hold the bytes start to stop, each with its own part of that range."""
-    found, offset = [], 0
+def find_overlaps(refs: Sequence[Ref], start: int, stop: int) -> list[Overlap]:
+    """Find the references that hold the bytes `start` to `stop`, each with its own part of that range."""
+    overlaps: list[Overlap] = []
+    offset = 0
     for ref in refs:
-        low, high = max(start, offset), min(stop, offset + ref.size)
+        low = max(start, offset)
+        high = min(stop, offset + ref.size)
         if low < high:
-            found.append((ref, low - offset, high - offset))
+            overlaps.append(Overlap(ref, low - offset, high - offset))
         offset += ref.size
-    return found
+    return overlaps
--- a/stoatrouter/fronts/objects/headers.py
+++ b/stoatrouter/fronts/objects/headers.py
@@ -5,28 +5,43 @@
 import base64
 import binascii
 from collections.abc import Mapping
+from typing import NamedTuple
 
-from stoatrouter.fronts.objects.errors import ObjectError
+from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 
-MOST_METADATA = 2048  # bytes of names and values
-META = "x-amz-meta-"
+MAX_METADATA_BYTES = 2048  # of names and values together
+MAX_CONTENT_TYPE_LENGTH = 256  # characters; the rest is cut off
+METADATA_PREFIX = "x-amz-meta-"
 
 
-def read_metadata(headers: Mapping[str, str]) -> tuple[str, dict[str, str]]:
-    """The content type and the client's metadata; raises ObjectError where that is too large."""
-    metadata = {k.lower().removeprefix(META): v for k, v in headers.items() if k.lower().startswith(META)}
-    if sum(len(k) + len(v.encode()) for k, v in metadata.items()) > MOST_METADATA:
-        raise ObjectError("InvalidArgument", f"metadata has at most {MOST_METADATA} bytes")
-    return headers.get("Content-Type", "application/octet-stream")[:256], metadata
+class ContentHeaders(NamedTuple):
+    """What a client says of an object's content, returned with each read."""
+
+    content_type: str
+    metadata: dict[str, str]  # by name in lower case, without METADATA_PREFIX
+
+
+def read_content_headers(headers: Mapping[str, str]) -> ContentHeaders:
+    """Read the content type and the client's metadata; raises ObjectError where that is too large."""
+    metadata = {
+        name.lower().removeprefix(METADATA_PREFIX): value
+        for name, value in headers.items()
+        if name.lower().startswith(METADATA_PREFIX)
+    }
+    if sum(len(name) + len(value.encode()) for name, value in metadata.items()) > MAX_METADATA_BYTES:
+        raise ObjectError(ErrorCode.INVALID_ARGUMENT, f"metadata has at most {MAX_METADATA_BYTES} bytes")
+    content_type = headers.get("Content-Type", "application/octet-stream")
+    return ContentHeaders(content_type[:MAX_CONTENT_TYPE_LENGTH], metadata)
 
 
 def check_md5(headers: Mapping[str, str], md5: bytes) -> None:
-    """Check a body against Content-MD5; raises ObjectError."""
-    if (stated := headers.get("Content-MD5")) is None:
+    """Check a body against Content-MD5 (RFC 1864); raises ObjectError where it differs or is malformed."""
+    encoded = headers.get("Content-MD5")
+    if encoded is None:
         return
     try:
-        wanted = base64.b64decode(stated, validate=True)
+        expected = base64.b64decode(encoded, validate=True)
     except (binascii.Error, ValueError):
-        raise ObjectError("InvalidDigest", "Content-MD5 is not base64") from None
-    if wanted != md5:
-        raise ObjectError("BadDigest", "the body does not match Content-MD5")
+        raise ObjectError(ErrorCode.INVALID_DIGEST, "Content-MD5 is not base64") from None
+    if expected != md5:
+        raise ObjectError(ErrorCode.BAD_DIGEST, "the body does not match Content-MD5")
--- a/stoatrouter/fronts/objects/manifest.py
+++ b/stoatrouter/fronts/objects/manifest.py
@@ -1,14 +1,15 @@
-"""The records of objects and uploads, each in one piece whose place follows from its name."""
+"""The records of objects and uploads, each in one piece whose address follows from its name."""
 
 from __future__ import annotations
 
 import base64
 import json
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from stoatrouter.fronts.objects.extents import BadPiece, Ref, pack_page, unpack_page
 
-MOST_REFS = 64  # told in the manifest itself; of longer bodies it tells pages
+MAX_REFS = 64  # in the manifest itself; that of a longer body refers to pages
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +26,7 @@
     metadata: dict[str, str] = field(default_factory=dict)
 
     def dump(self) -> bytes:
-        """The manifest as JSON, as it is written to its piece."""
+        """Serialize the manifest to JSON, as it is written to its piece."""
         refs = base64.b64encode(pack_page(self.refs)).decode()
         return json.dumps(
             {
@@ -43,24 +44,45 @@
 
     @classmethod
     def load(cls, data: bytes) -> Manifest:
-        """Read what dump wrote; raises BadPiece where it is anything else."""
+        """Parse what `dump` wrote; raises BadPiece where it is anything else."""
         try:
-            d = json.loads(data)
-            refs = tuple(unpack_page(base64.b64decode(d["refs"])))
-            found = cls(
-                d["bucket"], d["key"], d["etag"], d["size"], d["modified"], refs, d["type"], d["metadata"]
+            fields = json.loads(data)
+            manifest = cls(
+                bucket=fields["bucket"],
+                key=fields["key"],
+                etag=fields["etag"],
+                size=fields["size"],
+                modified=fields["modified"],
+                refs=tuple(unpack_page(base64.b64decode(fields["refs"]))),
+                content_type=fields["type"],
+                metadata=fields["metadata"],
             )
         except (ValueError, KeyError, TypeError) as error:
             raise BadPiece(f"not a manifest: {error}") from None
         # Guards reads against a manifest whose extents and size differ: an answer's length would be wrong.
-        if sum(r.size for r in refs) != found.size:
+        if sum(ref.size for ref in manifest.refs) != manifest.size:
             raise BadPiece("a manifest's size is not that of its extents")
-        return found
+        return manifest
+
+
+class UploadState(StrEnum):
+    """The states of an upload; from OPEN it goes to one of the others and stays there."""
+
+    OPEN = "open"
+    ABORTED = "aborted"
+    COMPLETE = "complete"
 
 
 @dataclass(slots=True, frozen=True)
 class Upload:
-    """The record of an upload: open, aborted, or complete with the ETag that was returned."""
+    """The record of an upload.
+
+    Attributes:
+        state: An UploadState; a state that this version does not know counts as over.
+        content_type: As the client gave it when it initiated the upload.
+        metadata: Likewise.
+        etag: The ETag that was returned for a complete upload.
+    """
 
     state: str
     content_type: str
@@ -68,7 +90,7 @@
     etag: str = ""
 
     def dump(self) -> bytes:
-        """The state as JSON, as it is written to its piece."""
+        """Serialize the record to JSON, as it is written to its piece."""
         return json.dumps(
             {"state": self.state, "type": self.content_type, "metadata": self.metadata, "etag": self.etag},
             separators=(",", ":"),
@@ -76,9 +98,9 @@
 
     @classmethod
     def load(cls, data: bytes) -> Upload:
-        """Read what dump wrote; raises BadPiece where it is anything else."""
+        """Parse what `dump` wrote; raises BadPiece where it is anything else."""
         try:
-            d = json.loads(data)
-            return cls(d["state"], d["type"], d["metadata"], d["etag"])
+            fields = json.loads(data)
+            return cls(fields["state"], fields["type"], fields["metadata"], fields["etag"])
         except (ValueError, KeyError, TypeError) as error:
             raise BadPiece(f"not an upload: {error}") from None
--- a/stoatrouter/fronts/objects/ranges.py
+++ b/stoatrouter/fronts/objects/ranges.py
@@ -5,33 +5,59 @@
 import re
 from collections.abc import Mapping
 from email.utils import formatdate, parsedate_to_datetime
+from typing import NamedTuple
 
-from stoatrouter.fronts.objects.errors import ObjectError
+from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 
-ONE_RANGE = re.compile(r"bytes=(\d{0,19})-(\d{0,19})")
+SINGLE_RANGE = re.compile(r"bytes=(\d{0,19})-(\d{0,19})")
 
 
-def wanted_range(headers: Mapping[str, str], etag: str, modified: int, size: int) -> tuple[int, int] | None:
-    """The bytes start to stop that a request asks for; None: all of them.
+class ByteRange(NamedTuple):
+    """The bytes `start` to `stop` of a body, `stop` excluded."""
 
-    A malformed range, or more than one, is ignored, as the RFC allows. Raises ObjectError where a range lies
-    beyond the body.
+    start: int
+    stop: int
+
+
+def read_range(headers: Mapping[str, str], etag: str, modified: int, size: int) -> ByteRange | None:
+    """Read the range that a request asks for, for an object as it is now.
+
+    A malformed range, or more than one, is ignored, as the RFC allows (14.2).
+
+    Args:
+        headers: The request's header fields.
+        etag: The object's entity tag, without quotes.
+        modified: When the object was written, in Unix seconds.
+        size: The object's size in bytes.
+
+    Returns:
+        The range, or None for the complete body.
+
+    Raises:
+        ObjectError: The range lies beyond the body.
     """
-    match = ONE_RANGE.fullmatch(headers.get("Range", "").replace(" ", ""))
+    match = SINGLE_RANGE.fullmatch(headers.get("Range", "").replace(" ", ""))
     if match is None or match.groups() == ("", "") or not if_range_holds(headers, etag, modified):
         return None
-    first, last = match.groups()
-    if not first:  # the last so many bytes
-        start, stop = max(0, size - int(last)), size
-    else:
-        start, stop = int(first), min(size, int(last) + 1) if last else size
-        if last and int(last) < int(first):
-            return None  # not a valid range: ignored
-    if start >= size or start >= stop:
+    found = resolve_range(match[1], match[2], size)
+    if found is not None and (found.start >= size or found.start >= found.stop):
         raise ObjectError(
-            "InvalidRange", "the range lies beyond the object", headers={"Content-Range": f"bytes */{size}"}
+            ErrorCode.INVALID_RANGE,
+            "the range lies beyond the object",
+            headers={"Content-Range": f"bytes */{size}"},
         )
-    return start, stop
+    return found
+
+
+def resolve_range(first: str, last: str, size: int) -> ByteRange | None:
+    """Resolve the two positions of a range against a size; returns None where they make no valid range."""
+    if not first:  # a suffix range: the last so many bytes
+        return ByteRange(max(0, size - int(last)), size)
+    if not last:
+        return ByteRange(int(first), size)
+    if int(last) < int(first):
+        return None
+    return ByteRange(int(first), min(size, int(last) + 1))
 
 
 def if_range_holds(headers: Mapping[str, str], etag: str, modified: int) -> bool:
@@ -41,35 +67,46 @@
         return True
     if condition.startswith(('"', "W/")):
         return condition == f'"{etag}"'  # a weak tag never matches here
-    return read_date(condition) == modified
+    return parse_date(condition) == modified
 
 
 def check_preconditions(headers: Mapping[str, str], etag: str, modified: int) -> bool:
-    """Whether a read goes on; False: not modified. Raises ObjectError where a precondition failed."""
-    if (wanted := headers.get("If-Match")) is not None:
-        if not matches(wanted, etag):
-            raise ObjectError("PreconditionFailed", "If-Match does not hold")
-    elif (since := read_date(headers.get("If-Unmodified-Since"))) is not None and modified > since:
-        raise ObjectError("PreconditionFailed", "If-Unmodified-Since does not hold")
-    if (unwanted := headers.get("If-None-Match")) is not None:
-        return not matches(unwanted, etag)
-    since = read_date(headers.get("If-Modified-Since"))
-    return since is None or modified > since
-
-
-def matches(tags: str, etag: str) -> bool:
+    """Evaluate the preconditions of a read in the order of RFC 9110, 13.2.2.
+
+    Returns:
+        Whether the read goes on; False: the client's copy is current (304).
+
+    Raises:
+        ObjectError: A precondition failed (412).
+    """
+    required_tags = headers.get("If-Match")
+    if required_tags is not None:
+        if not matches_etag(required_tags, etag):
+            raise ObjectError(ErrorCode.PRECONDITION_FAILED, "If-Match does not hold")
+    else:
+        unmodified_since = parse_date(headers.get("If-Unmodified-Since"))
+        if unmodified_since is not None and modified > unmodified_since:
+            raise ObjectError(ErrorCode.PRECONDITION_FAILED, "If-Unmodified-Since does not hold")
+    known_tags = headers.get("If-None-Match")
+    if known_tags is not None:
+        return not matches_etag(known_tags, etag)
+    modified_since = parse_date(headers.get("If-Modified-Since"))
+    return modified_since is None or modified > modified_since
+
+
+def matches_etag(tags: str, etag: str) -> bool:
     """Whether an entity tag is in a list of tags, compared weakly (RFC 9110, 8.8.3.2); `*` matches any."""
     return any(tag.strip().removeprefix("W/") in ("*", f'"{etag}"', etag) for tag in tags.split(","))
 
 
-def read_date(text: str | None) -> int | None:
-    """An HTTP date in Unix seconds; None where it is absent or malformed."""
+def parse_date(text: str | None) -> int | None:
+    """Parse an HTTP date to Unix seconds; returns None where it is absent or malformed."""
     try:
         return int(parsedate_to_datetime(text).timestamp()) if text else None
     except (ValueError, TypeError, OverflowError):
         return None
 
 
-def http_date(seconds: int) -> str:
-    """A time in Unix seconds as an HTTP date."""
+def format_date(seconds: int) -> str:
+    """Format a time in Unix seconds as an HTTP date."""
     return formatdate(seconds, usegmt=True)
--- /dev/null
+++ b/stoatrouter/fronts/objects/record_store.py
@@ -0,0 +1,70 @@
+"""Reads and writes the records of objects and uploads, at the addresses that follow from their names."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TypeVar
+
+from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
+from stoatrouter.fronts.objects.extents import BadPiece, PieceAddress
+from stoatrouter.fronts.objects.manifest import Manifest, Upload
+from stoatrouter.fronts.objects.store import Store
+from stoatrouter.fronts.objects.tokens import Tokens
+
+Record = TypeVar("Record", Manifest, Upload)
+
+
+class RecordStore:
+    """The records of all buckets; any head finds them, as addresses depend on nothing but names."""
+
+    def __init__(self, tokens: Tokens, shards: int) -> None:
+        """Derive addresses by the operator's secret.
+
+        Args:
+            tokens: Checks upload ids and derives addresses.
+            shards: The number of shards that records are spread over.
+        """
+        self.tokens = tokens
+        self.shards = shards
+
+    async def read_manifest(self, store: Store, key: str) -> Manifest:
+        """Read an object's manifest; raises ObjectError, NoSuchKey where there is none."""
+        payload = await store.read_piece(self._object_address(store, key))
+        if payload is None:
+            raise ObjectError(ErrorCode.NO_SUCH_KEY, "there is no such object")
+        manifest = load_record(Manifest.load, payload)
+        # Guards against two names with one address: one is never answered with the other.
+        if (manifest.bucket, manifest.key) != (store.bucket.name, key):
+            raise ObjectError(ErrorCode.NO_SUCH_KEY, "there is no such object")
+        return manifest
+
+    async def write_manifest(self, store: Store, manifest: Manifest) -> None:
+        """Make the last write of an object: before it, readers see what was there; after it, the new one."""
+        await store.write_piece(manifest.dump(), self._object_address(store, manifest.key))
+
+    async def read_upload(self, store: Store, key: str, upload_id: str) -> Upload:
+        """Read an upload's record; raises ObjectError, NoSuchUpload where the id is not of this object."""
+        if not self.tokens.is_upload(store.bucket.name, key, upload_id):
+            raise ObjectError(ErrorCode.NO_SUCH_UPLOAD, "there is no such upload")
+        payload = await store.read_piece(self._upload_address(upload_id))
+        if payload is None:
+            raise ObjectError(ErrorCode.NO_SUCH_UPLOAD, "there is no such upload")
+        return load_record(Upload.load, payload)
+
+    async def write_upload(self, store: Store, upload_id: str, upload: Upload) -> None:
+        """Write an upload's record; raises ObjectError."""
+        await store.write_piece(upload.dump(), self._upload_address(upload_id))
+
+    def _object_address(self, store: Store, key: str) -> PieceAddress:
+        return self.tokens.derive_address("object", self.shards, store.bucket.name, key)
+
+    def _upload_address(self, upload_id: str) -> PieceAddress:
+        return self.tokens.derive_address("upload-state", self.shards, upload_id)
+
+
+def load_record(load: Callable[[bytes], Record], payload: bytes) -> Record:
+    """Parse a record; raises ObjectError (InternalError) where it is malformed."""
+    try:
+        return load(payload)
+    except BadPiece as error:
+        raise ObjectError(ErrorCode.INTERNAL_ERROR, str(error)) from None
--- a/stoatrouter/fronts/objects/rules.py
+++ b/stoatrouter/fronts/objects/rules.py
@@ -1,7 +1,7 @@
-"""What rules say of a call to the object front: its class, its plan, and the shard of new pieces.
+"""What rules yield for a call to the object front: its class, its plan, and the shard of new pieces.
 
-The place of an object's manifest never depends on rules, so an object is found under any table. The key that
-a rule yields says where new pieces go, which their references record.
+The address of an object's manifest never depends on rules, so an object is found under any table. The key
+that a rule yields says where new pieces go, which their references record.
 """
 
 from __future__ import annotations
@@ -12,65 +12,97 @@
 
 from aiohttp import web
 
-from stoatrouter.fronts.objects.errors import ObjectError
-from stoatrouter.fronts.objects.settings import Bucket, ObjectSettings
-from stoatrouter.fronts.objects.store import Pieces
-from stoatrouter.matching.decisions import Decision
-from stoatrouter.matching.inputs import Unreadable, read_input
+from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
+from stoatrouter.fronts.objects.routing import Operation
+from stoatrouter.fronts.objects.settings import PLAN_BY_RULES, Bucket, ObjectSettings
+from stoatrouter.fronts.objects.store import CallTerms, PieceTerms
+from stoatrouter.matching.decisions import Decision, Refusal
+from stoatrouter.matching.inputs import Input, Unreadable, read_input
 from stoatrouter.matching.matcher import Matcher
 from stoatrouter.policy import interface as api
 
 Clock = Callable[[], timedelta]
+RETRY_LATER_STATUSES = (429, 503)
+FORBIDDEN_STATUSES = (401, 403)
 
 
-class Chooser:
+class CallRules:
     """Applies the table in force to each call."""
 
-    def __init__(self, matcher: Matcher, settings: api.Settings, clock: Clock, advice: timedelta) -> None:
-        self.matcher, self.settings, self.clock, self.advice = matcher, settings, clock, advice
-
-    def __call__(
-        self, request: web.BaseRequest, conf: ObjectSettings, bucket: Bucket, key: str, operation: str
-    ) -> tuple[ObjectSettings, Bucket, Pieces]:
-        """The settings, bucket and piece placement of one call; raises ObjectError."""
-        try:
-            size = request.content_length
-            given = read_input(
-                request.method,
-                request.raw_path,
-                request.raw_headers,
-                request.remote or "0.0.0.0",
-                -1 if size is None else size,
-            )
-        except Unreadable as error:
-            raise ObjectError("InvalidRequest", str(error)) from None
-        given.bucket, given.key, given.operation = bucket.name, key, operation
-        decided = self.matcher.decide(given, self.clock())
-        if isinstance(decided, Decision):
-            return self.chosen(decided, conf, bucket)
-        if decided.rule is not None:
-            raise refusal(decided.status, decided.reason, self.advice)
-        if bucket.plan < 0:
-            raise ObjectError("AccessDenied", "no rule gives this call a plan")
-        return conf, bucket, Pieces()
-
-    def chosen(
-        self, decided: Decision, conf: ObjectSettings, bucket: Bucket
-    ) -> tuple[ObjectSettings, Bucket, Pieces]:
+    def __init__(
+        self, matcher: Matcher, settings: api.Settings, clock: Clock, retry_after: timedelta
+    ) -> None:
+        """Apply the rules of a matcher.
+
+        Args:
+            matcher: Decides by the table in force.
+            settings: The platform's settings, whose classes and plans decisions refer to by number.
+            clock: The time since the Unix epoch.
+            retry_after: What a client that is refused for now is told to wait.
+        """
+        self.matcher = matcher
+        self.settings = settings
+        self.clock = clock
+        self.retry_after = retry_after
+
+    def apply(
+        self,
+        request: web.BaseRequest,
+        conf: ObjectSettings,
+        bucket: Bucket,
+        key: str,
+        operation: Operation,
+    ) -> CallTerms:
+        """Decide on a call; raises ObjectError where it is malformed or refused, or gets no plan."""
+        rule_input = read_call(request)
+        rule_input.bucket = bucket.name
+        rule_input.key = key
+        rule_input.operation = operation.value
+        decision = self.matcher.decide(rule_input, self.clock())
+        if isinstance(decision, Decision):
+            return self._apply_decision(decision, conf, bucket)
+        if decision.rule is not None:
+            raise refusal_error(decision, self.retry_after)
+        check_plan(bucket)
+        return CallTerms(conf, bucket)
+
+    def _apply_decision(self, decision: Decision, conf: ObjectSettings, bucket: Bucket) -> CallTerms:
         """Apply a decision to the settings and the bucket; raises ObjectError where no plan is given."""
-        if self.settings.classes[decided.request_class].writes:
-            conf = replace(conf, write_class=decided.request_class)
+        if self.settings.classes[decision.request_class].writes:
+            conf = replace(conf, write_class=decision.request_class)
         else:
-            conf = replace(conf, read_class=decided.request_class)
-        if decided.plan >= 0:
-            bucket = replace(bucket, plan=decided.plan)
-        if bucket.plan < 0:
-            raise ObjectError("AccessDenied", "no rule gives this call a plan")
-        return conf, bucket, Pieces(decided.shard, decided.deadline)
-
-
-def refusal(status: int, reason: str, advice: timedelta) -> ObjectError:
-    """A rule's refusal as an error of the S3 protocol."""
-    if status in (429, 503):
-        return ObjectError("SlowDown", reason, advice)
-    return ObjectError("AccessDenied" if status in (401, 403) else "InvalidRequest", reason)
+            conf = replace(conf, read_class=decision.request_class)
+        if decision.plan >= 0:
+            bucket = replace(bucket, plan=decision.plan)
+        check_plan(bucket)
+        return CallTerms(conf, bucket, PieceTerms(decision.shard, decision.deadline))
+
+
+def read_call(request: web.BaseRequest) -> Input:
+    """Parse a call into the input of rules; raises ObjectError."""
+    size = request.content_length
+    try:
+        return read_input(
+            request.method,
+            request.raw_path,
+            request.raw_headers,
+            request.remote or "0.0.0.0",
+            -1 if size is None else size,
+        )
+    except Unreadable as error:
+        raise ObjectError(ErrorCode.INVALID_REQUEST, str(error)) from None
+
+
+def check_plan(bucket: Bucket) -> None:
+    """Check that a bucket has a plan, by the file or by a decision; raises ObjectError."""
+    if bucket.plan == PLAN_BY_RULES:
+        raise ObjectError(ErrorCode.ACCESS_DENIED, "no rule gives this call a plan")
+
+
+def refusal_error(refusal: Refusal, retry_after: timedelta) -> ObjectError:
+    """Translate a rule's refusal to an error of the S3 protocol."""
+    if refusal.status in RETRY_LATER_STATUSES:
+        return ObjectError(ErrorCode.SLOW_DOWN, refusal.reason, retry_after)
+    if refusal.status in FORBIDDEN_STATUSES:
+        return ObjectError(ErrorCode.ACCESS_DENIED, refusal.reason)
+    return ObjectError(ErrorCode.INVALID_REQUEST, refusal.reason)
--- a/stoatrouter/fronts/objects/settings.py
+++ b/stoatrouter/fronts/objects/settings.py
@@ -3,20 +3,21 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
 from stoatrouter.config import ConfigError
 from stoatrouter.policy import interface as api
 from stoatrouter.settings import SettingsError
-from stoatrouter.settings import load as read_file
+from stoatrouter.settings import load as load_file
 
-BUCKET = re.compile(r"[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]")
-VOLUME = re.compile(r"[0-9a-f]{16}")
-LEAST_SECRET = 32
+BUCKET_NAME = re.compile(r"[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]")
+VOLUME_NAME = re.compile(r"[0-9a-f]{16}")
+MIN_SECRET_BYTES = 32
+PLAN_BY_RULES = -1  # in place of a plan's number: the rules yield the plan
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,13 +26,13 @@
 
     name: str
     volume: str
-    plan: int  # -1: the rules say it
-    hosts: int
+    plan: int  # the plan's number, or PLAN_BY_RULES
+    hosts: int  # through how many heads requests of the volume come
 
 
 @dataclass(slots=True, frozen=True)
 class ObjectSettings:
-    """The settings of the object front."""
+    """The settings of the object front, checked against the platform's."""
 
     listen: str
     secret: bytes
@@ -54,76 +55,97 @@
 
 
 class ObjectsFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The contents of the file."""
+    """The contents of the file; its keys are documented in docs/settings.md."""
 
     listen: str
     secret_file: str
     read_class: str
     write_class: str
-    window: int
-    max_operations: int
     buckets: dict[str, BucketFile]
+    window: int = 4
+    max_operations: int = 64
     rules: str | None = None
 
 
-def load(path: Path, settings: api.Settings, shards: int) -> ObjectSettings:
-    """Read the operator's file; raises ConfigError."""
+def load_objects(path: Path, settings: api.Settings, shards: int) -> ObjectSettings:
+    """Read the operator's file and the secret that it names, beside it.
+
+    Raises:
+        ConfigError: A file cannot be read, or the settings have faults.
+    """
     try:
-        loaded = read_file(path, ObjectsFile, "objects.#Objects")
-        data = msgspec.to_builtins(loaded.record)
-        secret = (path.parent / data["secret_file"]).read_bytes().strip()
-        return parse({**data, "folder": path.parent}, secret, settings, shards)
+        record = load_file(path, ObjectsFile, "objects.#Objects").record
+        secret = (path.parent / record.secret_file).read_bytes().strip()
+        return check_settings(record, path.parent, secret, settings, shards)
     except SettingsError as error:
         raise ConfigError(f"bad object settings:\n{error}") from None
-    except (OSError, KeyError, ValueError, TypeError, AttributeError) as error:
+    except (OSError, ValueError) as error:
         raise ConfigError(f"bad object settings in {path}: {type(error).__name__}: {error}") from None
 
 
-def parse(data: dict[str, Any], secret: bytes, settings: api.Settings, shards: int) -> ObjectSettings:
-    """Check the file's fields against the platform's settings; raises ValueError or KeyError."""
+def check_settings(
+    record: ObjectsFile, folder: Path, secret: bytes, settings: api.Settings, shards: int
+) -> ObjectSettings:
+    """Check the file's fields against the platform's settings.
+
+    Args:
+        record: The contents of the file.
+        folder: Where the file lies; its paths are relative to it.
+        secret: The contents of the secret's file.
+        settings: The platform's settings.
+        shards: The number of shards that they name.
+
+    Raises:
+        ValueError: A field does not fit the platform's settings or is out of its range.
+    """
     # Guards the ETags' authentication: a short secret can be guessed, and placement forged.
-    if len(secret) < LEAST_SECRET:
-        raise ValueError(f"the secret needs at least {LEAST_SECRET} bytes")
+    if len(secret) < MIN_SECRET_BYTES:
+        raise ValueError(f"the secret needs at least {MIN_SECRET_BYTES} bytes")
     if shards < 1:
         raise ValueError("the settings name no shards to place manifests on")
-    plans = {p.name: i for i, p in enumerate(settings.plans)}
-    classes = {c.name: i for i, c in enumerate(settings.classes)}
-    read_class, write_class = (known(classes, data[name], "class") for name in ("read_class", "write_class"))
-    if settings.classes[read_class].writes or not settings.classes[write_class].writes:
-        raise ValueError("read_class must be a class that reads, write_class one that writes")
-    buckets = {}
-    for name, bucket in data["buckets"].items():
-        if not BUCKET.fullmatch(name) or not VOLUME.fullmatch(bucket["volume"]) or bucket["hosts"] < 1:
-            raise ValueError(f"bucket {name!r}: bad name, volume or hosts")
-        plan = bucket.get("plan")
-        if plan is None and not data.get("rules"):
-            raise ValueError(f"bucket {name!r} has no plan, and there are no rules that would give it one")
-        number = -1 if plan is None else known(plans, plan, "plan")
-        buckets[name] = Bucket(name, bucket["volume"], number, int(bucket["hosts"]))
-    window, operations = int(data.get("window", 4)), int(data.get("max_operations", 64))
-    if window < 1 or operations < 1:
+    read_class, write_class = find_classes(record, settings)
+    plans = {plan.name: number for number, plan in enumerate(settings.plans)}
+    buckets = {name: check_bucket(name, record, plans) for name in record.buckets}
+    if record.window < 1 or record.max_operations < 1:
         raise ValueError("window and max_operations must be at least 1")
     return ObjectSettings(
-        str(data["listen"]),
-        secret,
-        read_class,
-        write_class,
-        shards,
-        settings.max_units,
-        buckets,
-        window,
-        operations,
-        rules_file(data),
+        listen=record.listen,
+        secret=secret,
+        read_class=read_class,
+        write_class=write_class,
+        shards=shards,
+        max_units=settings.max_units,
+        buckets=buckets,
+        window=record.window,
+        max_operations=record.max_operations,
+        rules=folder / record.rules if record.rules else None,
     )
 
 
-def rules_file(data: dict[str, Any]) -> Path | None:
-    """The path of the rule file, relative to the settings' folder; None where none is named."""
-    return Path(data["folder"]) / data["rules"] if data.get("rules") else None
+def find_classes(record: ObjectsFile, settings: api.Settings) -> tuple[int, int]:
+    """Find the numbers of the classes for reads and for writes; raises ValueError where they do not fit."""
+    numbers = {request_class.name: number for number, request_class in enumerate(settings.classes)}
+    read_class = find_number(numbers, record.read_class, "class")
+    write_class = find_number(numbers, record.write_class, "class")
+    if settings.classes[read_class].writes or not settings.classes[write_class].writes:
+        raise ValueError("read_class must be a class that reads, write_class one that writes")
+    return read_class, write_class
+
+
+def check_bucket(name: str, record: ObjectsFile, plans: Mapping[str, int]) -> Bucket:
+    """Check one bucket of the file; raises ValueError."""
+    bucket = record.buckets[name]
+    if not BUCKET_NAME.fullmatch(name) or not VOLUME_NAME.fullmatch(bucket.volume) or bucket.hosts < 1:
+        raise ValueError(f"bucket {name!r}: bad name, volume or hosts")
+    if bucket.plan is None:
+        if not record.rules:
+            raise ValueError(f"bucket {name!r} has no plan, and there are no rules that would give it one")
+        return Bucket(name, bucket.volume, PLAN_BY_RULES, bucket.hosts)
+    return Bucket(name, bucket.volume, find_number(plans, bucket.plan, "plan"), bucket.hosts)
 
 
-def known(numbers: dict[str, int], name: str, what: str) -> int:
-    """The number of a class or plan; raises ValueError where there is none of that name."""
+def find_number(numbers: Mapping[str, int], name: str, kind: str) -> int:
+    """Find the number of a class or plan; raises ValueError where there is none of that name."""
     if name not in numbers:
-        raise ValueError(f"there is no {what} {name!r}; there is: {', '.join(numbers)}")
+        raise ValueError(f"there is no {kind} {name!r}; there is: {', '.join(numbers)}")
     return numbers[name]
--- a/stoatrouter/fronts/objects/tokens.py
+++ b/stoatrouter/fronts/objects/tokens.py
@@ -14,10 +14,10 @@
 import struct
 from dataclasses import dataclass
 
-from stoatrouter.fronts.objects.extents import REF, Ref
+from stoatrouter.fronts.objects.extents import REF, PieceAddress, Ref
 
-MAC = 16
-NONCE = 16
+MAC = 16  # bytes, of HMAC-SHA256 (RFC 2104)
+NONCE = 16  # bytes
 PART = struct.Struct(">H16sB")  # number, MD5, whether a reference follows (an empty part has none)
 
 
@@ -34,58 +34,63 @@
     """Issues and checks tokens."""
 
     def __init__(self, secret: bytes) -> None:
+        """Authenticate tokens with a secret.
+
+        Args:
+            secret: The operator's secret, the same at every head.
+        """
         self.secret = secret
 
-    def mac(self, purpose: str, *fields: bytes) -> bytes:
-        """A MAC over fields; each is preceded by its length, so that fields cannot run into one another."""
+    def compute_mac(self, purpose: str, *fields: bytes) -> bytes:
+        """Compute a MAC over fields, each preceded by its length so that they cannot run into one another."""
         state = hmac.new(self.secret, digestmod=hashlib.sha256)
         for field in (purpose.encode(), *fields):
             state.update(struct.pack(">I", len(field)) + field)
         return state.digest()[:MAC]
 
     def new_upload(self, bucket: str, key: str) -> str:
-        """A fresh upload id, bound to the bucket and key."""
+        """Issue a fresh upload id, bound to the bucket and key."""
         nonce = secrets.token_bytes(NONCE)
-        return encode(nonce + self.mac("upload", bucket.encode(), key.encode(), nonce))
+        return encode(nonce + self.compute_mac("upload", bucket.encode(), key.encode(), nonce))
 
     def is_upload(self, bucket: str, key: str, upload: str) -> bool:
         """Whether an upload id was issued by a head of this operator for this object."""
         data = decode(upload)
         if len(data) != NONCE + MAC:
             return False
-        return hmac.compare_digest(
-            data[NONCE:], self.mac("upload", bucket.encode(), key.encode(), data[:NONCE])
-        )
+        expected = self.compute_mac("upload", bucket.encode(), key.encode(), data[:NONCE])
+        return hmac.compare_digest(data[NONCE:], expected)
 
     def part_etag(self, upload: str, part: Part) -> str:
-        """The ETag of a part, which carries its MD5 and reference under a MAC."""
+        """Issue the ETag of a part, which carries its MD5 and reference under a MAC."""
         data = PART.pack(part.number, part.md5, part.ref is not None)
-        data += part.ref.pack() if part.ref is not None else b""
-        return encode(data + self.mac("part", upload.encode(), data))
+        if part.ref is not None:
+            data += part.ref.pack()
+        return encode(data + self.compute_mac("part", upload.encode(), data))
 
     def read_part(self, upload: str, etag: str) -> Part | None:
-        """The part that an ETag describes; None where it was not issued for this upload."""
+        """Return the part that an ETag describes; None where it was not issued for this upload."""
         data = decode(etag)
-        body, mac = data[:-MAC], data[-MAC:]
-        if not hmac.compare_digest(mac, self.mac("part", upload.encode(), body)):
+        content, mac = data[:-MAC], data[-MAC:]
+        if not hmac.compare_digest(mac, self.compute_mac("part", upload.encode(), content)):
             return None
-        number, md5, more = PART.unpack(body[: PART.size])
-        ref = Ref.unpack(body[PART.size : PART.size + REF.size]) if more else None
+        number, md5, has_ref = PART.unpack(content[: PART.size])
+        ref = Ref.unpack(content[PART.size : PART.size + REF.size]) if has_ref else None
         return Part(number, md5, ref)
 
-    def place(self, purpose: str, shards: int, *fields: str) -> tuple[str, int]:
-        """The piece and shard that follow from a name alone."""
-        data = self.mac(purpose, *(f.encode() for f in fields))
-        return data[:8].hex(), int.from_bytes(data[8:16], "big") % shards
+    def derive_address(self, purpose: str, shards: int, *fields: str) -> PieceAddress:
+        """Derive where a piece lies from names alone, the same at every head."""
+        mac = self.compute_mac(purpose, *(field.encode() for field in fields))
+        return PieceAddress(mac[:8].hex(), int.from_bytes(mac[8:16], "big") % shards)
 
 
 def encode(data: bytes) -> str:
-    """Bytes as a token: URL-safe base64 without padding."""
+    """Encode bytes as a token: URL-safe base64 without padding (RFC 4648, 5)."""
     return base64.urlsafe_b64encode(data).rstrip(b"=").decode()
 
 
 def decode(text: str) -> bytes:
-    """The bytes of a token; empty where the text is malformed."""
+    """Decode a token; returns no bytes where the text is malformed."""
     try:
         return base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
     except (binascii.Error, ValueError):
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -133,18 +133,18 @@
         """Set up the object front, with its rule table where one is named; raises ConfigError."""
         from stoatrouter.fronts.objects.front import ObjectFront
 
-        choose = None
+        apply_rules = None
         if objects.rules is not None:
-            from stoatrouter.fronts.objects.rules import Chooser
+            from stoatrouter.fronts.objects.rules import CallRules
             from stoatrouter.fronts.wiring import object_tables
 
             service = object_tables(self.conf, objects)
             self.tables.append(service)
-            choose = Chooser(
+            apply_rules = CallRules(
                 service.matcher, self.conf.settings, self.engine.clock.now, self.engine.reducer.advice
-            )
+            ).apply
         self.object_front = ObjectFront(
-            self.engine.serve_whole, self.conf.settings, objects, self.drain, choose
+            self.engine.serve_whole, self.conf.settings, objects, self.drain, apply_rules
         )
         self.objects = Listener(self.object_front.handle, self.drain)
 
--- a/stoatrouter/lab/demo.py
+++ b/stoatrouter/lab/demo.py
@@ -19,7 +19,7 @@
 from stoatrouter import config
 from stoatrouter.core import model
 from stoatrouter.fronts.http.settings import load_http
-from stoatrouter.fronts.objects.settings import load as load_objects
+from stoatrouter.fronts.objects.settings import load_objects
 from stoatrouter.head import Head
 from stoatrouter.lab.standins import HOST, StandInDiscovery, StandInNode, StandInServers
 
--- a/tests/object_client.py
+++ b/tests/object_client.py
@@ -6,17 +6,21 @@
 import contextlib
 import re
 from collections import Counter
+from pathlib import Path
 
 import aiohttp
+import msgspec
 
+from stoatrouter.config import Config
 from stoatrouter.fronts.objects.extents import PAYLOAD
-from stoatrouter.fronts.objects.settings import parse
+from stoatrouter.fronts.objects.settings import ObjectSettings, ObjectsFile, check_settings
 from stoatrouter.head import Head
 from tests.peers import HOST, Node, head_config, nodes_up
 
 SECRET = b"a secret of at least thirty-two bytes"
 OPERATOR = {
     "listen": f"{HOST}:0",
+    "secret_file": "objects.secret",
     "read_class": "stats-export",
     "write_class": "event-write",
     "window": 3,
@@ -68,12 +72,20 @@
         )
 
 
+def object_settings(conf: Config, operator: dict | None = None) -> ObjectSettings:
+    """The front's settings as from a file with these fields; `folder` is where the file would lie."""
+    fields = {**OPERATOR, **(operator or {})}
+    folder = fields.pop("folder", Path())
+    record = msgspec.convert(fields, ObjectsFile)
+    return check_settings(record, folder, SECRET, conf.settings, conf.shards)
+
+
 @contextlib.asynccontextmanager
 async def gateway(*nodes: Node, operator: dict | None = None):
     """A head with the object front before these nodes, and a client of it."""
     async with nodes_up(*nodes):
         conf = head_config(*nodes)
-        head = Head(conf, parse({**OPERATOR, **(operator or {})}, SECRET, conf.settings, conf.shards))
+        head = Head(conf, object_settings(conf, operator))
         await head.start()
         async with aiohttp.ClientSession() as session:
             try:
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -11,13 +11,21 @@
 import pytest
 
 from stoatrouter.core import model
-from stoatrouter.fronts.objects import front, ranges
+from stoatrouter.fronts.objects import ranges, transfer
 from stoatrouter.fronts.objects.errors import ObjectError
-from stoatrouter.fronts.objects.extents import HEADER, PAYLOAD, BadPiece, Ref, frame, overlapping, unframe
-from stoatrouter.fronts.objects.settings import parse
+from stoatrouter.fronts.objects.extents import HEADER, PAYLOAD, BadPiece, Ref, find_overlaps, frame, unframe
 from stoatrouter.fronts.objects.tokens import Part, Tokens
 from stoatrouter.head import Head
-from tests.object_client import BODY, OPERATOR, SECRET, Client, error_code, gateway, settled, two
+from tests.object_client import (
+    BODY,
+    SECRET,
+    Client,
+    error_code,
+    gateway,
+    object_settings,
+    settled,
+    two,
+)
 from tests.peers import HOST, Node, head_config, piece, run
 
 
@@ -92,8 +100,8 @@
     ],
 )
 def test_if_range_joins_only_what_belongs_together(headers, whole):
-    filled = {k: v.format(etag="e1", date=ranges.http_date(1_700_000_000)) for k, v in headers.items()}
-    found = ranges.wanted_range({"Range": "bytes=2-4", **filled}, "e1", 1_700_000_000, 10)
+    filled = {k: v.format(etag="e1", date=ranges.format_date(1_700_000_000)) for k, v in headers.items()}
+    found = ranges.read_range({"Range": "bytes=2-4", **filled}, "e1", 1_700_000_000, 10)
     assert found == (None if whole else (2, 5))
 
 
@@ -105,8 +113,8 @@
         ({"If-None-Match": '"x", W/"e1"'}, False),
         ({"If-Match": '"x"'}, ObjectError),
         ({"If-Match": "*"}, True),
-        ({"If-Modified-Since": ranges.http_date(1_700_000_000)}, False),
-        ({"If-Unmodified-Since": ranges.http_date(1_600_000_000)}, ObjectError),
+        ({"If-Modified-Since": ranges.format_date(1_700_000_000)}, False),
+        ({"If-Unmodified-Since": ranges.format_date(1_600_000_000)}, ObjectError),
     ],
 )
 def test_preconditions(headers, outcome):
@@ -192,7 +200,7 @@
 
 
 def test_a_body_that_stalls_ends_its_operation(monkeypatch):
-    monkeypatch.setattr(front, "STALL", timedelta(milliseconds=50))
+    monkeypatch.setattr(transfer, "STALL", timedelta(milliseconds=50))
 
     async def story():
         async with gateway(*two()) as client:
@@ -231,7 +239,7 @@
 def test_what_the_core_refuses_is_told_at_once_and_not_asked_again():
     async def story():
         conf = head_config()
-        head = Head(conf, parse(OPERATOR, SECRET, conf.settings, conf.shards))
+        head = Head(conf, object_settings(conf))
         asked = []
 
         async def refuse(request):
@@ -312,8 +320,8 @@
 
 def test_references_are_found_by_range():
     refs = [Ref(f"{i:016x}", 0, 10) for i in range(3)]
-    assert overlapping(refs, 5, 21) == [(refs[0], 5, 10), (refs[1], 0, 10), (refs[2], 0, 1)]
-    assert overlapping(refs, 7, 7) == []
+    assert find_overlaps(refs, 5, 21) == [(refs[0], 5, 10), (refs[1], 0, 10), (refs[2], 0, 1)]
+    assert find_overlaps(refs, 7, 7) == []
 
 
 def test_etags_of_parts_are_authenticated():
