--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -14,7 +14,7 @@
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.core.spans import span
 from stoatrouter.fronts.platform import PlatformFront
-from stoatrouter.management.calls import MOST_CALLERS, Management
+from stoatrouter.management.calls import MAX_CALLERS, Management
 from stoatrouter.net.bodies import SMALL, BodyCapacity
 from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.clock import Clock
@@ -133,7 +133,7 @@
         self.drain = Drain(self.clients)
         self.body_capacity = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE_MEMORY), conf.folder)
         front = PlatformFront(self.engine, conf.settings, self.drain, self.body_capacity)
-        self.platform = Listener(front.handle, self.drain, front.refuse)
+        self.platform = Listener(front.handle, self.drain, front.reject_unparsed)
         self._build_optional_parts(objects, http, heads)
         self.handover = Handover(
             self.engine, self.watch, self.clients, self.drain, conf.folder, self.stop_accepting, self.accept
@@ -183,7 +183,7 @@
 
     def _build_management(self) -> None:
         # a table of its own: however many clients come, operators are heard
-        self.management_clients = ClientTable(MOST_CALLERS, MOST_CALLERS, MOST_CALLERS)
+        self.management_clients = ClientTable(MAX_CALLERS, MAX_CALLERS, MAX_CALLERS)
         peering_call = self.heads.call if self.heads is not None else None
         calls = Management(self.engine, self.drain, self.ready, peering_call)
         self.management = Listener(calls.handle, Drain(self.management_clients))
--- a/stoatrouter/optional_fronts.py
+++ b/stoatrouter/optional_fronts.py
@@ -15,8 +15,7 @@
     from stoatrouter.config import Config
     from stoatrouter.fronts.http.front import HttpFront
     from stoatrouter.fronts.http.settings import HttpSettings
-    from stoatrouter.fronts.objects.front import ObjectFront
-    from stoatrouter.fronts.objects.rules import Chooser
+    from stoatrouter.fronts.objects.front import ApplyRules, ObjectFront
     from stoatrouter.fronts.objects.settings import ObjectSettings
     from stoatrouter.net.bodies import BodyCapacity
     from stoatrouter.net.engine import Engine
@@ -60,14 +59,15 @@
     from stoatrouter.fronts.objects.front import ObjectFront
 
     tables: TableService | None = None
-    chooser: Chooser | None = None
+    apply_rules: ApplyRules | None = None
     if objects.rules is not None:
-        from stoatrouter.fronts.objects.rules import Chooser
+        from stoatrouter.fronts.objects.rules import CallRules
         from stoatrouter.fronts.wiring import object_tables
 
         tables = object_tables(conf, objects)
-        chooser = Chooser(tables.matcher, conf.settings, engine.clock.now, engine.reducer.advice)
-    front = ObjectFront(engine.serve_complete, conf.settings, objects, drain, chooser)
+        rules = CallRules(tables.matcher, conf.settings, engine.clock.now, engine.reducer.advice)
+        apply_rules = rules.apply
+    front = ObjectFront(engine.serve_complete, conf.settings, objects, drain, apply_rules)
     return ObjectFrontParts(front, Listener(front.handle, drain), tables)
 
 
@@ -87,9 +87,9 @@
         ConfigError: the rule tables cannot be loaded.
     """
     from stoatrouter.fronts.http.front import HttpFront
-    from stoatrouter.fronts.wiring import http_tables, recorder
+    from stoatrouter.fronts.wiring import create_recorder, http_tables
 
     tables = http_tables(conf, http)
-    recording = recorder(http)
-    front = HttpFront(engine, conf.settings, drain, body_capacity, tables.matcher, recording, http.forwarded)
-    return HttpFrontParts(front, Listener(front.handle, drain), tables, recording)
+    recorder = create_recorder(http)
+    front = HttpFront(engine, conf.settings, drain, body_capacity, tables.matcher, recorder, http.forwarded)
+    return HttpFrontParts(front, Listener(front.handle, drain), tables, recorder)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -18,6 +18,8 @@
     "cli",
     "lab",
     "head",
+    "optional_fronts",
+    "reload",
     "peering",
     "management",
     "fronts",
