--- a/benchmarks/fuzz_expressions.py
+++ b/benchmarks/fuzz_expressions.py
@@ -30,13 +30,13 @@
         from stoatrouter import expressions as ex
         from stoatrouter.matching.inputs import HTTP, read_input
         from stoatrouter.matching.records import Rules
-        from stoatrouter.settings import SettingsError, data_of, load_text
+        from stoatrouter.settings import SettingsError, load_data, load_text
     given = read_input("GET", "/scores/a?x=1", ((b"Host", b"h"), (b"X-Team", b"feed")), "10.0.0.1", 5)
     counts = {"accepted": 0, "refused": 0}
 
     def settings(data: bytes) -> None:
         text = data.decode("utf-8", "replace")
-        for read in (data_of, lambda given: load_text(given, "fuzz", Rules, "rules.#Rules")):
+        for read in (load_data, lambda given: load_text(given, "fuzz", Rules, "rules.#Rules")):
             try:
                 read(text)
             except SettingsError as error:
--- a/stoatrouter/settings/__init__.py
+++ b/stoatrouter/settings/__init__.py
@@ -4,7 +4,7 @@
 """
 
 from stoatrouter.settings.errors import Fault, SettingsError
-from stoatrouter.settings.load import Loaded, data_of, load, load_text
+from stoatrouter.settings.load import Loaded, load, load_data, load_text
 from stoatrouter.settings.syntax import Place
 
-__all__ = ["Loaded", "Place", "SettingsError", "Fault", "data_of", "load", "load_text"]
+__all__ = ["Fault", "Loaded", "Place", "SettingsError", "load", "load_data", "load_text"]
--- a/stoatrouter/settings/layout.py
+++ b/stoatrouter/settings/layout.py
@@ -6,43 +6,57 @@
 
 from lark import Token
 
-DEEPEST = 64  # brackets in brackets
-OPENING, CLOSING = ("{", "[", "("), ("}", "]", ")")
-ENDING = frozenset(("WORD", "NUMBER", "STRING", "MULTILINE", "RAW", "RBRACE", "RSQB", "RPAR", "__ANON_0"))
+MAX_NESTING = 64  # brackets within brackets
+OPENING = ("{", "[", "(")
+CLOSING = ("}", "]", ")")
+ENDING_TYPES = frozenset(
+    ("WORD", "NUMBER", "STRING", "MULTILINE", "RAW", "RBRACE", "RSQB", "RPAR", "__ANON_0")
+)
+ENDING_TEXTS = frozenset(("...", "?", "]", "}", ")"))
 
 
-class TooDeep(Exception):
-    """Brackets are nested too deep, at this line."""
+class TooDeepError(Exception):
+    """Brackets are nested deeper than `MAX_NESTING`."""
 
     def __init__(self, line: int) -> None:
+        """Keep the line, from 1, of the bracket that is one too many."""
         super().__init__(line)
         self.line = line
 
 
-class Commas:
-    """Turns line ends into commas where CUE has them, and drops the others. lark calls it after its lexer."""
+class CommaInserter:
+    """Turns line ends into commas where CUE has them, and drops the others.
+
+    It is lark's post-lexer: lark calls `process` between its lexer and its parser, and lets the lexer yield
+    the tokens of `always_accept` wherever they stand.
+    """
 
     always_accept = ("NEWLINE",)
 
     def process(self, stream: Iterator[Token]) -> Iterator[Token]:
+        """The tokens that the parser is to see.
+
+        Raises:
+            TooDeepError: Brackets are nested deeper than `MAX_NESTING`.
+        """
         last: Token | None = None
         depth = 0
         for token in stream:
             if token.value in OPENING:
                 depth += 1
                 # Guards all that walks trees against brackets without end.
-                if depth > DEEPEST:
-                    raise TooDeep(token.line or 1)
+                if depth > MAX_NESTING:
+                    raise TooDeepError(token.line or 1)
             elif token.value in CLOSING:
                 depth -= 1
             if token.type != "NEWLINE":
                 last = token
                 yield token
-            elif last is not None and ends(last):
+            elif last is not None and ends_declaration(last):
                 last = Token.new_borrow_pos("COMMA", ",", token)
                 yield last
 
 
-def ends(token: Token) -> bool:
+def ends_declaration(token: Token) -> bool:
     """Whether a line that ends with this token ends a field, an import or an element."""
-    return token.type in ENDING or token.value in ("...", "?", "]", "}", ")")
+    return token.type in ENDING_TYPES or token.value in ENDING_TEXTS
--- a/stoatrouter/settings/load.py
+++ b/stoatrouter/settings/load.py
@@ -19,7 +19,9 @@
 
 Record = TypeVar("Record")
 SCHEMAS = Path(__file__).parent / "schemas"
-MOST_FILES = 256  # of one package, and of imports together
+MODULE_FILE = Path("cue.mod", "module.cue")
+NO_FOLDER = Path("/nonexistent")  # where a text that is no file would stand: nothing can be imported from it
+MAX_FILES = 256  # of one package, and of imports together; a further one is a fault
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,16 +30,20 @@
 
     record: Record
     places: dict[str, s.Place]
-    digests: dict[Path, str]  # of the files, as they were read
+    digests: dict[Path, str]  # SHA-256 of the files as they were read, in hex
 
     @property
     def files(self) -> tuple[Path, ...]:
+        """All files that were read, the operator's main file first."""
         return tuple(self.digests)
 
     def unchanged(self) -> bool:
-        """Whether the files still hold what was read."""
+        """Whether the files still hold what was read; False where one cannot be read any more."""
         try:
-            return all(hashlib.sha256(f.read_bytes()).hexdigest() == d for f, d in self.digests.items())
+            return all(
+                hashlib.sha256(file.read_bytes()).hexdigest() == digest
+                for file, digest in self.digests.items()
+            )
         except OSError:
             return False
 
@@ -50,205 +56,218 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Reads files, each once, and what they import."""
+    """Reads files, each once, and the packages that they import; it collects the faults."""
 
     files: dict[Path, s.File] = field(default_factory=dict)
     digests: dict[Path, str] = field(default_factory=dict)
     faults: list[Fault] = field(default_factory=list)
     packages: dict[Path, Vertex] = field(default_factory=dict)
-    open: list[Path] = field(default_factory=list)
+    open: list[Path] = field(default_factory=list)  # packages that are being imported, the outermost first
 
     def read(self, path: Path) -> s.File | None:
+        """The tree of one file; None, with faults recorded, where it cannot be read."""
+        start = s.Place(str(path), 1)
         try:
-            if len(self.files) >= MOST_FILES:
-                raise SettingsError(
-                    Fault(s.Place(str(path), 1), "", "too many files", f"{MOST_FILES} at most")
-                )
+            if len(self.files) >= MAX_FILES:
+                raise SettingsError(Fault(start, "", "too many files", f"{MAX_FILES} at most"))
             data = path.read_bytes()
             self.files[path] = parse(data.decode("utf-8"), str(path))
             self.digests[path] = hashlib.sha256(data).hexdigest()
             return self.files[path]
         except OSError as error:
-            self.faults.append(Fault(s.Place(str(path), 1), "", f"cannot be read: {error.strerror or error}"))
+            self.faults.append(Fault(start, "", f"cannot be read: {error.strerror or error}"))
         except UnicodeDecodeError:
-            self.faults.append(Fault(s.Place(str(path), 1), "", "is not UTF-8"))
+            self.faults.append(Fault(start, "", "is not UTF-8"))
         except SettingsError as error:
             self.faults += error.faults
         return None
 
-    def instance(self, path: Path) -> list[s.File]:
+    def read_instance(self, path: Path) -> list[s.File]:
         """A file, and if it names a package, the files beside it that name the same."""
         first = self.read(path)
-        if first is None or first.package is None:
-            return [first] if first is not None else []
-        found = [first]
-        for other in sorted(path.parent.glob("*.cue")):
-            if (
-                other != path
-                and package_of(other) == first.package
-                and (file := self.read(other)) is not None
-            ):
-                found.append(file)
-        return found
+        if first is None:
+            return []
+        if first.package is None:
+            return [first]
+        beside = [other for other in sorted(path.parent.glob("*.cue")) if other != path]
+        return [first, *self.read_package(beside, first.package)]
+
+    def read_package(self, paths: Iterable[Path], package: str) -> list[s.File]:
+        """Those of some files that belong to a package and can be read."""
+        files = (self.read(path) for path in paths if package_of(path) == package)
+        return [file for file in files if file is not None]
 
     def conjuncts(self, files: Iterable[s.File], root: Vertex, folder: Path) -> list[Conjunct]:
-        """What files say of a vertex; names of one file's fields are known in all of them."""
+        """The conjuncts of files on a vertex; names of one file's fields are known in all of them."""
         files = list(files)
-        names = frozenset(f.label for file in files for f in file.body.fields)
-        made = []
+        names = frozenset(declared.label for file in files for declared in file.body.fields)
+        conjuncts = []
         for file in files:
-            imports = {
-                name: found
-                for name, path, at in file.imports
-                if (found := self.imported(path, at, folder)) is not None
-            }
-            made.append(Conjunct(file.body, Scope(None, root, names, imports)))
-        return made
-
-    def imported(self, path: str, at: s.Place, folder: Path) -> Vertex | None:
-        """The package that an import names: a folder below the one with cue.mod/module.cue."""
-        root = next((f for f in (folder, *folder.parents) if (f / "cue.mod" / "module.cue").is_file()), None)
-        module = module_name(root / "cue.mod" / "module.cue") if root is not None else None
-        if root is None or module is None:
-            self.faults.append(
-                Fault(
-                    at,
-                    "",
-                    f"import {path!r}: there is no cue.mod/module.cue above this file",
-                    'one that says module: "NAME" makes the folders beside cue.mod importable',
-                )
-            )
+            packages = {entry.name: self.import_package(entry, folder) for entry in file.imports}
+            imports = {name: vertex for name, vertex in packages.items() if vertex is not None}
+            conjuncts.append(Conjunct(file.body, Scope(None, root, names, imports)))
+        return conjuncts
+
+    def import_package(self, entry: s.Import, folder: Path) -> Vertex | None:
+        """The package that an import names; None, with a fault recorded, where there is none."""
+        path, _, package = entry.path.partition(":")
+        target = self.find_package(entry, path, folder)
+        if target is None:
             return None
-        inner, _, package = path.partition(":")
-        if inner != module and not inner.startswith(module + "/"):
-            self.faults.append(
-                Fault(
-                    at,
-                    "",
-                    f"import {path!r} is not of the module {module!r}",
-                    "only folders beside cue.mod can be imported",
-                )
-            )
-            return None
-        wanted = root / inner.removeprefix(module).lstrip("/")
-        if wanted in self.open:
-            self.faults.append(Fault(at, "", f"import {path!r} leads back to itself"))
+        if target in self.open:
+            self.faults.append(Fault(entry.at, "", f"import {entry.path!r} leads back to itself"))
             return None
-        if wanted not in self.packages:
-            vertex = Vertex("", None)
-            package = package or wanted.name
-            files = [
-                file
-                for f in sorted(wanted.glob("*.cue"))
-                if package_of(f) == package and (file := self.read(f)) is not None
-            ]
+        if target not in self.packages:
+            package = package or target.name
+            files = self.read_package(sorted(target.glob("*.cue")), package)
             if not files:
-                self.faults.append(
-                    Fault(at, "", f"import {path!r}: no file of package {package!r} in {wanted}")
-                )
-            self.open.append(wanted)
-            vertex.conjuncts = self.conjuncts(files, vertex, wanted)
+                what = f"import {entry.path!r}: no file of package {package!r} in {target}"
+                self.faults.append(Fault(entry.at, "", what))
+            vertex = Vertex("", None)
+            self.open.append(target)
+            vertex.conjuncts = self.conjuncts(files, vertex, target)
             self.open.pop()
-            self.packages[wanted] = vertex
-        return self.packages[wanted]
+            self.packages[target] = vertex
+        return self.packages[target]
+
+    def find_package(self, entry: s.Import, path: str, folder: Path) -> Path | None:
+        """The folder of an imported package: one below the folder with cue.mod/module.cue.
+
+        None, with a fault recorded, where there is no module, or the path is not one of it.
+        """
+        root = next((above for above in (folder, *folder.parents) if (above / MODULE_FILE).is_file()), None)
+        module = module_name(root / MODULE_FILE) if root is not None else None
+        if root is None or module is None:
+            what = f"import {entry.path!r}: there is no cue.mod/module.cue above this file"
+            remedy = 'one that says module: "NAME" makes the folders beside cue.mod importable'
+            self.faults.append(Fault(entry.at, "", what, remedy))
+            return None
+        if path != module and not path.startswith(module + "/"):
+            what = f"import {entry.path!r} is not of the module {module!r}"
+            self.faults.append(Fault(entry.at, "", what, "only folders beside cue.mod can be imported"))
+            return None
+        return root / path.removeprefix(module).lstrip("/")
 
 
 def package_of(path: Path) -> str | None:
-    """The package that a file names, by its first words."""
+    """The package that a file's first clause names, without parsing the file; None where there is none."""
     try:
         with path.open(encoding="utf-8", errors="replace") as file:
             for line in file:
                 text = line.partition("//")[0].strip()
                 if text:
-                    word, _, name = text.partition(" ")
-                    return name.strip() if word == "package" else None
+                    keyword, _, name = text.partition(" ")
+                    return name.strip() if keyword == "package" else None
     except OSError:
         pass
     return None
 
 
 def module_name(path: Path) -> str | None:
-    """What cue.mod/module.cue says."""
-    reader = Reader()
-    file = reader.read(path)
-    for given in file.body.fields if file is not None else ():
-        if given.label == "module" and isinstance(given.value, s.Atom) and isinstance(given.value.value, str):
-            return given.value.value.partition("@")[0]
+    """The module's path in a cue.mod/module.cue, without its version; None where it names none."""
+    file = Reader().read(path)
+    for declared in file.body.fields if file is not None else ():
+        value = declared.value
+        if declared.label == "module" and isinstance(value, s.Atom) and isinstance(value.value, str):
+            return value.value.partition("@")[0]
     return None
 
 
 @lru_cache(maxsize=16)
 def schema(name: str) -> s.File:
-    """A schema that the program ships; its places begin with '<'."""
+    """A schema that the program ships; the names of its places are in angle brackets."""
     path = SCHEMAS / f"{name}.cue"
     return parse(path.read_text(), f"<{path.name}>")
 
 
 def load(path: Path, record: type[Record], definition: str) -> Loaded[Record]:
-    """Read an operator's file and what belongs to it; `definition` is like 'rules.#Rules' of the schema.
+    """Read an operator's file, the other files of its package, and what they import.
+
+    Args:
+        path: The operator's file.
+        record: The type to make of it.
+        definition: A shipped schema and the definition in it, like 'rules.#Rules'.
 
-    Raises SettingsError with everything that is wrong, each with file, line and the field's path.
+    Raises:
+        SettingsError: All faults, each with file, line and the field's path.
     """
     reader = Reader()
-    files = reader.instance(path)
+    files = reader.read_instance(path)
     return unify(reader, files, path.parent, record, definition)
 
 
 def load_text(text: str, name: str, record: type[Record], definition: str) -> Loaded[Record]:
-    """The same for a text that is no file; it imports nothing."""
+    """Read settings from a text that is no file, with `name` in its faults; it cannot import.
+
+    Raises:
+        SettingsError: All faults, as for `load`.
+    """
     reader = Reader()
     try:
         files = [parse(text, name)]
     except SettingsError as error:
         reader.faults += error.faults
         files = []
-    return unify(reader, files, Path("/nonexistent"), record, definition)
+    return unify(reader, files, NO_FOLDER, record, definition)
 
 
 def unify(
     reader: Reader, files: list[s.File], folder: Path, record: type[Record], definition: str
 ) -> Loaded[Record]:
+    """Unify files with a definition of a shipped schema, and make a record of the result.
+
+    Raises:
+        SettingsError: All faults of the reader, or else all of the unification.
+    """
     root = Vertex("", None)
     root.conjuncts = reader.conjuncts(files, root, folder)
     if reader.faults:
         raise SettingsError(*reader.faults)
-    name, _, wanted = definition.partition(".")
-    shipped, shipped_root = schema(name), Vertex("", None)
-    names = frozenset(f.label for f in shipped.body.fields)
-    shipped_root.conjuncts = [Conjunct(shipped.body, Scope(None, shipped_root, names))]
-    root.conjuncts.append(
-        Conjunct(s.Reference(s.Place(f"<{name}.cue>", 1), wanted), shipped_root.conjuncts[0].scope)
-    )
+    name, _, label = definition.partition(".")
+    shipped = schema(name)
+    shipped_root = Vertex("", None)
+    scope = Scope(None, shipped_root, frozenset(declared.label for declared in shipped.body.fields))
+    shipped_root.conjuncts = [Conjunct(shipped.body, scope)]
+    root.conjuncts.append(Conjunct(s.Reference(s.Place(f"<{name}.cue>", 1), label), scope))
     evaluation = Evaluation()
     evaluation.expand(shipped_root)
     try:
-        return made_of(evaluation, reader, root, record)
+        return convert(evaluation, reader, root, record)
     finally:
         for vertex in (root, shipped_root, *reader.packages.values()):
             vertex.release()
 
 
-def made_of(evaluation: Evaluation, reader: Reader, root: Vertex, record: type[Record]) -> Loaded[Record]:
-    """The record of a vertex that is to have no flaw."""
+def convert(evaluation: Evaluation, reader: Reader, root: Vertex, record: type[Record]) -> Loaded[Record]:
+    """The record of a vertex.
+
+    Raises:
+        SettingsError: All faults of the vertex; or the schema allows what the record's type does not.
+    """
     places: dict[str, s.Place] = {}
-    faults, data = evaluation.finish(root, places)
+    faults, data = evaluation.collect_data(root, places)
     if faults:
         raise SettingsError(*faults)
     try:
-        made = msgspec.convert(data, record)
+        converted = msgspec.convert(data, record)
     except msgspec.ValidationError as error:
         what = f"the schema lets through what the program cannot use: {error}"
         raise SettingsError(Fault(root.at, "", what)) from None
-    return Loaded(made, places, reader.digests)
+    return Loaded(converted, places, reader.digests)
+
 
+def load_data(text: str) -> Any:
+    """The plain data of a text without any schema; for tests and tools.
 
-def data_of(text: str) -> Any:
-    """The plain data of a text without any schema; for tests and tools."""
-    reader, root = Reader(), Vertex("", None)
-    root.conjuncts = reader.conjuncts([parse(text, "text")], root, Path("/nonexistent"))
+    Raises:
+        SettingsError: All faults, with places in a file called `text`.
+    """
+    reader = Reader()
+    root = Vertex("", None)
+    root.conjuncts = reader.conjuncts([parse(text, "text")], root, NO_FOLDER)
     if reader.faults:
         raise SettingsError(*reader.faults)
-    faults, data = Evaluation().finish(root, {})
+    faults, data = Evaluation().collect_data(root, {})
     if faults:
         raise SettingsError(*faults)
     return data
--- a/stoatrouter/settings/vertex.py
+++ b/stoatrouter/settings/vertex.py
@@ -1,4 +1,7 @@
-"""The values of an evaluation: what is said of each field, and in which scope."""
+"""The values of an evaluation: which conjuncts each field has, and in which scope their names are looked up.
+
+Vertex, arc and conjunct are the terms of CUE's own evaluator.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +15,7 @@
 from stoatrouter.settings.errors import Fault
 
 Label = str | int
+IDENTIFIER = re.compile(r"[#_]*[A-Za-z$][A-Za-z0-9_$]*")
 
 
 @dataclass(slots=True, eq=False)
@@ -26,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Conjunct:
-    """One constraint on a value; `closers` are the definitions that it comes from."""
+    """One constraint on a value; `closers` number the uses of definitions that it comes from."""
 
     node: s.Node
     scope: Scope
@@ -35,14 +39,15 @@
 
 @dataclass(slots=True, eq=False)
 class Allowed:
-    """What a definition allows in a struct."""
+    """The fields that one use of a definition allows in a struct."""
 
     labels: set[str] = field(default_factory=set)
     patterns: list[tuple[s.Node, Scope]] = field(default_factory=list)
     open: bool = False
 
 
-EMPTY: dict[str, type] = {
+# The slots of a vertex that are filled when they are first read, and with what
+LAZY_SLOTS: dict[str, type] = {
     "arcs": dict,
     "optional": dict,
     "marks": dict,
@@ -78,21 +83,24 @@
     )
 
     def __init__(self, label: Label, up: Vertex | None) -> None:
-        self.label, self.up = label, up
-        # all vertices of one evaluation: they refer to each other, and are let go together
+        """A vertex without conjuncts; the top of a file has an empty label and nothing above it."""
+        self.label = label
+        self.up = up
+        # all vertices of one evaluation: they refer to each other, and are released together
         self.family: list[Vertex] = [] if up is None else up.family
         self.family.append(self)
         if isinstance(label, int):
-            self.family = [self]  # an element of a list is let go once it has been taken out
-        self.depth = 0 if up is None else up.depth + 1
+            self.family = [self]  # an element of a list is released once it has been exported
+        self.depth: int = 0 if up is None else up.depth + 1
         self.conjuncts: list[Conjunct] = []
         self.constraints = Constraints()
-        self.expanded = self.expanding = False
+        self.expanded = False
+        self.expanding = False
         self.chosen: Vertex | None = None
 
     if TYPE_CHECKING:
         arcs: dict[Label, Vertex]
-        optional: dict[Label, list[Conjunct]]  # said of fields that are not there so far
+        optional: dict[Label, list[Conjunct]]  # conjuncts on fields that are not there so far
         marks: dict[Label, str]
         disjunctions: list[Conjunct]
         allowed: dict[int, Allowed]
@@ -101,10 +109,10 @@
         faults: list[Fault]
 
     def __getattr__(self, name: str) -> Any:
-        # only called for a slot that is not filled yet: most vertices are scalars, and have none of these
-        made = EMPTY[name]()
-        setattr(self, name, made)
-        return made
+        """Fill a lazy slot. Most vertices are scalars and never need one, which saves memory."""
+        content = LAZY_SLOTS[name]()
+        setattr(self, name, content)
+        return content
 
     @property
     def path(self) -> str:
@@ -114,16 +122,23 @@
         above = self.up.path
         if isinstance(self.label, int):
             return f"{above}[{self.label}]"
-        name = self.label if re.fullmatch(r"[#_]*[A-Za-z$][A-Za-z0-9_$]*", self.label) else f'"{self.label}"'
+        name = self.label if IDENTIFIER.fullmatch(self.label) else f'"{self.label}"'
         return f"{above}.{name}" if above else name
 
+    @property
+    def at(self) -> s.Place:
+        """Where the value stands: in an operator's file if it does, else in the schema."""
+        places = [conjunct.node.at for conjunct in self.conjuncts]
+        own = [place for place in places if not place.in_schema]
+        return (own or places or [s.Place("", 0)])[0]
+
     def arc(self, label: Label) -> Vertex:
         """The vertex of a field or element; it is created where it is not there yet."""
-        made = self.arcs.get(label)
-        if made is None:
-            made = self.arcs[label] = Vertex(label, self)
-            made.conjuncts = self.optional.pop(label, made.conjuncts)
-        return made
+        arc = self.arcs.get(label)
+        if arc is None:
+            arc = self.arcs[label] = Vertex(label, self)
+            arc.conjuncts = self.optional.pop(label, arc.conjuncts)
+        return arc
 
     def release(self) -> None:
         """Drop all references.
@@ -135,16 +150,15 @@
         for vertex in family:
             if vertex is not self and vertex.family is not family:
                 vertex.release()
-            vertex.up = vertex.chosen = None
+            vertex.up = None
+            vertex.chosen = None
             vertex.conjuncts.clear()
-            for name in EMPTY:
+            for name in LAZY_SLOTS:
                 if name != "faults":
                     getattr(vertex, name).clear()
             vertex.family = []
 
-    @property
-    def at(self) -> s.Place:
-        """Where the value stands: in an operator's file if it does, else in the schema."""
-        places = [c.node.at for c in self.conjuncts]
-        own = [p for p in places if not p.file.startswith("<")]
-        return (own or places or [s.Place("", 0)])[0]
+
+def is_hidden(label: Label) -> bool:
+    """Whether a field is a definition, hidden or without a name: it is neither closed nor exported."""
+    return isinstance(label, str) and label[:1] in "#_"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from stoatrouter.matching.records import Rules
-from stoatrouter.settings import SettingsError, data_of, load, load_text
+from stoatrouter.settings import SettingsError, load, load_data, load_text
 from tests.rules import OPERATOR
 
 # source => data, or a part of the refusal; from CUE's specification
@@ -89,10 +89,10 @@
 @pytest.mark.parametrize(("source", "wanted"), CASES, ids=lambda value: str(value)[:50])
 def test_subset_of_cue(source, wanted):
     if isinstance(wanted, dict):
-        assert data_of(source) == wanted
+        assert load_data(source) == wanted
         return
     with pytest.raises(SettingsError) as refusal:
-        data_of(source)
+        load_data(source)
     assert wanted in str(refusal.value)
     assert all(fault.at.file == "text" and fault.at.line >= 1 for fault in refusal.value.faults)
 
@@ -195,6 +195,6 @@
 )
 def test_any_text_is_data_or_a_located_refusal(source):
     try:
-        data_of(source)
+        load_data(source)
     except SettingsError as error:
         assert error.faults and all(fault.at.line >= 1 for fault in error.faults)
