--- a/stoatrouter/cli/main.py
+++ b/stoatrouter/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands, and what their exit codes mean (docs/cli.md)."""
+"""The top of the command line (docs/cli.md): `run`, `demo`, and the groups `config` and `rules`."""
 
 from __future__ import annotations
 
@@ -7,11 +7,9 @@
 
 import click
 
-from stoatrouter.cli.check import config_group
+from stoatrouter.cli.config_check import config_group
 from stoatrouter.cli.rules import rules_group
 
-FINE, FOUND, USAGE = 0, 1, 2  # nothing wrong; flaws or differences; the command cannot be carried out
-
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
--- /dev/null
+++ b/stoatrouter/cli/output.py
@@ -0,0 +1,75 @@
+"""How commands report: exit codes, faults of files, and results as text or as one JSON object."""
+
+from __future__ import annotations
+
+import json
+import sys
+from collections.abc import Iterable
+from enum import IntEnum
+from typing import Any, NoReturn
+
+import click
+
+from stoatrouter.settings import Fault, SettingsError
+
+
+class ExitCode(IntEnum):
+    """The exit codes of all commands (docs/cli.md)."""
+
+    SUCCESS = 0
+    FINDINGS = 1  # errors in files, or differences
+    CANNOT_RUN = 2  # a file that is not there, a bad argument
+
+
+class CommandError(click.ClickException):
+    """A command that cannot be carried out; click prints the message."""
+
+    exit_code = ExitCode.CANNOT_RUN
+
+
+def echo_json(data: dict[str, Any]) -> None:
+    """Print a result as one JSON object."""
+    click.echo(json.dumps(data))
+
+
+def fault_data(fault: Fault) -> dict[str, Any]:
+    """A fault as data for JSON output."""
+    return {
+        "file": fault.at.file,
+        "line": fault.at.line,
+        "path": fault.path,
+        "what": fault.what,
+        "remedy": fault.remedy,
+    }
+
+
+def exit_with_faults(error: SettingsError, as_json: bool, code: ExitCode = ExitCode.FINDINGS) -> NoReturn:
+    """Print the faults of files and end the process.
+
+    Raises:
+        SystemExit: Always, with the exit code.
+    """
+    if as_json:
+        echo_json({"ok": False, "errors": [fault_data(fault) for fault in error.faults]})
+    else:
+        for fault in error.faults:
+            click.echo(str(fault), err=True)
+        count = len(error.faults)
+        click.echo(f"{count} error{'s' if count != 1 else ''}", err=True)
+    sys.exit(code)
+
+
+def echo_warnings(warnings: Iterable[Fault]) -> None:
+    """Print warnings to standard error, a line for each."""
+    for warning in warnings:
+        click.echo(f"warning: {warning}", err=True)
+
+
+def echo_unchecked_names(names_checked: bool) -> None:
+    """Note on standard error that names were not checked, where there was no configuration for it."""
+    if not names_checked:
+        click.echo(
+            "note: no --config and no NODE_CONFIG: names of classes and plans, shards and units were not "
+            "checked",
+            err=True,
+        )
--- /dev/null
+++ b/stoatrouter/cli/rules/bench.py
@@ -0,0 +1,83 @@
+"""`rules bench`: the load time of a table, and the time that a request takes."""
+
+from __future__ import annotations
+
+import statistics
+import time
+from pathlib import Path
+
+import click
+
+from stoatrouter.cli.options import FILE, config_option, json_option
+from stoatrouter.cli.output import CommandError, echo_json, exit_with_faults
+from stoatrouter.cli.rules.examples import example_requests
+from stoatrouter.cli.tables import load_table
+from stoatrouter.matching.inputs import Input
+from stoatrouter.matching.samples import read_samples
+from stoatrouter.matching.table import Table
+from stoatrouter.settings import SettingsError
+
+NANOSECONDS_PER_MICROSECOND = 1000
+
+
+@click.command("bench")
+@click.argument("file", type=FILE)
+@click.option(
+    "--requests", "log", type=FILE, default=None, help="Recorded requests; made from the rules else."
+)
+@click.option("--rounds", type=click.IntRange(1, 1000), default=20, show_default=True)
+@config_option
+@json_option
+def bench_command(file: Path, log: Path | None, rounds: int, config_path: Path | None, as_json: bool) -> None:
+    """Load time of a table, and the time that a request takes."""
+    began = time.perf_counter()
+    try:
+        table = load_table(file, config_path).table
+    except SettingsError as error:
+        exit_with_faults(error, as_json)
+    load_seconds = time.perf_counter() - began
+    requests = read_requests(table, log)
+    if not requests:
+        raise CommandError("there are no requests to time")
+    data = bench_data(table, load_seconds, sorted(time_requests(table, requests, rounds)))
+    if as_json:
+        echo_json(data)
+        return
+    click.echo(
+        f"{data['rules']} rules loaded in {data['load_s']} s; {data['requests']} requests, each decided "
+        f"{rounds} times: median {data['median_us']} us, 99th percentile {data['p99_us']} us; "
+        f"at most {data['worst_steps']} steps"
+    )
+
+
+def read_requests(table: Table, log: Path | None) -> list[Input]:
+    """The readable requests of a log; without a log, one request for each rule of the table."""
+    if log is None:
+        return [request for home in table.compartments.values() for request in example_requests(home)]
+    with log.open(encoding="utf-8", errors="replace") as lines:
+        return [request for _, request in read_samples(lines) if isinstance(request, Input)]
+
+
+def time_requests(table: Table, requests: list[Input], rounds: int) -> list[float]:
+    """For each request the mean time of a decision over the rounds, in microseconds."""
+    figures = []
+    for request in requests:
+        table.decide(request)  # what is computed once for a request is not counted
+        began = time.perf_counter_ns()
+        for _ in range(rounds):
+            table.decide(request)
+        elapsed = time.perf_counter_ns() - began
+        figures.append(elapsed / rounds / NANOSECONDS_PER_MICROSECOND)
+    return figures
+
+
+def bench_data(table: Table, load_seconds: float, figures: list[float]) -> dict[str, object]:
+    """The result as data, from times in ascending order, one for each request."""
+    return {
+        "rules": table.size,
+        "requests": len(figures),
+        "load_s": round(load_seconds, 3),
+        "median_us": round(statistics.median(figures), 2),
+        "p99_us": round(figures[max(0, int(len(figures) * 0.99) - 1)], 2),
+        "worst_steps": max((home.worst for home in table.compartments.values()), default=0),
+    }
--- /dev/null
+++ b/stoatrouter/cli/rules/check.py
@@ -0,0 +1,56 @@
+"""`rules check`: the errors of a table, and what a request may cost in each scope."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import click
+
+from stoatrouter.cli.options import FILE, config_option, json_option, objects_option
+from stoatrouter.cli.output import (
+    echo_json,
+    echo_unchecked_names,
+    echo_warnings,
+    exit_with_faults,
+    fault_data,
+)
+from stoatrouter.cli.tables import LoadedTable, load_table
+from stoatrouter.settings import SettingsError
+
+
+@click.command("check")
+@click.argument("file", type=FILE)
+@config_option
+@objects_option
+@json_option
+def check_command(file: Path, config_path: Path | None, objects: Path | None, as_json: bool) -> None:
+    """Check a table: all errors at once, rules that can never match, and what a request may cost."""
+    try:
+        loaded = load_table(file, config_path, objects)
+    except SettingsError as error:
+        exit_with_faults(error, as_json)
+    if as_json:
+        echo_json(table_data(loaded))
+        return
+    echo_warnings(loaded.warnings)
+    for name, home in loaded.table.compartments.items():
+        click.echo(
+            f"{name}: {len(home.rules)} rules, at most {home.worst} of {home.scope.steps} steps a request"
+        )
+    echo_unchecked_names(loaded.names_checked)
+    click.echo(f"{file}: fine, table {loaded.table.epoch}")
+
+
+def table_data(loaded: LoadedTable) -> dict[str, object]:
+    """A table that has no errors, as data for JSON output."""
+    scopes = {
+        name: {"rules": len(home.rules), "steps": home.worst, "most": home.scope.steps}
+        for name, home in loaded.table.compartments.items()
+    }
+    return {
+        "ok": True,
+        "epoch": loaded.table.epoch,
+        "scopes": scopes,
+        "words_checked": loaded.names_checked,
+        "warnings": [fault_data(warning) for warning in loaded.warnings],
+    }
--- /dev/null
+++ b/stoatrouter/cli/rules/diff.py
@@ -0,0 +1,87 @@
+"""`rules diff`: which recorded requests two tables decide differently."""
+
+from __future__ import annotations
+
+import sys
+from collections import Counter
+from collections.abc import Iterable
+from pathlib import Path
+
+import click
+
+from stoatrouter.cli.options import FILE, config_option, json_option
+from stoatrouter.cli.output import ExitCode, echo_json, exit_with_faults
+from stoatrouter.cli.tables import load_table
+from stoatrouter.matching.explain import Difference, decision_data, differences
+from stoatrouter.matching.samples import read_samples
+from stoatrouter.matching.table import Table
+from stoatrouter.settings import SettingsError
+
+NOT_DECIDED = ("scope", "rule")  # of a decision: who decided, not what
+
+
+@click.command("diff")
+@click.argument("old", type=FILE)
+@click.argument("new", type=FILE)
+@click.option("--requests", "log", type=FILE, required=True, help="Recorded request heads, as JSON lines.")
+@config_option
+@json_option
+def diff_command(old: Path, new: Path, log: Path, config_path: Path | None, as_json: bool) -> None:
+    """Which recorded requests a new table decides otherwise, by rule. Exit code 1 where any is."""
+    try:
+        before = load_table(old, config_path).table
+        after = load_table(new, config_path).table
+    except SettingsError as error:
+        exit_with_faults(error, as_json, ExitCode.CANNOT_RUN)
+    with log.open(encoding="utf-8", errors="replace") as file:
+        found, counts = differences(before, after, read_samples(file))
+    if as_json:
+        echo_json(differences_data(found, counts, before, after))
+    else:
+        echo_differences(found, counts, before, after)
+    sys.exit(ExitCode.FINDINGS if counts["changed"] else ExitCode.SUCCESS)
+
+
+def differences_data(
+    found: Iterable[Difference], counts: Counter[str], before: Table, after: Table
+) -> dict[str, object]:
+    """Differences as data for JSON output."""
+    return {
+        "requests": counts["requests"],
+        "unreadable": counts["unreadable"],
+        "changed": counts["changed"],
+        "differences": [
+            {
+                "old": each.old,
+                "new": each.new,
+                "count": each.count,
+                "lines": each.lines,
+                "was": decision_data(each.example[0], before),
+                "is": decision_data(each.example[1], after),
+            }
+            for each in found
+            if each.example
+        ],
+    }
+
+
+def echo_differences(found: Iterable[Difference], counts: Counter[str], before: Table, after: Table) -> None:
+    """Print differences as text, a line for each pair of rules, and the counts."""
+    for each in found:
+        lines = ", ".join(map(str, each.lines or []))
+        changes = describe_changes(each, before, after)
+        click.echo(f"{each.count:6} {each.old} -> {each.new}: {changes} (lines {lines})")
+    unreadable = f"; {counts['unreadable']} lines cannot be read" if counts["unreadable"] else ""
+    click.echo(f"{counts['changed']} of {counts['requests']} requests change{unreadable}")
+
+
+def describe_changes(difference: Difference, before: Table, after: Table) -> str:
+    """What becomes of the example of a difference: each field whose value changes."""
+    assert difference.example is not None
+    was = decision_data(difference.example[0], before)
+    now = decision_data(difference.example[1], after)
+    return ", ".join(
+        f"{name}: {was.get(name)} -> {now.get(name)}"
+        for name in dict.fromkeys([*was, *now])
+        if name not in NOT_DECIDED and was.get(name) != now.get(name)
+    )
--- /dev/null
+++ b/stoatrouter/cli/rules/examples.py
@@ -0,0 +1,81 @@
+"""Requests that meet rules, built from the demands of the rules' conditions."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+
+from stoatrouter.matching.conjuncts import PATH, PREFIX, Condition, Demand
+from stoatrouter.matching.inputs import Input, Unreadable, read_input
+from stoatrouter.matching.table import Compartment
+
+ANY_LABEL = "any"  # in place of the star of a host
+FILLER = "x"  # a segment of a path that no demand names
+PEER = "127.0.0.1"
+
+
+@dataclass(slots=True)
+class Draft:
+    """A request in its parts, while the demands of a condition are put into it."""
+
+    host: str
+    method: str = "GET"
+    path: str = ""
+    query: list[str] = field(default_factory=list)
+    fields: list[tuple[bytes, bytes]] = field(default_factory=list)
+    segments: dict[int, str] = field(default_factory=dict)
+
+    def meet(self, demand: Demand) -> None:
+        """Put the least of the values that a demand allows into its place; other dimensions are left out."""
+        kind, name = demand.dimension
+        value = min(demand.values)
+        if kind == "host":
+            self.host = value
+        elif kind == "method":
+            self.method = value
+        elif demand.dimension in (PATH, PREFIX):
+            self.path = max(self.path, value, key=len)
+        elif kind == "segment":
+            self.segments[int(name)] = value
+        elif kind == "header":
+            self.fields.append((name.encode(), value.encode()))
+        elif kind == "query":
+            self.query.append(f"{name}={value}")
+
+    def target(self, default_path: str) -> str:
+        """The path, with its segments put in, and the query."""
+        path = fill_segments(self.path or default_path, self.segments)
+        return path + ("?" + "&".join(self.query) if self.query else "")
+
+
+def example_requests(home: Compartment) -> list[Input]:
+    """A request for each rule of a scope, as far as its demands tell; none where that cannot be read."""
+    requests = []
+    for rule in home.rules:
+        try:
+            requests.append(example_request(home, rule.condition))
+        except Unreadable:
+            continue
+    return requests
+
+
+def example_request(home: Compartment, condition: Condition) -> Input:
+    """A request of a scope that meets the demands of a condition.
+
+    Raises:
+        Unreadable: A front would reject it before any rule.
+    """
+    draft = Draft(home.scope.hosts[0].replace("*", ANY_LABEL))
+    for demand in condition.demands:
+        draft.meet(demand)
+    fields = [(b"Host", draft.host.encode()), *draft.fields]
+    return read_input(draft.method, draft.target(home.scope.paths[0]), fields, PEER)
+
+
+def fill_segments(path: str, segments: Mapping[int, str]) -> str:
+    """A path with some segments replaced, lengthened where it has too few."""
+    parts = path.split("/")[1:]
+    for at, value in segments.items():
+        parts += [FILLER] * (at + 1 - len(parts))
+        parts[at] = value
+    return "/" + "/".join(parts)
