--- a/stoatrouter/importer/apache.py
+++ b/stoatrouter/importer/apache.py
@@ -1,124 +1,200 @@
-"""Apache httpd: BalancerMember, inside <Proxy balancer://...> or with the balancer named."""
+"""Apache httpd: BalancerMember, inside <Proxy balancer://...> or with the balancer named.
+
+Source: httpd 2.4's documentation of mod_proxy (BalancerMember, its parameters and status flags) and of core's
+Define.
+"""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterator
+from dataclasses import dataclass, field
 from urllib.parse import urlsplit
 
-from stoatrouter.importer.members import Imported, ImportFailed, Member, read_port, read_weight
+from stoatrouter.importer.members import ImportedBalancers, ImporterError, Member, read_port, read_weight
 
 DEFAULT_PORTS = {"http": 80, "https": 443, "ajp": 8009}
 BALANCER = "balancer://"
-WORD = re.compile(r'"((?:[^"\\]|\\.)*)"|(\S+)')
+ARGUMENT = re.compile(r'"((?:[^"\\]|\\.)*)"|(\S+)')
 VARIABLE = re.compile(r"\$\{(\w+)\}")
-FLAG = re.compile(r"([+-]?)([DSIRHENdsirhen])")
-CARRIED = {"loadfactor", "route", "status"}
-# Members under one of these get nothing new: disabled, stopped, draining, a spare or a standby.
-RESTING = set("DSNRH")
-
-
-def read(text: str) -> Imported:
-    """Read the balancers of a configuration; directives that are not about them are passed over."""
-    found, variables, inside = Imported(), {}, [""]
-    for number, words in directives(text):
-        where, name = f"line {number}", words[0].lower()
-        words = [substitute(word, variables, where) for word in words]
-        if name == "define" and len(words) >= 2:
-            variables[words[1]] = words[2] if len(words) > 2 else ""
-        elif name == "<proxy":
-            url = words[1].rstrip(">") if len(words) > 1 else ""
-            inside.append(url if url.lower().startswith(BALANCER) else "")
-        elif name == "</proxy>":
-            if len(inside) == 1:
-                raise ImportFailed(f"{where}: </Proxy> without <Proxy>")
-            inside.pop()
-        elif name == "balancermember":
-            read_member(found, words[1:], inside[-1], where)
-        elif name in ("include", "includeoptional"):
-            found.note(f"{where}: {words[0]} is not followed")
-        elif name == "proxyset" and inside[-1]:
-            found.note(f"{where}: ProxySet is not carried over: {' '.join(words[1:])}")
-    if len(inside) > 1:
-        raise ImportFailed("the file ends inside <Proxy>")
-    return found
-
-
-def directives(text: str) -> Iterator[tuple[int, list[str]]]:
-    """Directives as words, with the number of their first line; a backslash joins lines."""
-    held, began = "", 0
+STATUS_FLAG = re.compile(r"([+-]?)([DSIRHENdsirhen])")
+SUPPORTED_KEYS = {"loadfactor", "route", "status"}
+# Members under one of these get no new requests: disabled, stopped, draining, a spare or a standby.
+NOT_SERVING = set("DSNRH")
+SPARE = set("RH")
+
+
+@dataclass(slots=True, frozen=True)
+class Directive:
+    """One directive in its arguments, the name first, and its place: the line on which it begins."""
+
+    arguments: list[str]
+    where: str
+
+    @property
+    def name(self) -> str:
+        """The name; httpd does not tell its case."""
+        return self.arguments[0].lower()
+
+
+@dataclass(slots=True)
+class Configuration:
+    """What directives so far have defined: balancers, variables, and the sections that are open.
+
+    A section is the balancer that its <Proxy> names, or empty; the first is the file outside of all sections.
+    """
+
+    imported: ImportedBalancers = field(default_factory=ImportedBalancers)
+    variables: dict[str, str] = field(default_factory=dict)
+    sections: list[str] = field(default_factory=lambda: [""])
+
+    def apply(self, directive: Directive) -> None:
+        """Apply one directive; those that are not about balancers have no effect.
+
+        Raises:
+            ImporterError: It is malformed, or uses a variable that is not defined in the file.
+        """
+        where = directive.where
+        name, *arguments = (self.substitute(argument, where) for argument in directive.arguments)
+        match directive.name:
+            case "define" if arguments:
+                self.variables[arguments[0]] = arguments[1] if len(arguments) > 1 else ""
+            case "<proxy":
+                url = arguments[0].rstrip(">") if arguments else ""
+                self.sections.append(url if url.lower().startswith(BALANCER) else "")
+            case "</proxy>":
+                if len(self.sections) == 1:
+                    raise ImporterError(f"{where}: </Proxy> without <Proxy>")
+                self.sections.pop()
+            case "balancermember":
+                read_member(self.imported, arguments, self.sections[-1], where)
+            case "include" | "includeoptional":
+                self.imported.add_note(f"{where}: {name} is not followed")
+            case "proxyset" if self.sections[-1]:
+                self.imported.add_note(f"{where}: ProxySet is not carried over: {' '.join(arguments)}")
+
+    def substitute(self, argument: str, where: str) -> str:
+        """An argument with its `${variables}` replaced.
+
+        Raises:
+            ImporterError: One is not defined in this file.
+        """
+
+        def value(match: re.Match[str]) -> str:
+            if match[1] not in self.variables:
+                raise ImporterError(f"{where}: ${{{match[1]}}} is not defined in this file")
+            return self.variables[match[1]]
+
+        return VARIABLE.sub(value, argument)
+
+
+def read(text: str) -> ImportedBalancers:
+    """Read the balancers of a configuration; directives that are not about them are passed over.
+
+    Raises:
+        ImporterError: A directive about balancers is malformed, or a <Proxy> section does not end.
+    """
+    configuration = Configuration()
+    for directive in directives(text):
+        configuration.apply(directive)
+    if len(configuration.sections) > 1:
+        raise ImporterError("the file ends inside <Proxy>")
+    return configuration.imported
+
+
+def directives(text: str) -> Iterator[Directive]:
+    """The directives of a file in their order; a backslash at its end joins a line with the next."""
+    pending = ""
+    first_line = 0
     for number, line in enumerate([*text.splitlines(), ""], 1):
-        began = began if held else number
+        if not pending:
+            first_line = number
         if line.endswith("\\"):
-            held += line[:-1] + " "
+            pending += line[:-1] + " "
             continue
-        whole, held = (held + line).strip(), ""
-        if whole and not whole.startswith("#"):
-            yield (
-                began,
-                [
-                    re.sub(r"\\(.)", r"\1", quoted) if quoted or not bare else bare
-                    for quoted, bare in WORD.findall(whole)
-                ],
-            )
-
-
-def substitute(word: str, variables: dict[str, str], where: str) -> str:
-    def value(match: re.Match[str]) -> str:
-        if match[1] not in variables:
-            raise ImportFailed(f"{where}: ${{{match[1]}}} is not defined in this file")
-        return variables[match[1]]
-
-    return VARIABLE.sub(value, word)
-
-
-def read_member(found: Imported, words: list[str], inside: str, where: str) -> None:
-    """One BalancerMember: [balancer] url [key=value ...]."""
-    balancer = inside
-    if words and words[0].lower().startswith(BALANCER):
-        balancer, words = words[0], words[1:]
-    if not balancer or not words:
-        raise ImportFailed(f"{where}: BalancerMember without a balancer or a URL")
-    fields = {}
-    for word in words[1:]:
-        key, equals, value = word.partition("=")
+        complete = (pending + line).strip()
+        pending = ""
+        if complete and not complete.startswith("#"):
+            yield Directive(split_arguments(complete), f"line {first_line}")
+
+
+def split_arguments(line: str) -> list[str]:
+    """The arguments of a directive; within quotes a backslash escapes the next character."""
+    return [
+        re.sub(r"\\(.)", r"\1", quoted) if quoted or not bare else bare
+        for quoted, bare in ARGUMENT.findall(line)
+    ]
+
+
+def read_member(imported: ImportedBalancers, arguments: list[str], section: str, where: str) -> None:
+    """Add the member of one BalancerMember, `[balancer] url [key=value ...]`, to its balancer.
+
+    Raises:
+        ImporterError: It is malformed, or outside of a section and without a balancer.
+    """
+    balancer = section
+    if arguments and arguments[0].lower().startswith(BALANCER):
+        balancer, *arguments = arguments
+    if not balancer or not arguments:
+        raise ImporterError(f"{where}: BalancerMember without a balancer or a URL")
+    url, *parameters = arguments
+    values = read_parameters(parameters, where)
+    if others := sorted(values.keys() - SUPPORTED_KEYS):
+        imported.add_note(f"{where}: not carried over: {', '.join(others)}")
+    scheme, host, port = read_url(url, where)
+    name = values.get("route") or f"{host}:{port}"
+    flags = read_status(values.get("status", ""), where)
+    if flags & SPARE:
+        note = f"{where}: {name} is a spare or standby: it holds a shard of its own and gets nothing"
+        imported.add_note(note)
+    members = imported.balancers.setdefault(balancer[len(BALANCER) :].rstrip("/"), [])
+    weight = read_weight(values.get("loadfactor", "1"), where)
+    members.append(Member(name, scheme, host, port, weight, not flags & NOT_SERVING))
+
+
+def read_parameters(parameters: list[str], where: str) -> dict[str, str]:
+    """The values of `key=value` parameters, by key in lower case.
+
+    Raises:
+        ImporterError: One has no equals sign.
+    """
+    values = {}
+    for parameter in parameters:
+        key, equals, value = parameter.partition("=")
         if not equals:
-            raise ImportFailed(f"{where}: not key=value: {word!r}")
-        fields[key.lower()] = value
-    if others := sorted(fields.keys() - CARRIED):
-        found.note(f"{where}: not carried over: {', '.join(others)}")
-    scheme, host, port = read_url(words[0], where)
-    name = fields.get("route") or f"{host}:{port}"
-    flags = read_status(fields.get("status", ""), where)
-    if flags & {"R", "H"}:
-        found.note(f"{where}: {name} is a spare or standby: it holds a shard of its own and gets nothing")
-    members = found.balancers.setdefault(balancer[len(BALANCER) :].rstrip("/"), [])
-    members.append(
-        Member(
-            name, scheme, host, port, read_weight(fields.get("loadfactor", "1"), where), not flags & RESTING
-        )
-    )
+            raise ImporterError(f"{where}: not key=value: {parameter!r}")
+        values[key.lower()] = value
+    return values
 
 
 def read_url(url: str, where: str) -> tuple[str, str, int]:
+    """The scheme, host and port of a member; the port is that of the scheme where none is given.
+
+    Raises:
+        ImporterError: It has no host, as a UNIX socket, or a port that is none.
+    """
     try:
         parts = urlsplit(url)
         host, port = parts.hostname, parts.port
     except ValueError as error:
-        raise ImportFailed(f"{where}: {url!r}: {error}") from None
+        raise ImporterError(f"{where}: {url!r}: {error}") from None
     if not host or parts.scheme == "unix" or "|" in url:
-        raise ImportFailed(f"{where}: no host in {url!r}")
+        raise ImporterError(f"{where}: no host in {url!r}")
     port = port or DEFAULT_PORTS.get(parts.scheme)
     if port is None:
-        raise ImportFailed(f"{where}: no port in {url!r}")
+        raise ImporterError(f"{where}: no port in {url!r}")
     return parts.scheme, host, read_port(str(port), where)
 
 
 def read_status(text: str, where: str) -> set[str]:
-    """Flags that are set: a letter or +letter sets, -letter clears, as in 'S-E'."""
-    if FLAG.sub("", text):
-        raise ImportFailed(f"{where}: unknown status {text!r}")
+    """The status flags that are set: a letter or +letter sets one, -letter clears it, as in 'S-E'.
+
+    Raises:
+        ImporterError: It has anything but flags.
+    """
+    if STATUS_FLAG.sub("", text):
+        raise ImporterError(f"{where}: unknown status {text!r}")
     flags: set[str] = set()
-    for sign, letter in FLAG.findall(text):
+    for sign, letter in STATUS_FLAG.findall(text):
         flags = flags - {letter.upper()} if sign == "-" else flags | {letter.upper()}
     return flags
--- a/stoatrouter/importer/jk.py
+++ b/stoatrouter/importer/jk.py
@@ -1,14 +1,15 @@
-"""mod_jk: workers.properties."""
+"""mod_jk: workers.properties, as Tomcat Connectors' reference guide describes it."""
 
 from __future__ import annotations
 
 import re
+from dataclasses import dataclass, field
 
-from stoatrouter.importer.members import Imported, ImportFailed, Member, read_port, read_weight
+from stoatrouter.importer.members import ImportedBalancers, ImporterError, Member, read_port, read_weight
 
 VARIABLE = re.compile(r"\$\(([^)]+)\)")
 ADDITIVE = {"balance_workers", "balanced_workers", "list"}  # further lines add to these
-CARRIED = {
+SUPPORTED_KEYS = {
     "type",
     "host",
     "port",
@@ -22,85 +23,120 @@
     "balance_workers",
     "balanced_workers",
 }
-MOST_REFERENCES = 20  # as mod_jk has it
+MAX_REFERENCES = 20  # one after the other, as mod_jk has it
 TRUE = {"true", "1", "on", "yes", "t", "y"}
 NODE_TYPES = {"ajp13", "ajp14"}
+DEFAULT_TYPE = "ajp13"
+DEFAULT_PORT = "8009"
+PLAIN_BALANCER = "workers"  # the name of the balancer of a file that has none
 
 
+@dataclass(slots=True)
 class Workers:
-    """The properties of all workers, with references followed."""
+    """The properties of all workers by name, the names of worker.list, and the variables."""
 
-    def __init__(self) -> None:
-        self.properties: dict[str, dict[str, str]] = {}
+    properties: dict[str, dict[str, str]] = field(default_factory=dict)
+    listed: list[str] = field(default_factory=list)
+    variables: dict[str, str] = field(default_factory=dict)
 
     def get(self, worker: str, key: str) -> str | None:
-        """A property of a worker, or of those it refers to."""
-        for _ in range(MOST_REFERENCES):
-            mine = self.properties.get(worker, {})
-            if key in mine:
-                return mine[key]
-            if "reference" not in mine:
+        """A property of a worker, or of those that it refers to.
+
+        Raises:
+            ImporterError: The references form a circle.
+        """
+        for _ in range(MAX_REFERENCES):
+            own = self.properties.get(worker, {})
+            if key in own:
+                return own[key]
+            if "reference" not in own:
                 return None
-            worker = mine["reference"].removeprefix("worker.")
-        raise ImportFailed(f"worker {worker!r}: references go round")
+            worker = own["reference"].removeprefix("worker.")
+        raise ImporterError(f"worker {worker!r}: references go round")
 
     def keys(self, worker: str) -> set[str]:
+        """The names of a worker's own properties."""
         return set(self.properties.get(worker, {}))
 
-
-def read(text: str) -> Imported:
-    """Read the load balancers of a workers file; a file with none is one of its plain workers."""
-    workers, listed = parse(text)
-    found = Imported()
-    balancers = [w for w in workers.properties if workers.get(w, "type") == "lb"]
+    def add(self, key: str, value: str, where: str) -> None:
+        """Add one line. Every key is a variable for later lines too, as mod_jk has it.
+
+        Raises:
+            ImporterError: It is no property of a worker.
+        """
+        value = VARIABLE.sub(lambda match: self.variables.get(match[1], match[0]), value)
+        self.variables[key] = value
+        prefix, *names = key.split(".")
+        if prefix != "worker":
+            return
+        match names:
+            case ["list"]:
+                self.listed += split_names(value)
+            case [_]:
+                pass  # another setting of all workers
+            case [worker, name]:
+                own = self.properties.setdefault(worker, {})
+                is_addition = name in ADDITIVE and name in own
+                own[name] = f"{own[name]},{value}" if is_addition else value
+            case _:
+                raise ImporterError(f"{where}: unknown property {key!r}")
+
+
+def read(text: str) -> ImportedBalancers:
+    """Read the load balancers of a workers file; a file with none is one of its plain workers.
+
+    Raises:
+        ImporterError: A line is malformed, or a worker of a balancer cannot be a node.
+    """
+    workers = parse(text)
+    imported = ImportedBalancers()
+    balancers = [worker for worker in workers.properties if workers.get(worker, "type") == "lb"]
     for balancer in balancers:
         names = workers.get(balancer, "balance_workers") or workers.get(balancer, "balanced_workers") or ""
-        found.balancers[balancer] = [read_worker(found, workers, name) for name in split(names)]
-        note_others(found, workers, balancer)
+        members = [read_worker(imported, workers, name) for name in split_names(names)]
+        imported.balancers[balancer] = members
+        note_unsupported(imported, workers, balancer)
     if not balancers:
-        plain = [w for w in listed if (workers.get(w, "type") or "ajp13") in NODE_TYPES]
+        plain = [w for w in workers.listed if (workers.get(w, "type") or DEFAULT_TYPE) in NODE_TYPES]
         if plain:
-            found.balancers["workers"] = [read_worker(found, workers, name) for name in plain]
-    return found
+            imported.balancers[PLAIN_BALANCER] = [read_worker(imported, workers, name) for name in plain]
+    return imported
+
 
+def parse(text: str) -> Workers:
+    """All properties of a file.
 
-def parse(text: str) -> tuple[Workers, list[str]]:
-    """All properties by worker, and the names of worker.list."""
-    workers, variables, listed = Workers(), {}, []
+    Raises:
+        ImporterError: A line is no property, or one of no worker.
+    """
+    workers = Workers()
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
         if not line or line.startswith("#"):
             continue
         key, equals, value = (part.strip() for part in line.partition("="))
         if not equals:
-            raise ImportFailed(f"line {number}: not a property: {line!r}")
-        value = VARIABLE.sub(lambda m: variables.get(m[1], m[0]), value)
-        variables[key] = value
-        parts = key.split(".")
-        if parts[0] != "worker":
-            continue  # a variable for later lines
-        if len(parts) == 2:
-            listed += split(value) if parts[1] == "list" else []
-        elif len(parts) == 3:
-            mine = workers.properties.setdefault(parts[1], {})
-            adds = parts[2] in ADDITIVE and parts[2] in mine
-            mine[parts[2]] = f"{mine[parts[2]]},{value}" if adds else value
-        else:
-            raise ImportFailed(f"line {number}: unknown property {key!r}")
-    return workers, listed
-
-
-def read_worker(found: Imported, workers: Workers, name: str) -> Member:
-    """One worker of a balancer."""
+            raise ImporterError(f"line {number}: not a property: {line!r}")
+        workers.add(key, value, f"line {number}")
+    return workers
+
+
+def read_worker(imported: ImportedBalancers, workers: Workers, name: str) -> Member:
+    """One worker of a balancer, with notes of what is not carried over.
+
+    Raises:
+        ImporterError: It is not described, or of a type that no node is, or a property is malformed.
+    """
     if name not in workers.properties:
-        raise ImportFailed(f"worker {name!r} is named but not described")
-    kind = workers.get(name, "type") or "ajp13"
+        raise ImporterError(f"worker {name!r} is named but not described")
+    kind = workers.get(name, "type") or DEFAULT_TYPE
     if kind not in NODE_TYPES:
-        raise ImportFailed(f"worker {name!r} is of type {kind!r}, which no node is")
+        raise ImporterError(f"worker {name!r} is of type {kind!r}, which no node is")
     where = f"worker {name!r}"
-    host, port = workers.get(name, "host") or "localhost", workers.get(name, "port") or "8009"
+    host = workers.get(name, "host") or "localhost"
+    port = workers.get(name, "port") or DEFAULT_PORT
     route = workers.get(name, "route") or workers.get(name, "jvm_route") or name
-    note_others(found, workers, name)
+    note_unsupported(imported, workers, name)
     return Member(
         route,
         "ajp",
@@ -112,18 +148,24 @@
 
 
 def is_active(workers: Workers, name: str, where: str) -> bool:
-    """Whether a worker takes new requests; disabled and stopped are the older words."""
+    """Whether a worker takes new requests; `disabled` and `stopped` are the older names of activations.
+
+    Raises:
+        ImporterError: Its activation is none of active, disabled and stopped.
+    """
     activation = (workers.get(name, "activation") or "A")[:1].upper()
     if activation not in "ADS":
-        raise ImportFailed(f"{where}: unknown activation {workers.get(name, 'activation')!r}")
+        raise ImporterError(f"{where}: unknown activation {workers.get(name, 'activation')!r}")
     off = any((workers.get(name, key) or "").lower() in TRUE for key in ("disabled", "stopped"))
     return activation == "A" and not off
 
 
-def note_others(found: Imported, workers: Workers, name: str) -> None:
-    if others := sorted(workers.keys(name) - CARRIED):
-        found.note(f"worker {name!r}: not carried over: {', '.join(others)}")
+def note_unsupported(imported: ImportedBalancers, workers: Workers, name: str) -> None:
+    """Note which of a worker's own properties are not carried over."""
+    if others := sorted(workers.keys(name) - SUPPORTED_KEYS):
+        imported.add_note(f"worker {name!r}: not carried over: {', '.join(others)}")
 
 
-def split(text: str) -> list[str]:
+def split_names(text: str) -> list[str]:
+    """The names of a list, which commas or white space separate."""
     return [name for name in re.split(r"[,\s]+", text) if name]
--- a/stoatrouter/importer/members.py
+++ b/stoatrouter/importer/members.py
@@ -1,103 +1,137 @@
-"""What both formats tell: members of a balancer, and the node list that a head starts from."""
+"""What both formats yield: the members of balancers, and the node list that a head starts from."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
+MAX_PORT = 65535
+MAX_WEIGHT = 1e6
 
-class ImportFailed(Exception):
-    """The file cannot be taken over; the text says where and why in one line."""
+
+class ImporterError(Exception):
+    """A file that cannot be taken over; the text says where and why in one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """One member of a balancer. Scheme ajp is a port that no head can speak to."""
+    """One member of a balancer.
+
+    The scheme is that by which the file reaches it; no head can speak to a port of scheme `ajp`. One that
+    is not serving is listed, but gets no new requests.
+    """
 
     name: str
     scheme: str
     host: str
     port: int
     weight: float = 1.0
-    serving: bool = True  # False: it is to get nothing new
+    serving: bool = True
 
 
 @dataclass(slots=True)
-class Imported:
-    """All that was read, and in words what was not carried over."""
+class ImportedBalancers:
+    """The balancers of a file by name, and notes, for people, of what was not carried over."""
 
     balancers: dict[str, list[Member]] = field(default_factory=dict)
     notes: list[str] = field(default_factory=list)
 
-    def note(self, text: str) -> None:
+    def add_note(self, text: str) -> None:
+        """Add a note that is not there yet."""
         if text not in self.notes:
             self.notes.append(text)
 
 
-def choose(found: Imported, name: str | None) -> list[Member]:
-    """The members of the balancer that was asked for; it need not be named where there is only one."""
-    if name is None and len(found.balancers) == 1:
-        name = next(iter(found.balancers))
-    if name not in found.balancers:
-        known = ", ".join(found.balancers) or "none"
-        raise ImportFailed(f"which balancer? the file has: {known}")
-    if not found.balancers[name]:
-        raise ImportFailed(f"balancer {name!r} has no members")
-    return found.balancers[name]
+def select_members(imported: ImportedBalancers, name: str | None) -> list[Member]:
+    """The members of a balancer; its name may be None where the file has only one.
+
+    Raises:
+        ImporterError: There is no such balancer, or it has no members.
+    """
+    if name is None and len(imported.balancers) == 1:
+        name = next(iter(imported.balancers))
+    if name not in imported.balancers:
+        known = ", ".join(imported.balancers) or "none"
+        raise ImporterError(f"which balancer? the file has: {known}")
+    if not imported.balancers[name]:
+        raise ImporterError(f"balancer {name!r} has no members")
+    return imported.balancers[name]
 
 
 def node_list(members: list[Member], http_port: int | None = None) -> dict[str, Any]:
-    """The members in discovery's form. Each holds a shard of its own, in the order of the file."""
-    entries, seen = [], set()
-    for cell, m in enumerate(members):
+    """The members as a complete list in discovery's form; each has a shard of its own, in the file's order.
+
+    Args:
+        members: The members of one balancer.
+        http_port: The port at which members that the file reaches by AJP speak HTTP.
+
+    Raises:
+        ImporterError: Two members have one name, or a member cannot be reached by plain HTTP.
+    """
+    entries = []
+    names = set()
+    for shard, member in enumerate(members):
         # Guards against two nodes under one id: one would take the other's place in the list.
-        if m.name in seen:
-            raise ImportFailed(f"two members are called {m.name!r}")
-        seen.add(m.name)
+        if member.name in names:
+            raise ImporterError(f"two members are called {member.name!r}")
+        names.add(member.name)
         entries.append(
             {
-                "instanceId": m.name,
-                "hostPort": f"{host_of(m)}:{port_of(m, http_port)}",
+                "instanceId": member.name,
+                "hostPort": f"{url_host(member.host)}:{http_port_of(member, http_port)}",
                 "zone": "a",
                 "machineType": "imported",
-                "cell": cell,
-                "lifecycle": "SERVING" if m.serving else "DRAINING",
-                "weight": m.weight,
+                "cell": shard,
+                "lifecycle": "SERVING" if member.serving else "DRAINING",
+                "weight": member.weight,
                 "startedAtMs": 0,
             }
         )
     return {"generation": 0, "reset": True, "instances": entries}
 
 
-def host_of(member: Member) -> str:
-    return f"[{member.host}]" if ":" in member.host else member.host
+def url_host(host: str) -> str:
+    """A host as in a URL: an IPv6 address is put in brackets (RFC 3986, 3.2.2)."""
+    return f"[{host}]" if ":" in host else host
 
 
-def port_of(member: Member, http_port: int | None) -> int:
-    """The port on which a member speaks HTTP."""
+def http_port_of(member: Member, http_port: int | None) -> int:
+    """The port at which a member speaks HTTP; `http_port` for those that the file reaches by AJP.
+
+    Raises:
+        ImporterError: None is known.
+    """
     if member.scheme == "http":
         return member.port
     if member.scheme == "ajp" and http_port is not None:
         return http_port
-    raise ImportFailed(
-        f"{member.name!r} is reached by {member.scheme}; a head speaks plain HTTP: "
-        "give its port with --http-port"
-        if member.scheme == "ajp"
-        else f"{member.name!r} is reached by {member.scheme}; a head speaks plain HTTP only"
-    )
+    what = f"{member.name!r} is reached by {member.scheme}; a head speaks plain HTTP"
+    if member.scheme == "ajp":
+        raise ImporterError(f"{what}: give its port with --http-port")
+    raise ImporterError(f"{what} only")
 
 
 def read_port(text: str, where: str) -> int:
-    if not text.isascii() or not text.isdigit() or not 0 < int(text) < 65536:
-        raise ImportFailed(f"{where}: not a port: {text!r}")
+    """A TCP port; `where` is its place in the file.
+
+    Raises:
+        ImporterError: It is no number from 1 to 65535.
+    """
+    if not text.isascii() or not text.isdigit() or not 0 < int(text) <= MAX_PORT:
+        raise ImporterError(f"{where}: not a port: {text!r}")
     return int(text)
 
 
 def read_weight(text: str, where: str) -> float:
+    """A member's weight, relative to that of the others; `where` is its place in the file.
+
+    Raises:
+        ImporterError: It is no number above 0 and up to `MAX_WEIGHT`.
+    """
     try:
         weight = float(text)
     except ValueError:
         weight = 0.0
-    if not 0 < weight <= 1e6:
-        raise ImportFailed(f"{where}: not a weight: {text!r}")
+    if not 0 < weight <= MAX_WEIGHT:
+        raise ImporterError(f"{where}: not a weight: {text!r}")
     return weight
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -8,7 +8,7 @@
 
 from stoatrouter.importer import apache, jk
 from stoatrouter.importer.__main__ import main
-from stoatrouter.importer.members import ImportFailed, Member, choose, node_list
+from stoatrouter.importer.members import ImporterError, Member, node_list, select_members
 from stoatrouter.net.discovery import read_list
 
 APACHE = r"""
@@ -81,11 +81,11 @@
 
 def test_a_file_without_a_balancer_gives_its_plain_workers():
     found = jk.read("worker.list=one,jkstatus\nworker.one.port=8011\nworker.jkstatus.type=status\n")
-    assert choose(found, None) == [Member("one", "ajp", "localhost", 8011)]
+    assert select_members(found, None) == [Member("one", "ajp", "localhost", 8011)]
 
 
 def test_what_is_imported_is_a_list_that_a_head_reads():
-    listed = node_list(choose(apache.read(APACHE), "scores"))
+    listed = node_list(select_members(apache.read(APACHE), "scores"))
     generation, whole, nodes, faults = read_list(listed)
     assert (
         whole
@@ -120,7 +120,7 @@
     ],
 )
 def test_what_cannot_be_taken_over_is_said_in_one_line(read, text, word):
-    with pytest.raises(ImportFailed, match=word):
+    with pytest.raises(ImporterError, match=word):
         read(text)
 
 
@@ -145,5 +145,5 @@
 
 
 def test_two_members_of_one_name_are_not_taken_over():
-    with pytest.raises(ImportFailed, match="two members"):
+    with pytest.raises(ImporterError, match="two members"):
         node_list([Member("a", "http", "h", 1), Member("a", "http", "h", 2)])
