--- a/stoatrouter/agreement/availability.py
+++ b/stoatrouter/agreement/availability.py
@@ -12,11 +12,11 @@
 
 
 class HeadState(Enum):
-    """How a head is connected to the others, as operators are told."""
+    """How a head is connected to the others; the values are what operators see."""
 
     UNFOUNDED = "unfounded"  # no fleet yet: its voters have not all been up together
     CATCHING_UP = "catching up"  # back, and behind what others have agreed on
-    CONNECTED = "in touch"  # hears a majority; the value is what operators see
+    CONNECTED = "in touch"  # hears a majority
     CUT_OFF = "cut off"  # hears no majority
 
 
@@ -26,7 +26,7 @@
 
     founded: bool
     caught_up: bool  # has applied, since its start, what was agreed on when it first heard of it
-    majority_age: timedelta | None  # since a majority was connected, however this head heard of it
+    majority_age: timedelta | None  # since a majority was connected, by any report
     votes: bool
     leads: bool
     disk: bool  # promises can be kept
@@ -61,29 +61,22 @@
     Returns:
         The rights of the head, and its state as operators see it.
     """
-    majority_reachable = facts.majority_age is not None and facts.majority_age <= cut_off_after
     votes = facts.votes and facts.disk
     if not facts.founded:
         return Availability(
             HeadState.UNFOUNDED, serves=True, changes=False, draws=False, votes=False, ready=True
         )
-    if not majority_reachable:
-        waiting = facts.majority_age is None and waited < wait_at_start
-        return Availability(
-            HeadState.CUT_OFF,
-            serves=not waiting,
-            changes=False,
-            draws=False,
-            votes=votes,
-            ready=not waiting,
-        )
+    if facts.majority_age is None or facts.majority_age > cut_off_after:
+        starting = facts.majority_age is None and waited < wait_at_start
+        return _without_majority(serves=not starting, votes=votes)
     if not facts.caught_up:
         return Availability(
-            HeadState.CATCHING_UP,
-            serves=False,
-            changes=False,
-            draws=False,
-            votes=votes,
-            ready=False,
+            HeadState.CATCHING_UP, serves=False, changes=False, draws=False, votes=votes, ready=False
         )
     return Availability(HeadState.CONNECTED, serves=True, changes=True, draws=True, votes=votes, ready=True)
+
+
+def _without_majority(serves: bool, votes: bool) -> Availability:
+    return Availability(
+        HeadState.CUT_OFF, serves=serves, changes=False, draws=False, votes=votes, ready=serves
+    )
--- a/stoatrouter/agreement/contact.py
+++ b/stoatrouter/agreement/contact.py
@@ -23,15 +23,15 @@
 class MajorityContact:
     """The latest moment, on this head's clock, at which a majority is known to have been connected."""
 
-    at: timedelta | None = None
+    latest: timedelta | None = None
 
-    def seen(self, at: timedelta | None) -> None:
-        """A majority was connected at this moment or later."""
-        if at is not None and (self.at is None or at > self.at):
-            self.at = at
+    def record(self, at: timedelta | None) -> None:
+        """Record that a majority was connected at this moment or later; None: nothing is known."""
+        if at is not None and (self.latest is None or at > self.latest):
+            self.latest = at
 
-    def learned(self, asked_at: timedelta, wait_at_answerer: timedelta, age: timedelta) -> None:
-        """Learn of a majority from an answer that reported its age.
+    def record_report(self, asked_at: timedelta, wait_at_answerer: timedelta, age: timedelta) -> None:
+        """Record a majority that another head reported, by its age.
 
         Args:
             asked_at: When the question was asked, on this head's clock.
@@ -39,28 +39,36 @@
                 was given no earlier than `asked_at` plus this, slowed by the most drift of clocks.
             age: How long before its answer the answering head knew of a connected majority.
         """
-        self.seen(asked_at + max(NO_TIME, wait_at_answerer) / CLOCK_DRIFT - max(NO_TIME, age))
+        self.record(asked_at + max(NO_TIME, wait_at_answerer) / CLOCK_DRIFT - max(NO_TIME, age))
 
     def age(self, now: timedelta) -> timedelta | None:
-        """How long ago it was; None: it is not known that there ever was one."""
-        return None if self.at is None else max(NO_TIME, now - self.at)
+        """How long ago a majority was connected; None: it is not known that there ever was one."""
+        return None if self.latest is None else max(NO_TIME, now - self.latest)
+
+
+@dataclass(slots=True, frozen=True)
+class Round:
+    """A round of a leader's heartbeats: its number, and when it began on the leader's clock."""
+
+    number: int
+    began_at: timedelta
 
 
 @dataclass(slots=True)
 class RoundStarts:
-    """When the rounds of one leader began."""
+    """When the latest rounds of one leader began."""
 
-    starts: deque[tuple[int, timedelta]] = field(default_factory=lambda: deque(maxlen=MOST_ROUNDS))
+    starts: deque[Round] = field(default_factory=lambda: deque(maxlen=MOST_ROUNDS))
 
-    def began(self, number: int, now: timedelta) -> None:
+    def record(self, number: int, now: timedelta) -> None:
         """Remember a round, unless one began just before: that one stands for both."""
-        if not self.starts or now >= self.starts[-1][1] + ROUND_SPACING:
-            self.starts.append((number, now))
+        if not self.starts or now >= self.starts[-1].began_at + ROUND_SPACING:
+            self.starts.append(Round(number, now))
 
     def start_of(self, number: int) -> timedelta | None:
         """When a round began, or one just before it; None: too long ago. Forgets the rounds before."""
-        while len(self.starts) > 1 and self.starts[1][0] <= number:
+        while len(self.starts) > 1 and self.starts[1].number <= number:
             self.starts.popleft()
-        if not self.starts or self.starts[0][0] > number:
+        if not self.starts or self.starts[0].number > number:
             return None
-        return self.starts[0][1]
+        return self.starts[0].began_at
--- a/stoatrouter/agreement/founding.py
+++ b/stoatrouter/agreement/founding.py
@@ -46,23 +46,23 @@
     me: Voter
     names: tuple[str, ...]  # the voters of the settings
     origin: str = ""
-    promised: str = ""
+    promised_to: str = ""  # the identity of a founder
     answers: dict[str, Promised] = field(default_factory=dict)
 
     @property
-    def founds(self) -> bool:
+    def is_founder(self) -> bool:
         """Whether this head is the one that asks the others."""
         return not self.origin and bool(self.names) and self.me.name == min(self.names)
 
     def promise(self, founder: Voter) -> Promised:
-        """Asked by a founder: the latest one that asks is the one."""
+        """Answer a founder; the promise goes to the latest one that asks."""
         if not self.origin and self.names and founder.name == min(self.names) and self.me.name in self.names:
-            self.promised = founder.identity
-        return Promised(self.me, self.origin, self.promised)
+            self.promised_to = founder.identity
+        return Promised(self.me, self.origin, self.promised_to)
 
-    def heard(self, answer: Promised) -> Founded | None:
-        """A founder's answers: the founding, once all have promised to it."""
-        if not self.founds:
+    def receive(self, answer: Promised) -> Founded | None:
+        """Take in an answer to this founder; returns the founding once all have promised to it."""
+        if not self.is_founder:
             return None
         if answer.origin or answer.founder != self.me.identity or answer.voter.name not in self.names:
             self.answers.pop(answer.voter.name, None)
@@ -71,11 +71,11 @@
         self.answers[self.me.name] = self.promise(self.me)
         if set(self.answers) != set(self.names):
             return None
-        return Founded(self.me.identity, tuple(sorted(a.voter for a in self.answers.values())))
+        return Founded(self.me.identity, tuple(sorted(answer.voter for answer in self.answers.values())))
 
     def adopt(self, founded: Founded) -> bool:
-        """Whether this head begins with this founding: one that it promised to, or that names its disk."""
-        if self.origin or self.me not in founded.voters or self.promised != founded.origin:
+        """Begin with a founding that names this head's disk and that it promised to; whether it does."""
+        if self.origin or self.me not in founded.voters or self.promised_to != founded.origin:
             return False
         self.origin = founded.origin
         return True
--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stoatrouter.agreement.contact import RoundStarts
-from stoatrouter.agreement.log import read_voters
+from stoatrouter.agreement.log import decode_voters
 from stoatrouter.agreement.records import (
     LEADER_NOT_SETTLED,
     NO_LONGER_VOTER,
@@ -20,86 +20,86 @@
     Entry,
     InstallSnapshot,
     Propose,
-    Readable,
+    ReadConfirmed,
     Rejected,
     Send,
     Voter,
     Write,
 )
-from stoatrouter.agreement.state import LEADER, MOST_UNCOMMITTED, Peer, State
+from stoatrouter.agreement.state import MOST_UNCOMMITTED, Peer, PendingRead, RaftState, Role
 
+RESEND_AFTER_HEARTBEATS = 3  # a batch without an answer is sent again after so many heartbeats
 
-class Leading(State):
-    """What a head does while it leads. Its state is State's."""
+
+class Leading(RaftState):
+    """What a head does while it leads. Its state is RaftState's."""
 
     __slots__ = ()
 
-    def _lead(self) -> list[Effect]:
-        self.role, self.leader = LEADER, self.me
+    def _become_leader(self) -> list[Effect]:
+        self.role = Role.LEADER
+        self.leader = self.me
         self.round_starts = RoundStarts()
-        others = [v for v in self.voters if v != self.me]
-        self.peers = {v.identity: Peer(self.log.last + 1, heard=self.now) for v in others}
-        return self._add(NOOP, b"")
+        others = [voter for voter in self.voters if voter != self.me]
+        self.peers = {voter.identity: Peer(self.log.last + 1, heard_at=self.now) for voter in others}
+        return self._append_entry(NOOP, b"")
 
-    # -- the leader ---------------------------------------------------------------------------------------
+    # -- proposals ----------------------------------------------------------------------------------------
     def _propose(self, event: Propose) -> list[Effect]:
         if not self.leads:
             return [Rejected(event.id, NOT_LEADER)]
         # Guards memory while no majority answers.
-        if self.log.last - self.commit >= MOST_UNCOMMITTED:
+        if self.log.last - self.commit_index >= MOST_UNCOMMITTED:
             return [Rejected(event.id, TOO_MANY_UNCOMMITTED)]
-        if event.kind == VOTERS and (why := self._unfit(event.body)):
-            return [Rejected(event.id, why)]
-        effects = self._add(event.kind, event.body)
+        if event.kind == VOTERS and (reason := self._voter_change_fault(event.body)):
+            return [Rejected(event.id, reason)]
+        effects = self._append_entry(event.kind, event.body)
         return [Accepted(event.id, self.log.last, self.term), *effects]
 
-    def _unfit(self, body: bytes) -> str | None:
-        """Why voters cannot be changed so, now."""
-        at, voters = self.log.voters()
-        after = read_voters(body)
-        if at > self.commit:
+    def _voter_change_fault(self, body: bytes) -> str | None:
+        """Why the voters cannot be changed so, now; None where they can (thesis 4.1)."""
+        current = self.log.voter_set()
+        proposed = decode_voters(body)
+        if current.set_at > self.commit_index:
             return VOTER_CHANGE_UNDER_WAY
         # Guards two majorities of different sets: the correction of 2015 to Raft's single changes.
         if not self.settled:
             return LEADER_NOT_SETTLED
-        if len(set(voters) ^ set(after)) != 1 or len({v.name for v in after}) != len(after) or not after:
+        single = len(set(current.voters) ^ set(proposed)) == 1
+        unique = len({voter.name for voter in proposed}) == len(proposed)
+        if not single or not unique or not proposed:
             return VOTER_CHANGE_NOT_SINGLE
         return None
 
-    def _add(self, kind: str, body: bytes) -> list[Effect]:
+    def _append_entry(self, kind: str, body: bytes) -> list[Effect]:
         entry = Entry(self.log.last + 1, self.term, kind, body)
-        self.log.add([entry])
+        self.log.append([entry])
         if kind == VOTERS:
-            for voter in read_voters(body):
+            for voter in decode_voters(body):
                 if voter != self.me:
-                    self.peers.setdefault(voter.identity, Peer(entry.index, heard=self.now))
-        return [self._durable(Write(entries=(entry,))), *self._broadcast()]
+                    self.peers.setdefault(voter.identity, Peer(entry.index, heard_at=self.now))
+        return [self._persist(Write(entries=(entry,))), *self._broadcast()]
 
+    # -- replication --------------------------------------------------------------------------------------
     def _broadcast(self) -> list[Effect]:
-        """To all voters: new entries, or that the leader is there."""
+        """Send all voters the new entries, or a heartbeat."""
         self.round += 1
-        self.round_starts.began(self.round, self.now)
-        self._see_majority()  # a leader that is the only voter is the majority
+        self.round_starts.record(self.round, self.now)
+        self._record_majority_contact()  # a leader that is the only voter is the majority
         self.heartbeat_at = self.now + self.timing.heartbeat
-        return [self._to(v) for v in self.voters if v != self.me]
+        return [self._append_entries_to(voter) for voter in self.voters if voter != self.me]
 
-    def _to(self, voter: Voter) -> Send:
+    def _append_entries_to(self, voter: Voter) -> Send:
         peer = self.peers[voter.identity]
-        prev = self.log.term(peer.next_index - 1)
-        if prev is None:
+        prev_term = self.log.term_at(peer.next_index - 1)
+        if prev_term is None:
             return Send(voter, InstallSnapshot(self.term, self.log.snapshot, self.round))
-        entries: tuple[Entry, ...] = ()
-        # one batch is under way at a time; it is sent again when no answer came for a while
-        if peer.next_index <= self.log.last and (
-            peer.sent_at is None or self.now >= peer.sent_at + 3 * self.timing.heartbeat
-        ):
-            entries, peer.sent_at = self.log.since(peer.next_index), self.now
         append = AppendEntries(
             self.term,
             peer.next_index - 1,
-            prev,
-            entries,
-            self.commit,
+            prev_term,
+            self._next_batch(peer),
+            self.commit_index,
             self.round,
             peer.match_index,
             self.contact.age(self.now) if self.settled else None,
@@ -107,62 +107,82 @@
         )
         return Send(voter, append)
 
-    def _appended(self, sender: Voter, said: AppendEntriesReply) -> list[Effect]:
+    def _next_batch(self, peer: Peer) -> tuple[Entry, ...]:
+        """The entries to send a voter now; none while a batch is under way and not overdue."""
+        overdue = RESEND_AFTER_HEARTBEATS * self.timing.heartbeat
+        under_way = peer.sent_at is not None and self.now < peer.sent_at + overdue
+        if peer.next_index > self.log.last or under_way:
+            return ()
+        peer.sent_at = self.now
+        return self.log.entries_from(peer.next_index)
+
+    def _receive_append_reply(self, sender: Voter, reply: AppendEntriesReply) -> list[Effect]:
         peer = self.peers.get(sender.identity)
-        if not self.leads or peer is None or said.term != self.term:
+        if not self.leads or peer is None or reply.term != self.term:
             return []
-        peer.heard, peer.sent_at = self.now, None
-        peer.round = max(peer.round, said.round)
-        peer.answered_at = said.sent_at
-        if said.ok:
-            peer.match_index = max(peer.match_index, said.match_index)
+        peer.heard_at = self.now
+        peer.sent_at = None
+        peer.round = max(peer.round, reply.round)
+        peer.answered_at = reply.sent_at
+        if reply.ok:
+            peer.match_index = max(peer.match_index, reply.match_index)
             peer.next_index = max(peer.next_index, peer.match_index + 1)
         else:
-            peer.next_index = max(peer.match_index + 1, min(peer.next_index - 1, said.match_index + 1))
-        self._see_majority()
-        effects = self._count() + self._confirm()
-        if self.leads and (peer.next_index <= self.log.last or not said.ok):
-            effects.append(self._to(sender))
+            back_to = min(peer.next_index - 1, reply.match_index + 1)
+            peer.next_index = max(peer.match_index + 1, back_to)
+        self._record_majority_contact()
+        effects = self._advance_commit_index() + self._confirm_reads()
+        if self.leads and (peer.next_index <= self.log.last or not reply.ok):
+            effects.append(self._append_entries_to(sender))
         return effects
 
-    def _count(self) -> list[Effect]:
+    def _advance_commit_index(self) -> list[Effect]:
         """Commit what a majority has on disk. Only entries of the own term count (3.6.2)."""
         if not self.leads:
             return []
-        at = sorted(
-            (self.durable if v == self.me else self.peers[v.identity].match_index for v in self.voters),
-            reverse=True,
-        )[len(self.voters) // 2]
-        if at <= self.commit or self.log.term(at) != self.term:
+        index = self._held_by_majority(
+            [
+                self.durable_index if voter == self.me else self.peers[voter.identity].match_index
+                for voter in self.voters
+            ]
+        )
+        if index <= self.commit_index or self.log.term_at(index) != self.term:
             return []
-        effects = self._commit(at)
-        if self.me not in self.voters and self.log.voters()[0] <= self.commit:
-            self._follow(None)  # it led until its own removal was agreed on
-            return effects + self._drop_reads(NO_LONGER_VOTER)
+        effects = self._commit_up_to(index)
+        if self.me not in self.voters and self.log.voter_set().set_at <= self.commit_index:
+            self._become_follower(None)  # it led until its own removal was committed
+            return effects + self._reject_pending_reads(NO_LONGER_VOTER)
         return effects + self._broadcast()
 
-    def _read(self, id: str) -> list[Effect]:
+    @staticmethod
+    def _held_by_majority(values: list[int]) -> int:
+        """The largest value that a majority of the voters has reached; one value for each voter."""
+        return sorted(values, reverse=True)[len(values) // 2]
+
+    # -- reads (thesis 6.4) -------------------------------------------------------------------------------
+    def _request_read(self, id: str) -> list[Effect]:
         if not self.settled:
-            return [Rejected(id, NOT_LEADER if not self.leads else LEADER_NOT_SETTLED)]
+            return [Rejected(id, LEADER_NOT_SETTLED if self.leads else NOT_LEADER)]
         effects = self._broadcast()
-        self.reads.append((id, self.commit, self.round))
-        return effects + self._confirm()
+        self.pending_reads.append(PendingRead(id, self.commit_index, self.round))
+        return effects + self._confirm_reads()
 
-    def _confirm(self) -> list[Effect]:
-        """Reads hold once a majority answered a round that began after they were asked."""
+    def _confirm_reads(self) -> list[Effect]:
+        """Confirm reads once a majority has answered a round that began after they were asked for."""
         if not self.leads:
             return []
-        confirmed = self._confirmed_round()
-        done = [(id, index) for id, index, round in self.reads if round <= confirmed]
-        self.reads = [read for read in self.reads if read[2] > confirmed]
-        return [Readable(id, index) for id, index in done]
+        confirmed_round = self._confirmed_round()
+        confirmed = [read for read in self.pending_reads if read.round <= confirmed_round]
+        self.pending_reads = [read for read in self.pending_reads if read.round > confirmed_round]
+        return [ReadConfirmed(read.id, read.index) for read in confirmed]
 
     def _confirmed_round(self) -> int:
         """The latest round that a majority has answered, this head counted."""
-        rounds = [self.round if v == self.me else self.peers[v.identity].round for v in self.voters]
-        return sorted(rounds, reverse=True)[len(rounds) // 2]
+        return self._held_by_majority(
+            [self.round if voter == self.me else self.peers[voter.identity].round for voter in self.voters]
+        )
 
-    def _see_majority(self) -> None:
-        """A majority answered a round: it was connected when that round began, or later."""
+    def _record_majority_contact(self) -> None:
+        """Record that a majority answered a round: it was connected when that round began, or later."""
         if self.leads:
-            self.contact.seen(self.round_starts.start_of(self._confirmed_round()))
+            self.contact.record(self.round_starts.start_of(self._confirmed_round()))
--- a/stoatrouter/agreement/log.py
+++ b/stoatrouter/agreement/log.py
@@ -6,9 +6,20 @@
 
 import msgspec
 
+from stoatrouter.agreement.errors import EntryNotHeld
 from stoatrouter.agreement.records import VOTERS, Entry, Snapshot, Voter
 
-MOST_IN_MESSAGE, MOST_BYTES = 256, 4 * 1024 * 1024  # entries and bytes of them in one message
+MOST_IN_MESSAGE = 256  # entries in one message
+MOST_BYTES = 4 * 1024 * 1024  # of entries in one message
+ENTRY_OVERHEAD = 32  # bytes counted for an entry beside its body
+
+
+@dataclass(slots=True, frozen=True)
+class VoterSet:
+    """The voters, and at which index an entry or the snapshot set them."""
+
+    set_at: int
+    voters: tuple[Voter, ...]
 
 
 @dataclass(slots=True)
@@ -17,20 +28,20 @@
 
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
-    changes: list[Entry] = field(default_factory=list)  # of the voters, among the entries
+    voter_changes: list[Entry] = field(default_factory=list)  # those among the entries
 
     def __post_init__(self) -> None:
         """Find the changes of the voters among the entries given (thesis 4.1: the latest one counts)."""
-        self.changes = [entry for entry in self.entries if entry.kind == VOTERS]
+        self.voter_changes = [entry for entry in self.entries if entry.kind == VOTERS]
 
-    def add(self, entries: list[Entry]) -> None:
+    def append(self, entries: list[Entry]) -> None:
         """Append entries that follow on the last one."""
         self.entries += entries
-        self.changes += [entry for entry in entries if entry.kind == VOTERS]
+        self.voter_changes += [entry for entry in entries if entry.kind == VOTERS]
 
     @property
     def first(self) -> int:
-        """The index of the first entry that is held, or would be."""
+        """The index of the first entry that the log holds, or would hold."""
         return self.entries[0].index if self.entries else self.snapshot.index + 1
 
     @property
@@ -43,35 +54,42 @@
         """The term of the last entry."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
-    def term(self, index: int) -> int | None:
-        """The term of an entry; None where it is not held."""
+    def term_at(self, index: int) -> int | None:
+        """The term of an entry; None where the log does not hold it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.entries and self.first <= index <= self.last:
             return self.entries[index - self.first].term
         return None
 
-    def since(self, index: int, until: int | None = None) -> tuple[Entry, ...]:
+    def require_term_at(self, index: int) -> int:
+        """The term of an entry; raises EntryNotHeld where the log does not hold it."""
+        term = self.term_at(index)
+        if term is None:
+            raise EntryNotHeld(index, self.first, self.last)
+        return term
+
+    def entries_from(self, index: int, until: int | None = None) -> tuple[Entry, ...]:
         """Entries from an index on, as many as one message may hold (one at the least)."""
-        taken: list[Entry] = []
+        batch: list[Entry] = []
         size = 0
         for entry in self.entries[max(0, index - self.first) :]:
-            if until is not None and entry.index > until or len(taken) >= MOST_IN_MESSAGE:
+            if until is not None and entry.index > until or len(batch) >= MOST_IN_MESSAGE:
                 break
-            size += len(entry.body) + 32
-            if taken and size > MOST_BYTES:
+            size += len(entry.body) + ENTRY_OVERHEAD
+            if batch and size > MOST_BYTES:
                 break
-            taken.append(entry)
-        return tuple(taken)
+            batch.append(entry)
+        return tuple(batch)
 
-    def between(self, after: int, to: int) -> tuple[Entry, ...]:
+    def entries_between(self, after: int, to: int) -> tuple[Entry, ...]:
         """The entries after one index, up to another."""
         return tuple(self.entries[max(0, after + 1 - self.first) : max(0, to + 1 - self.first)])
 
-    def cut(self, index: int) -> None:
-        """Entries from an index on go."""
+    def truncate_from(self, index: int) -> None:
+        """Remove the entries from an index on."""
         del self.entries[max(0, index - self.first) :]
-        self.changes = [entry for entry in self.changes if entry.index < index]
+        self.voter_changes = [entry for entry in self.voter_changes if entry.index < index]
 
     def compact(self, snapshot: Snapshot, keep: int) -> int:
         """Take a snapshot and retain some entries before it, for heads a little behind (thesis 5.1).
@@ -88,19 +106,19 @@
         self.snapshot = snapshot
         return retained_from
 
-    def voters(self, until: int | None = None) -> tuple[int, tuple[Voter, ...]]:
-        """The newest set of voters, committed or not, and the index that set it."""
-        for entry in reversed(self.changes):
+    def voter_set(self, until: int | None = None) -> VoterSet:
+        """The newest set of voters, committed or not; with `until`, as of that index."""
+        for entry in reversed(self.voter_changes):
             if (until is None or entry.index <= until) and entry.index > self.snapshot.index:
-                return entry.index, read_voters(entry.body)
-        return self.snapshot.index, self.snapshot.voters
+                return VoterSet(entry.index, decode_voters(entry.body))
+        return VoterSet(self.snapshot.index, self.snapshot.voters)
 
 
-def read_voters(body: bytes) -> tuple[Voter, ...]:
+def decode_voters(body: bytes) -> tuple[Voter, ...]:
     """The voters that an entry names."""
     return msgspec.msgpack.decode(body, type=tuple[Voter, ...])
 
 
-def write_voters(voters: tuple[Voter, ...]) -> bytes:
+def encode_voters(voters: tuple[Voter, ...]) -> bytes:
     """The body of an entry that names the voters."""
     return msgspec.msgpack.encode(voters)
--- a/stoatrouter/agreement/machine.py
+++ b/stoatrouter/agreement/machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: what the agreed commands come to, the same at every head. No I/O.
+"""The replicated state machine: applies the agreed commands, with the same result at every head. No I/O.
 
 Its state is made of parts, one per concern, and the latest answer of each command (thesis 6.3).
 
@@ -10,15 +10,14 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import NamedTuple, Protocol
 
 import msgspec
 
 from stoatrouter.agreement.records import COMMAND, Entry
 
-MOST_ANSWERS = 4_096  # kept, the oldest go first
+MOST_ANSWERS = 4_096  # retained; beyond, the oldest are dropped
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
@@ -37,6 +36,13 @@
     parts: dict[str, bytes]
 
 
+class CommandAnswer(NamedTuple):
+    """The answer of a part to a command."""
+
+    id: str  # the command's
+    body: bytes
+
+
 class Part(Protocol):
     """One concern's state. What it does follows from its state and the command alone."""
 
@@ -50,6 +56,7 @@
 
     def restore(self, state: bytes) -> None:
         """Replace the state; b"" is that of a fleet just founded."""
+        ...
 
 
 @dataclass(slots=True)
@@ -60,21 +67,21 @@
     answers: OrderedDict[str, bytes] = field(default_factory=OrderedDict)
     index: int = 0
 
-    def apply(self, entry: Entry) -> tuple[str, bytes] | None:
-        """Apply an entry: the command's id and its answer, where it is a command."""
+    def apply(self, entry: Entry) -> CommandAnswer | None:
+        """Apply an entry; returns the answer where it is a command."""
         self.index = entry.index
         if entry.kind != COMMAND:
             return None
         command = msgspec.msgpack.decode(entry.body, type=Command)
         if command.id in self.answers:
-            return command.id, self.answers[command.id]
+            return CommandAnswer(command.id, self.answers[command.id])
         part = self.parts.get(command.part)
         # Guards heads of different versions: all must come to the same, so an unknown part does nothing.
         answer = part.apply(entry.index, command.body) if part is not None else b""
         self.answers[command.id] = answer
         if len(self.answers) > MOST_ANSWERS:
             self.answers.popitem(last=False)
-        return command.id, answer
+        return CommandAnswer(command.id, answer)
 
     def state(self) -> bytes:
         """All parts and answers, for a snapshot."""
@@ -83,18 +90,15 @@
 
     def restore(self, index: int, state: bytes) -> None:
         """Replace everything by a snapshot's state; b"" is that of a fleet just founded."""
-        saved = msgspec.msgpack.decode(state, type=MachineState) if state else MachineState([], {})
+        saved = MachineState([], {})
+        if state:
+            saved = msgspec.msgpack.decode(state, type=MachineState)
         self.answers = OrderedDict(saved.answers)
         self.index = index
         for name, part in self.parts.items():
             part.restore(saved.parts.get(name, b""))
 
 
-def encode(value: Any) -> bytes:
-    """A value as bytes of the log."""
+def encode(value: object) -> bytes:
+    """A value as bytes of the log, msgpack."""
     return msgspec.msgpack.encode(value)
-
-
-def decoder(kind: Any) -> Callable[[bytes], Any]:
-    """What reads such bytes back."""
-    return msgspec.msgpack.Decoder(kind).decode
--- a/stoatrouter/agreement/records.py
+++ b/stoatrouter/agreement/records.py
@@ -1,7 +1,7 @@
-"""What the log holds, what voters say to each other, and the events and effects of the agreement.
+"""The entries of the log, the messages between voters, and the events and effects of the agreement.
 
 Names and rules are those of Raft (Ongaro's thesis, 2014, chapters 3, 4 and 6). What must be durable before a
-message goes out is said by the type: `Durable` holds the messages that wait for it, `Send` waits for nothing.
+message goes out shows in the type: `Persist` holds the messages that wait for it, `Send` waits for nothing.
 """
 
 from __future__ import annotations
@@ -10,7 +10,10 @@
 
 import msgspec
 
-NOOP, COMMAND, VOTERS = "n", "c", "v"
+# The kinds of entries, as they stand on the wire and on disk.
+NOOP = "n"
+COMMAND = "c"
+VOTERS = "v"
 
 
 class Voter(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -21,7 +24,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One place of the log."""
+    """One entry of the log (thesis 3.5)."""
 
     index: int
     term: int
@@ -30,7 +33,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that the entries up to an index came to."""
+    """The state after all entries up to an index (thesis 5)."""
 
     index: int
     term: int
@@ -40,7 +43,7 @@
 
 # -- messages -----------------------------------------------------------------------------------------------
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """What a voter says to another, in a term."""
+    """A message from one voter to another, in a term."""
 
     term: int
 
@@ -54,7 +57,7 @@
 
 
 class RequestVoteReply(Message, frozen=True, array_like=True, tag="vote"):
-    """Answers to that."""
+    """The answer to a RequestVote."""
 
     granted: bool
     pre_vote: bool
@@ -68,9 +71,9 @@
     entries: tuple[Entry, ...]
     leader_commit: int
     round: int  # of asking all voters; a read waits for a majority of one
-    acknowledged: int  # the last index that the receiver said is on its disk, in this term
+    acknowledged: int  # the last index that the receiver reported as on its disk, in this term
     majority_age: timedelta | None = None  # since a majority was connected, as the leader knows
-    answers: timedelta | None = None  # the latest `sent_at` that the leader has from the receiver
+    echoed_sent_at: timedelta | None = None  # the latest `sent_at` that the leader has from the receiver
 
 
 class AppendEntriesReply(Message, frozen=True, array_like=True, tag="appended"):
@@ -93,11 +96,11 @@
 
 
 # -- what a disk holds ------------------------------------------------------------------------------------
-class Disk(msgspec.Struct, frozen=True):
-    """What a head finds on its disk."""
+class PersistentState(msgspec.Struct, frozen=True):
+    """What a head finds on its disk: the persistent state of Raft (thesis figure 3.1)."""
 
     term: int = 0
-    voted: str | None = None  # the identity that this head voted for in the term
+    voted_for: str | None = None  # the identity that this head voted for in the term
     snapshot: Snapshot = Snapshot(0, 0, (), b"")
     entries: tuple[Entry, ...] = ()
 
@@ -106,7 +109,7 @@
     """One transaction on the disk. Whatever is None stays as it is."""
 
     term: int | None = None
-    voted: str | None = None  # counts where term is given
+    voted_for: str | None = None  # counts where term is given
     cut_from: int | None = None  # entries from this index on go first
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
@@ -123,55 +126,53 @@
 
 
 # -- events -----------------------------------------------------------------------------------------------
-class Tick(msgspec.Struct, frozen=True):
-    """Time has passed."""
+class TimedEvent(msgspec.Struct, frozen=True):
+    """What has happened, and when on this head's monotonic clock."""
 
     at: timedelta
 
 
-class Received(msgspec.Struct, frozen=True):
-    """A message has come."""
+class Tick(TimedEvent, frozen=True):
+    """Time has passed."""
+
+
+class Received(TimedEvent, frozen=True):
+    """A message was received."""
 
-    at: timedelta
     sender: Voter
     message: AnyMessage
 
 
-class Propose(msgspec.Struct, frozen=True):
+class Propose(TimedEvent, frozen=True):
     """Asks for an entry to be agreed on."""
 
-    at: timedelta
     id: str
     body: bytes
     kind: str = COMMAND
 
 
-class Read(msgspec.Struct, frozen=True):
+class Read(TimedEvent, frozen=True):
     """Asks up to which index a read must have applied, confirmed by a majority."""
 
-    at: timedelta
     id: str
 
 
-class Wrote(msgspec.Struct, frozen=True):
+class WriteCompleted(TimedEvent, frozen=True):
     """A write is on the disk."""
 
-    at: timedelta
     number: int
 
 
-class Compact(msgspec.Struct, frozen=True):
+class Compact(TimedEvent, frozen=True):
     """What was applied up to an index, as one state: the entries before it may go."""
 
-    at: timedelta
     index: int
     state: bytes
 
 
-class Learnt(msgspec.Struct, frozen=True):
-    """Entries that are known to be committed, from any voter: how heads without a vote follow."""
+class CommittedReceived(TimedEvent, frozen=True):
+    """Entries that are committed, from any voter: how heads without a vote follow."""
 
-    at: timedelta
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
@@ -179,13 +180,11 @@
     snapshot: Snapshot | None = None
 
 
-class DiskFailed(msgspec.Struct, frozen=True):
+class DiskFailed(TimedEvent, frozen=True):
     """The disk takes no more writes: what was promised cannot be kept from now on."""
 
-    at: timedelta
-
 
-Event = DiskFailed | Tick | Received | Propose | Read | Wrote | Compact | Learnt
+Event = DiskFailed | Tick | Received | Propose | Read | WriteCompleted | Compact | CommittedReceived
 
 
 # -- effects ----------------------------------------------------------------------------------------------
@@ -196,8 +195,8 @@
     message: AnyMessage
 
 
-class Durable(msgspec.Struct, frozen=True):
-    """Write this, after all writes before it; only then send these. `Wrote` tells that it is done."""
+class Persist(msgspec.Struct, frozen=True):
+    """Write this, after all writes before it; only then send these. `WriteCompleted` follows."""
 
     number: int
     write: Write
@@ -217,14 +216,14 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """A proposal is in the log; it holds once that entry is applied with the same term."""
+    """A proposal is in the log; it is committed once that entry is applied with the same term."""
 
     id: str
     index: int
     term: int
 
 
-# Why a proposal or read is rejected (`Rejected.why`). The texts reach callers as they are, so they stay.
+# Why a proposal or read is rejected (`Rejected.reason`). The texts reach callers as they are, so they stay.
 NOT_LEADER = "not the leader"
 TOO_MANY_UNCOMMITTED = "too much is not agreed on yet"
 VOTER_CHANGE_UNDER_WAY = "another change of voters is under way"
@@ -240,29 +239,29 @@
     """A proposal or read that this head cannot take, and why."""
 
     id: str
-    why: str
+    reason: str
 
 
-class Readable(msgspec.Struct, frozen=True):
-    """A read holds once this index is applied."""
+class ReadConfirmed(msgspec.Struct, frozen=True):
+    """A majority has confirmed a read: it may be answered once this index is applied (thesis 6.4)."""
 
     id: str
     index: int
 
 
-class Role(msgspec.Struct, frozen=True):
+class LeaderChanged(msgspec.Struct, frozen=True):
     """Who leads, as this head knows it."""
 
     term: int
     leader: str | None  # a name; None: nobody known
-    mine: bool
+    is_self: bool
 
 
-class Forgot(msgspec.Struct, frozen=True):
+class LogLost(msgspec.Struct, frozen=True):
     """This head's disk is older than what it acknowledged: it must not vote under this identity again."""
 
     last_on_disk: int
     acknowledged: int
 
 
-Effect = Send | Durable | Apply | Restore | Accepted | Rejected | Readable | Role | Forgot
+Effect = Send | Persist | Apply | Restore | Accepted | Rejected | ReadConfirmed | LeaderChanged | LogLost
--- /dev/null
+++ b/stoatrouter/agreement/replication.py
@@ -0,0 +1,170 @@
+"""The follower's part: taking in the leader's entries and snapshots, and committed entries from any voter."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import msgspec
+
+from stoatrouter.agreement.errors import CommittedEntryConflict
+from stoatrouter.agreement.log import Log
+from stoatrouter.agreement.records import (
+    AppendEntries,
+    AppendEntriesReply,
+    CommittedReceived,
+    Effect,
+    Entry,
+    InstallSnapshot,
+    LogLost,
+    Restore,
+    Send,
+    Snapshot,
+    Voter,
+    Write,
+)
+from stoatrouter.agreement.state import NO_TIME
+from stoatrouter.agreement.voting import Voting
+
+
+@dataclass(slots=True, frozen=True)
+class Match:
+    """What became of entries that were offered to the log (log matching, thesis 3.5).
+
+    Attributes:
+        ok: Whether they follow on what the log holds.
+        index: ok: up to where the log agrees with the sender; else where the sender may try next.
+        write: What goes to the disk.
+    """
+
+    ok: bool
+    index: int
+    write: Write = Write()
+
+
+class Replication(Voting):
+    """What a head does as a follower. Its state is RaftState's."""
+
+    __slots__ = ()
+
+    # -- from the leader ----------------------------------------------------------------------------------
+    def _receive_from_leader(self, sender: Voter, message: AppendEntries | InstallSnapshot) -> list[Effect]:
+        if self.abstains:
+            return []
+        if message.term < self.term:
+            return [Send(sender, AppendEntriesReply(self.term, False, self.log.last, message.round))]
+        effects: list[Effect] = []
+        new_term: int | None = None
+        if message.term > self.term:
+            effects = self._enter_term(message.term)
+            new_term = message.term
+        self._become_follower(sender)
+        self.leader_heard_at = self.now
+        if isinstance(message, InstallSnapshot):
+            return effects + self._install_snapshot(sender, message, new_term)
+        return effects + self._receive_entries(sender, message, new_term)
+
+    def _receive_entries(self, sender: Voter, message: AppendEntries, new_term: int | None) -> list[Effect]:
+        self._learn_contact(message)
+        # Guards the fleet's promises: a disk that lost what it acknowledged must not be counted again.
+        if message.acknowledged > self.log.last:
+            self.abstains = True
+            return [LogLost(self.log.last, message.acknowledged)]
+        match = self._match_entries(message.prev_index, message.prev_term, message.entries)
+        reply = AppendEntriesReply(self.term, match.ok, match.index, message.round, self.now)
+        persist = self._persist(self._with_term(match.write, new_term), (Send(sender, reply),))
+        committed = self._commit_up_to(min(message.leader_commit, match.index)) if match.ok else []
+        return [persist, *committed]
+
+    def _with_term(self, write: Write, new_term: int | None) -> Write:
+        """The write, with the term that begins with it where one does."""
+        if new_term is None:
+            return write
+        return msgspec.structs.replace(write, term=new_term, voted_for=self.voted_for)
+
+    def _learn_contact(self, message: AppendEntries) -> None:
+        """Learn when the leader's majority was connected, from an AppendEntries.
+
+        The leader wrote this after it had what this head sent at `echoed_sent_at`, so that moment is when
+        this head asked.
+        """
+        # Guards against what an earlier process of this head sent, by a clock that may have begun anew.
+        if message.majority_age is None or message.echoed_sent_at is None:
+            return
+        if self.started_at <= message.echoed_sent_at <= self.now:
+            self.contact.record_report(message.echoed_sent_at, NO_TIME, message.majority_age)
+
+    # -- the log ------------------------------------------------------------------------------------------
+    def _match_entries(self, prev_index: int, prev_term: int, entries: tuple[Entry, ...]) -> Match:
+        """Take in entries where they follow on what the log holds (thesis 3.5)."""
+        snapshot = self.log.snapshot
+        if prev_index < snapshot.index:  # all before is committed, and so equal
+            entries = tuple(entry for entry in entries if entry.index > snapshot.index)
+            prev_index = snapshot.index
+            prev_term = snapshot.term
+        if self.log.term_at(prev_index) != prev_term:
+            return Match(False, min(self.log.last, prev_index - 1))
+        index = entries[-1].index if entries else prev_index
+        first_new = next((e.index for e in entries if self.log.term_at(e.index) != e.term), None)
+        if first_new is None:
+            return Match(True, index)
+        cut_from = first_new if first_new <= self.log.last else None
+        if cut_from is not None and cut_from <= self.commit_index:
+            if __debug__:
+                raise CommittedEntryConflict(cut_from, self.commit_index)
+            return Match(False, self.commit_index)  # in production the sender is not believed
+        if cut_from is not None:
+            self._truncate_log(cut_from)
+        new = [entry for entry in entries if entry.index >= first_new]
+        self.log.append(new)
+        return Match(True, index, Write(cut_from=cut_from, entries=tuple(new)))
+
+    def _truncate_log(self, index: int) -> None:
+        """Remove the entries from an index on, which a leader's entries conflict with."""
+        self.log.truncate_from(index)
+        self.durable_index = min(self.durable_index, index - 1)
+        self.pending_writes = {number: min(last, index - 1) for number, last in self.pending_writes.items()}
+
+    # -- snapshots ----------------------------------------------------------------------------------------
+    def _install_snapshot(
+        self, sender: Voter, message: InstallSnapshot, new_term: int | None
+    ) -> list[Effect]:
+        snapshot = message.snapshot
+        effects: list[Effect] = []
+        write = Write(new_term, self.voted_for)
+        if snapshot.index > self.commit_index:
+            write = self._replace_log(snapshot, new_term)
+            effects.append(Restore(snapshot))
+        reply = AppendEntriesReply(self.term, True, snapshot.index, message.round, self.now)
+        return [self._persist(write, (Send(sender, reply),)), *effects]
+
+    def _replace_log(self, snapshot: Snapshot, new_term: int | None) -> Write:
+        """Replace the log by a snapshot that is further than what is committed here; returns the write."""
+        self.log = Log(snapshot)
+        self.commit_index = snapshot.index
+        self.last_applied = snapshot.index
+        self.durable_index = 0
+        self.pending_writes.clear()
+        return Write(new_term, self.voted_for, cut_from=1, snapshot=snapshot, keep_from=snapshot.index + 1)
+
+    # -- from any voter -----------------------------------------------------------------------------------
+    def _receive_committed(self, event: CommittedReceived) -> list[Effect]:
+        """Take in committed entries from any voter; so a voter that was removed meanwhile gets them too."""
+        if self.leads:
+            return []
+        snapshot = event.snapshot
+        if snapshot is not None and snapshot.index <= self.commit_index:
+            return []
+        # Guards what is committed against a leader of an older term, who may count this head as a voter that
+        # nobody else knows of: a term that something was agreed on in has begun, so the older one is over.
+        term = max([snapshot.term if snapshot else 0, *(entry.term for entry in event.entries)])
+        new_term = term if term > self.term else None
+        if snapshot is not None:
+            effects = self._enter_term(new_term) if new_term is not None else []
+            write = self._replace_log(snapshot, new_term)
+            return [*effects, self._persist(write), Restore(snapshot)]
+        match = self._match_entries(event.prev_index, event.prev_term, event.entries)
+        if not match.ok:
+            return []
+        effects = self._enter_term(new_term) if new_term is not None else []
+        persist = self._persist(self._with_term(match.write, new_term))
+        return [*effects, persist, *self._commit_up_to(min(event.commit, match.index))]
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -5,21 +5,39 @@
 import random
 from dataclasses import dataclass, field
 from datetime import timedelta
+from enum import Enum
 
 from stoatrouter.agreement.contact import MajorityContact, RoundStarts
 from stoatrouter.agreement.log import Log
-from stoatrouter.agreement.records import Apply, Disk, Durable, Effect, Rejected, Role, Send, Voter, Write
+from stoatrouter.agreement.records import (
+    Apply,
+    Effect,
+    LeaderChanged,
+    Persist,
+    PersistentState,
+    Rejected,
+    Send,
+    Voter,
+    Write,
+)
 
 NO_TIME = timedelta(0)
-MOST_UNCOMMITTED = 4_096  # entries; beyond, proposals are refused
-KEEP = 512  # entries kept before a snapshot, for heads a little behind
-# Roles of thesis 3.3 and 9.6; values as before: the fleet lab keys its states on them.
-FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follows", "asks", "stands", "leads"
+MOST_UNCOMMITTED = 4_096  # entries; beyond, proposals are rejected
+RETAINED_ENTRIES = 512  # entries kept before a snapshot, for heads a little behind
+
+
+class Role(Enum):
+    """The part that a head takes in the current term (thesis 3.3, and 9.6 for the pre-vote)."""
+
+    FOLLOWER = "follower"
+    PRE_CANDIDATE = "pre-candidate"
+    CANDIDATE = "candidate"
+    LEADER = "leader"
 
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Spans of the agreement. A killed leader was replaced in 0.7 and 0.8 s, in two tries on processes."""
+    """Spans of the agreement. A killed leader was replaced in 0.7 and 0.8 s, in two trials on processes."""
 
     heartbeat: timedelta = timedelta(milliseconds=100)
     election: timedelta = timedelta(milliseconds=600)  # each wait is drawn from this to twice as long
@@ -31,110 +49,133 @@
 
     next_index: int  # the next entry to send it (thesis figure 3.1)
     match_index: int = 0  # the last entry known to be on its disk
-    round: int = 0
-    heard: timedelta = NO_TIME
+    round: int = 0  # the latest round that it has answered
+    heard_at: timedelta = NO_TIME
     sent_at: timedelta | None = None  # entries are under way
-    answered_at: timedelta | None = None  # on its own clock, as its last answer said
+    answered_at: timedelta | None = None  # on its own clock, as its last answer has it
+
+
+@dataclass(slots=True, frozen=True)
+class PendingRead:
+    """A read that waits until a majority has answered a round.
+
+    Attributes:
+        id: The caller's id of the read.
+        index: The commit index when the read was asked for.
+        round: The round of heartbeats that a majority must have answered.
+    """
+
+    id: str
+    index: int
+    round: int
 
 
 @dataclass(slots=True)
-class State:
-    """One head's whole state of the agreement."""
+class RaftState:
+    """One head's whole state of the agreement; the names are those of thesis figure 3.1 where it has them."""
 
     me: Voter
-    disk: Disk
+    disk: PersistentState
     seed: int
     timing: Timing = field(default_factory=Timing)
     now: timedelta = NO_TIME
 
     term: int = 0
-    voted: str | None = None
+    voted_for: str | None = None
     log: Log = field(init=False)
-    role: str = FOLLOWER
+    role: Role = Role.FOLLOWER
     leader: Voter | None = None
-    voiceless: bool = False  # its disk broke a promise: it neither votes nor acknowledges
-    commit: int = 0
-    applied: int = 0
-    durable: int = 0
-    writes: dict[int, int] = field(default_factory=dict)  # under way, and the last index of each
-    number: int = 0
-    votes: set[str] = field(default_factory=set)
+    abstains: bool = False  # its disk broke a promise: it neither votes nor acknowledges
+    commit_index: int = 0
+    last_applied: int = 0
+    durable_index: int = 0  # the last entry on this head's disk
+    pending_writes: dict[int, int] = field(default_factory=dict)  # by number: the last index of each
+    last_write_number: int = 0
+    votes: set[str] = field(default_factory=set)  # identities that granted theirs
     peers: dict[str, Peer] = field(default_factory=dict)  # of a leader, by identity
-    round: int = 0
+    round: int = 0  # of heartbeats, the latest
     round_starts: RoundStarts = field(default_factory=RoundStarts)
     contact: MajorityContact = field(default_factory=MajorityContact)
-    began: timedelta = field(init=False)
-    reads: list[tuple[str, int, int]] = field(default_factory=list)  # id, index, round
+    started_at: timedelta = field(init=False)
+    pending_reads: list[PendingRead] = field(default_factory=list)
     election_at: timedelta | None = None
-    heard_leader: timedelta | None = None
+    leader_heard_at: timedelta | None = None
     heartbeat_at: timedelta = NO_TIME
-    announced: Role | None = None  # the last one
-    draws: random.Random = field(init=False)
+    announced_leader: LeaderChanged | None = None  # the latest announcement
+    rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
         """Take up what the disk holds (term, vote, snapshot, entries) and seed the election timer's draws."""
-        self.began = self.now
-        self.draws = random.Random(f"agreement/{self.seed}/{self.me.identity}")
-        self.term, self.voted = self.disk.term, self.disk.voted
+        self.started_at = self.now
+        self.rng = random.Random(f"agreement/{self.seed}/{self.me.identity}")
+        self.term = self.disk.term
+        self.voted_for = self.disk.voted_for
         self.log = Log(self.disk.snapshot, list(self.disk.entries))
-        self.commit = self.applied = self.disk.snapshot.index
-        self.durable = self.log.last
+        self.commit_index = self.disk.snapshot.index
+        self.last_applied = self.disk.snapshot.index
+        self.durable_index = self.log.last
 
-    # -- what is asked from outside -----------------------------------------------------------------------
+    # -- for callers --------------------------------------------------------------------------------------
     @property
     def voters(self) -> tuple[Voter, ...]:
-        """Who votes, by the log; the latest entry counts, agreed on or not."""
-        return self.log.voters()[1]
+        """Who votes, by the log; the latest entry counts, committed or not."""
+        return self.log.voter_set().voters
 
     @property
     def votes_here(self) -> bool:
         """Whether this head's vote counts."""
-        return self.me in self.voters and not self.voiceless
+        return self.me in self.voters and not self.abstains
 
     @property
     def leads(self) -> bool:
         """Whether this head leads, as far as it knows."""
-        return self.role == LEADER
+        return self.role is Role.LEADER
 
     @property
     def settled(self) -> bool:
         """A leader that has committed an entry of its own term: it knows all that was committed."""
-        return self.leads and self.log.term(self.commit) == self.term
+        return self.leads and self.log.term_at(self.commit_index) == self.term
 
     def majority_heard(self, now: timedelta) -> bool:
-        """A leader that heard a majority within an election's time, itself counted."""
+        """Whether a leader heard a majority, itself counted, within two election timeouts."""
         heard = sum(
-            v == self.me or self.peers[v.identity].heard + 2 * self.timing.election > now
-            for v in self.voters
-            if v == self.me or v.identity in self.peers
+            voter == self.me or self.peers[voter.identity].heard_at + 2 * self.timing.election > now
+            for voter in self.voters
+            if voter == self.me or voter.identity in self.peers
         )
-        return self.leads and 2 * heard > len(self.voters)
+        return self.leads and self._is_majority(heard)
+
+    # -- for all roles ------------------------------------------------------------------------------------
+    def _is_majority(self, count: int) -> bool:
+        return 2 * count > len(self.voters)
 
-    # -- what several parts need ---------------------------------------------------------------------------
-    def _wait(self) -> None:
-        span = self.timing.election
-        self.election_at = self.now + span + span * self.draws.random()
+    def _reset_election_timer(self) -> timedelta:
+        """Draw the next election timeout; returns when it is over."""
+        base = self.timing.election
+        self.election_at = self.now + base + base * self.rng.random()
+        return self.election_at
 
-    def _follow(self, leader: Voter | None) -> None:
-        self.role, self.leader = FOLLOWER, leader
+    def _become_follower(self, leader: Voter | None) -> None:
+        self.role = Role.FOLLOWER
+        self.leader = leader
         self.votes.clear()
         self.peers.clear()
-        self._wait()
+        self._reset_election_timer()
 
-    def _drop_reads(self, why: str) -> list[Effect]:
-        dropped: list[Effect] = [Rejected(id, why) for id, _, _ in self.reads]
-        self.reads.clear()
-        return dropped
+    def _reject_pending_reads(self, reason: str) -> list[Effect]:
+        rejected: list[Effect] = [Rejected(read.id, reason) for read in self.pending_reads]
+        self.pending_reads.clear()
+        return rejected
 
-    def _commit(self, index: int) -> list[Effect]:
-        if index <= self.commit:
+    def _commit_up_to(self, index: int) -> list[Effect]:
+        if index <= self.commit_index:
             return []
-        self.commit = index
-        entries = self.log.between(self.applied, index)
-        self.applied = index
+        self.commit_index = index
+        entries = self.log.entries_between(self.last_applied, index)
+        self.last_applied = index
         return [Apply(entries)] if entries else []
 
-    def _durable(self, write: Write, then: tuple[Send, ...] = ()) -> Durable:
-        self.number += 1
-        self.writes[self.number] = self.log.last
-        return Durable(self.number, write, then)
+    def _persist(self, write: Write, then: tuple[Send, ...] = ()) -> Persist:
+        self.last_write_number += 1
+        self.pending_writes[self.last_write_number] = self.log.last
+        return Persist(self.last_write_number, write, then)
--- a/stoatrouter/lab/fleet/contacts.py
+++ b/stoatrouter/lab/fleet/contacts.py
@@ -12,7 +12,7 @@
 
 from stoatrouter.agreement.availability import Facts, HeadState, availability_of
 from stoatrouter.agreement.contact import CLOCK_DRIFT, MajorityContact
-from stoatrouter.agreement.records import Disk, Voter
+from stoatrouter.agreement.records import PersistentState, Voter
 from stoatrouter.lab.fleet.voters import Broken, VoterFleet
 from stoatrouter.lab.fleet.world import World
 
@@ -36,7 +36,7 @@
     contacts: dict[str, MajorityContact] = field(default_factory=dict)
     last_majority: dict[str, timedelta] = field(default_factory=dict)  # by head, in the world's time
 
-    def boot(self, name: str, voter: Voter, disk: Disk) -> None:
+    def boot(self, name: str, voter: Voter, disk: PersistentState) -> None:
         """Start a head: it knows of no majority yet."""
         super().boot(name, voter, disk)
         self.heads[name].raft.contact = self.make_contact()
@@ -47,7 +47,7 @@
         """What a head knows of the majority, itself or from others."""
         raft, contact = self.heads[name].raft, self.contacts[name]
         if raft.settled or not raft.leads:
-            contact.seen(raft.contact.at)
+            contact.record(raft.contact.latest)
         return contact
 
     def in_touch(self, name: str) -> bool:
@@ -83,7 +83,7 @@
 
         def arrive() -> None:
             if self.world.machines[to].life == life:
-                self.contacts[to].learned(asked_at, held_for, age)
+                self.contacts[to].record_report(asked_at, held_for, age)
 
         self.world.send(name, to, arrive)
 
@@ -169,7 +169,8 @@
             case "wipe":  # back at once with an empty disk, which is another identity
                 fleet.kill(name, wipe=False)
                 fleet.fresh += 1
-                fleet.heads[name].disk, fleet.heads[name].voter = Disk(), Voter(name, f"{name}/{fleet.fresh}")
+                fleet.heads[name].disk = PersistentState()
+                fleet.heads[name].voter = Voter(name, f"{name}/{fleet.fresh}")
                 world.at(SECOND * world.draws.random(), lambda name=name: fleet.start(name))
             case "split":
                 world.split([name], [n for n in world.names if n != name])
--- a/stoatrouter/lab/fleet/exhaustive.py
+++ b/stoatrouter/lab/fleet/exhaustive.py
@@ -16,17 +16,17 @@
 from stoatrouter.agreement.raft import Raft, Timing
 from stoatrouter.agreement.records import (
     Apply,
-    Disk,
-    Durable,
     Entry,
     Event,
+    Persist,
+    PersistentState,
     Propose,
     Received,
     Send,
     Snapshot,
     Tick,
     Voter,
-    Wrote,
+    WriteCompleted,
 )
 from stoatrouter.lab.fleet.voters import Broken, written
 
@@ -39,8 +39,8 @@
     """One voter."""
 
     raft: Raft
-    disk: Disk
-    pending: list[Durable] = field(default_factory=list)
+    disk: PersistentState
+    pending: list[Persist] = field(default_factory=list)
     applied: int = 1
 
 
@@ -64,13 +64,13 @@
             voters.append(
                 (
                     raft.term,
-                    raft.voted,
+                    raft.voted_for,
                     raft.role,
                     raft.leader,
-                    raft.commit,
-                    raft.applied,
-                    raft.durable,
-                    tuple(raft.writes.values()),
+                    raft.commit_index,
+                    raft.last_applied,
+                    raft.durable_index,
+                    tuple(raft.pending_writes.values()),
                     tuple(sorted(raft.votes)),
                     tuple((p.next_index, p.match_index, p.round) for p in raft.peers.values()),
                     raft.round,
@@ -114,7 +114,7 @@
             new.here[i].disk = written(new.here[i].disk, effect.write)
             for send in effect.then:
                 new.send(i, send)
-            new.put(i, Wrote(NOW, effect.number))
+            new.put(i, WriteCompleted(NOW, effect.number))
         elif what == "stand":
             new.here[i].raft.election_at = NOW
             new.put(i, Tick(NOW))
@@ -135,7 +135,7 @@
             match effect:
                 case Send():
                     self.send(i, effect)
-                case Durable():
+                case Persist():
                     here.pending.append(effect)
                 case Apply():
                     for entry in effect.entries:
@@ -161,7 +161,7 @@
     Broken.
     """
     everybody = tuple(Voter(f"h{i}", f"h{i}/0") for i in range(voters))
-    disk = Disk(0, None, Snapshot(1, 0, everybody, b""))
+    disk = PersistentState(0, None, Snapshot(1, 0, everybody, b""))
     first = Small(make, crashes=crashes)
     first.here = [Here(make(me, disk, 1, AT_ONCE), disk) for me in everybody]
     seen, level = {first.key()}, [first]
--- a/stoatrouter/lab/fleet/voters.py
+++ b/stoatrouter/lab/fleet/voters.py
@@ -14,24 +14,24 @@
 from typing import Any
 
 from stoatrouter.agreement.founding import Founded
-from stoatrouter.agreement.log import write_voters
+from stoatrouter.agreement.log import encode_voters
 from stoatrouter.agreement.raft import Raft, Timing
 from stoatrouter.agreement.records import (
     COMMAND,
     VOTERS,
     Accepted,
     Apply,
+    CommittedReceived,
     Compact,
-    Disk,
-    Durable,
     Effect,
     Entry,
     Event,
-    Forgot,
-    Learnt,
+    LogLost,
+    Persist,
+    PersistentState,
     Propose,
     Read,
-    Readable,
+    ReadConfirmed,
     Received,
     Rejected,
     Restore,
@@ -39,7 +39,7 @@
     Tick,
     Voter,
     Write,
-    Wrote,
+    WriteCompleted,
 )
 from stoatrouter.lab.fleet.world import World
 
@@ -50,15 +50,15 @@
     """A promise was broken; the text says which and when."""
 
 
-def written(disk: Disk, write: Write) -> Disk:
+def written(disk: PersistentState, write: Write) -> PersistentState:
     """A disk after a write, as SQLite's transaction has it: all of it or nothing."""
-    term, voted = (write.term, write.voted) if write.term is not None else (disk.term, disk.voted)
+    term, voted = (write.term, write.voted_for) if write.term is not None else (disk.term, disk.voted_for)
     entries = [e for e in disk.entries if write.cut_from is None or e.index < write.cut_from]
     held = {e.index: e for e in entries} | {e.index: e for e in write.entries}
     if write.keep_from is not None:
         held = {i: e for i, e in held.items() if i >= write.keep_from}
     snapshot = write.snapshot or disk.snapshot
-    return Disk(term, voted, snapshot, tuple(held[i] for i in sorted(held)))
+    return PersistentState(term, voted, snapshot, tuple(held[i] for i in sorted(held)))
 
 
 @dataclass
@@ -67,10 +67,10 @@
 
     voter: Voter
     raft: Raft
-    disk: Disk
+    disk: PersistentState
     values: list[bytes] = field(default_factory=list)
     index: int = 0
-    pending: list[Durable] = field(default_factory=list)  # writes under way, in order
+    pending: list[Persist] = field(default_factory=list)  # writes under way, in order
 
 
 @dataclass
@@ -102,11 +102,12 @@
         self.firsts = tuple(Voter(name, f"{name}/0") for name in names[: self.voters])
         founded = Founded(self.firsts[0].identity, self.firsts)
         for name in names:
-            disk = Disk(0, None, founded.snapshot()) if name in names[: self.voters] else Disk()
+            votes = name in names[: self.voters]
+            disk = PersistentState(0, None, founded.snapshot()) if votes else PersistentState()
             self.boot(name, Voter(name, f"{name}/0"), disk)
 
     # -- machines -----------------------------------------------------------------------------------------
-    def boot(self, name: str, voter: Voter, disk: Disk) -> None:
+    def boot(self, name: str, voter: Voter, disk: PersistentState) -> None:
         """Start a head with what its disk holds."""
         raft = self.make(
             voter,
@@ -136,7 +137,7 @@
         head.pending.clear()
         if wipe and self.may_wipe(name):
             self.fresh += 1
-            head.disk, head.voter = Disk(), Voter(name, f"{name}/{self.fresh}")
+            head.disk, head.voter = PersistentState(), Voter(name, f"{name}/{self.fresh}")
         self.world.down(name)
 
     def may_wipe(self, name: str) -> bool:
@@ -171,7 +172,7 @@
         match effect:
             case Send():
                 self.send(name, head, effect)
-            case Durable():
+            case Persist():
                 head.pending.append(effect)
                 delay = timedelta(milliseconds=1) + self.disk_most * self.world.draws.random()
                 if len(head.pending) == 1:
@@ -190,11 +191,11 @@
             case Rejected():
                 self.refused += 1
                 self.reads.pop(effect.id, None)
-            case Readable():
+            case ReadConfirmed():
                 if (asked := self.reads.pop(effect.id, None)) is not None and asked[0] == name:
                     seen = tuple(head.values) if head.index >= effect.index else None
                     self.history.append(("read", asked[1], self.world.now, seen))
-            case Forgot():
+            case LogLost():
                 self.forgot += 1
 
     def send(self, name: str, head: Head, effect: Send) -> None:
@@ -218,7 +219,7 @@
         if head.pending:
             delay = timedelta(milliseconds=1) + self.disk_most * self.world.draws.random()
             self.world.on(name, delay, lambda: self.wrote(name, head))
-        self.put(name, Wrote(self.world.clock(name), effect.number))
+        self.put(name, WriteCompleted(self.world.clock(name), effect.number))
 
     def apply(self, name: str, head: Head, entry: Entry) -> None:
         """A head applies an entry: it is held against what others applied."""
@@ -250,14 +251,14 @@
     def answer(self, name: str, to: str, after: int) -> None:
         """What a head tells one that follows."""
         raft = self.heads[name].raft
-        term = raft.log.term(after)
+        term = raft.log.term_at(after)
         if term is not None and after:
-            told = (after, term, raft.log.since(after + 1, raft.commit), raft.commit, None)
+            told = (after, term, raft.log.entries_from(after + 1, raft.commit_index), raft.commit_index, None)
         elif raft.log.snapshot.index:
-            told = (0, 0, (), raft.commit, raft.log.snapshot)
+            told = (0, 0, (), raft.commit_index, raft.log.snapshot)
         else:
             return
-        self.world.send(name, to, lambda: self.put(to, Learnt(self.world.clock(to), *told)))
+        self.world.send(name, to, lambda: self.put(to, CommittedReceived(self.world.clock(to), *told)))
 
     def client(self, number: int, every: timedelta, until: timedelta) -> None:
         """One client: puts a value or reads, somewhere, now and then."""
@@ -303,7 +304,7 @@
                 else:
                     continue
                 self.changes += 1
-                self.put(name, Propose(world.clock(name), "0=change", write_voters(after), VOTERS))
+                self.put(name, Propose(world.clock(name), "0=change", encode_voters(after), VOTERS))
         world.at(timedelta(seconds=1), lambda: self.change_voters(until))
 
     # -- at the end ---------------------------------------------------------------------------------------
--- a/stoatrouter/peering/agreed.py
+++ b/stoatrouter/peering/agreed.py
@@ -8,35 +8,35 @@
 
 from loguru import logger
 
-from stoatrouter.agreement.machine import Command, Machine, encode
+from stoatrouter.agreement.machine import Command, CommandAnswer, Machine, encode
 from stoatrouter.agreement.raft import Raft, Timing
 from stoatrouter.agreement.records import (
     VOTERS,
     Accepted,
     AnyMessage,
     Apply,
+    CommittedReceived,
     Compact,
-    Disk,
     DiskFailed,
-    Durable,
     Effect,
     Entry,
     Event,
-    Forgot,
-    Learnt,
+    LeaderChanged,
+    LogLost,
+    Persist,
+    PersistentState,
     Propose,
     Read,
-    Readable,
+    ReadConfirmed,
     Received,
     Rejected,
     Restore,
-    Role,
     Send,
     Snapshot,
     Tick,
     Voter,
     Write,
-    Wrote,
+    WriteCompleted,
 )
 from stoatrouter.peering.storage import Found, Storage
 from stoatrouter.peering.writer import Writer
@@ -67,7 +67,7 @@
         self.loop = asyncio.get_running_loop()
         self.machine, self.now, self.send, self.notify = machine, now, send, notify
         self.raft = Raft(me, found.disk, seed, timing, now=now())
-        self.raft.voiceless = not found.lasting
+        self.raft.abstains = not found.lasting
         self.writer = Writer(storage, self.loop, self.disk_failed, found.lasting)
         self.lasting = found.lasting
         self.size = 0  # bytes applied since the last snapshot
@@ -77,7 +77,7 @@
         self.refused: dict[str, str] = {}
         self.number = 0
         self.changed = asyncio.Event()  # set and replaced when something was applied
-        self.listeners: list[Callable[[Entry, tuple[str, bytes] | None], None]] = []
+        self.listeners: list[Callable[[Entry, CommandAnswer | None], None]] = []
         self.restored: list[Callable[[], None]] = []
 
     def restart(self, snapshot: Snapshot) -> None:
@@ -148,7 +148,7 @@
         snapshot: Snapshot | None,
     ) -> None:
         """Take in what a voter tells as committed."""
-        self.put(Learnt(self.now(), prev_index, prev_term, entries, commit, snapshot))
+        self.put(CommittedReceived(self.now(), prev_index, prev_term, entries, commit, snapshot))
 
     # -- events in, effects out ---------------------------------------------------------------------------
     def put(self, event: Event) -> None:
@@ -161,7 +161,7 @@
         match effect:
             case Send():
                 self.send(effect.to, effect.message)
-            case Durable():
+            case Persist():
                 self.writer.put(effect.write, lambda: self.wrote(effect))
             case Apply():
                 self.apply(effect.entries)
@@ -171,10 +171,10 @@
                 self.taken[effect.id] = (effect.index, effect.term)
             case Rejected():
                 self.not_taken(effect)
-            case Readable():
+            case ReadConfirmed():
                 if (future := self.reads.get(effect.id)) is not None and not future.done():
                     future.set_result(effect.index)
-            case Role():
+            case LeaderChanged():
                 logger.info(
                     "heads: term {term}, {leader} leads",
                     event="heads.role",
@@ -182,7 +182,7 @@
                     leader=effect.leader or "nobody known",
                 )
                 self.notify()
-            case Forgot():
+            case LogLost():
                 logger.error(
                     "heads: the disk holds {held} of {acknowledged} entries acknowledged: it votes no more",
                     event="heads.forgot",
@@ -190,19 +190,19 @@
                     acknowledged=effect.acknowledged,
                 )
 
-    def wrote(self, effect: Durable) -> None:
+    def wrote(self, effect: Persist) -> None:
         """A write is on the disk: what has waited for it goes out."""
         for send in effect.then:
             self.send(send.to, send.message)
-        self.put(Wrote(self.now(), effect.number))
+        self.put(WriteCompleted(self.now(), effect.number))
 
     def not_taken(self, effect: Rejected) -> None:
         """A proposal or read is refused: whoever waits for it is told."""
         future = self.reads.get(effect.id)
         if future is None:
-            self.refused[effect.id] = effect.why
+            self.refused[effect.id] = effect.reason
         elif not future.done():
-            future.set_exception(NotAgreed(effect.why))
+            future.set_exception(NotAgreed(effect.reason))
 
     def apply(self, entries: tuple[Entry, ...]) -> None:
         """Apply committed entries, and answer those who wait for them."""
@@ -212,7 +212,7 @@
             term, future = self.waiting.get(entry.index, (0, None))
             if future is not None and not future.done():
                 if term == entry.term:
-                    future.set_result(answer[1] if answer is not None else b"")
+                    future.set_result(answer.body if answer is not None else b"")
                 else:
                     future.set_exception(NotAgreed("another leader's entry took its place"))
             for listener in self.listeners:
@@ -258,7 +258,8 @@
         write = Write(term, None, cut_from=1, snapshot=snapshot, keep_from=snapshot.index + 1, origin=origin)
 
         def begun() -> None:
-            self.raft = Raft(raft.me, Disk(term, None, snapshot), raft.seed, raft.timing, now=self.now())
+            disk = PersistentState(term, None, snapshot)
+            self.raft = Raft(raft.me, disk, raft.seed, raft.timing, now=self.now())
             self.restore(snapshot)
             done()
 
--- a/stoatrouter/peering/availability.py
+++ b/stoatrouter/peering/availability.py
@@ -38,8 +38,8 @@
 
     def note_contact(self, contact: MajorityContact, commit: int) -> None:
         """A majority was connected then; up to here it had agreed."""
-        self.contact.seen(contact.at)
-        if self._catch_up_to is None and contact.at is not None:
+        self.contact.record(contact.latest)
+        if self._catch_up_to is None and contact.latest is not None:
             self._catch_up_to = commit
 
     def refresh(self) -> None:
@@ -65,7 +65,7 @@
     def _facts(self) -> Facts:
         agreed, raft = self.agreed, self.agreed.raft
         if raft.settled:
-            self.note_contact(raft.contact, raft.commit)
+            self.note_contact(raft.contact, raft.commit_index)
         caught_up = self._catch_up_to is not None and agreed.machine.index >= self._catch_up_to
         return Facts(
             founded=bool(self.belonging.origin),
--- a/stoatrouter/peering/belonging.py
+++ b/stoatrouter/peering/belonging.py
@@ -56,9 +56,9 @@
     # -- founding -----------------------------------------------------------------------------------------
     async def promise(self, founder: Voter) -> bytes:
         """Promise a founder to begin with it, once that is on the disk; the answer to it."""
-        before = self.founding.promised
+        before = self.founding.promised_to
         answer = self.founding.promise(founder)
-        if self.founding.promised != before:
+        if self.founding.promised_to != before:
             done = asyncio.get_running_loop().create_future()
             self.agreed.keep(lambda: done.done() or done.set_result(None), promised=answer.founder)
             async with asyncio.timeout(PROMISE_WITHIN.total_seconds()):  # a broken disk promises nothing
@@ -69,14 +69,14 @@
         """The founder's part: ask the voters of the settings until a fleet has begun."""
         while not self.origin:
             await asyncio.sleep(FOUND_EVERY.total_seconds())
-            if not self.founding.founds or not self.agreed.lasting:
+            if not self.founding.is_founder or not self.agreed.lasting:
                 continue
-            if self.founding.promised != self.me.identity:
+            if self.founding.promised_to != self.me.identity:
                 with contextlib.suppress(TimeoutError):
                     await self.promise(self.me)
                 continue
             for answer in await self._ask_promises():
-                founded = self.founding.heard(answer)
+                founded = self.founding.receive(answer)
                 if founded is not None:
                     self.adopt(founded)
                     await self._ask_others(calls.FOUND, msgspec.msgpack.encode(founded))
--- a/stoatrouter/peering/following.py
+++ b/stoatrouter/peering/following.py
@@ -71,7 +71,7 @@
     async def fetch(self, name: str) -> bool:
         """Ask one voter; whether it is in touch with a majority."""
         machine, raft, asked_at = self.agreed.machine, self.agreed.raft, self.now()
-        ask = calls.Fetch(machine.index, raft.log.term(machine.index) or 0)
+        ask = calls.Fetch(machine.index, raft.log.term_at(machine.index) or 0)
         try:
             _, body = await self.streams.ask(name, calls.FETCH, msgspec.msgpack.encode(ask))
             fetched = msgspec.msgpack.decode(body, type=calls.Fetched)
@@ -94,7 +94,7 @@
         self.leader = fetched.leader
         contact = MajorityContact()
         if fetched.majority_age is not None:
-            contact.learned(asked_at, fetched.held_for, fetched.majority_age)
+            contact.record_report(asked_at, fetched.held_for, fetched.majority_age)
         self.monitor.note_contact(contact, fetched.commit)
         self.monitor.refresh()
 
@@ -109,13 +109,13 @@
             origin,
             in_touch,
             raft.leader.name if raft.leader else None,
-            commit=raft.commit,
+            commit=raft.commit_index,
             voters=raft.voters,
             majority_age=self.monitor.contact.age(self.now()),
             held_for=self.now() - came_at,
         )
-        if ask.after and raft.log.term(ask.after) == ask.after_term:
-            entries = raft.log.since(ask.after + 1, raft.commit)
+        if ask.after and raft.log.term_at(ask.after) == ask.after_term:
+            entries = raft.log.entries_from(ask.after + 1, raft.commit_index)
             fetched = msgspec.structs.replace(
                 fetched, prev_index=ask.after, prev_term=ask.after_term, entries=entries
             )
@@ -130,7 +130,7 @@
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LONGEST_HOLD.total_seconds()):
-                while raft.commit <= after and raft is self.agreed.raft:
+                while raft.commit_index <= after and raft is self.agreed.raft:
                     await self.agreed.changed.wait()
 
 
--- a/stoatrouter/peering/operators.py
+++ b/stoatrouter/peering/operators.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 from loguru import logger
 
-from stoatrouter.agreement.log import write_voters
+from stoatrouter.agreement.log import encode_voters
 from stoatrouter.agreement.records import Snapshot, Voter
 from stoatrouter.peering import calls
 from stoatrouter.peering.agreed import NotAgreed
@@ -82,7 +82,7 @@
             "disk": fleet.agreed.lasting,
             "voters": {v.name: v.identity for v in raft.voters},
             "applied": fleet.agreed.machine.index,
-            "committed": raft.commit,
+            "committed": raft.commit_index,
             "seen": seen,
             "counts": dict(sorted(fleet.counts.counts.items())),
         }
@@ -106,7 +106,7 @@
                 after = tuple(sorted((*voters, await self.identify(name))))
             if after == voters:
                 return answer(200, {"voters": [v.name for v in voters]})
-            await self.fleet.agreed.change_voters(write_voters(after), WITHIN)
+            await self.fleet.agreed.change_voters(encode_voters(after), WITHIN)
         except (NotAgreed, Unreachable) as error:
             return answer(503, {"error": str(error)})
         logger.info(
@@ -130,7 +130,7 @@
             return voter
         if held is not None:
             raise NotAgreed(f"{name} votes under an older identity: remove it first")
-        if told.origin != fleet.belonging.origin or told.commit + 1_000 < fleet.agreed.raft.commit:
+        if told.origin != fleet.belonging.origin or told.commit + 1_000 < fleet.agreed.raft.commit_index:
             raise NotAgreed(f"{name} has not caught up yet")
         return voter
 
--- a/stoatrouter/peering/storage.py
+++ b/stoatrouter/peering/storage.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from stoatrouter.agreement.records import Disk, Entry, Snapshot, Write
+from stoatrouter.agreement.records import Entry, PersistentState, Snapshot, Write
 from stoatrouter.config import ConfigError
 
 APPLICATION, VERSION = 0x53544F54, 1  # "STOT"; of the schema
@@ -56,7 +56,7 @@
 
     identity: str
     boot: int  # how often a process began with this disk
-    disk: Disk
+    disk: PersistentState
     origin: str  # of the fleet this disk belongs to; "": of none
     promised: str  # the founder it was promised to
     fresh: str | None = None  # why the identity is new, where there was one before
@@ -115,7 +115,7 @@
             # Guards the start of a head whose disk is full or read-only: it serves, without a voice.
             self.close()
             why = f"the disk takes no writes: {error}"
-            return Found(secrets.token_hex(16), 0, Disk(), "", "", why, False)
+            return Found(secrets.token_hex(16), 0, PersistentState(), "", "", why, False)
 
     def _lock(self) -> None:
         """One process at a time: two would vote twice under one identity. A killed one holds it no more."""
@@ -184,7 +184,7 @@
         return Found(
             identity,
             boot,
-            Disk(term, voted, snapshot, tuple(entries)),
+            PersistentState(term, voted, snapshot, tuple(entries)),
             meta.get("origin", b"").decode(),
             meta.get("promised", b"").decode(),
         )
@@ -238,7 +238,7 @@
         base.commit()
         assert self.mark is not None
         self.mark.set(0)
-        return Found(identity, 1, Disk(), "", "", why)
+        return Found(identity, 1, PersistentState(), "", "", why)
 
     # -- a running head -----------------------------------------------------------------------------------
     def write(self, write: Write) -> None:
@@ -247,7 +247,7 @@
         with self.base as base:
             if write.term is not None:
                 self._set(base, "term", str(write.term))
-                self._set(base, "voted", write.voted or "")
+                self._set(base, "voted", write.voted_for or "")
             if write.cut_from is not None:
                 base.execute("DELETE FROM entries WHERE at >= ?", (write.cut_from,))
             for entry in write.entries:
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -8,20 +8,20 @@
 
 from stoatrouter.agreement.availability import Facts, HeadState, availability_of
 from stoatrouter.agreement.founding import Founded, Founding
-from stoatrouter.agreement.log import write_voters
+from stoatrouter.agreement.log import encode_voters
 from stoatrouter.agreement.raft import Raft
 from stoatrouter.agreement.records import (
     Accepted,
     AppendEntries,
     AppendEntriesReply,
     Apply,
-    Disk,
-    Durable,
+    CommittedReceived,
     Entry,
-    Forgot,
-    Learnt,
+    LogLost,
+    Persist,
+    PersistentState,
     Propose,
-    Readable,
+    ReadConfirmed,
     Received,
     Rejected,
     RequestVote,
@@ -30,7 +30,7 @@
     Snapshot,
     Tick,
     Voter,
-    Wrote,
+    WriteCompleted,
 )
 from stoatrouter.lab.fleet import stories
 from stoatrouter.lab.fleet.exhaustive import search
@@ -65,7 +65,7 @@
         return [
             e
             for d in effects
-            for e in ((*d.then, Durable(d.number, d.write)) if isinstance(d, Durable) else (d,))
+            for e in ((*d.then, Persist(d.number, d.write)) if isinstance(d, Persist) else (d,))
         ]
 
 
@@ -74,12 +74,12 @@
 
     __slots__ = ()
 
-    def _led_by(self, sender, message):
-        effects = super()._led_by(sender, message)
+    def _receive_from_leader(self, sender, message):
+        effects = super()._receive_from_leader(sender, message)
         return [
             e
             for d in effects
-            for e in ((*d.then, Durable(d.number, d.write)) if isinstance(d, Durable) else (d,))
+            for e in ((*d.then, Persist(d.number, d.write)) if isinstance(d, Persist) else (d,))
         ]
 
 
@@ -88,16 +88,19 @@
 
     __slots__ = ()
 
-    def _count(self):
+    def _advance_commit_index(self):
         at = (
             sorted(
-                (self.durable if v == self.me else self.peers[v.identity].match_index for v in self.voters),
+                (
+                    self.durable_index if v == self.me else self.peers[v.identity].match_index
+                    for v in self.voters
+                ),
                 reverse=True,
             )[len(self.voters) // 2]
             if self.leads
             else 0
         )
-        return self._commit(at) if at > self.commit else []
+        return self._commit_up_to(at) if at > self.commit_index else []
 
 
 class VotesForAnybody(Raft):
@@ -115,7 +118,7 @@
     __slots__ = ()
 
     def _answer_vote_request(self, sender, ask):
-        self.voted = None
+        self.voted_for = None
         return super()._answer_vote_request(sender, ask)
 
 
@@ -124,9 +127,9 @@
 
     __slots__ = ()
 
-    def _confirm(self):
-        done, self.reads = self.reads, []
-        return [Readable(id, index) for id, index, _ in done]
+    def _confirm_reads(self):
+        done, self.pending_reads = self.pending_reads, []
+        return [ReadConfirmed(read.id, read.index) for read in done]
 
 
 class AnyChange(Raft):
@@ -134,7 +137,7 @@
 
     __slots__ = ()
 
-    def _unfit(self, body):
+    def _voter_change_fault(self, body):
         return None
 
 
@@ -143,9 +146,9 @@
 
     __slots__ = ()
 
-    def _match(self, prev, prev_term, entries):
-        held = self.log.term(prev)
-        return super()._match(prev, held if held is not None else prev_term, entries)
+    def _match_entries(self, prev, prev_term, entries):
+        held = self.log.term_at(prev)
+        return super()._match_entries(prev, held if held is not None else prev_term, entries)
 
 
 # and the first seed that shows it; a few after it are tried too, should an order change
@@ -184,7 +187,7 @@
 
 
 THREE = tuple(voter(i) for i in range(3))
-GENESIS = Disk(0, None, Snapshot(1, 0, THREE, b""))
+GENESIS = PersistentState(0, None, Snapshot(1, 0, THREE, b""))
 
 
 def elected(raft: Raft) -> Raft:
@@ -197,9 +200,9 @@
     (durable,) = [
         e
         for e in raft.reduce(Received(raft.now, voter(1), RequestVoteReply(raft.term + 1, True, True)))
-        if isinstance(e, Durable)
+        if isinstance(e, Persist)
     ]
-    raft.reduce(Wrote(raft.now, durable.number))
+    raft.reduce(WriteCompleted(raft.now, durable.number))
     raft.reduce(Received(raft.now, voter(1), RequestVoteReply(raft.term, True, False)))
     assert raft.leads
     return raft
@@ -208,26 +211,26 @@
 def an_entry_of_an_older_term_is_not_committed_by_counting(make):
     """Figure 3.7 of the thesis: on a majority's disks, and still not agreed on."""
     old = Entry(2, 1, "c", b"old")
-    raft = elected(make(voter(0), Disk(1, None, GENESIS.snapshot, (old,)), 1))
+    raft = elected(make(voter(0), PersistentState(1, None, GENESIS.snapshot, (old,)), 1))
     commits = raft.reduce(Received(raft.now, voter(1), AppendEntriesReply(raft.term, True, 2, raft.round)))
-    assert raft.commit == 1 and not any(isinstance(e, Apply) for e in commits)
+    assert raft.commit_index == 1 and not any(isinstance(e, Apply) for e in commits)
 
 
 def a_vote_waits_for_the_disk(make):
     raft = make(voter(0), GENESIS, 1)
     effects = raft.reduce(Received(MS, voter(1), RequestVote(1, 1, 0, False)))
     assert not any(isinstance(e, Send) for e in effects)
-    (durable,) = [e for e in effects if isinstance(e, Durable)]
-    assert durable.write.term == 1 and durable.write.voted == "h1/0"
+    (durable,) = [e for e in effects if isinstance(e, Persist)]
+    assert durable.write.term == 1 and durable.write.voted_for == "h1/0"
     assert durable.then == (Send(voter(1), RequestVoteReply(1, True, False)),)
 
 
 def a_leader_of_an_older_term_changes_nothing_that_was_learnt(make):
     """It counts this head as a voter, in a change that nobody else took (seed 1101 of the story)."""
-    raft = make(voter(3), Disk(1, None, GENESIS.snapshot), 1)
-    raft.reduce(Learnt(MS, 1, 0, (Entry(2, 2, "n"), Entry(3, 2, "c", b"kept")), 3))
+    raft = make(voter(3), PersistentState(1, None, GENESIS.snapshot), 1)
+    raft.reduce(CommittedReceived(MS, 1, 0, (Entry(2, 2, "n"), Entry(3, 2, "c", b"kept")), 3))
     raft.reduce(Received(2 * MS, voter(0), AppendEntries(1, 1, 0, (Entry(2, 1, "c", b"old"),), 2, 1, 0)))
-    assert raft.log.term(2) == 2 and raft.commit == 3
+    assert raft.log.term_at(2) == 2 and raft.commit_index == 3
 
 
 SINGLE = [
@@ -247,9 +250,9 @@
 
     __slots__ = ()
 
-    def _learnt(self, event):
+    def _receive_committed(self, event):
         term = self.term
-        effects = super()._learnt(event)
+        effects = super()._receive_committed(event)
         self.term = term
         return effects
 
@@ -267,36 +270,36 @@
 def test_a_disk_that_lost_what_it_acknowledged_votes_no_more():
     raft = Raft(voter(1), GENESIS, 1)
     effects = raft.reduce(Received(MS, voter(0), AppendEntries(1, 1, 0, (), 1, 1, acknowledged=9)))
-    assert Forgot(1, 9) in effects and raft.voiceless
+    assert LogLost(1, 9) in effects and raft.abstains
     assert not raft.reduce(Received(2 * MS, voter(2), RequestVote(9, 99, 9, False)))
 
 
 def test_two_changes_of_voters_at_once_are_refused():
     raft = elected(Raft(voter(0), GENESIS, 1))
-    body = write_voters(THREE[:2])
+    body = encode_voters(THREE[:2])
     (refused,) = [e for e in raft.reduce(Propose(raft.now, "a", body, "v")) if isinstance(e, Rejected)]
-    assert "not settled" in refused.why
-    raft.reduce(Wrote(raft.now, raft.number))
+    assert "not settled" in refused.reason
+    raft.reduce(WriteCompleted(raft.now, raft.last_write_number))
     raft.reduce(Received(raft.now, voter(1), AppendEntriesReply(raft.term, True, raft.log.last, raft.round)))
     assert any(isinstance(e, Accepted) for e in raft.reduce(Propose(raft.now, "a", body, "v")))
     (refused,) = [
         e
-        for e in raft.reduce(Propose(raft.now, "b", write_voters(THREE[1:]), "v"))
+        for e in raft.reduce(Propose(raft.now, "b", encode_voters(THREE[1:]), "v"))
         if isinstance(e, Rejected)
     ]
-    assert "under way" in refused.why
+    assert "under way" in refused.reason
 
 
 # -- founding --------------------------------------------------------------------------------------------
 def test_a_fleet_begins_only_with_all_its_voters_and_once():
     names = ("h0", "h1", "h2")
     h0, h1, h2 = (Founding(voter(i), names) for i in range(3))
-    assert h0.heard(h1.promise(h0.me)) is None
-    founded = h0.heard(h2.promise(h0.me))
+    assert h0.receive(h1.promise(h0.me)) is None
+    founded = h0.receive(h2.promise(h0.me))
     assert founded == Founded("h0/0", THREE) and h0.adopt(founded) and h1.adopt(founded)
     # the founder loses its disk before h2 heard: a second founding never comes about
     again = Founding(Voter("h0", "h0/1"), names)
-    assert again.heard(h2.promise(again.me)) is None and again.heard(h1.promise(again.me)) is None
+    assert again.receive(h2.promise(again.me)) is None and again.receive(h1.promise(again.me)) is None
     assert not h2.adopt(founded)  # it has promised to the later founder
     assert not Founding(Voter("h1", "h1/1"), names).adopt(founded)
 
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -137,7 +137,8 @@
 async def answer_with_nothing_new(fleet: Fleet) -> int:
     """Bytes of the answer to a follower that has all of it."""
     raft = fleet.agreed.raft
-    answer = await fleet.follower.answer(calls.Fetch(raft.commit, raft.log.term(raft.commit) or 0))
+    term = raft.log.term_at(raft.commit_index) or 0
+    answer = await fleet.follower.answer(calls.Fetch(raft.commit_index, term))
     told = msgspec.msgpack.decode(answer, type=calls.Fetched)
     assert told.in_touch and not told.entries and told.snapshot is None
     # the two spans are written in as many digits as they have: the same ones at each size
--- a/tests/heads/test_contact.py
+++ b/tests/heads/test_contact.py
@@ -23,15 +23,15 @@
 class CountsFromTheAnswer(MajorityContact):
     """What another head tells is taken as heard at this moment: the fault that was found on real heads."""
 
-    def learned(self, asked_at, wait_at_answerer, age):
-        self.seen(asked_at + wait_at_answerer)
+    def record_report(self, asked_at, wait_at_answerer, age):
+        self.record(asked_at + wait_at_answerer)
 
 
 class ForgetsTheAge(MajorityContact):
     """The age told counts, but for what was passed on already."""
 
-    def learned(self, asked_at, wait_at_answerer, age):
-        super().learned(asked_at, wait_at_answerer, min(age, 100 * MS))
+    def record_report(self, asked_at, wait_at_answerer, age):
+        super().record_report(asked_at, wait_at_answerer, min(age, 100 * MS))
 
 
 @pytest.mark.parametrize("how", LOSSES)
@@ -65,22 +65,22 @@
 def test_an_age_that_was_told_counts_from_the_asking_and_never_goes_back():
     contact = MajorityContact()
     assert contact.age(9 * MS) is None
-    contact.learned(asked_at=1000 * MS, wait_at_answerer=0 * MS, age=300 * MS)
-    assert contact.at == 700 * MS and contact.age(1500 * MS) == 800 * MS
-    contact.learned(asked_at=1200 * MS, wait_at_answerer=105 * MS, age=1000 * MS)
-    assert contact.at == 700 * MS
-    contact.learned(
+    contact.record_report(asked_at=1000 * MS, wait_at_answerer=0 * MS, age=300 * MS)
+    assert contact.latest == 700 * MS and contact.age(1500 * MS) == 800 * MS
+    contact.record_report(asked_at=1200 * MS, wait_at_answerer=105 * MS, age=1000 * MS)
+    assert contact.latest == 700 * MS
+    contact.record_report(
         asked_at=1200 * MS, wait_at_answerer=105 * MS, age=-5 * MS
     )  # nobody is told of what will be
-    assert contact.at == 1300 * MS
+    assert contact.latest == 1300 * MS
 
 
 def test_rounds_close_together_count_from_the_first_of_them_and_few_are_kept():
     starts = RoundStarts()
     assert starts.start_of(3) is None
     for number in range(1, 40):
-        starts.began(number, number * MS)
+        starts.record(number, number * MS)
     assert starts.start_of(12) == 11 * MS and starts.start_of(39) == 31 * MS
     for number in range(100, 100 + 2 * MOST_ROUNDS):
-        starts.began(number, number * 10 * MS)
+        starts.record(number, number * 10 * MS)
     assert len(starts.starts) == MOST_ROUNDS and starts.start_of(101) is None
--- a/tests/heads/test_disk.py
+++ b/tests/heads/test_disk.py
@@ -32,7 +32,7 @@
 
 def filled(folder: Path, count: int = 5) -> str:
     storage, found = opened(folder)
-    storage.write(Write(term=3, voted="somebody"))
+    storage.write(Write(term=3, voted_for="somebody"))
     for i in range(1, count + 1):
         storage.write(Write(entries=(entry(i),)))
     storage.close()
@@ -43,7 +43,7 @@
     identity = filled(tmp_path)
     storage, found = opened(tmp_path)
     assert (found.identity, found.fresh, found.boot) == (identity, None, 2)
-    assert (found.disk.term, found.disk.voted) == (3, "somebody")
+    assert (found.disk.term, found.disk.voted_for) == (3, "somebody")
     assert found.disk.entries == tuple(entry(i) for i in range(1, 6))
     snapshot = Snapshot(4, 1, (Voter("a", "1"),), b"state")
     storage.write(Write(cut_from=5, entries=(entry(5, 9),), snapshot=snapshot, keep_from=4))
@@ -60,7 +60,7 @@
 storage = Storage(Path(sys.argv[1]))
 storage.open()
 for i in range(1, 100000):
-    storage.write(Write(term=i, voted=f"v{i}", entries=(Entry(i, i, "c", b"x" * 100),)))
+    storage.write(Write(term=i, voted_for=f"v{i}", entries=(Entry(i, i, "c", b"x" * 100),)))
     print(i, flush=True)
 """
 
