--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -24,9 +24,9 @@
 from stoatrouter.credit.records import Book, Grants, PutCustomer, Turn, Turns
 from stoatrouter.history.records import Content, pack
 from stoatrouter.net.discovery import read_node
-from stoatrouter.peering.book import SpentBook
 from stoatrouter.peering.credit import CreditService
 from stoatrouter.peering.settings import CreditSettings
+from stoatrouter.peering.spent_journal import SpentJournal
 from stoatrouter.policy.interface import ListKind
 from tests.peers import head_config
 
@@ -150,9 +150,9 @@
     """The credit of a head that does not lead, without a fleet around it."""
     fleet: Any = SimpleNamespace(
         settings=SimpleNamespace(folder=folder),
-        found=SimpleNamespace(lasting=True, boot=1),
+        stored=SimpleNamespace(writable=True, boot=1),
         watchers=[],
-        agreed=SimpleNamespace(restored=[], raft=SimpleNamespace(settled=False)),
+        replication=SimpleNamespace(restore_listeners=[], raft=SimpleNamespace(settled=False)),
         now=lambda: SECOND,
     )
     settings = CreditSettings((1000,), LEASE, SECOND)
@@ -164,7 +164,7 @@
     """Words that one head puts to the log, its customers asking twice a second each; virtual time."""
     ledger = rich_ledger(customers)
     with tempfile.TemporaryDirectory() as folder:
-        holder = HeadEscrow(LEASE, SpentBook(Path(folder) / "book"))
+        holder = HeadEscrow(LEASE, SpentJournal(Path(folder) / "book"))
         draws = random.Random(f"words/{customers}")
         words = turns_said = number = step = 0
         while (now := SECOND + step * STEP) < SECOND + TURNS_SPAN:
--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -24,12 +24,13 @@
 
 from stoatrouter.agreement.records import Voter
 from stoatrouter.peering import calls
-from stoatrouter.peering.counts import Counts
-from stoatrouter.peering.envelope import Envelope, Seal, Unbelieved
-from stoatrouter.peering.following import LONGEST_RETRY, RETRY, hash_of
+from stoatrouter.peering.counters import MessageCounters
+from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
+from stoatrouter.peering.errors import MessageRejected, PeerUnreachable
+from stoatrouter.peering.follower import FIRST_BACKOFF, LONGEST_BACKOFF, voter_offset
 from stoatrouter.peering.rules import PART as RULES
 from stoatrouter.peering.rules import Said
-from stoatrouter.peering.streams import Streams, Unreachable
+from stoatrouter.peering.streams import Streams
 
 ROOT = Path(__file__).parent.parent.parent
 MOST_IN_PROCESS = 93  # followers; more of them would make the measuring process the bottleneck
@@ -70,14 +71,14 @@
 
 
 @dataclass
-class CountingSeal(Seal):
+class CountingSealer(EnvelopeSealer):
     """Counts the bytes of the answers that are opened."""
 
     opened: int = 0
 
     def open(self, data: bytes) -> Envelope:
         self.opened += len(data)
-        return super().open(data)
+        return super().unseal(data)
 
 
 @dataclass
@@ -95,46 +96,46 @@
 
     def __post_init__(self) -> None:
         self.draws = random.Random(f"follower/{self.name}")
-        self.counts = Counts()
-        self.seal = CountingSeal(self.task.secret, self.task.fleet, self.name)
-        me = Voter(self.name, f"{hash_of(self.name):032x}")
+        self.counters = MessageCounters()
+        self.seal = CountingSealer(self.task.secret, self.task.fleet, self.name)
+        me = Voter(self.name, f"{voter_offset(self.name):032x}")
         process = time.time_ns() // 1_000_000
-        self.streams = Streams(self.seal, me, process, self.task.voters, self.counts, self.take, lambda: "")
+        self.streams = Streams(self.seal, me, process, self.task.voters, self.counters, self.take, lambda: "")
 
     async def take(self, envelope: Envelope) -> bytes | None:
-        raise Unbelieved("a follower answers nothing")
+        raise MessageRejected("a follower answers nothing")
 
     async def follow(self) -> None:
         """Ask for ever, in the cadence of a head."""
-        wait = RETRY
+        wait = FIRST_BACKOFF
         await asyncio.sleep(self.draws.random() / 2)  # heads do not start in the same moment
         while True:
             if await self.fetch(self.next_voter()):
-                wait = RETRY
+                wait = FIRST_BACKOFF
             else:
                 await asyncio.sleep(wait.total_seconds() * (0.5 + self.draws.random()))
-                wait = min(2 * wait, LONGEST_RETRY)
+                wait = min(2 * wait, LONGEST_BACKOFF)
 
     def next_voter(self) -> str:
         names = list(self.task.voters)
         self.turn += 1
-        return names[(self.turn + hash_of(self.name)) % len(names)]
+        return names[(self.turn + voter_offset(self.name)) % len(names)]
 
     async def fetch(self, voter: str) -> bool:
         totals, opened = self.totals, self.seal.opened
         body = msgspec.msgpack.encode(calls.Fetch(self.after, self.after_term))
         totals.asked += 1
-        sent = self.counts.counts["streams.bytes"]
+        sent = self.counters.by_name["streams.bytes"]
         try:
-            _, answer = await self.streams.ask(voter, calls.FETCH, body)
+            _, answer = await self.streams.request(voter, calls.FETCH, body)
             told = msgspec.msgpack.decode(answer, type=calls.Fetched)
-        except (Unreachable, msgspec.MsgspecError) as error:
+        except (PeerUnreachable, msgspec.MsgspecError) as error:
             refused = str(error).endswith(REFUSED_ENDING)
             totals.refused += refused
             totals.failed += not refused
             return False
         finally:
-            totals.body_bytes_out += self.counts.counts["streams.bytes"] - sent
+            totals.body_bytes_out += self.counters.by_name["streams.bytes"] - sent
             totals.body_bytes_in += self.seal.opened - opened
         self.learn(told)
         if not told.in_touch:
@@ -171,8 +172,8 @@
             if self.leader is not None:
                 self.totals.reports += 1
                 try:
-                    await self.streams.ask(self.leader, RULES, body)
-                except Unreachable:
+                    await self.streams.request(self.leader, RULES, body)
+                except PeerUnreachable:
                     self.totals.reports_refused += 1
             await asyncio.sleep(every)
 
--- a/benchmarks/capacity/voter_load.py
+++ b/benchmarks/capacity/voter_load.py
@@ -27,10 +27,11 @@
 from stoatrouter.agreement.records import Voter
 from stoatrouter.credit.records import Book, PutCustomer
 from stoatrouter.peering import calls
-from stoatrouter.peering.counts import Counts
+from stoatrouter.peering.counters import MessageCounters
 from stoatrouter.peering.credit import PART as CREDIT
-from stoatrouter.peering.envelope import Envelope, Seal
-from stoatrouter.peering.streams import Streams, Unreachable
+from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
+from stoatrouter.peering.errors import PeerUnreachable
+from stoatrouter.peering.streams import Streams
 from tests.heads.processes import HeadProcess, Processes
 from tests.heads.test_rules_processes import edit
 
@@ -57,8 +58,8 @@
         command = Command(id, CREDIT, body, "sender")
         began = time.monotonic()
         try:
-            _, said = await self.streams.ask(self.leader, calls.COMMAND, msgspec.msgpack.encode(command))
-        except Unreachable:
+            _, said = await self.streams.request(self.leader, calls.COMMAND, msgspec.msgpack.encode(command))
+        except PeerUnreachable:
             self.failed += 1
             return False
         ok = msgspec.msgpack.decode(said, type=calls.Answer).ok
@@ -99,9 +100,9 @@
     async def take(envelope: Envelope) -> bytes | None:
         return None
 
-    seal = Seal(secret_of(fleet), FLEET, "sender")
+    seal = EnvelopeSealer(secret_of(fleet), FLEET, "sender")
     me, process = Voter("sender", "5" * 32), time.time_ns() // 1_000_000
-    streams = Streams(seal, me, process, voter_addresses(fleet), Counts(), take, lambda: "")
+    streams = Streams(seal, me, process, voter_addresses(fleet), MessageCounters(), take, lambda: "")
     await streams.start(None)
     try:
         yield Sender(streams, leader.name)
--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -21,7 +21,7 @@
 from stoatrouter.lab.fleet.credit import ACCOUNT, CreditFleet
 from stoatrouter.lab.fleet.voters import Broken
 from stoatrouter.lab.fleet.world import World
-from stoatrouter.peering.book import SpentBook
+from stoatrouter.peering.spent_journal import SpentJournal
 
 SECOND = timedelta(seconds=1)
 ANSWER_BY = timedelta(milliseconds=400)
@@ -30,7 +30,7 @@
 def decision(customers: int, rounds: int = 200_000) -> str:
     """One take and one end, with the spent figure written to the mapped file."""
     with tempfile.TemporaryDirectory() as folder:
-        holder, times = HeadEscrow(5 * SECOND, SpentBook(Path(folder) / "book")), []
+        holder, times = HeadEscrow(5 * SECOND, SpentJournal(Path(folder) / "book")), []
         for i in range(customers):
             holder.want(f"c{i}", 1, SECOND)
         for turn in holder.turns(SECOND, customers):
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -107,9 +107,9 @@
         self.http_tables: TableService | None = None
         started_with = 0
         if heads is not None:
-            from stoatrouter.peering.heads import kept_version
+            from stoatrouter.peering.heads import persisted_version
 
-            started_with, http = kept_version(heads, http)
+            started_with, http = persisted_version(heads, http)
         self.object_front = self.objects = self.http_front = self.http = None
         if objects is not None:
             self.open_objects(objects)
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -30,7 +30,7 @@
 from stoatrouter.lab.hollow.tables import HollowTables, SharedTables
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
-from stoatrouter.peering.heads import Heads, kept_version
+from stoatrouter.peering.heads import Heads, persisted_version
 from stoatrouter.peering.settings import HeadsSettings
 from stoatrouter.policy import Scheduler
 
@@ -93,7 +93,7 @@
     @property
     def counts(self) -> Counter[str]:
         """Messages by kind since the last start, as a real head counts them."""
-        return Counter() if self.heads is None else Counter(self.heads.fleet.counts.counts)
+        return Counter() if self.heads is None else Counter(self.heads.fleet.counters.by_name)
 
     # -- life ---------------------------------------------------------------------------------------------
     async def start(self) -> None:
@@ -110,7 +110,7 @@
             self.life = Life.RUNNING
 
     async def _start(self) -> None:
-        started_with, _ = kept_version(self.settings, self.surroundings.http)
+        started_with, _ = persisted_version(self.settings, self.surroundings.http)
         heads = self.heads = Heads(self.settings, cast(Any, self), started_with)
         self._begin_watch()
         network, fleet = self.surroundings.network, heads.fleet
--- a/stoatrouter/lab/hollow/network.py
+++ b/stoatrouter/lab/hollow/network.py
@@ -17,11 +17,12 @@
 
 from stoatrouter.lab.hollow.places import Place, one_way_seconds
 from stoatrouter.membership.datagram import Kind
-from stoatrouter.peering.streams import ASK, CONNECT, Unreachable
+from stoatrouter.peering.errors import PeerUnreachable
+from stoatrouter.peering.streams import CONNECT_TIMEOUT, REQUEST_TIMEOUT
 
 if TYPE_CHECKING:
     from stoatrouter.agreement.records import Voter
-    from stoatrouter.peering.counts import Counts
+    from stoatrouter.peering.counters import MessageCounters
     from stoatrouter.peering.datagrams import Datagrams
     from stoatrouter.peering.streams import Streams
 
@@ -54,7 +55,7 @@
         """Put this network before and behind a head's datagram socket, which is open already, and count what
         passes by kind.
         """
-        transport, receive, counts = datagrams.transport, datagrams.datagram_received, datagrams.counts
+        transport, receive, counts = datagrams.transport, datagrams.datagram_received, datagrams.counters
         assert transport is not None
         datagrams.transport = DelayedTransport(transport, self, name, counts)  # type: ignore[assignment]
 
@@ -71,14 +72,16 @@
 
     def attach_streams(self, name: str, streams: Streams) -> None:
         """Put this network between a head and those that it asks, and count what it asks by kind."""
-        ask, counts = streams.ask, streams.counts
+        ask, counts = streams.request, streams.counters
 
-        async def asked(to: str, kind: str, body: bytes, within: timedelta = ASK) -> tuple[Voter, bytes]:
+        async def asked(
+            to: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT
+        ) -> tuple[Voter, bytes]:
             counts.add(f"hollow.asked.{kind}")
             counts.add(f"hollow.asked_of.{to}")
             try:
                 answer = await passed(to, kind, body, within)
-            except Unreachable as error:
+            except PeerUnreachable as error:
                 counts.add(f"hollow.unanswered.{kind}.{reason_of(error)}")
                 raise
             counts.add("hollow.answered_bytes", len(answer[1]))
@@ -87,19 +90,19 @@
         async def passed(to: str, kind: str, body: bytes, within: timedelta) -> tuple[Voter, bytes]:
             there = self.one_way(name, to)
             if there is None:
-                await asyncio.sleep(min(within, CONNECT).total_seconds())
-                raise Unreachable(f"{to}: cut off by the partition")
+                await asyncio.sleep(min(within, CONNECT_TIMEOUT).total_seconds())
+                raise PeerUnreachable(f"{to}: cut off by the partition")
             if there:
                 await asyncio.sleep(there)
             answer = await ask(to, kind, body, within)
             back = self.one_way(to, name)
             if back is None:
-                raise Unreachable(f"{to}: cut off by the partition")
+                raise PeerUnreachable(f"{to}: cut off by the partition")
             if back:
                 await asyncio.sleep(back)
             return answer
 
-        streams.ask = asked  # type: ignore[method-assign]
+        streams.request = asked  # type: ignore[method-assign]
 
 
 def kind_of(data: bytes) -> str:
@@ -108,7 +111,7 @@
     return Kind(kind).name.lower() if kind < len(Kind) else "unknown"
 
 
-def reason_of(error: Unreachable) -> str:
+def reason_of(error: PeerUnreachable) -> str:
     """The last word of an error's text: a status, or what the connection met."""
     return str(error).rpartition(" ")[2]
 
@@ -125,7 +128,7 @@
     """A datagram transport that holds back what is sent, as long as the way takes."""
 
     def __init__(
-        self, transport: asyncio.DatagramTransport, network: Network, name: str, counts: Counts
+        self, transport: asyncio.DatagramTransport, network: Network, name: str, counts: MessageCounters
     ) -> None:
         self.transport, self.network, self.name, self.counts = transport, network, name, counts
 
--- a/stoatrouter/peering/availability.py
+++ b/stoatrouter/peering/availability.py
@@ -10,8 +10,8 @@
 
 from stoatrouter.agreement.availability import Availability, Facts, availability_of
 from stoatrouter.agreement.contact import MajorityContact
-from stoatrouter.peering.agreed import Agreed
-from stoatrouter.peering.belonging import Belonging
+from stoatrouter.peering.bootstrap import FleetBootstrap
+from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
 
 REFRESH_EVERY = timedelta(milliseconds=100)
@@ -21,9 +21,13 @@
     """One head's availability; `watchers` are called when it has changed."""
 
     def __init__(
-        self, settings: HeadsSettings, agreed: Agreed, belonging: Belonging, now: Callable[[], timedelta]
+        self,
+        settings: HeadsSettings,
+        replication: Replication,
+        bootstrap: FleetBootstrap,
+        now: Callable[[], timedelta],
     ) -> None:
-        self.settings, self.agreed, self.belonging, self.now = settings, agreed, belonging, now
+        self.settings, self.replication, self.bootstrap, self.now = settings, replication, bootstrap, now
         self.contact = MajorityContact()
         self.watchers: list[Callable[[], None]] = []
         self.latest: Availability | None = None
@@ -63,15 +67,15 @@
             await asyncio.sleep(REFRESH_EVERY.total_seconds())
 
     def _facts(self) -> Facts:
-        agreed, raft = self.agreed, self.agreed.raft
+        replication, raft = self.replication, self.replication.raft
         if raft.settled:
             self.note_contact(raft.contact, raft.commit)
-        caught_up = self._catch_up_to is not None and agreed.machine.index >= self._catch_up_to
+        caught_up = self._catch_up_to is not None and replication.machine.index >= self._catch_up_to
         return Facts(
-            founded=bool(self.belonging.origin),
+            founded=bool(self.bootstrap.origin),
             caught_up=caught_up,
             majority_age=self.contact.age(self.now()),
             votes=raft.votes_here,
             leads=raft.leads,
-            disk=agreed.lasting,
+            disk=replication.disk_writable,
         )
--- a/stoatrouter/peering/belonging.py
+++ b/stoatrouter/peering/bootstrap.py
@@ -18,30 +18,30 @@
 from stoatrouter.agreement.founding import Founded, Founding, Promised
 from stoatrouter.agreement.records import Snapshot, Voter
 from stoatrouter.peering import calls
-from stoatrouter.peering.agreed import Agreed
+from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
-from stoatrouter.peering.storage import Found
+from stoatrouter.peering.storage import StoredState
 from stoatrouter.peering.streams import Streams
 
 FOUND_EVERY = timedelta(milliseconds=300)
 PROMISE_WITHIN = timedelta(seconds=2)
 
 
-class Belonging:
+class FleetBootstrap:
     """One head's fleet. `changed` is called when the head has begun to belong to one."""
 
     def __init__(
         self,
         me: Voter,
         settings: HeadsSettings,
-        found: Found,
-        agreed: Agreed,
+        stored: StoredState,
+        agreed: Replication,
         streams: Streams,
         changed: Callable[[], None],
     ) -> None:
-        self.me, self.settings, self.agreed, self.streams = me, settings, agreed, streams
-        self.founding = Founding(me, settings.voters, found.origin, found.promised)
-        self.durable = bool(found.origin)  # the beginning of the fleet is on this head's disk
+        self.me, self.settings, self.replication, self.streams = me, settings, agreed, streams
+        self.founding = Founding(me, settings.voters, stored.origin, stored.promised)
+        self.durable = bool(stored.origin)  # the beginning of the fleet is on this head's disk
         self._changed = changed
 
     @property
@@ -60,7 +60,7 @@
         answer = self.founding.promise(founder)
         if self.founding.promised != before:
             done = asyncio.get_running_loop().create_future()
-            self.agreed.keep(lambda: done.done() or done.set_result(None), promised=answer.founder)
+            self.replication.keep(lambda: done.done() or done.set_result(None), promised=answer.founder)
             async with asyncio.timeout(PROMISE_WITHIN.total_seconds()):  # a broken disk promises nothing
                 await done
         return msgspec.msgpack.encode(answer)
@@ -69,7 +69,7 @@
         """The founder's part: ask the voters of the settings until a fleet has begun."""
         while not self.origin:
             await asyncio.sleep(FOUND_EVERY.total_seconds())
-            if not self.founding.founds or not self.agreed.lasting:
+            if not self.founding.founds or not self.replication.disk_writable:
                 continue
             if self.founding.promised != self.me.identity:
                 with contextlib.suppress(TimeoutError):
@@ -92,7 +92,7 @@
     async def _ask_others(self, kind: str, body: bytes) -> list[Any]:
         """Ask all other voters of the settings at once: who answered with what, or the error."""
         others = [name for name in self.settings.voters if name != self.settings.name]
-        questions = (self.streams.ask(name, kind, body) for name in others)
+        questions = (self.streams.request(name, kind, body) for name in others)
         return await asyncio.gather(*questions, return_exceptions=True)
 
     # -- beginning ----------------------------------------------------------------------------------------
@@ -106,7 +106,7 @@
             origin=founded.origin[:8],
             voters=", ".join(v.name for v in founded.voters),
         )
-        self.agreed.begin(founded.snapshot(), 0, founded.origin, self._begun)
+        self.replication.begin(founded.snapshot(), 0, founded.origin, self._begun)
 
     def adopt_missed(self, fetched: calls.Fetched) -> bool:
         """Begin with a founding that this head had promised to and did not hear of; whether it does."""
@@ -114,19 +114,19 @@
             return False
         if not self.founding.adopt(Founded(fetched.origin, fetched.voters)):
             return False
-        self.agreed.begin(fetched.snapshot, 0, fetched.origin, self._begun)
+        self.replication.begin(fetched.snapshot, 0, fetched.origin, self._begun)
         return True
 
     def follow(self, origin: str) -> None:
         """A head that has no vote belongs to the fleet that it follows."""
         if origin and not self.origin:
             self.founding.origin, self.durable = origin, True
-            self.agreed.keep(lambda: None, origin=origin)
+            self.replication.keep(lambda: None, origin=origin)
 
     def begin_alone(self, origin: str, snapshot: Snapshot, term: int) -> None:
         """Go on as a fleet of another origin, with this state."""
         self.founding.origin = origin
-        self.agreed.begin(snapshot, term, origin, self._begun)
+        self.replication.begin(snapshot, term, origin, self._begun)
 
     def _begun(self) -> None:
         """The beginning is on the disk."""
--- a/stoatrouter/peering/counts.py
+++ b/stoatrouter/peering/counters.py
@@ -9,16 +9,16 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class MessageCounters:
     """Counts of messages by name, and a log line for the first of each kind that is dropped."""
 
-    counts: Counter[str] = field(default_factory=Counter)
+    by_name: Counter[str] = field(default_factory=Counter)
 
     def drop(self, way: str, why: str, where: str) -> None:
         """A message that was not believed."""
         name = f"{way}.dropped.{why}"
-        self.counts[name] += 1
-        if self.counts[name] == 1:
+        self.by_name[name] += 1
+        if self.by_name[name] == 1:
             logger.warning(
                 "heads: dropped from {where}: {why} (said once, counted from here on)",
                 event="heads.dropped",
@@ -28,4 +28,4 @@
 
     def add(self, name: str, count: int = 1) -> None:
         """Count something."""
-        self.counts[name] += count
+        self.by_name[name] += count
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -20,10 +20,10 @@
 from stoatrouter.credit.gate import Gate, ranks
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Begin, Booked, Command, Expired, Grants, Settle, Turn, Turns
-from stoatrouter.peering.agreed import NotAgreed
-from stoatrouter.peering.book import SpentBook
+from stoatrouter.peering.errors import ReplicationError
 from stoatrouter.peering.fleet import Fleet
 from stoatrouter.peering.settings import CreditSettings
+from stoatrouter.peering.spent_journal import SpentJournal
 from stoatrouter.policy import interface as api
 
 PART = "credit"
@@ -50,18 +50,18 @@
         # the core's time: set once at the start and monotonic since, so leases hold whatever clocks do
         self.now = now
         self.settings, self.fleet, self.ledger = settings, fleet, ledger
-        path = fleet.settings.folder / "spent.book" if fleet.found.lasting else None
-        self.book = SpentBook(path)
+        path = fleet.settings.folder / "spent.book" if fleet.stored.writable else None
+        self.book = SpentJournal(path)
         self.before = self.book.read()  # of an earlier process
         self.holder = HeadEscrow(settings.lease, self.book)
         self.gate = Gate(self.holder, ledger.customers_of, settings.prices, ranks(classes, background))
-        self.number = fleet.found.boot << 32  # of this head's words to the account
+        self.number = fleet.stored.boot << 32  # of this head's words to the account
         self.begun = False
         self.kick, self.told = asyncio.Event(), asyncio.Event()
         self.seen: dict[str, timedelta] = {}  # allotments, since this head knows of them
         self.closing = False
         fleet.monitor.watchers.append(self.look)
-        fleet.agreed.restored.append(self.seen.clear)  # a state that came whole: ages count anew
+        fleet.replication.restore_listeners.append(self.seen.clear)  # a snapshot: ages count anew
 
     def look(self) -> None:
         """What this head may do has changed: a cut-off one says so in what it refuses."""
@@ -134,7 +134,7 @@
         while True:
             try:
                 return await self.fleet.command(PART, body, id, WITHIN)
-            except NotAgreed:
+            except ReplicationError:
                 if self.closing:
                     return b""
 
@@ -171,7 +171,7 @@
         now = self.fleet.now()
         if len(self.seen) != len(self.ledger.places) or self.seen.keys() != self.ledger.places.keys():
             self.seen = {id: self.seen.get(id, now) for id in self.ledger.places}
-        if not self.fleet.agreed.raft.settled:
+        if not self.fleet.replication.raft.settled:
             return
         lease = self.settings.lease * DRIFT + MARGIN
         over = tuple(
@@ -182,7 +182,7 @@
         if over:
             body = msgspec.msgpack.encode(Expired(over))
             id = f"expired/{self.fleet.me.identity}/{now.total_seconds()}"
-            with contextlib.suppress(NotAgreed):
+            with contextlib.suppress(ReplicationError):
                 await self.fleet.command(PART, body, id, WITHIN)
 
     async def close(self) -> None:
@@ -206,6 +206,6 @@
 
     # -- for operators ------------------------------------------------------------------------------------
     async def command(self, command: Command, id: str, within: timedelta) -> Booked:
-        """Bring an operator's entry through; raises NotAgreed."""
+        """Bring an operator's entry through; raises ReplicationError."""
         body = msgspec.msgpack.encode(command)
         return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, within), type=Booked)
--- a/stoatrouter/peering/creditcalls.py
+++ b/stoatrouter/peering/creditcalls.py
@@ -21,7 +21,6 @@
 from aiohttp import web
 
 from stoatrouter.credit.records import Begin, Book, Booked, DropCustomer, PutCustomer
-from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.bounds import (
     LARGEST_AMOUNT,
     LONGEST_CUSTOMER,
@@ -37,6 +36,7 @@
     shown,
 )
 from stoatrouter.peering.credit import CreditService
+from stoatrouter.peering.errors import ReplicationError
 from stoatrouter.peering.operators import answer
 
 ROOT = "/control/credit"
@@ -101,7 +101,7 @@
                     return await self.write_off(name)
         except (msgspec.MsgspecError, ValueError) as error:
             return answer(400, {"error": error_text(error)})
-        except NotAgreed as error:
+        except ReplicationError as error:
             return answer(
                 503,
                 {
--- a/stoatrouter/peering/datagrams.py
+++ b/stoatrouter/peering/datagrams.py
@@ -21,7 +21,7 @@
     Tick,
 )
 from stoatrouter.membership.roster import Status
-from stoatrouter.peering.counts import Counts
+from stoatrouter.peering.counters import MessageCounters
 
 TICK = timedelta(milliseconds=25)
 MOST_AT_ONCE = 256  # datagrams taken between two ticks; a flood beyond is dropped and counted
@@ -37,11 +37,11 @@
         fleet: str,
         peers: tuple[str, ...],
         now: Callable[[], timedelta],
-        counts: Counts,
+        counters: MessageCounters,
         changed: Callable[[str, Status], None],
     ) -> None:
         self.detector, self.secret, self.fleet = detector, secret, fleet
-        self.peers, self.now, self.counts, self.changed = set(peers), now, counts, changed
+        self.peers, self.now, self.counters, self.changed = set(peers), now, counters, changed
         self.transport: asyncio.DatagramTransport | None = None
         self.taken = 0
 
@@ -58,22 +58,22 @@
         """A datagram has come; what is not believed is dropped and counted."""
         where = f"{addr[0]}:{addr[1]}"
         self.taken += 1
-        self.counts.add("datagrams.received")
+        self.counters.add("datagrams.received")
         # Guards the loop against a flood.
         if self.taken > MOST_AT_ONCE:
-            return self.counts.drop("datagram", "flood", where)
+            return self.counters.drop("datagram", "flood", where)
         # Guards against anybody: only addresses that the configuration names are heard.
         if where not in self.peers:
-            return self.counts.drop("datagram", "not_a_peer", where)
+            return self.counters.drop("datagram", "not_a_peer", where)
         try:
             message = decode(data, self.secret, self.fleet)
         except Malformed as error:
-            return self.counts.drop("datagram", str(error), where)
+            return self.counters.drop("datagram", str(error), where)
         self.put(Heard(self.now(), where, message), where)
 
     def error_received(self, exc: Exception) -> None:
         """A datagram could not be sent; the detector finds out by itself."""
-        self.counts.add("datagrams.errors")  # a peer that does not listen; the probe's end says it
+        self.counters.add("datagrams.errors")  # a peer that does not listen; the probe's end says it
 
     def put(self, event: Event, where: str = "") -> None:
         """Reduce an event of the detector, and run its effects."""
@@ -85,8 +85,8 @@
         match effect:
             case SendTo():
                 data = encode(effect.message, self.secret, self.fleet)
-                self.counts.add("datagrams.sent")
-                self.counts.add("datagrams.bytes", len(data))
+                self.counters.add("datagrams.sent")
+                self.counters.add("datagrams.bytes", len(data))
                 host, _, port = effect.address.rpartition(":")
                 if self.transport is not None and not self.transport.is_closing():
                     self.transport.sendto(data, (host, int(port)))
@@ -99,7 +99,7 @@
                 )
                 self.changed(effect.name, effect.status)
             case Dropped():
-                self.counts.drop("datagram", effect.why, where)
+                self.counters.drop("datagram", effect.why, where)
 
     async def run_for_ever(self) -> None:
         """Let time pass for the detector."""
--- a/stoatrouter/peering/envelope.py
+++ b/stoatrouter/peering/envelope.py
@@ -16,6 +16,7 @@
 
 from stoatrouter.agreement.records import Voter
 from stoatrouter.config import ConfigError
+from stoatrouter.peering.errors import MessageRejected
 
 LARGEST = 64 * 1024 * 1024  # bytes of one message
 MAC, SHORTEST_SECRET = 32, 32  # bytes
@@ -33,10 +34,6 @@
     body: bytes
 
 
-class Unbelieved(Exception):
-    """Not a message for this head; the text is the reason it is counted under."""
-
-
 def read_secret(path: Path) -> bytes:
     """The fleet's secret; raises ConfigError."""
     try:
@@ -51,7 +48,7 @@
     return hashlib.blake2b(secret, digest_size=64).digest()
 
 
-class OlderProcess(Unbelieved):
+class OlderIncarnation(MessageRejected):
     """From an earlier process of its head, or from one whose clock went back."""
 
     def __init__(self, envelope: Envelope, latest: int) -> None:
@@ -60,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Seal:
+class EnvelopeSealer:
     """Seals and opens messages of one fleet."""
 
     secret: bytes
@@ -76,27 +73,27 @@
         """The authentication code of these bytes."""
         return hashlib.blake2b(data, key=self.secret, person=self.person, digest_size=MAC).digest()
 
-    def close(self, envelope: Envelope) -> bytes:
+    def seal(self, envelope: Envelope) -> bytes:
         """An envelope as bytes, authenticated."""
         data = msgspec.msgpack.encode(envelope)
         return self.mac(data) + data
 
-    def open(self, data: bytes) -> Envelope:
-        """Read a message; raises Unbelieved. Nothing inside is looked at before the MAC."""
+    def unseal(self, data: bytes) -> Envelope:
+        """Read a message; raises MessageRejected. Nothing inside is looked at before the MAC."""
         if len(data) > LARGEST:
-            raise Unbelieved("too_long")
+            raise MessageRejected("too_long")
         body = data[MAC:]
         if not hmac.compare_digest(data[:MAC], self.mac(body)):
-            raise Unbelieved("foreign")
+            raise MessageRejected("foreign")
         try:
             envelope = msgspec.msgpack.decode(body, type=Envelope)
         except (msgspec.MsgspecError, ValueError):
-            raise Unbelieved("malformed") from None
+            raise MessageRejected("malformed") from None
         if envelope.to != self.name:
-            raise Unbelieved("for_another")
+            raise MessageRejected("for_another")
         latest = self.processes.get(envelope.sender.name, 0)
         # Guards against what an earlier process of that head said, sent again.
         if envelope.process < latest:
-            raise OlderProcess(envelope, latest)
+            raise OlderIncarnation(envelope, latest)
         self.processes[envelope.sender.name] = envelope.process
         return envelope
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -19,14 +19,14 @@
 from stoatrouter.membership.detector import Detector
 from stoatrouter.membership.roster import Status
 from stoatrouter.peering import calls
-from stoatrouter.peering.agreed import Agreed
 from stoatrouter.peering.availability import AvailabilityMonitor
-from stoatrouter.peering.belonging import Belonging
-from stoatrouter.peering.counts import Counts
+from stoatrouter.peering.bootstrap import FleetBootstrap
+from stoatrouter.peering.counters import MessageCounters
 from stoatrouter.peering.datagrams import Datagrams
-from stoatrouter.peering.envelope import Envelope, Seal
-from stoatrouter.peering.following import Follower
-from stoatrouter.peering.leader import LeaderClient
+from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
+from stoatrouter.peering.follower import Follower
+from stoatrouter.peering.leader_client import LeaderClient
+from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
 from stoatrouter.peering.storage import Storage
 from stoatrouter.peering.streams import Streams
@@ -38,23 +38,23 @@
     """What other parts of the head see of the others. `parts` are what the heads agree on, by name."""
 
     def __init__(self, settings: HeadsSettings, seed: int, parts: dict[str, Part]) -> None:
-        self.settings, self.counts = settings, Counts()
+        self.settings, self.counters = settings, MessageCounters()
         draws = random.Random(f"fleet/{seed}/{settings.name}")
         storage = Storage(settings.folder)
-        found = self.found = storage.open()
-        if found.fresh is not None:
+        stored = self.stored = storage.open()
+        if stored.reset_reason is not None:
             logger.error(
                 "heads: begins under a new identity, without a vote: {why}",
                 event="heads.fresh",
-                why=found.fresh,
+                why=stored.reset_reason,
             )
-        self.me = Voter(settings.name, found.identity)
+        self.me = Voter(settings.name, stored.identity)
         # what an earlier process of this head said is told from what this one says by a number that goes up,
         # also without a disk as long as the clock does not go back
-        self.process = max(time.time_ns() // 1_000_000, found.boot)
-        self.agreed = Agreed(
+        self.incarnation = max(time.time_ns() // 1_000_000, stored.boot)
+        self.replication = Replication(
             self.me,
-            found,
+            stored,
             storage,
             Machine(parts),
             settings.agreement,
@@ -64,20 +64,22 @@
             self._refresh,
         )
         self.streams = Streams(
-            Seal(settings.secret, settings.fleet, settings.name),
+            EnvelopeSealer(settings.secret, settings.fleet, settings.name),
             self.me,
-            self.process,
+            self.incarnation,
             settings.streams,
-            self.counts,
+            self.counters,
             self._answer,
-            lambda: self.belonging.origin,
+            lambda: self.bootstrap.origin,
         )
-        self.belonging = Belonging(self.me, settings, found, self.agreed, self.streams, self._refresh)
-        self.monitor = AvailabilityMonitor(settings, self.agreed, self.belonging, self.now)
+        self.bootstrap = FleetBootstrap(
+            self.me, settings, stored, self.replication, self.streams, self._refresh
+        )
+        self.monitor = AvailabilityMonitor(settings, self.replication, self.bootstrap, self.now)
         self.follower = Follower(
-            settings, self.agreed, self.streams, self.belonging, self.monitor, self.now, draws
+            settings, self.replication, self.streams, self.bootstrap, self.monitor, self.now, draws
         )
-        self._client = LeaderClient(settings, self.agreed, self.streams, self.follower, self.now, draws)
+        self._client = LeaderClient(settings, self.replication, self.streams, self.follower, self.now, draws)
         self.datagrams = self._make_datagrams(seed)
         self.handlers: dict[str, CallHandler] = {}  # of parts, for calls between heads of their own kinds
         self.tasks: list[asyncio.Task[None]] = []
@@ -87,9 +89,9 @@
         settings = self.settings
         if settings.peer_listen is None:
             return None
-        detector = Detector(settings.name, self.process, settings.peers, seed, settings.detector)
+        detector = Detector(settings.name, self.incarnation, settings.peers, seed, settings.detector)
         return Datagrams(
-            detector, settings.secret, settings.fleet, settings.peers, self.now, self.counts, self._seen
+            detector, settings.secret, settings.fleet, settings.peers, self.now, self.counters, self._seen
         )
 
     @staticmethod
@@ -100,7 +102,7 @@
     # -- start and end ------------------------------------------------------------------------------------
     def restart(self) -> None:
         """Apply what the disk holds, once all parts are known."""
-        self.agreed.restart(self.found.disk.snapshot)
+        self.replication.restart(self.stored.disk.snapshot)
 
     async def start(self) -> None:
         """Listen, then take part."""
@@ -113,9 +115,9 @@
         self.tasks += [
             loop.create_task(work)
             for work in (
-                self.agreed.run_for_ever(),
+                self.replication.run_for_ever(),
                 self.follower.run_for_ever(),
-                self.belonging.found_fleet(),
+                self.bootstrap.found_fleet(),
                 self.monitor.run_for_ever(),
             )
         ]
@@ -125,7 +127,7 @@
             name=settings.name,
             fleet=settings.fleet,
             identity=self.me.identity[:8],
-            process=self.process,
+            process=self.incarnation,
         )
 
     async def close(self) -> None:
@@ -136,7 +138,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         await self.streams.close()
-        self.agreed.close()
+        self.replication.close()
 
     # -- for other parts of the head ----------------------------------------------------------------------
     @property
@@ -154,7 +156,7 @@
         """Who leads, as far as this head knows."""
         return self._client.leader
 
-    def live(self) -> set[str]:
+    def live_heads(self) -> set[str]:
         """Heads that are not known to have failed or left, this one with them."""
         if self.datagrams is None:
             return {self.settings.name, *self.settings.streams}
@@ -162,18 +164,19 @@
         return {news.name for news in held if news.status <= Status.SUSPECT}
 
     async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
-        """Bring a command through at whoever leads; its answer. Raises NotAgreed: it may come to hold later,
-        and asked again under its id it gives the one answer.
+        """Bring a command through at whoever leads; its answer.
+
+        Raises ReplicationError: it may come to hold later, and asked again under its id it gives one answer.
         """
         return await self._client.command(part, body, id, within)
 
     async def read(self, within: timedelta) -> None:
-        """Wait until this head holds all that was agreed on before; raises NotAgreed."""
+        """Wait until this head holds all that was agreed on before; raises ReplicationError."""
         await self._client.read(within)
 
     # -- messages -----------------------------------------------------------------------------------------
     def _send(self, to: Voter, message: AnyMessage) -> None:
-        self.streams.tell(to.name, (to.identity, message))
+        self.streams.enqueue(to.name, (to.identity, message))
 
     def _refresh(self) -> None:
         self.monitor.refresh()
@@ -200,9 +203,9 @@
             case calls.READ:
                 return await self._client.answer_read()
             case calls.PROMISE:
-                return await self.belonging.promise(envelope.sender)
+                return await self.bootstrap.promise(envelope.sender)
             case calls.FOUND:
-                self.belonging.adopt(msgspec.msgpack.decode(body, type=Founded))
+                self.bootstrap.adopt(msgspec.msgpack.decode(body, type=Founded))
                 return None
         handler = self.handlers.get(envelope.kind)
         return None if handler is None else await handler(envelope)
@@ -210,9 +213,9 @@
     def _hear(self, sender: Voter, message: AnyMessage) -> None:
         """A message of the agreement."""
         # Guards promises: what comes before this head's beginning is on its disk would be forgotten by it.
-        if not self.belonging.durable:
+        if not self.bootstrap.durable:
             return
-        self.agreed.hear(sender, message)
-        raft = self.agreed.raft
+        self.replication.hear(sender, message)
+        raft = self.replication.raft
         if isinstance(message, AppendEntries) and raft.leader == sender and message.term == raft.term:
             self.monitor.note_contact(raft.contact, message.leader_commit)
--- a/stoatrouter/peering/following.py
+++ b/stoatrouter/peering/follower.py
@@ -16,14 +16,15 @@
 
 from stoatrouter.agreement.contact import MajorityContact
 from stoatrouter.peering import calls
-from stoatrouter.peering.agreed import Agreed
 from stoatrouter.peering.availability import AvailabilityMonitor
-from stoatrouter.peering.belonging import Belonging
+from stoatrouter.peering.bootstrap import FleetBootstrap
+from stoatrouter.peering.errors import PeerUnreachable
+from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
-from stoatrouter.peering.streams import Streams, Unreachable
+from stoatrouter.peering.streams import Streams
 
-LONGEST_HOLD = timedelta(milliseconds=500)  # a question waits so long for news
-RETRY, LONGEST_RETRY = timedelta(milliseconds=50), timedelta(seconds=1)
+LONG_POLL_TIMEOUT = timedelta(milliseconds=500)  # a question waits so long for news
+FIRST_BACKOFF, LONGEST_BACKOFF = timedelta(milliseconds=50), timedelta(seconds=1)
 
 
 class Follower:
@@ -32,60 +33,60 @@
     def __init__(
         self,
         settings: HeadsSettings,
-        agreed: Agreed,
+        agreed: Replication,
         streams: Streams,
-        belonging: Belonging,
+        belonging: FleetBootstrap,
         monitor: AvailabilityMonitor,
         now: Callable[[], timedelta],
         draws: random.Random,
     ) -> None:
-        self.settings, self.agreed, self.streams = settings, agreed, streams
-        self.belonging, self.monitor, self.now, self.draws = belonging, monitor, now, draws
+        self.settings, self.replication, self.streams = settings, agreed, streams
+        self.bootstrap, self.monitor, self.now, self.draws = belonging, monitor, now, draws
         self.leader: str | None = None  # as the last answer told
         self.turn = 0  # which voter is asked next
 
     # -- asking -------------------------------------------------------------------------------------------
     async def run_for_ever(self) -> None:
         """Ask the voters, one after the other, unless a leader tells this head or it leads."""
-        wait = RETRY
+        wait = FIRST_BACKOFF
         while True:
-            raft = self.agreed.raft
+            raft = self.replication.raft
             if raft.leads or (raft.votes_here and raft.leader is not None) or not self.settings.streams:
-                await asyncio.sleep(LONGEST_HOLD.total_seconds())
+                await asyncio.sleep(LONG_POLL_TIMEOUT.total_seconds())
                 continue
             if await self.fetch(self.next_voter()):
-                wait = RETRY
+                wait = FIRST_BACKOFF
             else:
                 await asyncio.sleep(wait.total_seconds() * (0.5 + self.draws.random()))
-                wait = min(2 * wait, LONGEST_RETRY)
+                wait = min(2 * wait, LONGEST_BACKOFF)
 
     def next_voter(self) -> str:
         """A voter to ask; those of the settings until others are known."""
         me, known = self.settings.name, self.settings.streams
-        voters = [v.name for v in self.agreed.raft.voters] or list(self.settings.voters)
+        voters = [v.name for v in self.replication.raft.voters] or list(self.settings.voters)
         names = [n for n in voters if n in known and n != me]
         names = names or [n for n in known if n != me] or [me]
         self.turn += 1
-        return names[(self.turn + hash_of(me)) % len(names)]
+        return names[(self.turn + voter_offset(me)) % len(names)]
 
     async def fetch(self, name: str) -> bool:
         """Ask one voter; whether it is in touch with a majority."""
-        machine, raft, asked_at = self.agreed.machine, self.agreed.raft, self.now()
+        machine, raft, asked_at = self.replication.machine, self.replication.raft, self.now()
         ask = calls.Fetch(machine.index, raft.log.term(machine.index) or 0)
         try:
-            _, body = await self.streams.ask(name, calls.FETCH, msgspec.msgpack.encode(ask))
+            _, body = await self.streams.request(name, calls.FETCH, msgspec.msgpack.encode(ask))
             fetched = msgspec.msgpack.decode(body, type=calls.Fetched)
-        except (Unreachable, msgspec.MsgspecError):
+        except (PeerUnreachable, msgspec.MsgspecError):
             return False
-        if not self.belonging.may_learn_from(fetched.origin) or self.belonging.adopt_missed(fetched):
+        if not self.bootstrap.may_learn_from(fetched.origin) or self.bootstrap.adopt_missed(fetched):
             return False
         self._learn(fetched, asked_at)
         return fetched.in_touch
 
     def _learn(self, fetched: calls.Fetched, asked_at: timedelta) -> None:
         """Take in an answer to a question that was asked at this time."""
-        self.belonging.follow(fetched.origin)
-        self.agreed.learn(
+        self.bootstrap.follow(fetched.origin)
+        self.replication.learn(
             fetched.prev_index, fetched.prev_term, fetched.entries, fetched.commit, fetched.snapshot
         )
         if not fetched.in_touch:
@@ -103,7 +104,7 @@
         """The answer to a head that asks; waits a little where there is nothing new."""
         came_at = self.now()
         await self._wait_for_news(ask.after)
-        raft, origin = self.agreed.raft, self.belonging.origin
+        raft, origin = self.replication.raft, self.bootstrap.origin
         in_touch = self.monitor.current().changes
         fetched = calls.Fetched(
             origin,
@@ -125,15 +126,15 @@
 
     async def _wait_for_news(self, after: int) -> None:
         """Wait until more than this is agreed on, for a while."""
-        raft = self.agreed.raft
-        if not self.belonging.origin:
+        raft = self.replication.raft
+        if not self.bootstrap.origin:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LONGEST_HOLD.total_seconds()):
-                while raft.commit <= after and raft is self.agreed.raft:
-                    await self.agreed.changed.wait()
+            async with asyncio.timeout(LONG_POLL_TIMEOUT.total_seconds()):
+                while raft.commit <= after and raft is self.replication.raft:
+                    await self.replication.changed.wait()
 
 
-def hash_of(name: str) -> int:
+def voter_offset(name: str) -> int:
     """A number of a name that is the same in every process: heads spread over the voters by it."""
     return sum(i * byte for i, byte in enumerate(name.encode(), 1))
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -13,7 +13,7 @@
 from stoatrouter.config import Config
 from stoatrouter.peering.fleet import Fleet
 from stoatrouter.peering.operators import Operators
-from stoatrouter.peering.parts import Call, ServingHead, credit, kept_version, rules
+from stoatrouter.peering.services import Call, ServingHead, credit, persisted_version, rules
 from stoatrouter.peering.settings import HeadsSettings, load_heads
 
 if TYPE_CHECKING:
@@ -78,7 +78,7 @@
         await self.fleet.close()
 
 
-__all__ = ["Heads", "kept_version", "load"]
+__all__ = ["Heads", "persisted_version", "load"]
 
 
 def load(path: str, conf: Config) -> HeadsSettings:
--- a/stoatrouter/peering/leader.py
+++ b/stoatrouter/peering/leader_client.py
@@ -11,14 +11,15 @@
 
 from stoatrouter.agreement.machine import Command
 from stoatrouter.peering import calls
-from stoatrouter.peering.agreed import Agreed, NotAgreed
-from stoatrouter.peering.following import Follower
+from stoatrouter.peering.errors import PeerUnreachable, ReplicationError
+from stoatrouter.peering.follower import Follower
+from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
-from stoatrouter.peering.streams import Streams, Unreachable
+from stoatrouter.peering.streams import Streams
 
 ANSWER_WITHIN = timedelta(seconds=2)  # at the leader
 ASK_WITHIN = timedelta(seconds=3)  # of the leader
-RETRY, LONGEST_RETRY = timedelta(milliseconds=50), timedelta(milliseconds=400)
+FIRST_BACKOFF, LONGEST_BACKOFF = timedelta(milliseconds=50), timedelta(milliseconds=400)
 
 
 class LeaderClient:
@@ -27,25 +28,26 @@
     def __init__(
         self,
         settings: HeadsSettings,
-        agreed: Agreed,
+        agreed: Replication,
         streams: Streams,
         follower: Follower,
         now: Callable[[], timedelta],
         draws: random.Random,
     ) -> None:
-        self.settings, self.agreed, self.streams = settings, agreed, streams
+        self.settings, self.replication, self.streams = settings, agreed, streams
         self.follower, self.now, self.draws = follower, now, draws
 
     @property
     def leader(self) -> str | None:
         """Who leads, as far as this head knows."""
-        raft = self.agreed.raft
+        raft = self.replication.raft
         return raft.leader.name if raft.leader is not None else self.follower.leader
 
     # -- asking -------------------------------------------------------------------------------------------
     async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
-        """Bring a command through at whoever leads; its answer. Raises NotAgreed: it may come to hold later,
-        and asked again under its id it gives the one answer.
+        """Bring a command through at whoever leads; its answer.
+
+        Raises ReplicationError: it may come to hold later, and asked again under its id it gives one answer.
         """
         command = Command(id, part, body, self.settings.name)
         encoded = msgspec.msgpack.encode(command)
@@ -53,36 +55,36 @@
         return answer.body
 
     async def read(self, within: timedelta) -> None:
-        """Wait until this head holds all that was agreed on before; raises NotAgreed."""
+        """Wait until this head holds all that was agreed on before; raises ReplicationError."""
         deadline = self.now() + within
         answer = await self._ask(calls.READ, b"", within, self.answer_read)
-        if not await self.agreed.applied(answer.index, max(RETRY, deadline - self.now())):
-            raise NotAgreed("what was agreed on has not come here in time")
+        if not await self.replication.applied(answer.index, max(FIRST_BACKOFF, deadline - self.now())):
+            raise ReplicationError("what was agreed on has not come here in time")
 
     async def _ask(
         self, kind: str, body: bytes, within: timedelta, answer_here: Callable[[], Awaitable[bytes]]
     ) -> calls.Answer:
         """Ask whoever leads, again and again until it answers. `answer_here` is for this head itself."""
-        deadline, why, hint, wait = self.now() + within, "no leader is known", None, RETRY
+        deadline, why, hint, wait = self.now() + within, "no leader is known", None, FIRST_BACKOFF
         while (left := deadline - self.now()) > timedelta(0):
-            raft = self.agreed.raft
+            raft = self.replication.raft
             known = raft.leader.name if raft.leader else None
             name = known or hint or self.follower.leader or self.follower.next_voter()
             try:
                 if raft.leads or name == self.settings.name:
                     answered = await answer_here()
                 else:
-                    _, answered = await self.streams.ask(name, kind, body, min(left, ASK_WITHIN))
+                    _, answered = await self.streams.request(name, kind, body, min(left, ASK_WITHIN))
                 answer = msgspec.msgpack.decode(answered, type=calls.Answer)
                 if answer.ok:
                     return answer
                 why, hint = answer.why, answer.leader
-            except (Unreachable, msgspec.MsgspecError) as error:
+            except (PeerUnreachable, msgspec.MsgspecError) as error:
                 why, hint, self.follower.leader = str(error), None, None
                 self.follower.turn += 1
             await self._pause(wait, deadline)
-            wait = min(2 * wait, LONGEST_RETRY)
-        raise NotAgreed(why)
+            wait = min(2 * wait, LONGEST_BACKOFF)
+        raise ReplicationError(why)
 
     async def _pause(self, wait: timedelta, deadline: timedelta) -> None:
         """Wait about so long before another try, and not beyond the deadline."""
@@ -94,20 +96,20 @@
     async def answer_command(self, command: Command) -> bytes:
         """A command that another head passes on; the leader's answer."""
         try:
-            body = await self.agreed.command(command, ANSWER_WITHIN)
-            answer = calls.Answer(True, body, self.agreed.machine.index)
-        except NotAgreed as error:
+            body = await self.replication.command(command, ANSWER_WITHIN)
+            answer = calls.Answer(True, body, self.replication.machine.index)
+        except ReplicationError as error:
             answer = self._refused(error)
         return msgspec.msgpack.encode(answer)
 
     async def answer_read(self) -> bytes:
         """Up to which index a read must have applied; the leader's answer."""
         try:
-            answer = calls.Answer(True, index=await self.agreed.read(ANSWER_WITHIN))
-        except NotAgreed as error:
+            answer = calls.Answer(True, index=await self.replication.read(ANSWER_WITHIN))
+        except ReplicationError as error:
             answer = self._refused(error)
         return msgspec.msgpack.encode(answer)
 
-    def _refused(self, error: NotAgreed) -> calls.Answer:
-        leader = self.agreed.raft.leader
+    def _refused(self, error: ReplicationError) -> calls.Answer:
+        leader = self.replication.raft.leader
         return calls.Answer(False, why=str(error), leader=leader.name if leader else None)
--- a/stoatrouter/peering/operators.py
+++ b/stoatrouter/peering/operators.py
@@ -20,10 +20,9 @@
 from stoatrouter.agreement.log import write_voters
 from stoatrouter.agreement.records import Snapshot, Voter
 from stoatrouter.peering import calls
-from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.bounds import OutOfBounds, check_head
+from stoatrouter.peering.errors import PeerUnreachable, ReplicationError
 from stoatrouter.peering.fleet import Fleet
-from stoatrouter.peering.streams import Unreachable
 
 WITHIN = timedelta(seconds=4)
 
@@ -58,7 +57,7 @@
     def told(self) -> dict[str, Any]:
         """What this head knows of itself and the others."""
         fleet = self.fleet
-        availability, raft = fleet.availability, fleet.agreed.raft
+        availability, raft = fleet.availability, fleet.replication.raft
         seen = (
             {}
             if fleet.datagrams is None
@@ -70,21 +69,21 @@
         return {
             "name": fleet.settings.name,
             "identity": fleet.me.identity,
-            "process": fleet.process,
+            "process": fleet.incarnation,
             "fleet": fleet.settings.fleet,
-            "origin": fleet.belonging.origin,
+            "origin": fleet.bootstrap.origin,
             "state": availability.state.value,
             "majority_heard_s_ago": seconds(fleet.majority_age),
             "term": raft.term,
             "leader": fleet.leader,
             "leads": raft.leads,
             "votes": raft.votes_here,
-            "disk": fleet.agreed.lasting,
+            "disk": fleet.replication.disk_writable,
             "voters": {v.name: v.identity for v in raft.voters},
-            "applied": fleet.agreed.machine.index,
+            "applied": fleet.replication.machine.index,
             "committed": raft.commit,
             "seen": seen,
-            "counts": dict(sorted(fleet.counts.counts.items())),
+            "counts": dict(sorted(fleet.counters.by_name.items())),
         }
 
     async def voter(self, method: str, name: str) -> web.Response:
@@ -95,7 +94,7 @@
             check_head("voter", name)
         except OutOfBounds as error:
             return answer(400, {"error": str(error)})
-        raft = self.fleet.agreed.raft
+        raft = self.fleet.replication.raft
         if not raft.leads:
             return answer(409, {"error": "ask the head that leads", "leader": self.fleet.leader})
         voters = raft.voters
@@ -106,8 +105,8 @@
                 after = tuple(sorted((*voters, await self.identify(name))))
             if after == voters:
                 return answer(200, {"voters": [v.name for v in voters]})
-            await self.fleet.agreed.change_voters(write_voters(after), WITHIN)
-        except (NotAgreed, Unreachable) as error:
+            await self.fleet.replication.change_voters(write_voters(after), WITHIN)
+        except (ReplicationError, PeerUnreachable) as error:
             return answer(503, {"error": str(error)})
         logger.info(
             "heads: voters are {voters}", event="heads.voters", voters=", ".join(v.name for v in after)
@@ -121,17 +120,17 @@
         fleet = self.fleet
         if name == fleet.settings.name:
             return fleet.me
-        held = next((v for v in fleet.agreed.raft.voters if v.name == name), None)
-        voter, body = await fleet.streams.ask(
+        held = next((v for v in fleet.replication.raft.voters if v.name == name), None)
+        voter, body = await fleet.streams.request(
             name, calls.FETCH, msgspec.msgpack.encode(calls.Fetch(1 << 60, 0))
         )
         told = msgspec.msgpack.decode(body, type=calls.Fetched)
         if held == voter:
             return voter
         if held is not None:
-            raise NotAgreed(f"{name} votes under an older identity: remove it first")
-        if told.origin != fleet.belonging.origin or told.commit + 1_000 < fleet.agreed.raft.commit:
-            raise NotAgreed(f"{name} has not caught up yet")
+            raise ReplicationError(f"{name} votes under an older identity: remove it first")
+        if told.origin != fleet.bootstrap.origin or told.commit + 1_000 < fleet.replication.raft.commit:
+            raise ReplicationError(f"{name} has not caught up yet")
         return voter
 
     async def recover(self) -> web.Response:
@@ -141,9 +140,9 @@
         fleet = self.fleet
         if fleet.availability.changes:
             return answer(409, {"error": "this head hears a majority: there is nothing to recover"})
-        if not fleet.agreed.lasting or not fleet.settings.listen:
+        if not fleet.replication.disk_writable or not fleet.settings.listen:
             return answer(409, {"error": "this head cannot vote: its disk fails, or it has no address"})
-        machine, raft = fleet.agreed.machine, fleet.agreed.raft
+        machine, raft = fleet.replication.machine, fleet.replication.raft
         origin = secrets.token_hex(16)
         logger.warning(
             "heads: recovered as {origin}, alone, with what was agreed on up to {index}",
@@ -152,5 +151,5 @@
             index=machine.index,
         )
         snapshot = Snapshot(max(1, machine.index), raft.term, (fleet.me,), machine.state())
-        fleet.belonging.begin_alone(origin, snapshot, raft.term + 1)
+        fleet.bootstrap.begin_alone(origin, snapshot, raft.term + 1)
         return answer(200, {"origin": origin, "applied": machine.index})
--- a/stoatrouter/peering/agreed.py
+++ b/stoatrouter/peering/replication.py
@@ -38,24 +38,21 @@
     Write,
     Wrote,
 )
-from stoatrouter.peering.storage import Found, Storage
-from stoatrouter.peering.writer import Writer
+from stoatrouter.peering.disk_writer import Writer
+from stoatrouter.peering.errors import ReplicationError
+from stoatrouter.peering.storage import Storage, StoredState
 
 TICK = timedelta(milliseconds=20)
 COMPACT_ENTRIES, COMPACT_BYTES = 1_000, 8 * 1024 * 1024  # applied since the last snapshot
 
 
-class NotAgreed(Exception):
-    """A command or read that this head cannot bring through; what was asked may or may not come to hold."""
-
-
-class Agreed:
+class Replication:
     """One head's agreement, running."""
 
     def __init__(
         self,
         me: Voter,
-        found: Found,
+        stored: StoredState,
         storage: Storage,
         machine: Machine,
         timing: Timing,
@@ -66,10 +63,10 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.machine, self.now, self.send, self.notify = machine, now, send, notify
-        self.raft = Raft(me, found.disk, seed, timing, now=now())
-        self.raft.voiceless = not found.lasting
-        self.writer = Writer(storage, self.loop, self.disk_failed, found.lasting)
-        self.lasting = found.lasting
+        self.raft = Raft(me, stored.disk, seed, timing, now=now())
+        self.raft.voiceless = not stored.writable
+        self.writer = Writer(storage, self.loop, self.disk_failed, stored.writable)
+        self.disk_writable = stored.writable
         self.size = 0  # bytes applied since the last snapshot
         self.waiting: dict[int, tuple[int, asyncio.Future[bytes]]] = {}  # by index: the term, and who waits
         self.reads: dict[str, asyncio.Future[int]] = {}  # reads under way
@@ -78,7 +75,7 @@
         self.number = 0
         self.changed = asyncio.Event()  # set and replaced when something was applied
         self.listeners: list[Callable[[Entry, tuple[str, bytes] | None], None]] = []
-        self.restored: list[Callable[[], None]] = []
+        self.restore_listeners: list[Callable[[], None]] = []
 
     def restart(self, snapshot: Snapshot) -> None:
         """Begin with what the disk holds, once all parts of the machine are known."""
@@ -86,12 +83,12 @@
 
     # -- for callers --------------------------------------------------------------------------------------
     async def propose(self, body: bytes, kind: str, within: timedelta) -> bytes:
-        """Bring an entry through, here at the leader: the command's answer. Raises NotAgreed."""
+        """Bring an entry through, here at the leader: the command's answer. Raises ReplicationError."""
         self.number += 1
         name = f"p{self.number}"
         self.put(Propose(self.now(), name, body, kind))
         if (why := self.refused.pop(name, None)) is not None:
-            raise NotAgreed(why)
+            raise ReplicationError(why)
         index, term = self.taken.pop(name)
         future: asyncio.Future[bytes] = self.loop.create_future()
         self.waiting[index] = (term, future)
@@ -99,20 +96,20 @@
             async with asyncio.timeout(within.total_seconds()):
                 return await future
         except TimeoutError:
-            raise NotAgreed("it was not agreed on in time") from None
+            raise ReplicationError("it was not agreed on in time") from None
         finally:
             self.waiting.pop(index, None)
 
     async def command(self, command: Command, within: timedelta) -> bytes:
-        """Bring a command through, here at the leader; its answer. Raises NotAgreed."""
+        """Bring a command through, here at the leader; its answer. Raises ReplicationError."""
         return await self.propose(encode(command), "c", within)
 
     async def change_voters(self, body: bytes, within: timedelta) -> None:
-        """Bring a change of the voters through, here at the leader. Raises NotAgreed."""
+        """Bring a change of the voters through, here at the leader. Raises ReplicationError."""
         await self.propose(body, VOTERS, within)
 
     async def read(self, within: timedelta) -> int:
-        """Up to which index a read must have applied; raises NotAgreed."""
+        """Up to which index a read must have applied; raises ReplicationError."""
         self.number += 1
         name = f"r{self.number}"
         future = self.reads[name] = self.loop.create_future()
@@ -121,7 +118,7 @@
             async with asyncio.timeout(within.total_seconds()):
                 return await future
         except TimeoutError:
-            raise NotAgreed("no majority confirmed it in time") from None
+            raise ReplicationError("no majority confirmed it in time") from None
         finally:
             self.reads.pop(name, None)
 
@@ -202,7 +199,7 @@
         if future is None:
             self.refused[effect.id] = effect.why
         elif not future.done():
-            future.set_exception(NotAgreed(effect.why))
+            future.set_exception(ReplicationError(effect.why))
 
     def apply(self, entries: tuple[Entry, ...]) -> None:
         """Apply committed entries, and answer those who wait for them."""
@@ -214,7 +211,7 @@
                 if term == entry.term:
                     future.set_result(answer[1] if answer is not None else b"")
                 else:
-                    future.set_exception(NotAgreed("another leader's entry took its place"))
+                    future.set_exception(ReplicationError("another leader's entry took its place"))
             for listener in self.listeners:
                 listener(entry, answer)
         self.notify_applied()
@@ -229,9 +226,9 @@
         self.machine.restore(snapshot.index, snapshot.state)
         for index, (_, future) in self.waiting.items():
             if index <= snapshot.index and not future.done():
-                future.set_exception(NotAgreed("what became of it is in a snapshot"))
-        for restored in self.restored:
-            restored()
+                future.set_exception(ReplicationError("what became of it is in a snapshot"))
+        for listener in self.restore_listeners:
+            listener()
         self.notify_applied()
 
     def notify_applied(self) -> None:
@@ -245,7 +242,7 @@
         logger.error(
             "heads: the disk takes no writes, this head has no voice: {why}", event="heads.disk", why=why
         )
-        self.lasting = False
+        self.disk_writable = False
         self.put(DiskFailed(self.now()))
 
     def keep(self, done: Callable[[], None], **values: str) -> None:
--- a/stoatrouter/peering/rulecalls.py
+++ b/stoatrouter/peering/rulecalls.py
@@ -21,7 +21,6 @@
 from aiohttp import web
 
 from stoatrouter.history.records import Content, Edit, Undo, Version, digest_of, pack, unpack
-from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.bounds import (
     LARGEST_VERSION,
     LONGEST_FILE_NAME,
@@ -34,6 +33,7 @@
     error_text,
     shown,
 )
+from stoatrouter.peering.errors import ReplicationError
 from stoatrouter.peering.operators import answer, seconds
 from stoatrouter.peering.rules import RulesService, stamp
 
@@ -93,7 +93,7 @@
                     return await self.became(id)
         except (msgspec.MsgspecError, ValueError) as error:
             return answer(400, {"error": error_text(error)})
-        except NotAgreed as error:
+        except ReplicationError as error:
             return answer(
                 503,
                 {
--- a/stoatrouter/peering/rules.py
+++ b/stoatrouter/peering/rules.py
@@ -25,11 +25,10 @@
 from stoatrouter.history.records import Abandon, Activate, Answer, Command, Version, digest_of, unpack
 from stoatrouter.history.register import Register
 from stoatrouter.net.tables import Made, TableService, in_thread
-from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.envelope import Envelope
+from stoatrouter.peering.errors import PeerUnreachable, ReplicationError
 from stoatrouter.peering.fleet import Fleet
 from stoatrouter.peering.settings import HeadsSettings, RulesSettings
-from stoatrouter.peering.streams import Unreachable
 from stoatrouter.settings import SettingsError
 
 PART, STATUS = "rules", "rules-status"
@@ -149,7 +148,7 @@
             except Exception:
                 # Guards a serving head: a fault here must not end the history's work, nor the head.
                 logger.exception("rules: a step failed in an unforeseen way", event="rules.step_fault")
-            changed = self.fleet.agreed.changed
+            changed = self.fleet.replication.changed
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(EVERY.total_seconds()):
                     await changed.wait()
@@ -282,8 +281,10 @@
         if leader == self.fleet.settings.name:
             self.heard[leader] = Heard(said, now)
         elif leader is not None:
-            with contextlib.suppress(Unreachable):
-                await self.fleet.streams.ask(leader, PART, msgspec.msgpack.encode(said), timedelta(seconds=1))
+            with contextlib.suppress(PeerUnreachable):
+                await self.fleet.streams.request(
+                    leader, PART, msgspec.msgpack.encode(said), timedelta(seconds=1)
+                )
 
     async def hear(self, envelope: Envelope) -> bytes:
         """At the leader: what another head says of itself."""
@@ -295,7 +296,7 @@
     async def lead(self) -> None:
         """At the leader: decide about the version that is being put in force."""
         pending = self.register.pending
-        if pending is None or not self.fleet.agreed.raft.settled:
+        if pending is None or not self.fleet.replication.raft.settled:
             self.pending_since = (0, timedelta(0))
             return
         now = self.fleet.now()
@@ -310,7 +311,7 @@
         decided = decide(
             pending.number,
             said,
-            self.fleet.live(),
+            self.fleet.live_heads(),
             now - self.pending_since[1],
             self.settings.check_within,
             self.settings.versions,
@@ -323,7 +324,7 @@
         id = f"rules/{type(decided).__name__}/{decided.number}/{self.fleet.me.identity}"
         try:
             await self.command(decided, id)
-        except NotAgreed:
+        except ReplicationError:
             return  # whoever leads next decides anew
         if isinstance(decided, Abandon):
             logger.warning(
@@ -343,7 +344,7 @@
         self.heard[self.fleet.settings.name] = Heard(self.own(), now)
         return Spread(
             {name: h.said.active for name, h in self.heard.items() if now < h.at + FORGET},
-            sorted(self.fleet.live()),
+            sorted(self.fleet.live_heads()),
         )
 
     async def spread(self) -> Spread | None:
@@ -352,14 +353,14 @@
         if leader == self.fleet.settings.name:
             return self.spread_here()
         try:
-            _, body = await self.fleet.streams.ask(leader or "", STATUS, b"", timedelta(seconds=1))
+            _, body = await self.fleet.streams.request(leader or "", STATUS, b"", timedelta(seconds=1))
             return msgspec.msgpack.decode(body, type=Spread)
-        except (Unreachable, msgspec.MsgspecError):
+        except (PeerUnreachable, msgspec.MsgspecError):
             return None
 
     # -- for operators ------------------------------------------------------------------------------------
     async def command(self, command: Command, id: str) -> Answer:
-        """Bring a command through; raises NotAgreed."""
+        """Bring a command through; raises ReplicationError."""
         body = msgspec.msgpack.encode(command)
         return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, WITHIN), type=Answer)
 
--- a/stoatrouter/peering/parts.py
+++ b/stoatrouter/peering/services.py
@@ -89,7 +89,7 @@
     return service
 
 
-def kept_version(settings: HeadsSettings, http: HttpSettings | None) -> tuple[int, HttpSettings | None]:
+def persisted_version(settings: HeadsSettings, http: HttpSettings | None) -> tuple[int, HttpSettings | None]:
     """With which version of the rules this head starts, and so with which files; 0: with its own."""
     if settings.rules is None or http is None:
         return 0, http
--- a/stoatrouter/peering/book.py
+++ b/stoatrouter/peering/spent_journal.py
@@ -18,7 +18,7 @@
 SPENT = struct.Struct("<QQI")  # the figure twice and a check of it: a torn store is found out
 
 
-class SpentBook:
+class SpentJournal:
     """One file. Slots are found by allotment; a slot whose name is empty is free."""
 
     def __init__(self, path: Path | None) -> None:
--- a/stoatrouter/peering/storage.py
+++ b/stoatrouter/peering/storage.py
@@ -29,7 +29,7 @@
 from stoatrouter.config import ConfigError
 
 APPLICATION, VERSION = 0x53544F54, 1  # "STOT"; of the schema
-FILE, MARK, LOCK = "heads.db", "heads.mark", "heads.lock"
+DATABASE_FILE, MARK_FILE, LOCK_FILE = "heads.db", "heads.mark", "heads.lock"
 SCHEMA = """
 CREATE TABLE meta (key TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
 CREATE TABLE entries (at INTEGER PRIMARY KEY, data BLOB NOT NULL, sum BLOB NOT NULL);
@@ -41,7 +41,7 @@
 UNREACHABLE = ("readonly", "unable to open", "disk I/O", "full", "locked")
 
 
-class Spoilt(Exception):
+class CorruptDatabase(Exception):
     """The database cannot be believed; the text says why."""
 
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
+class StoredState:
     """What a start found."""
 
     identity: str
@@ -59,8 +59,8 @@
     disk: Disk
     origin: str  # of the fleet this disk belongs to; "": of none
     promised: str  # the founder it was promised to
-    fresh: str | None = None  # why the identity is new, where there was one before
-    lasting: bool = True  # False: the disk takes no writes, nothing here is kept
+    reset_reason: str | None = None  # why the identity is new, where there was one before
+    writable: bool = True  # False: the disk takes no writes, nothing here is kept
 
 
 class Mark:
@@ -92,34 +92,34 @@
     """The file. All calls come from one thread at a time; `open` before `write`."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.path = folder, folder / FILE
-        self.base: sqlite3.Connection | None = None
+        self.folder, self.path = folder, folder / DATABASE_FILE
+        self.connection: sqlite3.Connection | None = None
         self.mark: Mark | None = None
         self.number = 0
         self.lock = -1
 
     # -- a start ------------------------------------------------------------------------------------------
-    def open(self) -> Found:
+    def open(self) -> StoredState:
         """Read what is there, or begin anew; raises ConfigError where the file belongs to something else."""
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._lock()
-            self.mark = Mark(self.folder / MARK)
+            self.mark = Mark(self.folder / MARK_FILE)
             why = None
             try:
                 return self._read()
-            except Spoilt as error:
+            except CorruptDatabase as error:
                 why = self._set_aside(str(error)) if self.path.exists() else str(error)
             return self._begin(why)
         except (sqlite3.Error, OSError) as error:
             # Guards the start of a head whose disk is full or read-only: it serves, without a voice.
             self.close()
             why = f"the disk takes no writes: {error}"
-            return Found(secrets.token_hex(16), 0, Disk(), "", "", why, False)
+            return StoredState(secrets.token_hex(16), 0, Disk(), "", "", why, False)
 
     def _lock(self) -> None:
         """One process at a time: two would vote twice under one identity. A killed one holds it no more."""
-        self.lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+        self.lock = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -129,13 +129,13 @@
                 "old one)"
             ) from None
 
-    def _read(self) -> Found:
+    def _read(self) -> StoredState:
         if not self.path.exists():
             assert self.mark is not None
             if self.mark.read():
-                raise Spoilt("the database is gone")
+                raise CorruptDatabase("the database is gone")
             return self._begin(None)
-        self.base = base = self._connect()
+        self.connection = base = self._connect()
         with self._doubts():
             application = base.execute("PRAGMA application_id").fetchone()[0]
             version = base.execute("PRAGMA user_version").fetchone()[0]
@@ -149,11 +149,11 @@
             )
         with self._doubts():
             if base.execute("PRAGMA quick_check").fetchone()[0] != "ok":
-                raise Spoilt("the database is damaged")
+                raise CorruptDatabase("the database is damaged")
             found = self._load(base)
         return found
 
-    def _load(self, base: sqlite3.Connection) -> Found:
+    def _load(self, base: sqlite3.Connection) -> StoredState:
         meta = dict(base.execute("SELECT key, value FROM meta"))
         try:
             identity, boot = meta["identity"].decode(), int(meta["boot"]) + 1
@@ -165,23 +165,23 @@
             snapshot = Snapshot(0, 0, (), b"")
             for data, held in base.execute("SELECT data, sum FROM snapshot"):
                 if checksum(data) != held:
-                    raise Spoilt("the snapshot does not match its checksum")
+                    raise CorruptDatabase("the snapshot does not match its checksum")
                 snapshot = msgspec.msgpack.decode(data, type=Snapshot)
             term = int(meta.get("term", b"0"))
         except (KeyError, ValueError, msgspec.MsgspecError) as error:
-            raise Spoilt(f"a record cannot be read: {error!r}") from None
+            raise CorruptDatabase(f"a record cannot be read: {error!r}") from None
         if any(b.index != a.index + 1 for a, b in zip(entries, entries[1:], strict=False)):
-            raise Spoilt("entries are missing")
+            raise CorruptDatabase("entries are missing")
         assert self.mark is not None
         if self.number < self.mark.read():
-            raise Spoilt(
+            raise CorruptDatabase(
                 f"it is older than what this head acknowledged (write {self.number}, and "
                 f"{self.mark.read()} was done)"
             )
         base.execute("UPDATE meta SET value = ? WHERE key = 'boot'", (str(boot).encode(),))
         base.commit()
         voted = meta.get("voted", b"").decode() or None
-        return Found(
+        return StoredState(
             identity,
             boot,
             Disk(term, voted, snapshot, tuple(entries)),
@@ -192,7 +192,7 @@
     @staticmethod
     def _entry(at: int, data: bytes, held: bytes) -> Entry:
         if checksum(data) != held:
-            raise Spoilt(f"entry {at} does not match its checksum")
+            raise CorruptDatabase(f"entry {at} does not match its checksum")
         return msgspec.msgpack.decode(data, type=Entry)
 
     def _connect(self) -> sqlite3.Connection:
@@ -208,24 +208,24 @@
         except sqlite3.OperationalError as error:
             if any(word in str(error) for word in UNREACHABLE):
                 raise
-            raise Spoilt(str(error)[:100]) from None
+            raise CorruptDatabase(str(error)[:100]) from None
         except (sqlite3.DatabaseError, UnicodeDecodeError) as error:
-            raise Spoilt(str(error)[:100]) from None
+            raise CorruptDatabase(str(error)[:100]) from None
 
     def _set_aside(self, why: str) -> str:
         """Keep the spoilt file for whoever looks into it, under a name that says so."""
-        if self.base is not None:
-            self.base.close()
-            self.base = None
-        aside = self.path.with_name(f"{FILE}.spoilt-{secrets.token_hex(4)}")
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
+        aside = self.path.with_name(f"{DATABASE_FILE}.spoilt-{secrets.token_hex(4)}")
         for end in ("", "-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
                 os.replace(f"{self.path}{end}", f"{aside}{end}")
         return f"{why}; set aside as {aside.name}"
 
-    def _begin(self, why: str | None) -> Found:
+    def _begin(self, why: str | None) -> StoredState:
         """A new database under a new identity."""
-        self.base = base = self._connect()
+        self.connection = base = self._connect()
         base.executescript(
             "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL;"
             + SCHEMA
@@ -238,13 +238,13 @@
         base.commit()
         assert self.mark is not None
         self.mark.set(0)
-        return Found(identity, 1, Disk(), "", "", why)
+        return StoredState(identity, 1, Disk(), "", "", why)
 
     # -- a running head -----------------------------------------------------------------------------------
     def write(self, write: Write) -> None:
         """One transaction; it is on the disk when this returns. Raises sqlite3.Error or OSError."""
-        assert self.base is not None
-        with self.base as base:
+        assert self.connection is not None
+        with self.connection as base:
             if write.term is not None:
                 self._set(base, "term", str(write.term))
                 self._set(base, "voted", write.voted or "")
@@ -267,8 +267,8 @@
 
     def keep(self, **values: str) -> None:
         """Other promises: the fleet that this disk belongs to, and who may found it."""
-        assert self.base is not None
-        with self.base as base:
+        assert self.connection is not None
+        with self.connection as base:
             for key, value in values.items():
                 self._set(base, key, value)
             self._number(base)
@@ -276,8 +276,8 @@
 
     def kept(self, key: str) -> str:
         """What is kept under a key; "" where there is nothing."""
-        assert self.base is not None
-        row = self.base.execute("SELECT value FROM meta WHERE key = ?", (key,)).fetchone()
+        assert self.connection is not None
+        row = self.connection.execute("SELECT value FROM meta WHERE key = ?", (key,)).fetchone()
         return row[0].decode() if row else ""
 
     def _number(self, base: sqlite3.Connection) -> None:
@@ -294,9 +294,9 @@
 
     def close(self) -> None:
         """Close the database."""
-        if self.base is not None:
-            self.base.close()
-            self.base = None
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
         if self.mark is not None:
             self.mark.close()
             self.mark = None
--- a/stoatrouter/peering/streams.py
+++ b/stoatrouter/peering/streams.py
@@ -18,39 +18,36 @@
 
 from stoatrouter.agreement.records import Voter
 from stoatrouter.net.listener import ListeningSocket
-from stoatrouter.peering.counts import Counts
-from stoatrouter.peering.envelope import LARGEST, Envelope, OlderProcess, Seal, Unbelieved
+from stoatrouter.peering.counters import MessageCounters
+from stoatrouter.peering.envelope import LARGEST, Envelope, EnvelopeSealer, OlderIncarnation
+from stoatrouter.peering.errors import MessageRejected, PeerUnreachable
 
 PATH = "/heads"
-MOST_OPEN = 256  # questions answered at once; beyond, 503
+MOST_IN_FLIGHT = 256  # questions answered at once; beyond, 503
 MOST_QUEUED = 256  # messages that wait for one head; beyond, the oldest go: all of them are sent again
 MOST_IN_BATCH = 32
-CONNECT = timedelta(milliseconds=500)
-ASK = timedelta(seconds=3)
+CONNECT_TIMEOUT = timedelta(milliseconds=500)
+REQUEST_TIMEOUT = timedelta(seconds=3)
 
 Handler = Callable[[Envelope], Awaitable[bytes | None]]
 
 
-class Unreachable(Exception):
-    """No answer came; whatever was asked may have been done."""
-
-
 class Streams:
     """What a head says to others over streams, and what it hears."""
 
     def __init__(
         self,
-        seal: Seal,
+        sealer: EnvelopeSealer,
         me: Voter,
         process: int,
         addresses: dict[str, str],
-        counts: Counts,
+        counters: MessageCounters,
         handler: Handler,
         origin: Callable[[], str],
     ) -> None:
-        self.seal, self.me, self.process = seal, me, process
-        self.addresses, self.counts, self.handler, self.origin = addresses, counts, handler, origin
-        self.number = self.open = 0
+        self.sealer, self.me, self.process = sealer, me, process
+        self.addresses, self.counters, self.handler, self.origin = addresses, counters, handler, origin
+        self.number = self.in_flight = 0
         self.session: aiohttp.ClientSession | None = None
         self.server: web.Server | None = None
         self.sockets: asyncio.Server | None = None
@@ -61,7 +58,9 @@
         """Listen where this head is reached, and open connections as they are needed."""
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, limit_per_host=8),
-            timeout=aiohttp.ClientTimeout(total=ASK.total_seconds(), connect=CONNECT.total_seconds()),
+            timeout=aiohttp.ClientTimeout(
+                total=REQUEST_TIMEOUT.total_seconds(), connect=CONNECT_TIMEOUT.total_seconds()
+            ),
         )
         if listen is not None:
             self.server = web.Server(self.take, access_log=None, handler_cancellation=True)
@@ -90,43 +89,45 @@
         if request.method != "POST" or request.path != PATH:
             return web.Response(status=404)
         # Guards memory and the loop: heads that ask too much at once are told so.
-        if self.open >= MOST_OPEN:
+        if self.in_flight >= MOST_IN_FLIGHT:
             return web.Response(status=503)
-        self.open += 1
+        self.in_flight += 1
         try:
             data = await self.read(request)
-            self.counts.add("streams.received")
-            envelope = self.seal.open(data)
+            self.counters.add("streams.received")
+            envelope = self.sealer.unseal(data)
             if envelope.origin and self.origin() and envelope.origin != self.origin():
-                raise Unbelieved("another_fleet")
+                raise MessageRejected("another_fleet")
             answer = await self.handler(envelope)
-        except OlderProcess as error:
+        except OlderIncarnation as error:
             # a head whose clock went back is told how far others have heard of it, and goes beyond
-            self.counts.drop("stream", "older_process", where)
+            self.counters.drop("stream", "older_process", where)
             latest = str(error.latest).encode()
             told = self.envelope(error.envelope.sender.name, error.envelope.number, "older", latest)
-            return web.Response(status=409, body=self.seal.close(told))
-        except (Unbelieved, msgspec.MsgspecError) as error:
-            self.counts.drop("stream", str(error) if isinstance(error, Unbelieved) else "malformed", where)
+            return web.Response(status=409, body=self.sealer.seal(told))
+        except (MessageRejected, msgspec.MsgspecError) as error:
+            self.counters.drop(
+                "stream", str(error) if isinstance(error, MessageRejected) else "malformed", where
+            )
             return web.Response(status=403)
         finally:
-            self.open -= 1
+            self.in_flight -= 1
         if answer is None:
             return web.Response(status=204)
         return web.Response(
-            body=self.seal.close(self.envelope(envelope.sender.name, envelope.number, envelope.kind, answer))
+            body=self.sealer.seal(self.envelope(envelope.sender.name, envelope.number, envelope.kind, answer))
         )
 
     @staticmethod
     async def read(request: web.BaseRequest) -> bytes:
-        """A message's bytes; raises Unbelieved where they are too many."""
+        """A message's bytes; raises MessageRejected where they are too many."""
         if (request.content_length or 0) > LARGEST:
-            raise Unbelieved("too_long")
+            raise MessageRejected("too_long")
         data = bytearray()
         async for piece in request.content.iter_any():
             data += piece
             if len(data) > LARGEST:
-                raise Unbelieved("too_long")
+                raise MessageRejected("too_long")
         return bytes(data)
 
     def envelope(self, to: str, number: int, kind: str, body: bytes) -> Envelope:
@@ -134,16 +135,18 @@
         return Envelope(self.origin(), self.me, self.process, to, number, kind, body)
 
     # -- saying -------------------------------------------------------------------------------------------
-    async def ask(self, name: str, kind: str, body: bytes, within: timedelta = ASK) -> tuple[Voter, bytes]:
-        """Ask a head, and who answered with what; raises Unreachable."""
+    async def request(
+        self, name: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT
+    ) -> tuple[Voter, bytes]:
+        """Ask a head, and who answered with what; raises PeerUnreachable."""
         address = self.addresses.get(name)
         if address is None or self.session is None or self.session.closed:
-            raise Unreachable(f"no address of {name} is known")
+            raise PeerUnreachable(f"no address of {name} is known")
         self.number += 1
         number = self.number
-        data = self.seal.close(self.envelope(name, number, kind, body))
-        self.counts.add("streams.sent")
-        self.counts.add("streams.bytes", len(data))
+        data = self.sealer.seal(self.envelope(name, number, kind, body))
+        self.counters.add("streams.sent")
+        self.counters.add("streams.bytes", len(data))
         try:
             async with (
                 asyncio.timeout(within.total_seconds()),
@@ -153,23 +156,23 @@
                 if response.status == 204:
                     return Voter(name, ""), b""
                 if response.status not in (200, 409):
-                    raise Unreachable(f"{name} answered {response.status}")
-            envelope = self.seal.open(said)
-        except Unbelieved as error:
-            self.counts.drop("stream", str(error), address)
-            raise Unreachable(f"{name} answered what is not believed") from None
+                    raise PeerUnreachable(f"{name} answered {response.status}")
+            envelope = self.sealer.unseal(said)
+        except MessageRejected as error:
+            self.counters.drop("stream", str(error), address)
+            raise PeerUnreachable(f"{name} answered what is not believed") from None
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise Unreachable(f"{name}: {type(error).__name__}") from None
+            raise PeerUnreachable(f"{name}: {type(error).__name__}") from None
         # Guards against an answer to another question, late or sent again.
         if envelope.number != number or envelope.sender.name != name:
-            self.counts.drop("stream", "another_answer", address)
-            raise Unreachable(f"{name} answered another question")
+            self.counters.drop("stream", "another_answer", address)
+            raise PeerUnreachable(f"{name} answered another question")
         if response.status == 409:
             self.process = max(self.process, int(envelope.body) + 1)
-            raise Unreachable(f"{name} has heard of a later process of this head")
+            raise PeerUnreachable(f"{name} has heard of a later process of this head")
         return envelope.sender, envelope.body
 
-    def tell(self, name: str, message: Any) -> None:
+    def enqueue(self, name: str, message: Any) -> None:
         """Queue a message of the agreement for a head; several go together. None of them is ever waited
         for.
         """
@@ -177,7 +180,7 @@
         queue.append(message)
         if len(queue) > MOST_QUEUED:
             del queue[0]
-            self.counts.add("streams.queue_full")
+            self.counters.add("streams.queue_full")
         if name not in self.senders or self.senders[name].done():
             self.senders[name] = asyncio.get_running_loop().create_task(self.send_queue(name))
 
@@ -187,8 +190,8 @@
         while queue:
             batch, queue[:] = queue[:MOST_IN_BATCH], queue[MOST_IN_BATCH:]
             try:
-                await self.ask(name, "agree", msgspec.msgpack.encode(batch), timedelta(seconds=1))
-            except Unreachable as error:
-                self.counts.add("streams.unreachable")
+                await self.request(name, "agree", msgspec.msgpack.encode(batch), timedelta(seconds=1))
+            except PeerUnreachable as error:
+                self.counters.add("streams.unreachable")
                 logger.debug("heads: {error}", event="heads.unreachable", error=str(error))
                 await asyncio.sleep(0.02)
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -36,7 +36,7 @@
         self.commands: list[object] = []
         self.settings = SimpleNamespace(largest=1_000)
         raft = SimpleNamespace(leads=True, voters=(), leader=None)
-        self.fleet = SimpleNamespace(read=self.read, agreed=SimpleNamespace(raft=raft))
+        self.fleet = SimpleNamespace(read=self.read, replication=SimpleNamespace(raft=raft))
         self.register = SimpleNamespace(
             ended={}, by_id=lambda id: None, version=lambda number: None, versions=[]
         )
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -26,13 +26,14 @@
 from stoatrouter.membership.detector import Detector, Effect, Timing
 from stoatrouter.membership.roster import GossipQueue, MemberUpdate, Status
 from stoatrouter.peering import calls, streams
-from stoatrouter.peering.agreed import COMPACT_ENTRIES
-from stoatrouter.peering.counts import Counts
-from stoatrouter.peering.envelope import Envelope, Seal
+from stoatrouter.peering.counters import MessageCounters
+from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
+from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.fleet import Fleet
-from stoatrouter.peering.following import hash_of
+from stoatrouter.peering.follower import voter_offset
+from stoatrouter.peering.replication import COMPACT_ENTRIES
 from stoatrouter.peering.settings import HeadsSettings
-from stoatrouter.peering.streams import MOST_OPEN, Streams, Unreachable
+from stoatrouter.peering.streams import MOST_IN_FLIGHT, Streams
 from tests.addresses import free_port
 from tests.peers import HOST, run, until
 
@@ -131,12 +132,12 @@
 
 
 async def bring(fleet: Fleet, body: msgspec.Struct, name: str) -> None:
-    await fleet.agreed.command(Command(name, CREDIT, msgspec.msgpack.encode(body), "v0"), 10 * SECOND)
+    await fleet.replication.command(Command(name, CREDIT, msgspec.msgpack.encode(body), "v0"), 10 * SECOND)
 
 
 async def answer_with_nothing_new(fleet: Fleet) -> int:
     """Bytes of the answer to a follower that has all of it."""
-    raft = fleet.agreed.raft
+    raft = fleet.replication.raft
     answer = await fleet.follower.answer(calls.Fetch(raft.commit, raft.log.term(raft.commit) or 0))
     told = msgspec.msgpack.decode(answer, type=calls.Fetched)
     assert told.in_touch and not told.entries and told.snapshot is None
@@ -152,7 +153,7 @@
         fleet.restart()
         await fleet.start()
         try:
-            await until(lambda: fleet.agreed.raft.settled)
+            await until(lambda: fleet.replication.raft.settled)
             await bring(fleet, PutCustomer("acme", ("volume",)), "customer")
             sizes, done = [], 0
             for count in (10, 100, COMPACT_ENTRIES + 100):  # the last is past a snapshot
@@ -162,7 +163,7 @@
                 )
                 done = count
                 sizes.append(await answer_with_nothing_new(fleet))
-            assert fleet.agreed.raft.log.snapshot.index > 0
+            assert fleet.replication.raft.log.snapshot.index > 0
             return sizes
         finally:
             await fleet.close()
@@ -177,9 +178,9 @@
     for voters in (3, 5):
         begin = [0] * voters
         for number in range(740):
-            begin[hash_of(f"head-{number:04d}") % voters] += 1
+            begin[voter_offset(f"head-{number:04d}") % voters] += 1
         assert max(begin) <= 1.05 * 740 / voters, begin
-        assert max(begin) < MOST_OPEN, begin
+        assert max(begin) < MOST_IN_FLIGHT, begin
 
 
 # -- a voter's bound on open questions -----------------------------------------------------------------------
@@ -199,7 +200,7 @@
 
 
 async def crowded_voter() -> tuple[Crowd, Crowd]:
-    """What becomes of MOST_OPEN + BEYOND questions: the first time, and once the refused ask again."""
+    """What becomes of MOST_IN_FLIGHT + BEYOND questions: the first time, and once the refused ask again."""
     first, again, release = Crowd(), Crowd(), asyncio.Event()
     now = first
 
@@ -217,19 +218,19 @@
     address = {"v0": f"{HOST}:{port}"}
 
     def streams_of(name: str, handler: streams.Handler) -> Streams:
-        seal = Seal(SECRET, "count", name)
-        return Streams(seal, Voter(name, name), 1, address, Counts(), handler, lambda: "")
+        seal = EnvelopeSealer(SECRET, "count", name)
+        return Streams(seal, Voter(name, name), 1, address, MessageCounters(), handler, lambda: "")
 
     voter = streams_of("v0", hold)
-    askers = [streams_of(f"f{i}", nothing) for i in range(MOST_OPEN + BEYOND)]
+    askers = [streams_of(f"f{i}", nothing) for i in range(MOST_IN_FLIGHT + BEYOND)]
     await voter.start((HOST, port))
     for asker in askers:
         await asker.start(None)
 
     async def ask(asker: Streams, crowd: Crowd) -> bool:
         try:
-            await asker.ask("v0", calls.FETCH, b"", 20 * SECOND)
-        except Unreachable as error:
+            await asker.request("v0", calls.FETCH, b"", 20 * SECOND)
+        except PeerUnreachable as error:
             assert str(error) == "v0 answered 503"
             crowd.refused += 1
             return False
@@ -257,7 +258,7 @@
 
 def bound_holds() -> None:
     first, again = run(crowded_voter(), ENOUGH)
-    assert (first.most_held, first.refused, first.served) == (MOST_OPEN, BEYOND, MOST_OPEN)
+    assert (first.most_held, first.refused, first.served) == (MOST_IN_FLIGHT, BEYOND, MOST_IN_FLIGHT)
     assert (again.refused, again.served) == (0, BEYOND), "all are served in the end"
 
 
@@ -266,6 +267,6 @@
 
 
 def test_a_voter_without_its_bound_is_seen(monkeypatch):
-    monkeypatch.setattr(streams, "MOST_OPEN", 1 << 30)
+    monkeypatch.setattr(streams, "MOST_IN_FLIGHT", 1 << 30)
     with pytest.raises(AssertionError):
         bound_holds()
--- a/tests/heads/test_credit_escrow.py
+++ b/tests/heads/test_credit_escrow.py
@@ -19,7 +19,7 @@
     charge_of,
 )
 from stoatrouter.lab.fleet.credit import Disk
-from stoatrouter.peering.book import SpentBook
+from stoatrouter.peering.spent_journal import SpentJournal
 from stoatrouter.policy import interface as api
 from tests.peers import Node, head_config
 
@@ -177,11 +177,11 @@
 
 # -- the book of what is spent ---------------------------------------------------------------------------
 def test_the_book_is_read_by_the_next_process_and_has_a_bound(tmp_path):
-    book = SpentBook(tmp_path / "book")
+    book = SpentJournal(tmp_path / "book")
     assert book.begin("7.0") and book.begin("8.1")
     book.set("7.0", 12)
     book.set("8.1", 5)
     book.end("8.1")
-    again = SpentBook(tmp_path / "book")  # the first one was killed
+    again = SpentJournal(tmp_path / "book")  # the first one was killed
     assert again.read() == {"7.0": 12}
     assert all(again.begin(f"{i}.0") for i in range(100, 100 + 4095)) and not again.begin("x")
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -33,13 +33,13 @@
         self.ledger, self.asked, self.answers = Ledger(), [], asyncio.Semaphore(0)
         self.ledger.put(PutCustomer("acme", ("v",)))
         self.ledger.book(1, Book("t", "acme", paid, "top-up", "x", "y", "z"))
-        agreed = SimpleNamespace(restored=[], raft=SimpleNamespace(settled=False))
+        agreed = SimpleNamespace(restore_listeners=[], raft=SimpleNamespace(settled=False))
         fleet = SimpleNamespace(
             settings=SimpleNamespace(folder=tmp_path, name="h0"),
-            found=SimpleNamespace(lasting=False, boot=1),
+            stored=SimpleNamespace(writable=False, boot=1),
             me=SimpleNamespace(identity="h0/0"),
             monitor=SimpleNamespace(watchers=[]),
-            agreed=agreed,
+            replication=agreed,
             now=self.now,
             command=self.command,
         )
--- a/tests/heads/test_disk.py
+++ b/tests/heads/test_disk.py
@@ -15,8 +15,9 @@
 
 from stoatrouter.agreement.records import Entry, Snapshot, Voter, Write
 from stoatrouter.config import ConfigError
-from stoatrouter.peering.envelope import Envelope, Seal, Unbelieved, read_secret
-from stoatrouter.peering.storage import FILE, MARK, Storage
+from stoatrouter.peering.envelope import Envelope, EnvelopeSealer, read_secret
+from stoatrouter.peering.errors import MessageRejected
+from stoatrouter.peering.storage import DATABASE_FILE, MARK_FILE, Storage
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -42,7 +43,7 @@
 def test_what_was_written_is_found_with_the_same_identity(tmp_path):
     identity = filled(tmp_path)
     storage, found = opened(tmp_path)
-    assert (found.identity, found.fresh, found.boot) == (identity, None, 2)
+    assert (found.identity, found.reset_reason, found.boot) == (identity, None, 2)
     assert (found.disk.term, found.disk.voted) == (3, "somebody")
     assert found.disk.entries == tuple(entry(i) for i in range(1, 6))
     snapshot = Snapshot(4, 1, (Voter("a", "1"),), b"state")
@@ -82,7 +83,7 @@
         child.kill()
         child.wait()
     found = opened(tmp_path)[1]
-    assert found.fresh is None
+    assert found.reset_reason is None
     assert found.disk.term >= last and len(found.disk.entries) == found.disk.term
 
 
@@ -95,7 +96,7 @@
     for i in range(4, 40):
         storage.write(Write(entries=(Entry(i, 1, "c", b"y" * 900),)))
     storage.close()
-    file = disk / FILE
+    file = disk / DATABASE_FILE
     data = file.read_bytes()
     if spoil == "empty":
         file.write_bytes(b"")
@@ -107,7 +108,7 @@
         base.commit()
         base.close()
     elif spoil == "older":
-        shutil.copy(copy / FILE, file)
+        shutil.copy(copy / DATABASE_FILE, file)
     elif spoil == "no_log":
         base = sqlite3.connect(file)
         base.execute("DELETE FROM entries WHERE at = 7")
@@ -118,24 +119,24 @@
     else:
         file.write_bytes(b"no database at all" * 100)
     storage, found = opened(disk)
-    assert found.identity != identity and found.fresh and found.lasting
+    assert found.identity != identity and found.reset_reason and found.writable
     assert not found.disk.entries and found.disk.term == 0
     if spoil != "gone":
         assert any("spoilt" in name.name for name in disk.iterdir())
     storage.write(Write(term=1))  # it goes on
     storage.close()
-    assert opened(disk)[1].fresh is None
+    assert opened(disk)[1].reset_reason is None
 
 
 def test_another_programs_database_ends_the_start_and_is_left_alone(tmp_path):
-    base = sqlite3.connect(tmp_path / FILE)
+    base = sqlite3.connect(tmp_path / DATABASE_FILE)
     base.execute("CREATE TABLE theirs (a)")
     base.commit()
     base.close()
-    before = (tmp_path / FILE).read_bytes()
+    before = (tmp_path / DATABASE_FILE).read_bytes()
     with pytest.raises(ConfigError, match="belongs to another program"):
         opened(tmp_path)
-    assert (tmp_path / FILE).read_bytes() == before
+    assert (tmp_path / DATABASE_FILE).read_bytes() == before
 
 
 def test_two_processes_never_use_one_folder(tmp_path):
@@ -143,12 +144,12 @@
     with pytest.raises(ConfigError, match="another process of this head"):
         opened(tmp_path)
     storage.close()
-    assert opened(tmp_path)[1].fresh is None
+    assert opened(tmp_path)[1].reset_reason is None
 
 
 def test_a_later_schema_ends_the_start(tmp_path):
     filled(tmp_path)
-    base = sqlite3.connect(tmp_path / FILE)
+    base = sqlite3.connect(tmp_path / DATABASE_FILE)
     base.execute("PRAGMA user_version = 99")
     base.close()
     with pytest.raises(ConfigError, match="later version"):
@@ -158,33 +159,35 @@
 def test_a_folder_that_cannot_be_made_is_a_head_without_a_voice(tmp_path):
     (tmp_path / "file").write_text("")
     _, found = opened(tmp_path / "file" / "disk")
-    assert not found.lasting and "takes no writes" in (found.fresh or "")
+    assert not found.writable and "takes no writes" in (found.reset_reason or "")
 
 
 def test_a_full_disk_fails_the_write_and_loses_nothing_before_it(tmp_path):
     filled(tmp_path, 5)
     storage, _ = opened(tmp_path)
-    assert storage.base is not None
-    pages = storage.base.execute("PRAGMA page_count").fetchone()[0]
-    storage.base.execute(f"PRAGMA max_page_count = {pages + 1}")
+    assert storage.connection is not None
+    pages = storage.connection.execute("PRAGMA page_count").fetchone()[0]
+    storage.connection.execute(f"PRAGMA max_page_count = {pages + 1}")
     with pytest.raises(sqlite3.OperationalError, match="full"):
         for i in range(6, 100):
             storage.write(Write(entries=(Entry(i, 1, "c", os.urandom(3000)),)))
             last = i
     storage.close()
     found = opened(tmp_path)[1]
-    assert found.fresh is None and len(found.disk.entries) >= 5
-    assert (tmp_path / MARK).exists() and last
+    assert found.reset_reason is None and len(found.disk.entries) >= 5
+    assert (tmp_path / MARK_FILE).exists() and last
 
 
 # -- messages on streams ---------------------------------------------------------------------------------
 def sealed(secret: bytes = b"k" * 64, fleet: str = "f", to: str = "b", process: int = 5) -> bytes:
-    return Seal(secret, fleet, "a").close(Envelope("o", Voter("a", "1"), process, to, 1, "agree", b"x"))
+    return EnvelopeSealer(secret, fleet, "a").seal(
+        Envelope("o", Voter("a", "1"), process, to, 1, "agree", b"x")
+    )
 
 
 def test_only_this_fleets_latest_process_is_believed_and_only_what_is_for_this_head():
-    here = Seal(b"k" * 64, "f", "b")
-    assert here.open(sealed()).body == b"x"
+    here = EnvelopeSealer(b"k" * 64, "f", "b")
+    assert here.unseal(sealed()).body == b"x"
     for data, why in (
         (sealed(b"l" * 64), "foreign"),
         (sealed(fleet="g"), "foreign"),
@@ -192,11 +195,11 @@
         (b"", "foreign"),
         (sealed()[:-1], "foreign"),
     ):
-        with pytest.raises(Unbelieved, match=why):
-            here.open(data)
-    here.open(sealed(process=6))
-    with pytest.raises(Unbelieved, match="older_process"):
-        here.open(sealed(process=5))
+        with pytest.raises(MessageRejected, match=why):
+            here.unseal(data)
+    here.unseal(sealed(process=6))
+    with pytest.raises(MessageRejected, match="older_process"):
+        here.unseal(sealed(process=5))
 
 
 def test_a_short_or_missing_secret_is_refused_with_what_would_be_right(tmp_path):
--- a/tests/heads/test_ground.py
+++ b/tests/heads/test_ground.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from stoatrouter.peering.storage import FILE
+from stoatrouter.peering.storage import DATABASE_FILE
 from tests.heads.processes import ROOT, HeadProcess, Processes, heads_up
 from tests.peers import run
 
@@ -146,7 +146,7 @@
 
 
 def spoil(head: HeadProcess, how: str) -> None:
-    file = head.disk / FILE
+    file = head.disk / DATABASE_FILE
     if how == "empty":
         shutil.rmtree(head.disk)
     elif how == "older":
@@ -169,7 +169,7 @@
             victim = fleet[next(n for n in fleet.voters if n != leader.name)]
             before = (await victim.told())["identity"]
             await victim.kill()
-            shutil.copy(victim.disk / FILE, victim.folder / "older.db")
+            shutil.copy(victim.disk / DATABASE_FILE, victim.folder / "older.db")
             await victim.start()
             await fleet.all_in_touch()
             assert (await leader.call("POST", "/control/heads/voters/h3"))[0] == 200
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -33,10 +33,11 @@
 from stoatrouter.lab.hollow.head import HollowHead, Life, Surroundings, settings_of
 from stoatrouter.lab.hollow.launcher import choose_addresses
 from stoatrouter.lab.hollow.network import Network
-from stoatrouter.peering.counts import Counts
-from stoatrouter.peering.envelope import Envelope, Seal
+from stoatrouter.peering.counters import MessageCounters
+from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
+from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.settings import load_heads
-from stoatrouter.peering.streams import MOST_OPEN, Streams, Unreachable
+from stoatrouter.peering.streams import MOST_IN_FLIGHT, Streams
 from tests.addresses import free_port
 from tests.heads.processes import ROOT
 from tests.heads.test_rules_processes import RULES
@@ -124,7 +125,7 @@
             await until(
                 lambda: all(grown(head, "hollow.said.ping") >= SEEN_PERIODS for head in heads), "probes"
             )
-            entries = followers[0].heads.fleet.agreed.machine.index
+            entries = followers[0].heads.fleet.replication.machine.index
             for head in followers:
                 spent = time.monotonic() - began
                 counted = {kind: grown(head, kind) for kind in head.counts}
@@ -142,7 +143,7 @@
                     and kind.removeprefix("hollow.asked.") not in ("fetch", "rules")
                 )
                 assert others == 0, counted
-            assert followers[0].heads.fleet.agreed.machine.index == entries
+            assert followers[0].heads.fleet.replication.machine.index == entries
 
     run(story(), LIMIT)
 
@@ -183,7 +184,7 @@
 
 # -- a voter's bound ----------------------------------------------------------------------------------------
 def test_a_voter_holds_so_many_questions_and_refuses_the_next(tmp_path):
-    """Each waiting question holds a place; those beyond MOST_OPEN are refused, the others answered."""
+    """Each waiting question holds a place; those beyond MOST_IN_FLIGHT are refused, the others answered."""
     beyond, at_once = 8, 8  # a client opens eight connections to one head
 
     async def story():
@@ -196,28 +197,34 @@
 
         def streams(name: str, handler=answer) -> Streams:
             return Streams(
-                Seal(secret, fleet, name), Voter(name, name), 1, addresses, Counts(), handler, lambda: ""
+                EnvelopeSealer(secret, fleet, name),
+                Voter(name, name),
+                1,
+                addresses,
+                MessageCounters(),
+                handler,
+                lambda: "",
             )
 
         port = free_port()
         addresses = {"voter": f"127.0.0.1:{port}"}
         voter = streams("voter")
         await voter.start(("127.0.0.1", port))
-        clients = [streams(f"c{number}") for number in range((MOST_OPEN + beyond) // at_once)]
+        clients = [streams(f"c{number}") for number in range((MOST_IN_FLIGHT + beyond) // at_once)]
         asked = []
         for client in clients:
             await client.start(None)
             asked += [
-                asyncio.create_task(client.ask("voter", "fetch", b"x", timedelta(seconds=LIMIT)))
+                asyncio.create_task(client.request("voter", "fetch", b"x", timedelta(seconds=LIMIT)))
                 for _ in range(at_once)
             ]
         await until(lambda: sum(task.done() for task in asked) == beyond, "the ones beyond are refused")
-        assert voter.open == MOST_OPEN
+        assert voter.in_flight == MOST_IN_FLIGHT
         release.set()
         answers = await asyncio.gather(*asked, return_exceptions=True)
-        refused = [each for each in answers if isinstance(each, Unreachable)]
+        refused = [each for each in answers if isinstance(each, PeerUnreachable)]
         assert len(refused) == beyond and all(str(each).endswith("503") for each in refused)
-        assert sum(isinstance(each, tuple) for each in answers) == MOST_OPEN and voter.open == 0
+        assert sum(isinstance(each, tuple) for each in answers) == MOST_IN_FLIGHT and voter.in_flight == 0
         for each in (*clients, voter):
             await each.close()
 
