--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -146,9 +146,9 @@
         """Build the fronts and the peering that are switched on; the others import none of their code."""
         initial_version = 0
         if heads is not None:
-            from stoatrouter.peering.heads import kept_version
+            from stoatrouter.peering.heads import persisted_version
 
-            initial_version, http = kept_version(heads, http)
+            initial_version, http = persisted_version(heads, http)
         self.tables: list[TableService] = []
         self.object_front: ObjectFront | None = None
         self.objects: Listener | None = None
