--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -137,7 +137,7 @@
             totals.body_bytes_out += self.counts.counts["streams.bytes"] - sent
             totals.body_bytes_in += self.seal.opened - opened
         self.learn(told)
-        if not told.in_touch:
+        if not told.majority_connected:
             totals.failed += 1
             return False
         self.turn -= 1  # stay with a voter that serves
@@ -146,7 +146,7 @@
 
     def learn(self, told: calls.Fetched) -> None:
         now = time.monotonic()
-        self.totals.empty += told.in_touch and told.snapshot is None and not told.entries
+        self.totals.empty += told.majority_connected and told.snapshot is None and not told.entries
         if told.snapshot is not None:
             self.after, self.after_term = told.snapshot.index, told.snapshot.term
         if told.entries:
--- a/stoatrouter/lab/hollow/worker.py
+++ b/stoatrouter/lab/hollow/worker.py
@@ -38,7 +38,7 @@
 )
 from stoatrouter.lab.hollow.network import Network
 from stoatrouter.lab.hollow.places import Place
-from stoatrouter.peering.operators import Operators
+from stoatrouter.peering.head_calls import HeadCalls
 from stoatrouter.peering.settings import load_heads
 
 PR_SET_PDEATHSIG = 1
@@ -191,7 +191,7 @@
     """One head's line of the report."""
     if head.heads is None or head.life not in (Life.STARTING, Life.RUNNING):
         return HeadReport(head.name, head.life.value, head.why, served=head.served, refused=head.refused)
-    told = Operators(head.heads.fleet).told()  # as an operator is told
+    told = HeadCalls(head.heads.fleet).told()  # as an operator is told
     rules = head.heads.rules
     return HeadReport(
         head.name,
--- a/stoatrouter/peering/creditcalls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -37,7 +37,7 @@
     shown,
 )
 from stoatrouter.peering.credit import CreditService
-from stoatrouter.peering.operators import answer
+from stoatrouter.peering.head_calls import answer
 
 ROOT = "/control/credit"
 WITHIN = timedelta(seconds=4)
--- a/stoatrouter/peering/following.py
+++ b/stoatrouter/peering/following.py
@@ -80,7 +80,7 @@
         if not self.belonging.may_learn_from(fetched.origin) or self.belonging.adopt_missed(fetched):
             return False
         self._learn(fetched, asked_at)
-        return fetched.in_touch
+        return fetched.majority_connected
 
     def _learn(self, fetched: calls.Fetched, asked_at: timedelta) -> None:
         """Take in an answer to a question that was asked at this time."""
@@ -88,13 +88,13 @@
         self.agreed.learn(
             fetched.prev_index, fetched.prev_term, fetched.entries, fetched.commit, fetched.snapshot
         )
-        if not fetched.in_touch:
+        if not fetched.majority_connected:
             return
         self.turn -= 1  # stay with a voter that serves
         self.leader = fetched.leader
         contact = MajorityContact()
         if fetched.majority_age is not None:
-            contact.learned(asked_at, fetched.held_for, fetched.majority_age)
+            contact.learned(asked_at, fetched.waited, fetched.majority_age)
         self.monitor.note_contact(contact, fetched.commit)
         self.monitor.refresh()
 
@@ -104,15 +104,15 @@
         came_at = self.now()
         await self._wait_for_news(ask.after)
         raft, origin = self.agreed.raft, self.belonging.origin
-        in_touch = self.monitor.current().changes
+        majority_connected = self.monitor.current().changes
         fetched = calls.Fetched(
             origin,
-            in_touch,
+            majority_connected,
             raft.leader.name if raft.leader else None,
             commit=raft.commit,
             voters=raft.voters,
             majority_age=self.monitor.contact.age(self.now()),
-            held_for=self.now() - came_at,
+            waited=self.now() - came_at,
         )
         if ask.after and raft.log.term(ask.after) == ask.after_term:
             entries = raft.log.since(ask.after + 1, raft.commit)
--- a/stoatrouter/peering/operators.py
+++ b/stoatrouter/peering/head_calls.py
@@ -39,7 +39,7 @@
     return None if span is None else round(span.total_seconds(), 3)
 
 
-class Operators:
+class HeadCalls:
     """Answers these calls."""
 
     def __init__(self, fleet: Fleet) -> None:
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -12,7 +12,7 @@
 
 from stoatrouter.config import Config
 from stoatrouter.peering.fleet import Fleet
-from stoatrouter.peering.operators import Operators
+from stoatrouter.peering.head_calls import HeadCalls
 from stoatrouter.peering.parts import Call, ServingHead, credit, kept_version, rules
 from stoatrouter.peering.settings import HeadsSettings, load_heads
 
@@ -28,7 +28,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         parts: dict[str, Part] = {}
         self.fleet = Fleet(settings, head.conf.seed, parts)
-        self.calls: list[Call] = [Operators(self.fleet).call]
+        self.calls: list[Call] = [HeadCalls(self.fleet).call]
         self.credit = credit(settings, head, self.fleet, parts, self.calls)
         self.rules = rules(settings, head, self.fleet, parts, self.calls, started_with)
         self.fleet.restart()  # all parts are known: what the disk holds is applied to them
--- a/stoatrouter/peering/parts.py
+++ b/stoatrouter/peering/parts.py
@@ -50,7 +50,7 @@
         return None
     from stoatrouter.credit.ledger import Ledger
     from stoatrouter.peering.credit import PART, CreditService
-    from stoatrouter.peering.creditcalls import CreditCalls
+    from stoatrouter.peering.credit_calls import CreditCalls
 
     ledger = parts[PART] = Ledger()
     scheduler = head.engine.reducer.scheduler
@@ -80,7 +80,7 @@
     if settings.rules is None or head.http_tables is None:
         return None
     from stoatrouter.history.register import Register
-    from stoatrouter.peering.rulecalls import RuleCalls
+    from stoatrouter.peering.rule_calls import RuleCalls
     from stoatrouter.peering.rules import PART, RulesService
 
     register = parts[PART] = Register()
--- a/stoatrouter/peering/rulecalls.py
+++ b/stoatrouter/peering/rule_calls.py
@@ -34,7 +34,7 @@
     error_text,
     shown,
 )
-from stoatrouter.peering.operators import answer, seconds
+from stoatrouter.peering.head_calls import answer, seconds
 from stoatrouter.peering.rules import RulesService, stamp
 
 ROOT = "/control/rules"
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -11,9 +11,9 @@
 
 from stoatrouter.credit.records import Booked
 from stoatrouter.history.records import Answer
-from stoatrouter.peering.creditcalls import CreditCalls
-from stoatrouter.peering.operators import Operators
-from stoatrouter.peering.rulecalls import RuleCalls
+from stoatrouter.peering.credit_calls import CreditCalls
+from stoatrouter.peering.head_calls import HeadCalls
+from stoatrouter.peering.rule_calls import RuleCalls
 
 EDIT = {
     "id": "e1",
@@ -53,7 +53,7 @@
 def call(method: str, path: str, data: object = None) -> tuple[int, str, list[object]]:
     """Status, error and what was asked of the agreement."""
     asked = Asked()
-    answerers = (RuleCalls(asked), CreditCalls(asked), Operators(asked.fleet))
+    answerers = (RuleCalls(asked), CreditCalls(asked), HeadCalls(asked.fleet))
     body = b"" if data is None else json.dumps(data).encode()
 
     async def ask():
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -139,9 +139,9 @@
     raft = fleet.agreed.raft
     answer = await fleet.follower.answer(calls.Fetch(raft.commit, raft.log.term(raft.commit) or 0))
     told = msgspec.msgpack.decode(answer, type=calls.Fetched)
-    assert told.in_touch and not told.entries and told.snapshot is None
+    assert told.majority_connected and not told.entries and told.snapshot is None
     # the two spans are written in as many digits as they have: the same ones at each size
-    spans = {"majority_age": SECOND, "held_for": SECOND}
+    spans = {"majority_age": SECOND, "waited": SECOND}
     return len(msgspec.msgpack.encode(msgspec.structs.replace(told, **spans)))
 
 
