--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -22,7 +22,7 @@
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Book, Grants, PutCustomer, Turn, Turns
-from stoatrouter.history.records import Content, pack
+from stoatrouter.history.records import RuleSet, pack_rule_set
 from stoatrouter.net.discovery import read_node
 from stoatrouter.peering.book import SpentBook
 from stoatrouter.peering.credit import CreditService
@@ -197,6 +197,6 @@
     regular = text_of(rules, "mark")
     irregular = re.sub(r"/p[0-9]+", lambda _: f"/{draws.getrandbits(64):016x}", regular)
     for label, text in (("numbered paths", regular), ("random paths", irregular)):
-        packed = len(pack(Content("rules.cue", {"rules.cue": text})))
+        packed = len(pack_rule_set(RuleSet("rules.cue", {"rules.cue": text})))
         run.add(Measurement(f"bytes of a set to a head, {label}, by rules", rules, packed, "bytes"))
     run.add(Measurement("bytes of a set as text, by rules", rules, len(regular), "bytes"))
--- a/stoatrouter/history/activation.py
+++ b/stoatrouter/history/activation.py
@@ -1,7 +1,7 @@
-"""When a version is put in force, and when it is abandoned: the leader's decision. No I/O, no clock.
+"""When a pending version is activated or abandoned: the leader's decision. No I/O, no clock.
 
-Every live head checks and compiles the set and says so. One that can't load it stops it; one that is known to
-have failed or left, or says nothing for longer than `within`, does not.
+Every live head checks and compiles the rule set and reports the result. A head that cannot load the set
+blocks it; a head that has failed or left, or reports nothing within the check timeout, does not.
 """
 
 from __future__ import annotations
@@ -14,27 +14,39 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Checked:
-    """What one head said of a version."""
+class CheckResult:
+    """The result of one head's check of a version."""
 
-    ok: bool
-    why: str = ""  # with the place of the error
+    loadable: bool
+    error: str = ""  # with the file and line
 
 
-def decide(
+def decide_activation(
     number: int,
-    said: Mapping[str, Checked],
-    live: Iterable[str],
-    waited: timedelta,
-    within: timedelta,
-    keep: int,
+    results: Mapping[str, CheckResult],
+    live_heads: Iterable[str],
+    elapsed: timedelta,
+    check_timeout: timedelta,
+    retained_versions: int,
 ) -> Activate | Abandon | None:
-    """Put it in force, abandon it, or wait on."""
-    for head in sorted(said):
-        if not said[head].ok:
-            return Abandon(number, f"{head} cannot load it: {said[head].why}")
-    missing = [head for head in live if head not in said]
-    # Guards edits against a head that is there and stuck: it catches up, as one that was cut off does.
-    if missing and waited < within:
+    """Decide about the pending version.
+
+    Args:
+        number: The pending version.
+        results: The check results received so far, by head.
+        live_heads: The heads that are not known to have failed or left.
+        elapsed: Since this leader first saw the version pending.
+        check_timeout: How long a live head that reports nothing may hold the version up.
+        retained_versions: How many versions the history retains after an activation.
+
+    Returns:
+        The command for the log; None to wait for more results.
+    """
+    for head in sorted(results):
+        if not results[head].loadable:
+            return Abandon(number, f"{head} cannot load it: {results[head].error}")
+    missing = [head for head in live_heads if head not in results]
+    # Guards edits against a head that is live and stuck: it catches up later, as one that was cut off does.
+    if missing and elapsed < check_timeout:
         return None
-    return Activate(number, keep) if said else None
+    return Activate(number, retained_versions) if results else None
--- a/stoatrouter/history/records.py
+++ b/stoatrouter/history/records.py
@@ -1,109 +1,129 @@
-"""What is asked of the history, and what it answers. A set of rule files is one whole, named by its
-digest.
+"""Commands to the history of rules, their results, and the versions it holds.
+
+Structs are encoded as msgpack arrays (`array_like`), by the position of their fields,
+into the heads' log and its snapshots on disk: new fields go at the end, with a default. A set of rule files
+is handled as one unit, named by its digest.
 """
 
 from __future__ import annotations
 
+import enum
 import hashlib
 import zlib
 
 import msgspec
 
+COMPRESSION_LEVEL = 6  # of zlib
+DIGEST_SIZE = 16  # bytes
+
 
-class Content(msgspec.Struct, frozen=True, array_like=True):
+class RuleSet(msgspec.Struct, frozen=True, array_like=True):
     """An operator's rule file and the teams' files, as one set."""
 
-    root: str  # the operator's file
-    files: dict[str, str]
+    root: str  # name of the operator's file
+    files: dict[str, str]  # text by name
+
 
+def pack_rule_set(rule_set: RuleSet) -> bytes:
+    """Encode and compress a set; equal sets give equal bytes."""
+    files = {name: rule_set.files[name] for name in sorted(rule_set.files)}
+    return zlib.compress(msgspec.msgpack.encode(RuleSet(rule_set.root, files)), COMPRESSION_LEVEL)
 
-def pack(content: Content) -> bytes:
-    """A set as bytes; the same set gives the same bytes."""
-    files = {name: content.files[name] for name in sorted(content.files)}
-    return zlib.compress(msgspec.msgpack.encode(Content(content.root, files)), 6)
 
+def unpack_rule_set(packed: bytes) -> RuleSet:
+    """Decode a packed set.
 
-def unpack(data: bytes) -> Content:
-    """The set that was packed."""
-    return msgspec.msgpack.decode(zlib.decompress(data), type=Content)
+    Raises:
+        zlib.error: The bytes are not compressed data.
+        msgspec.MsgspecError: They hold no rule set.
+    """
+    return msgspec.msgpack.decode(zlib.decompress(packed), type=RuleSet)
 
 
-def digest_of(content: Content) -> str:
-    """The name of a set: equal sets have equal names."""
-    files = sorted(content.files.items())
-    return hashlib.blake2b(repr((content.root, files)).encode(), digest_size=16).hexdigest()
+def digest_rule_set(rule_set: RuleSet) -> str:
+    """Name a set by its content: the BLAKE2b digest, in hexadecimal, of its root and sorted files."""
+    files = sorted(rule_set.files.items())
+    return hashlib.blake2b(repr((rule_set.root, files)).encode(), digest_size=DIGEST_SIZE).hexdigest()
 
 
 # -- commands ---------------------------------------------------------------------------------------------
 class Edit(msgspec.Struct, frozen=True, array_like=True, tag="edit"):
-    """Asks for a set to become the next version."""
+    """Asks for a rule set to become the next version."""
 
-    id: str
-    base: int  # the version that it was made against; 0: there is none yet
+    id: str  # the caller's idempotency key
+    base: int  # the version that the edit was made against; 0: none
     digest: str
-    content: bytes  # packed
+    packed_rules: bytes
     author: str
     reason: str
-    when: str
+    when: str  # ISO 8601, UTC
 
 
 class Undo(msgspec.Struct, frozen=True, array_like=True, tag="undo"):
-    """Asks for what was in force before a version, or at one."""
+    """Asks for the rules that were in force before a version, or at a named one."""
 
-    id: str
-    version: int  # what it undoes
-    to: int  # where others have edited since: the version to return to; 0: not named
+    id: str  # the caller's idempotency key
+    version: int  # the version to undo
+    to: int  # the version to return to where others have edited since; 0: not named
     author: str
     reason: str
-    when: str
-    # Whether versions since that cancel each other out count as no edit. Undos in logs of before December
-    # 2026 say nothing of it: they are applied as they were then, so that each head comes to the same.
-    cancelling: bool = False
+    when: str  # ISO 8601, UTC
+    # Whether later versions that cancel each other out count as no edit. Undos in logs of before December
+    # 2026 do not set it: they are applied as they were then, so that every head reaches the same state.
+    skip_cancelled: bool = False
 
 
 class Activate(msgspec.Struct, frozen=True, array_like=True, tag="activate"):
-    """The leader puts a version in force."""
+    """The leader activates the pending version."""
 
     number: int
-    keep: int  # versions that the history holds from now on
+    retained_versions: int  # how many versions the history holds from now on
 
 
 class Abandon(msgspec.Struct, frozen=True, array_like=True, tag="abandon"):
-    """The leader gives a version up, and says why."""
+    """The leader abandons the pending version."""
 
     number: int
-    why: str
+    reason: str
 
 
 Command = Edit | Undo | Activate | Abandon
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True):
-    """To an edit or an undo."""
+# -- results and state ------------------------------------------------------------------------------------
+class CommandResult(msgspec.Struct, frozen=True, array_like=True):
+    """The result of a command."""
+
+    accepted: bool
+    number: int = 0  # the version that the command made or concerned
+    reason: str = ""  # why it was rejected
+    newest: int = 0  # the version in force
 
-    ok: bool
-    number: int = 0
-    why: str = ""
-    newest: int = 0
+
+class VersionKind(enum.StrEnum):
+    """Which command made a version."""
+
+    EDIT = "edit"
+    UNDO = "undo"
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
     """One version of the rules."""
 
     number: int
-    kind: str  # edit, undo
-    id: str
-    digest: str
-    base: int  # an edit's; of an undo, the version that was in force
-    undoes: int  # of an undo
-    restores: int  # of an undo: the version whose content it has again
+    kind: VersionKind
+    id: str  # of the edit or undo that made it
+    digest: str  # of its rule set; "" for an undo that abandoned a pending version
+    base: int  # the version an edit was made against; for an undo, the version in force at that time
+    undoes: int  # the version an undo undoes; 0 for an edit
+    restores: int  # the version whose rule set an undo restores; 0 for an edit
     author: str
     reason: str
-    when: str
+    when: str  # ISO 8601, UTC
 
 
-class Ended(msgspec.Struct, frozen=True, array_like=True):
-    """One that never came in force, and why."""
+class AbandonedVersion(msgspec.Struct, frozen=True, array_like=True):
+    """A version that never came into force, and why."""
 
     version: Version
-    why: str
+    reason: str
--- a/stoatrouter/peering/parts.py
+++ b/stoatrouter/peering/parts.py
@@ -79,12 +79,12 @@
     """The shared history of the HTTP front's rules."""
     if settings.rules is None or head.http_tables is None:
         return None
-    from stoatrouter.history.register import Register
+    from stoatrouter.history.rule_history import RuleHistory
     from stoatrouter.peering.rule_calls import RuleCalls
     from stoatrouter.peering.rules import PART, RulesService
 
-    register = parts[PART] = Register()
-    service = RulesService(settings.rules, fleet, register, head.http_tables, started_with)
+    history = parts[PART] = RuleHistory()
+    service = RulesService(settings.rules, fleet, history, head.http_tables, started_with)
     calls.append(RuleCalls(service).call)
     return service
 
--- a/stoatrouter/peering/rule_calls.py
+++ b/stoatrouter/peering/rule_calls.py
@@ -20,7 +20,15 @@
 import msgspec
 from aiohttp import web
 
-from stoatrouter.history.records import Content, Edit, Undo, Version, digest_of, pack, unpack
+from stoatrouter.history.records import (
+    Edit,
+    RuleSet,
+    Undo,
+    Version,
+    digest_rule_set,
+    pack_rule_set,
+    unpack_rule_set,
+)
 from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.bounds import (
     LARGEST_VERSION,
@@ -82,7 +90,7 @@
                     return answer(200, self.told())
                 case "GET", ["newest"]:
                     await self.service.fleet.read(WITHIN)
-                    return answer(200, {"newest": self.service.register.newest})
+                    return answer(200, {"newest": self.service.history.newest})
                 case "GET", ["versions", number]:
                     return await self.version(version_number(number))
                 case "POST", ["edits"]:
@@ -106,7 +114,7 @@
 
     def told(self) -> dict[str, Any]:
         """What this head decides by, and the history as it knows it."""
-        service, register = self.service, self.service.register
+        service, register = self.service, self.service.history
         fleet = service.fleet
         now = fleet.now()
         return {
@@ -124,11 +132,11 @@
     async def version(self, number: int) -> web.Response:
         """One version with its files, as a majority confirms it."""
         await self.service.fleet.read(WITHIN)
-        register = self.service.register
-        found = register.version(number)
+        register = self.service.history
+        found = register.find_version(number)
         if found is None:
             return answer(404, {"error": f"version {number} is not in the history"})
-        content = unpack(register.contents[found.digest])
+        content = unpack_rule_set(register.packed_rule_sets[found.digest])
         return answer(200, described(found) | {"root": content.root, "files": content.files})
 
     async def edit(self, call: EditCall) -> web.Response:
@@ -136,9 +144,9 @@
         check_who(call)
         check_number("base", call.base, LARGEST_VERSION)
         self.check_files(call)
-        content = Content(call.root, call.files)
-        packed = pack(content)
-        edit = Edit(call.id, call.base, digest_of(content), packed, call.author, call.reason, stamp())
+        content = RuleSet(call.root, call.files)
+        packed = pack_rule_set(content)
+        edit = Edit(call.id, call.base, digest_rule_set(content), packed, call.author, call.reason, stamp())
         return await self.ask(edit)
 
     def check_files(self, call: EditCall) -> None:
@@ -160,7 +168,7 @@
         check_who(call)
         check_number("version", call.version, LARGEST_VERSION)
         check_number("to", call.to, LARGEST_VERSION)
-        undo = Undo(call.id, call.version, call.to, call.author, call.reason, stamp(), cancelling=True)
+        undo = Undo(call.id, call.version, call.to, call.author, call.reason, stamp(), skip_cancelled=True)
         return await self.ask(undo)
 
     async def ask(self, command: Edit | Undo) -> web.Response:
@@ -168,18 +176,18 @@
         body = msgspec.msgpack.encode(command)
         name = f"rules/{command.id}/{hashlib.blake2b(body, digest_size=8).hexdigest()}"
         said = await self.service.command(command, name)
-        if not said.ok:
-            return answer(409, {"error": said.why, "newest": said.newest})
+        if not said.accepted:
+            return answer(409, {"error": said.reason, "newest": said.newest})
         return answer(202, {"number": said.number, "id": command.id})
 
     async def became(self, id: str) -> web.Response:
         """What became of an id, as a majority confirms it."""
         check_id("id", id)
-        service, register = self.service, self.service.register
+        service, register = self.service, self.service.history
         await service.fleet.read(WITHIN)
-        if (ended := register.ended.get(id)) is not None:
-            return answer(200, described(ended.version) | {"state": "abandoned", "why": ended.why})
-        version = register.by_id(id)
+        if (ended := register.abandoned.get(id)) is not None:
+            return answer(200, described(ended.version) | {"state": "abandoned", "why": ended.reason})
+        version = register.find_by_id(id)
         if version is None:
             return answer(
                 404,
--- a/stoatrouter/peering/rules.py
+++ b/stoatrouter/peering/rules.py
@@ -20,10 +20,23 @@
 from loguru import logger
 
 from stoatrouter.config import ConfigError
-from stoatrouter.history import kept
-from stoatrouter.history.activation import Checked, decide
-from stoatrouter.history.records import Abandon, Activate, Answer, Command, Version, digest_of, unpack
-from stoatrouter.history.register import Register
+from stoatrouter.history.activation import CheckResult, decide_activation
+from stoatrouter.history.records import (
+    Abandon,
+    Activate,
+    Command,
+    CommandResult,
+    Version,
+    digest_rule_set,
+    unpack_rule_set,
+)
+from stoatrouter.history.rule_history import RuleHistory
+from stoatrouter.history.stored_version import (
+    CorruptVersionError,
+    StoredVersion,
+    decode_stored_version,
+    encode_stored_version,
+)
 from stoatrouter.net.tables import Made, TableService, in_thread
 from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.envelope import Envelope
@@ -67,8 +80,8 @@
 
 def materialize(folder: Path, content: bytes) -> Path:
     """The files of a set, in a folder named by its digest; returns the operator's file."""
-    made = unpack(content)
-    place = folder / digest_of(made)
+    made = unpack_rule_set(content)
+    place = folder / digest_rule_set(made)
     if not place.exists():
         # written aside and named when whole: a process that dies in between leaves nothing that looks whole
         aside = folder / f".{secrets.token_hex(6)}"
@@ -92,10 +105,10 @@
     except OSError:
         return None
     try:
-        found = kept.read(data)
+        found = decode_stored_version(data)
         shutil.rmtree(settings.folder / FOLDER, ignore_errors=True)  # whatever lies there is not checksummed
-        return found.number, materialize(settings.folder / FOLDER, found.content)
-    except (kept.Unreadable, OSError, ValueError, msgspec.MsgspecError) as error:
+        return found.number, materialize(settings.folder / FOLDER, found.packed_rules)
+    except (CorruptVersionError, OSError, ValueError, msgspec.MsgspecError) as error:
         aside = file.with_name(f"{FILE}.spoilt-{secrets.token_hex(4)}")
         with contextlib.suppress(OSError):
             os.replace(file, aside)
@@ -115,7 +128,7 @@
 
     settings: RulesSettings
     fleet: Fleet
-    register: Register
+    history: RuleHistory
     tables: TableService
     active: int = 0  # the version that this head decides by
     active_since: timedelta = timedelta(0)
@@ -138,7 +151,7 @@
     @property
     def caught_up(self) -> bool:
         """Whether this head decides by what is in force, or cannot load it."""
-        newest = self.register.versions[-1] if self.register.versions else None
+        newest = self.history.versions[-1] if self.history.versions else None
         return newest is None or self.active >= newest.number or newest.digest in self.faults
 
     async def run(self) -> None:
@@ -164,8 +177,8 @@
     # -- this head's tables -------------------------------------------------------------------------------
     def wanted(self) -> list[Version]:
         """Versions whose tables are needed here: what is in force first."""
-        newest = self.register.versions[-1:]
-        pending = [self.register.pending] if self.register.pending is not None else []
+        newest = self.history.versions[-1:]
+        pending = [self.history.pending] if self.history.pending is not None else []
         return [v for v in (*newest, *pending) if v.number > self.active]
 
     def check(self) -> None:
@@ -179,7 +192,7 @@
 
     async def make(self, version: Version) -> None:
         """Make the table of a version's set."""
-        content = self.register.contents.get(version.digest)
+        content = self.history.packed_rule_sets.get(version.digest)
         if content is None:
             return
         try:
@@ -214,7 +227,7 @@
 
     def put_in_force(self) -> None:
         """What is agreed on as in force, once its table is made. Numbers only go up."""
-        newest = self.register.versions[-1] if self.register.versions else None
+        newest = self.history.versions[-1] if self.history.versions else None
         if newest is None or newest.number <= self.active or newest.digest not in self.made:
             return
         self.tables.put(self.made[newest.digest])
@@ -234,8 +247,8 @@
 
     def keep(self, version: Version) -> None:
         """For a start at which no other head is there."""
-        content = self.register.contents[version.digest]
-        data = kept.write(kept.Kept(version.number, version.digest, content, stamp()))
+        content = self.history.packed_rule_sets[version.digest]
+        data = encode_stored_version(StoredVersion(version.number, version.digest, content, stamp()))
         file, aside = self.fleet.settings.folder / FILE, self.fleet.settings.folder / f"{FILE}.new"
 
         def write() -> None:
@@ -264,7 +277,7 @@
     # -- what heads say to the leader ---------------------------------------------------------------------
     def own(self) -> Said:
         """What this head has to say of itself."""
-        pending = self.register.pending
+        pending = self.history.pending
         if pending is not None and pending.digest in self.faults:
             return Said(self.active, pending.number, False, self.faults[pending.digest])
         if pending is not None and pending.digest in self.made:
@@ -274,7 +287,7 @@
     async def say(self) -> None:
         """To the leader: at once when it has changed, and now and then."""
         said, now = self.own(), self.fleet.now()
-        every = SAY_PENDING if self.register.pending is not None else SAY_EVERY
+        every = SAY_PENDING if self.history.pending is not None else SAY_EVERY
         if said == self.said and now < self.said_at + every:
             return
         self.said, self.said_at = said, now
@@ -294,7 +307,7 @@
     # -- the leader ---------------------------------------------------------------------------------------
     async def lead(self) -> None:
         """At the leader: decide about the version that is being put in force."""
-        pending = self.register.pending
+        pending = self.history.pending
         if pending is None or not self.fleet.agreed.raft.settled:
             self.pending_since = (0, timedelta(0))
             return
@@ -303,11 +316,11 @@
             self.pending_since = (pending.number, now)
         self.heard[self.fleet.settings.name] = Heard(self.own(), now)
         said = {
-            name: Checked(h.said.ok, h.said.why)
+            name: CheckResult(h.said.ok, h.said.why)
             for name, h in self.heard.items()
             if h.said.checked == pending.number
         }
-        decided = decide(
+        decided = decide_activation(
             pending.number,
             said,
             self.fleet.live(),
@@ -330,7 +343,7 @@
                 "rules: version {number} is abandoned: {why}",
                 event="rules.abandoned",
                 number=decided.number,
-                why=decided.why,
+                why=decided.reason,
             )
 
     async def asked(self, envelope: Envelope) -> bytes:
@@ -358,10 +371,10 @@
             return None
 
     # -- for operators ------------------------------------------------------------------------------------
-    async def command(self, command: Command, id: str) -> Answer:
+    async def command(self, command: Command, id: str) -> CommandResult:
         """Bring a command through; raises NotAgreed."""
         body = msgspec.msgpack.encode(command)
-        return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, WITHIN), type=Answer)
+        return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, WITHIN), type=CommandResult)
 
     async def close(self) -> None:
         """Stop making tables; what is being kept is written to its end."""
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -10,7 +10,7 @@
 import pytest
 
 from stoatrouter.credit.records import Booked
-from stoatrouter.history.records import Answer
+from stoatrouter.history.records import CommandResult
 from stoatrouter.peering.credit_calls import CreditCalls
 from stoatrouter.peering.head_calls import HeadCalls
 from stoatrouter.peering.rule_calls import RuleCalls
@@ -37,8 +37,8 @@
         self.settings = SimpleNamespace(largest=1_000)
         raft = SimpleNamespace(leads=True, voters=(), leader=None)
         self.fleet = SimpleNamespace(read=self.read, agreed=SimpleNamespace(raft=raft))
-        self.register = SimpleNamespace(
-            ended={}, by_id=lambda id: None, version=lambda number: None, versions=[]
+        self.history = SimpleNamespace(
+            abandoned={}, find_by_id=lambda id: None, find_version=lambda number: None, versions=[]
         )
         self.ledger = SimpleNamespace(accounts={}, entries={})
 
@@ -47,7 +47,7 @@
 
     async def command(self, command, id, within=None):
         self.commands.append(command)
-        return Booked(True) if within is not None else Answer(True, 1)
+        return Booked(True) if within is not None else CommandResult(True, 1)
 
 
 def call(method: str, path: str, data: object = None) -> tuple[int, str, list[object]]:
