--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -27,8 +27,8 @@
 from stoatrouter.peering.counts import Counts
 from stoatrouter.peering.envelope import Envelope, Seal, Unbelieved
 from stoatrouter.peering.following import LONGEST_RETRY, RETRY, hash_of
-from stoatrouter.peering.rules import PART as RULES
-from stoatrouter.peering.rules import Said
+from stoatrouter.peering.rule_rollout import PART as RULES
+from stoatrouter.peering.rule_rollout import HeadReport
 from stoatrouter.peering.streams import Streams, Unreachable
 
 ROOT = Path(__file__).parent.parent.parent
@@ -165,7 +165,7 @@
 
     async def report(self) -> None:
         """Say to the leader which version is in force, as heads with a history of rules do."""
-        body, every = msgspec.msgpack.encode(Said(0)), self.task.report_every
+        body, every = msgspec.msgpack.encode(HeadReport(0)), self.task.report_every
         await asyncio.sleep(self.draws.random() * every)
         while True:
             if self.leader is not None:
--- a/stoatrouter/lab/hollow/worker.py
+++ b/stoatrouter/lab/hollow/worker.py
@@ -200,7 +200,7 @@
         told["state"],
         told["leader"] or "",
         told["applied"],
-        0 if rules is None else rules.active,
+        0 if rules is None else rules.active_version,
         head.listed,
         head.served,
         head.refused,
--- a/stoatrouter/peering/credit_calls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -13,7 +13,7 @@
 from __future__ import annotations
 
 import secrets
-from datetime import UTC, datetime, timedelta
+from datetime import timedelta
 from typing import Any
 from urllib.parse import unquote
 
@@ -38,6 +38,7 @@
 )
 from stoatrouter.peering.credit import CreditService
 from stoatrouter.peering.head_calls import answer
+from stoatrouter.peering.timestamps import utc_timestamp
 
 ROOT = "/control/credit"
 WITHIN = timedelta(seconds=4)
@@ -178,7 +179,7 @@
                 call.unsettled == "unspent",
                 call.by,
                 call.why,
-                now(),
+                utc_timestamp(),
             ),
             secrets.token_hex(8),
         )
@@ -187,7 +188,7 @@
         """No more is drawn; what is out is still settled."""
         check_customer(name)
         check_who(call)
-        return await self.book(DropCustomer(name, call.by, call.why, now()), secrets.token_hex(8))
+        return await self.book(DropCustomer(name, call.by, call.why, utc_timestamp()), secrets.token_hex(8))
 
     async def entry(self, name: str, call: EntryCall) -> web.Response:
         """Book a top-up, correction or refund."""
@@ -200,7 +201,7 @@
         # the id within the agreement holds the content too: another entry under it is refused, not answered
         # like the first
         return await self.book(
-            Book(call.id, name, call.amount, call.kind, call.by, call.why, now()),
+            Book(call.id, name, call.amount, call.kind, call.by, call.why, utc_timestamp()),
             f"entry/{call.id}/{name}/{call.kind}/{call.amount}",
         )
 
@@ -240,8 +241,3 @@
     """Raise OutOfBounds unless the call says in few words who asks and why."""
     check_text("by", call.by, LONGEST_PERSON)
     check_text("why", call.why, LONGEST_REASON)
-
-
-def now() -> str:
-    """The time of day, as the account's book has it."""
-    return datetime.now(UTC).isoformat(timespec="milliseconds")
--- a/stoatrouter/peering/parts.py
+++ b/stoatrouter/peering/parts.py
@@ -81,7 +81,8 @@
         return None
     from stoatrouter.history.rule_history import RuleHistory
     from stoatrouter.peering.rule_calls import RuleCalls
-    from stoatrouter.peering.rules import PART, RulesService
+    from stoatrouter.peering.rule_rollout import PART
+    from stoatrouter.peering.rules import RulesService
 
     history = parts[PART] = RuleHistory()
     service = RulesService(settings.rules, fleet, history, head.http_tables, started_with)
@@ -93,7 +94,9 @@
     """With which version of the rules this head starts, and so with which files; 0: with its own."""
     if settings.rules is None or http is None:
         return 0, http
-    from stoatrouter.peering.rules import kept_rules
+    from stoatrouter.peering.rule_store import RuleStore
 
-    found = kept_rules(settings)
-    return (0, http) if found is None else (found[0], msgspec.structs.replace(http, rules=found[1]))
+    loaded = RuleStore(settings.folder).load()
+    if loaded is None:
+        return 0, http
+    return loaded.number, msgspec.structs.replace(http, rules=loaded.root)
--- a/stoatrouter/peering/rule_calls.py
+++ b/stoatrouter/peering/rule_calls.py
@@ -43,7 +43,8 @@
     shown,
 )
 from stoatrouter.peering.head_calls import answer, seconds
-from stoatrouter.peering.rules import RulesService, stamp
+from stoatrouter.peering.rules import RulesService
+from stoatrouter.peering.timestamps import utc_timestamp
 
 ROOT = "/control/rules"
 WITHIN = timedelta(seconds=3)
@@ -118,14 +119,14 @@
         fleet = service.fleet
         now = fleet.now()
         return {
-            "version": service.active,
+            "version": service.active_version,
             "held_for_s": round((now - service.active_since).total_seconds(), 1),
             "state": fleet.availability.state.value,
             "majority_heard_s_ago": seconds(fleet.majority_age),
             "newest_known": register.newest,
             "history_from": register.versions[0].number if register.versions else None,
             "pending": None if register.pending is None else described(register.pending),
-            "unloadable_here": service.faults,
+            "unloadable_here": service.compiler.errors,
             "versions": [described(v) for v in register.versions[-50:]],
         }
 
@@ -146,7 +147,9 @@
         self.check_files(call)
         content = RuleSet(call.root, call.files)
         packed = pack_rule_set(content)
-        edit = Edit(call.id, call.base, digest_rule_set(content), packed, call.author, call.reason, stamp())
+        edit = Edit(
+            call.id, call.base, digest_rule_set(content), packed, call.author, call.reason, utc_timestamp()
+        )
         return await self.ask(edit)
 
     def check_files(self, call: EditCall) -> None:
@@ -168,14 +171,16 @@
         check_who(call)
         check_number("version", call.version, LARGEST_VERSION)
         check_number("to", call.to, LARGEST_VERSION)
-        undo = Undo(call.id, call.version, call.to, call.author, call.reason, stamp(), skip_cancelled=True)
+        undo = Undo(
+            call.id, call.version, call.to, call.author, call.reason, utc_timestamp(), skip_cancelled=True
+        )
         return await self.ask(undo)
 
     async def ask(self, command: Edit | Undo) -> web.Response:
         """Bring an edit or undo through; 409 where the history refuses it."""
         body = msgspec.msgpack.encode(command)
         name = f"rules/{command.id}/{hashlib.blake2b(body, digest_size=8).hexdigest()}"
-        said = await self.service.command(command, name)
+        said = await self.service.rollout.submit_command(command, name)
         if not said.accepted:
             return answer(409, {"error": said.reason, "newest": said.newest})
         return answer(202, {"number": said.number, "id": command.id})
@@ -198,15 +203,17 @@
             )
         if version == register.pending:
             return answer(200, described(version) | {"state": "accepted"})
-        spread = await service.spread()
+        spread = await service.rollout.fetch_status()
         told: dict[str, Any] = described(version) | {"state": "in force", "newest": register.newest}
         if spread is not None:
-            there = [name for name in spread.live if spread.active.get(name, 0) >= version.number]
+            there = [
+                name for name in spread.live_heads if spread.active_versions.get(name, 0) >= version.number
+            ]
             told |= {
                 "on": len(there),
-                "of": len(spread.live),
-                "missing": sorted(set(spread.live) - set(there)),
-                "state": "everywhere" if len(there) == len(spread.live) else "in force",
+                "of": len(spread.live_heads),
+                "missing": sorted(set(spread.live_heads) - set(there)),
+                "state": "everywhere" if len(there) == len(spread.live_heads) else "in force",
             }
         return answer(200, told)
 
--- /dev/null
+++ b/stoatrouter/peering/rule_rollout.py
@@ -0,0 +1,189 @@
+"""The rollout of versions over the heads: each head's reports to the leader, and the leader's part.
+
+Decides nothing: when a version is activated or abandoned stands in history/activation.py.
+"""
+
+from __future__ import annotations
+
+import contextlib
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import timedelta
+
+import msgspec
+from loguru import logger
+
+from stoatrouter.history.activation import CheckResult, decide_activation
+from stoatrouter.history.records import Abandon, Activate, Command, CommandResult
+from stoatrouter.history.rule_history import RuleHistory
+from stoatrouter.peering.agreed import NotAgreed
+from stoatrouter.peering.envelope import Envelope
+from stoatrouter.peering.fleet import Fleet
+from stoatrouter.peering.settings import RulesSettings
+from stoatrouter.peering.streams import Unreachable
+
+PART = "rules"  # the history's name in the heads' log, and the kind of a HeadReport over streams
+STATUS = "rules-status"  # the kind of a request for the RolloutStatus
+REPORT_INTERVAL = timedelta(seconds=2)
+REPORT_INTERVAL_PENDING = timedelta(milliseconds=300)  # while a version is pending
+REPORT_LIFETIME = timedelta(seconds=10)  # an older report no longer counts in the status
+STREAM_TIMEOUT = timedelta(seconds=1)
+COMMAND_TIMEOUT = timedelta(seconds=3)
+
+
+class HeadReport(msgspec.Struct, frozen=True, array_like=True):
+    """What one head reports of itself to the leader. Over streams: fields go by position."""
+
+    active_version: int  # that it decides by; 0: its own files
+    checked_version: int = 0  # the pending version, where this head has tried to load it
+    loadable: bool = True
+    error: str = ""  # with the file and line
+
+
+class RolloutStatus(msgspec.Struct, frozen=True, array_like=True):
+    """Which version each live head decides by, as the leader knows. Over streams: fields go by position."""
+
+    active_versions: dict[str, int]  # by head
+    live_heads: list[str]  # sorted
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedReport:
+    """A head's report and when it came, in the fleet's monotonic time."""
+
+    report: HeadReport
+    received_at: timedelta
+
+
+class RuleRollout:
+    """One head's reports and, while it leads, the decision about the pending version."""
+
+    def __init__(
+        self,
+        settings: RulesSettings,
+        fleet: Fleet,
+        history: RuleHistory,
+        make_report: Callable[[], HeadReport],
+    ) -> None:
+        """Answer reports and status requests of other heads from now on.
+
+        Args:
+            settings: The operator's settings of the history.
+            fleet: The heads.
+            history: The versions that the heads agreed on.
+            make_report: Gives this head's own report.
+        """
+        self.settings, self.fleet, self.history, self.make_report = settings, fleet, history, make_report
+        self._received: dict[str, ReceivedReport] = {}  # by head; used while this head leads
+        self._sent: HeadReport | None = None
+        self._sent_at = timedelta(0)
+        self._pending_number = 0  # the pending version that this leader has seen; 0: none
+        self._pending_since = timedelta(0)
+        fleet.handlers[PART] = self.receive_report
+        fleet.handlers[STATUS] = self.answer_status
+
+    # -- reports ------------------------------------------------------------------------------------------
+    async def send_report(self) -> None:
+        """Report to the leader: at once when the report has changed, else now and then."""
+        report, now = self.make_report(), self.fleet.now()
+        interval = REPORT_INTERVAL if self.history.pending is None else REPORT_INTERVAL_PENDING
+        if report == self._sent and now < self._sent_at + interval:
+            return
+        self._sent, self._sent_at = report, now
+        leader = self.fleet.leader
+        if leader == self.fleet.settings.name:
+            self._received[leader] = ReceivedReport(report, now)
+        elif leader is not None:
+            with contextlib.suppress(Unreachable):
+                await self.fleet.streams.ask(leader, PART, msgspec.msgpack.encode(report), STREAM_TIMEOUT)
+
+    async def receive_report(self, envelope: Envelope) -> bytes:
+        """At the leader: take in another head's report; the answer is empty."""
+        report = msgspec.msgpack.decode(envelope.body, type=HeadReport)
+        self._received[envelope.sender.name] = ReceivedReport(report, self.fleet.now())
+        return b""
+
+    def _receive_own_report(self) -> timedelta:
+        """At the leader: take in this head's own report; returns the time."""
+        now = self.fleet.now()
+        self._received[self.fleet.settings.name] = ReceivedReport(self.make_report(), now)
+        return now
+
+    # -- the leader's decision ----------------------------------------------------------------------------
+    async def lead(self) -> None:
+        """Where this head leads: activate or abandon the pending version once that can be decided."""
+        pending = self.history.pending
+        if pending is None or not self.fleet.agreed.raft.settled:
+            self._pending_number = 0
+            return
+        now = self._receive_own_report()
+        if self._pending_number != pending.number:
+            self._pending_number, self._pending_since = pending.number, now
+        decision = decide_activation(
+            pending.number,
+            self._check_results(pending.number),
+            self.fleet.live(),
+            now - self._pending_since,
+            self.settings.check_within,
+            self.settings.versions,
+        )
+        if decision is not None:
+            await self._submit_decision(decision)
+
+    def _check_results(self, number: int) -> dict[str, CheckResult]:
+        reports = {name: received.report for name, received in self._received.items()}
+        return {
+            name: CheckResult(report.loadable, report.error)
+            for name, report in reports.items()
+            if report.checked_version == number
+        }
+
+    async def _submit_decision(self, decision: Activate | Abandon) -> None:
+        # the classes' names are part of the id, which stands in the log
+        id = f"rules/{type(decision).__name__}/{decision.number}/{self.fleet.me.identity}"
+        try:
+            await self.submit_command(decision, id)
+        except NotAgreed:
+            return  # whoever leads next decides anew
+        if isinstance(decision, Abandon):
+            logger.warning(
+                "rules: version {number} is abandoned: {why}",
+                event="rules.abandoned",
+                number=decision.number,
+                why=decision.reason,
+            )
+
+    async def submit_command(self, command: Command, id: str) -> CommandResult:
+        """Submit a command to the heads' log under an idempotency key.
+
+        Raises:
+            NotAgreed: No leader confirmed it in time; it may be applied all the same.
+        """
+        body = msgspec.msgpack.encode(command)
+        answer = await self.fleet.command(PART, body, id, COMMAND_TIMEOUT)
+        return msgspec.msgpack.decode(answer, type=CommandResult)
+
+    # -- status -------------------------------------------------------------------------------------------
+    async def answer_status(self, envelope: Envelope) -> bytes:
+        """At the leader: answer another head's request for the status."""
+        return msgspec.msgpack.encode(self._status())
+
+    def _status(self) -> RolloutStatus:
+        now = self._receive_own_report()
+        active_versions = {
+            name: received.report.active_version
+            for name, received in self._received.items()
+            if now < received.received_at + REPORT_LIFETIME
+        }
+        return RolloutStatus(active_versions, sorted(self.fleet.live()))
+
+    async def fetch_status(self) -> RolloutStatus | None:
+        """Fetch the status from the leader; None where it is not reached."""
+        leader = self.fleet.leader
+        if leader == self.fleet.settings.name:
+            return self._status()
+        try:
+            _, body = await self.fleet.streams.ask(leader or "", STATUS, b"", STREAM_TIMEOUT)
+            return msgspec.msgpack.decode(body, type=RolloutStatus)
+        except (Unreachable, msgspec.MsgspecError):
+            return None
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -40,6 +40,7 @@
         self.history = SimpleNamespace(
             abandoned={}, find_by_id=lambda id: None, find_version=lambda number: None, versions=[]
         )
+        self.rollout = SimpleNamespace(submit_command=self.command)
         self.ledger = SimpleNamespace(accounts={}, entries={})
 
     async def read(self, within) -> None:
--- a/tests/heads/test_stored_version.py
+++ b/tests/heads/test_stored_version.py
@@ -17,7 +17,7 @@
     decode_stored_version,
     encode_stored_version,
 )
-from stoatrouter.peering.rules import materialize
+from stoatrouter.peering.rule_store import write_rule_set
 from tests.heads.test_history import rule_set
 
 WRITTEN_BY_8AD4498 = Path(__file__).parents[1] / "data" / "rules-8ad4498.kept"
@@ -46,7 +46,9 @@
 
 
 def test_the_files_of_a_set_are_written_whole(tmp_path):
-    path = materialize(tmp_path, pack_rule_set(rule_set("x")))
+    path = write_rule_set(tmp_path, pack_rule_set(rule_set("x")))
     assert path.name == "rules.cue" and path.read_text() == "x"
     assert (path.parent / "team.cue").read_text() == "team x"
-    assert materialize(tmp_path, pack_rule_set(rule_set("x"))) == path and len(list(tmp_path.iterdir())) == 1
+    assert (
+        write_rule_set(tmp_path, pack_rule_set(rule_set("x"))) == path and len(list(tmp_path.iterdir())) == 1
+    )
