--- a/stoatrouter/peering/follower.py
+++ b/stoatrouter/peering/follower.py
@@ -35,13 +35,13 @@
         settings: HeadsSettings,
         agreed: Replication,
         streams: Streams,
-        belonging: FleetBootstrap,
+        bootstrap: FleetBootstrap,
         monitor: AvailabilityMonitor,
         now: Callable[[], timedelta],
         draws: random.Random,
     ) -> None:
         self.settings, self.replication, self.streams = settings, agreed, streams
-        self.bootstrap, self.monitor, self.now, self.draws = belonging, monitor, now, draws
+        self.bootstrap, self.monitor, self.now, self.draws = bootstrap, monitor, now, draws
         self.leader: str | None = None  # as the last answer told
         self.turn = 0  # which voter is asked next
 
@@ -81,7 +81,7 @@
         if not self.bootstrap.may_learn_from(fetched.origin) or self.bootstrap.adopt_missed(fetched):
             return False
         self._learn(fetched, asked_at)
-        return fetched.in_touch
+        return fetched.majority_connected
 
     def _learn(self, fetched: calls.Fetched, asked_at: timedelta) -> None:
         """Take in an answer to a question that was asked at this time."""
@@ -89,13 +89,13 @@
         self.replication.learn(
             fetched.prev_index, fetched.prev_term, fetched.entries, fetched.commit, fetched.snapshot
         )
-        if not fetched.in_touch:
+        if not fetched.majority_connected:
             return
         self.turn -= 1  # stay with a voter that serves
         self.leader = fetched.leader
         contact = MajorityContact()
         if fetched.majority_age is not None:
-            contact.record_report(asked_at, fetched.held_for, fetched.majority_age)
+            contact.record_report(asked_at, fetched.waited, fetched.majority_age)
         self.monitor.note_contact(contact, fetched.commit)
         self.monitor.refresh()
 
@@ -105,15 +105,15 @@
         came_at = self.now()
         await self._wait_for_news(ask.after)
         raft, origin = self.replication.raft, self.bootstrap.origin
-        in_touch = self.monitor.current().changes
+        majority_connected = self.monitor.current().changes
         fetched = calls.Fetched(
             origin,
-            in_touch,
+            majority_connected,
             raft.leader.name if raft.leader else None,
             commit=raft.commit_index,
             voters=raft.voters,
             majority_age=self.monitor.contact.age(self.now()),
-            held_for=self.now() - came_at,
+            waited=self.now() - came_at,
         )
         if ask.after and raft.log.term_at(ask.after) == ask.after_term:
             entries = raft.log.entries_from(ask.after + 1, raft.commit_index)
