--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -22,11 +22,11 @@
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import Book, Grants, PutCustomer, Turn, Turns
-from stoatrouter.history.records import Content, pack
-from stoatrouter.net.discovery import read_node
-from stoatrouter.peering.book import SpentBook
+from stoatrouter.history.records import RuleSet, pack_rule_set
+from stoatrouter.net.endpoint_list import read_node
 from stoatrouter.peering.credit import CreditService
 from stoatrouter.peering.settings import CreditSettings
+from stoatrouter.peering.spent_journal import SpentJournal
 from stoatrouter.policy.interface import ListKind
 from tests.peers import head_config
 
@@ -150,9 +150,9 @@
     """The credit of a head that does not lead, without a fleet around it."""
     fleet: Any = SimpleNamespace(
         settings=SimpleNamespace(folder=folder),
-        found=SimpleNamespace(lasting=True, boot=1),
+        stored=SimpleNamespace(writable=True, boot=1),
         watchers=[],
-        agreed=SimpleNamespace(restored=[], raft=SimpleNamespace(settled=False)),
+        replication=SimpleNamespace(restore_listeners=[], raft=SimpleNamespace(settled=False)),
         now=lambda: SECOND,
     )
     settings = CreditSettings((1000,), LEASE, SECOND)
@@ -164,7 +164,7 @@
     """Words that one head puts to the log, its customers asking twice a second each; virtual time."""
     ledger = rich_ledger(customers)
     with tempfile.TemporaryDirectory() as folder:
-        holder = HeadEscrow(LEASE, SpentBook(Path(folder) / "book"))
+        holder = HeadEscrow(LEASE, SpentJournal(Path(folder) / "book"))
         draws = random.Random(f"words/{customers}")
         words = turns_said = number = step = 0
         while (now := SECOND + step * STEP) < SECOND + TURNS_SPAN:
@@ -197,6 +197,6 @@
     regular = text_of(rules, "mark")
     irregular = re.sub(r"/p[0-9]+", lambda _: f"/{draws.getrandbits(64):016x}", regular)
     for label, text in (("numbered paths", regular), ("random paths", irregular)):
-        packed = len(pack(Content("rules.cue", {"rules.cue": text})))
+        packed = len(pack_rule_set(RuleSet("rules.cue", {"rules.cue": text})))
         run.add(Measurement(f"bytes of a set to a head, {label}, by rules", rules, packed, "bytes"))
     run.add(Measurement("bytes of a set as text, by rules", rules, len(regular), "bytes"))
--- a/stoatrouter/lab/fleet/contacts.py
+++ b/stoatrouter/lab/fleet/contacts.py
@@ -12,7 +12,7 @@
 
 from stoatrouter.agreement.availability import Facts, HeadState, availability_of
 from stoatrouter.agreement.contact import CLOCK_DRIFT, MajorityContact
-from stoatrouter.agreement.records import Disk, Voter
+from stoatrouter.agreement.records import PersistentState, Voter
 from stoatrouter.lab.fleet.errors import InvariantViolated
 from stoatrouter.lab.fleet.voters import VoterFleet
 
@@ -37,7 +37,7 @@
     contacts: dict[str, MajorityContact] = field(default_factory=dict)
     last_majority: dict[str, timedelta] = field(default_factory=dict)  # by head, in the world's time
 
-    def boot(self, name: str, voter: Voter, disk: Disk) -> None:
+    def boot(self, name: str, voter: Voter, disk: PersistentState) -> None:
         """Start a head: it knows of no majority yet."""
         super().boot(name, voter, disk)
         self.heads[name].raft.contact = self.make_contact()
@@ -48,7 +48,7 @@
         """Return what a head knows of the majority, by itself or from others."""
         raft, contact = self.heads[name].raft, self.contacts[name]
         if raft.settled or not raft.leads:
-            contact.seen(raft.contact.at)
+            contact.record(raft.contact.latest)
         return contact
 
     def is_connected(self, name: str) -> bool:
@@ -95,7 +95,7 @@
 
         def deliver() -> None:
             if self.world.machines[poller].incarnation == incarnation:
-                self.contacts[poller].learned(asked_at, wait, age)
+                self.contacts[poller].record_report(asked_at, wait, age)
 
         self.world.send(name, poller, deliver)
 
--- a/stoatrouter/lab/fleet/disk.py
+++ b/stoatrouter/lab/fleet/disk.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from stoatrouter.agreement.records import Disk, Write
+from stoatrouter.agreement.records import PersistentState, Write
 
 
-def apply_write(disk: Disk, write: Write) -> Disk:
+def apply_write(disk: PersistentState, write: Write) -> PersistentState:
     """Return the disk as it is after a write."""
-    term, voted = disk.term, disk.voted
+    term, voted_for = disk.term, disk.voted_for
     if write.term is not None:
-        term, voted = write.term, write.voted
+        term, voted_for = write.term, write.voted_for
     remaining = [entry for entry in disk.entries if write.cut_from is None or entry.index < write.cut_from]
     entries = {entry.index: entry for entry in (*remaining, *write.entries)}
     if write.keep_from is not None:
         entries = {index: entry for index, entry in entries.items() if index >= write.keep_from}
     ordered = tuple(entries[index] for index in sorted(entries))
-    return Disk(term, voted, write.snapshot or disk.snapshot, ordered)
+    return PersistentState(term, voted_for, write.snapshot or disk.snapshot, ordered)
--- a/stoatrouter/lab/fleet/exhaustive.py
+++ b/stoatrouter/lab/fleet/exhaustive.py
@@ -18,17 +18,17 @@
 from stoatrouter.agreement.records import (
     AnyMessage,
     Apply,
-    Disk,
-    Durable,
     Entry,
     Event,
+    Persist,
+    PersistentState,
     Propose,
     Received,
     Send,
     Snapshot,
     Tick,
     Voter,
-    Wrote,
+    WriteCompleted,
 )
 from stoatrouter.lab.fleet.disk import apply_write
 from stoatrouter.lab.fleet.errors import InvariantViolated
@@ -69,8 +69,8 @@
     """One voter with its disk."""
 
     raft: Raft
-    disk: Disk
-    pending: list[Durable] = field(default_factory=list)
+    disk: PersistentState
+    pending: list[Persist] = field(default_factory=list)
     applied: int = 1  # index of the entry applied last
 
     def key(self) -> tuple[object, ...]:
@@ -78,13 +78,13 @@
         raft = self.raft
         return (
             raft.term,
-            raft.voted,
+            raft.voted_for,
             raft.role,
             raft.leader,
-            raft.commit,
-            raft.applied,
-            raft.durable,
-            tuple(raft.writes.values()),
+            raft.commit_index,
+            raft.last_applied,
+            raft.durable_index,
+            tuple(raft.pending_writes.values()),
             tuple(sorted(raft.votes)),
             tuple((peer.next_index, peer.match_index, peer.round) for peer in raft.peers.values()),
             raft.round,
@@ -164,7 +164,7 @@
         voter.disk = apply_write(voter.disk, effect.write)
         for send in effect.then:
             self._send(i, send)
-        self._reduce(i, Wrote(NOW, effect.number))
+        self._reduce(i, WriteCompleted(NOW, effect.number))
 
     def _crash(self, i: int) -> None:
         """End a voter and start it again with what is on its disk."""
@@ -180,7 +180,7 @@
             match effect:
                 case Send():
                     self._send(i, effect)
-                case Durable():
+                case Persist():
                     voter.pending.append(effect)
                 case Apply():
                     for entry in effect.entries:
@@ -256,6 +256,6 @@
 def initial_state(voters: int, make_raft: Callable[..., Raft], crashes: int) -> ClusterState:
     """Return the state of voters that have just been founded."""
     everybody = tuple(Voter(f"h{i}", f"h{i}/0") for i in range(voters))
-    disk = Disk(0, None, Snapshot(1, 0, everybody, b""))
+    disk = PersistentState(0, None, Snapshot(1, 0, everybody, b""))
     states = [VoterState(make_raft(me, disk, 1, AT_ONCE), disk) for me in everybody]
     return ClusterState(make_raft, states, crashes_left=crashes)
--- a/stoatrouter/lab/fleet/voter_changes.py
+++ b/stoatrouter/lab/fleet/voter_changes.py
@@ -4,7 +4,7 @@
 
 from datetime import timedelta
 
-from stoatrouter.agreement.log import write_voters
+from stoatrouter.agreement.log import encode_voters
 from stoatrouter.agreement.records import VOTERS, Propose, Voter
 from stoatrouter.lab.fleet.voters import VoterFleet
 
@@ -23,7 +23,7 @@
             voters = next_voters(fleet, name)
             if voters is not None:
                 fleet.voter_changes += 1
-                fleet.reduce(name, Propose(world.clock(name), "0=change", write_voters(voters), VOTERS))
+                fleet.reduce(name, Propose(world.clock(name), "0=change", encode_voters(voters), VOTERS))
     world.schedule(INTERVAL, lambda: change_voters(fleet, until))
 
 
--- a/stoatrouter/lab/fleet/voters.py
+++ b/stoatrouter/lab/fleet/voters.py
@@ -16,15 +16,15 @@
     COMMAND,
     Accepted,
     Apply,
+    CommittedReceived,
     Compact,
-    Disk,
-    Durable,
     Effect,
     Entry,
     Event,
-    Forgot,
-    Learnt,
-    Readable,
+    LogLost,
+    Persist,
+    PersistentState,
+    ReadConfirmed,
     Received,
     Rejected,
     Restore,
@@ -32,7 +32,7 @@
     Snapshot,
     Tick,
     Voter,
-    Wrote,
+    WriteCompleted,
 )
 from stoatrouter.lab.fleet.disk import apply_write
 from stoatrouter.lab.fleet.errors import InvariantViolated
@@ -51,10 +51,10 @@
 
     voter: Voter
     raft: Raft
-    disk: Disk
+    disk: PersistentState
     values: list[bytes] = field(default_factory=list)
     index: int = 0  # of the entry applied last
-    pending: list[Durable] = field(default_factory=list)  # writes in flight, in order
+    pending: list[Persist] = field(default_factory=list)  # writes in flight, in order
 
 
 @dataclass
@@ -85,11 +85,11 @@
         founded = Founded(self.founders[0].identity, self.founders)
         for name in names:
             is_founder = name in names[: self.voter_count]
-            disk = Disk(0, None, founded.snapshot()) if is_founder else Disk()
+            disk = PersistentState(0, None, founded.snapshot()) if is_founder else PersistentState()
             self.boot(name, Voter(name, f"{name}/0"), disk)
 
     # -- machines -----------------------------------------------------------------------------------------
-    def boot(self, name: str, voter: Voter, disk: Disk) -> None:
+    def boot(self, name: str, voter: Voter, disk: PersistentState) -> None:
         """Start a head with what is on its disk."""
         world = self.world
         seed = world.seed * 1000 + world.machines[name].incarnation
@@ -123,7 +123,7 @@
         """Replace a head's disk by an empty one, which is another identity."""
         self.identities_issued += 1
         head = self.heads[name]
-        head.disk = Disk()
+        head.disk = PersistentState()
         head.voter = Voter(name, f"{name}/{self.identities_issued}")
 
     def may_wipe(self, name: str) -> bool:
@@ -157,7 +157,7 @@
         match effect:
             case Send():
                 self._send(name, head, effect)
-            case Durable():
+            case Persist():
                 self._begin_write(name, head, effect)
             case Apply():
                 self._apply_entries(name, head, effect)
@@ -168,10 +168,10 @@
                 self.history.accept(name, effect)
             case Rejected():
                 self.history.reject(effect.id)
-            case Readable():
+            case ReadConfirmed():
                 values = tuple(head.values) if head.index >= effect.index else None
                 self.history.readable(name, effect.id, self.world.now, values)
-            case Forgot():
+            case LogLost():
                 self.forgotten += 1
 
     def _send(self, name: str, head: VoterHead, effect: Send) -> None:
@@ -187,7 +187,7 @@
         self.world.send(name, receiver.name, deliver)
 
     # -- disks --------------------------------------------------------------------------------------------
-    def _begin_write(self, name: str, head: VoterHead, effect: Durable) -> None:
+    def _begin_write(self, name: str, head: VoterHead, effect: Persist) -> None:
         """Queue a write: a disk does one at a time, in order."""
         head.pending.append(effect)
         delay = self._disk_delay()  # drawn for each write, also for one that waits: seeds depend on it
@@ -202,7 +202,7 @@
             self._send(name, head, send)
         if head.pending:
             self.world.schedule_on(name, self._disk_delay(), lambda: self._end_write(name, head))
-        self.reduce(name, Wrote(self.world.clock(name), effect.number))
+        self.reduce(name, WriteCompleted(self.world.clock(name), effect.number))
 
     def _disk_delay(self) -> timedelta:
         return MIN_DISK_DELAY + self.max_disk_delay * self.world.rng.random()
@@ -255,20 +255,20 @@
     def answer_poll(self, name: str, poller: str, after: int) -> None:
         """Send the entries after an index, or a snapshot where they are compacted already."""
         raft = self.heads[name].raft
-        term = raft.log.term(after)
+        term = raft.log.term_at(after)
         snapshot: Snapshot | None = None
         if term is not None and after:
-            prev_index, prev_term, entries = after, term, raft.log.since(after + 1, raft.commit)
+            prev_index, prev_term, entries = after, term, raft.log.entries_from(after + 1, raft.commit_index)
         elif raft.log.snapshot.index:
             prev_index, prev_term, entries = 0, 0, ()
             snapshot = raft.log.snapshot
         else:
             return
-        commit = raft.commit
+        commit = raft.commit_index
 
         def deliver() -> None:
             clock = self.world.clock(poller)
-            self.reduce(poller, Learnt(clock, prev_index, prev_term, entries, commit, snapshot))
+            self.reduce(poller, CommittedReceived(clock, prev_index, prev_term, entries, commit, snapshot))
 
         self.world.send(name, poller, deliver)
 
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -12,8 +12,8 @@
 
 from stoatrouter.config import Config
 from stoatrouter.peering.fleet import Fleet
-from stoatrouter.peering.operators import Operators
-from stoatrouter.peering.parts import Call, ServingHead, credit, kept_version, rules
+from stoatrouter.peering.head_calls import HeadCalls
+from stoatrouter.peering.services import Call, ServingHead, credit, persisted_version, rules
 from stoatrouter.peering.settings import HeadsSettings, load_heads
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         parts: dict[str, Part] = {}
         self.fleet = Fleet(settings, head.conf.seed, parts)
-        self.calls: list[Call] = [Operators(self.fleet).call]
+        self.calls: list[Call] = [HeadCalls(self.fleet).call]
         self.credit = credit(settings, head, self.fleet, parts, self.calls)
         self.rules = rules(settings, head, self.fleet, parts, self.calls, started_with)
         self.fleet.restart()  # all parts are known: what the disk holds is applied to them
@@ -78,7 +78,7 @@
         await self.fleet.close()
 
 
-__all__ = ["Heads", "kept_version", "load"]
+__all__ = ["Heads", "persisted_version", "load"]
 
 
 def load(path: str, conf: Config) -> HeadsSettings:
--- a/stoatrouter/peering/agreed.py
+++ b/stoatrouter/peering/replication.py
@@ -8,54 +8,51 @@
 
 from loguru import logger
 
-from stoatrouter.agreement.machine import Command, Machine, encode
+from stoatrouter.agreement.machine import Command, CommandAnswer, Machine, encode
 from stoatrouter.agreement.raft import Raft, Timing
 from stoatrouter.agreement.records import (
     VOTERS,
     Accepted,
     AnyMessage,
     Apply,
+    CommittedReceived,
     Compact,
-    Disk,
     DiskFailed,
-    Durable,
     Effect,
     Entry,
     Event,
-    Forgot,
-    Learnt,
+    LeaderChanged,
+    LogLost,
+    Persist,
+    PersistentState,
     Propose,
     Read,
-    Readable,
+    ReadConfirmed,
     Received,
     Rejected,
     Restore,
-    Role,
     Send,
     Snapshot,
     Tick,
     Voter,
     Write,
-    Wrote,
+    WriteCompleted,
 )
-from stoatrouter.peering.storage import Found, Storage
-from stoatrouter.peering.writer import Writer
+from stoatrouter.peering.disk_writer import Writer
+from stoatrouter.peering.errors import ReplicationError
+from stoatrouter.peering.storage import Storage, StoredState
 
 TICK = timedelta(milliseconds=20)
 COMPACT_ENTRIES, COMPACT_BYTES = 1_000, 8 * 1024 * 1024  # applied since the last snapshot
 
 
-class NotAgreed(Exception):
-    """A command or read that this head cannot bring through; what was asked may or may not come to hold."""
-
-
-class Agreed:
+class Replication:
     """One head's agreement, running."""
 
     def __init__(
         self,
         me: Voter,
-        found: Found,
+        stored: StoredState,
         storage: Storage,
         machine: Machine,
         timing: Timing,
@@ -66,10 +63,10 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.machine, self.now, self.send, self.notify = machine, now, send, notify
-        self.raft = Raft(me, found.disk, seed, timing, now=now())
-        self.raft.voiceless = not found.lasting
-        self.writer = Writer(storage, self.loop, self.disk_failed, found.lasting)
-        self.lasting = found.lasting
+        self.raft = Raft(me, stored.disk, seed, timing, now=now())
+        self.raft.abstains = not stored.writable
+        self.writer = Writer(storage, self.loop, self.disk_failed, stored.writable)
+        self.disk_writable = stored.writable
         self.size = 0  # bytes applied since the last snapshot
         self.waiting: dict[int, tuple[int, asyncio.Future[bytes]]] = {}  # by index: the term, and who waits
         self.reads: dict[str, asyncio.Future[int]] = {}  # reads under way
@@ -77,8 +74,8 @@
         self.refused: dict[str, str] = {}
         self.number = 0
         self.changed = asyncio.Event()  # set and replaced when something was applied
-        self.listeners: list[Callable[[Entry, tuple[str, bytes] | None], None]] = []
-        self.restored: list[Callable[[], None]] = []
+        self.listeners: list[Callable[[Entry, CommandAnswer | None], None]] = []
+        self.restore_listeners: list[Callable[[], None]] = []
 
     def restart(self, snapshot: Snapshot) -> None:
         """Begin with what the disk holds, once all parts of the machine are known."""
@@ -86,12 +83,12 @@
 
     # -- for callers --------------------------------------------------------------------------------------
     async def propose(self, body: bytes, kind: str, within: timedelta) -> bytes:
-        """Bring an entry through, here at the leader: the command's answer. Raises NotAgreed."""
+        """Bring an entry through, here at the leader: the command's answer. Raises ReplicationError."""
         self.number += 1
         name = f"p{self.number}"
         self.put(Propose(self.now(), name, body, kind))
         if (why := self.refused.pop(name, None)) is not None:
-            raise NotAgreed(why)
+            raise ReplicationError(why)
         index, term = self.taken.pop(name)
         future: asyncio.Future[bytes] = self.loop.create_future()
         self.waiting[index] = (term, future)
@@ -99,20 +96,20 @@
             async with asyncio.timeout(within.total_seconds()):
                 return await future
         except TimeoutError:
-            raise NotAgreed("it was not agreed on in time") from None
+            raise ReplicationError("it was not agreed on in time") from None
         finally:
             self.waiting.pop(index, None)
 
     async def command(self, command: Command, within: timedelta) -> bytes:
-        """Bring a command through, here at the leader; its answer. Raises NotAgreed."""
+        """Bring a command through, here at the leader; its answer. Raises ReplicationError."""
         return await self.propose(encode(command), "c", within)
 
     async def change_voters(self, body: bytes, within: timedelta) -> None:
-        """Bring a change of the voters through, here at the leader. Raises NotAgreed."""
+        """Bring a change of the voters through, here at the leader. Raises ReplicationError."""
         await self.propose(body, VOTERS, within)
 
     async def read(self, within: timedelta) -> int:
-        """Up to which index a read must have applied; raises NotAgreed."""
+        """Up to which index a read must have applied; raises ReplicationError."""
         self.number += 1
         name = f"r{self.number}"
         future = self.reads[name] = self.loop.create_future()
@@ -121,7 +118,7 @@
             async with asyncio.timeout(within.total_seconds()):
                 return await future
         except TimeoutError:
-            raise NotAgreed("no majority confirmed it in time") from None
+            raise ReplicationError("no majority confirmed it in time") from None
         finally:
             self.reads.pop(name, None)
 
@@ -148,7 +145,7 @@
         snapshot: Snapshot | None,
     ) -> None:
         """Take in what a voter tells as committed."""
-        self.put(Learnt(self.now(), prev_index, prev_term, entries, commit, snapshot))
+        self.put(CommittedReceived(self.now(), prev_index, prev_term, entries, commit, snapshot))
 
     # -- events in, effects out ---------------------------------------------------------------------------
     def put(self, event: Event) -> None:
@@ -161,7 +158,7 @@
         match effect:
             case Send():
                 self.send(effect.to, effect.message)
-            case Durable():
+            case Persist():
                 self.writer.put(effect.write, lambda: self.wrote(effect))
             case Apply():
                 self.apply(effect.entries)
@@ -171,10 +168,10 @@
                 self.taken[effect.id] = (effect.index, effect.term)
             case Rejected():
                 self.not_taken(effect)
-            case Readable():
+            case ReadConfirmed():
                 if (future := self.reads.get(effect.id)) is not None and not future.done():
                     future.set_result(effect.index)
-            case Role():
+            case LeaderChanged():
                 logger.info(
                     "heads: term {term}, {leader} leads",
                     event="heads.role",
@@ -182,7 +179,7 @@
                     leader=effect.leader or "nobody known",
                 )
                 self.notify()
-            case Forgot():
+            case LogLost():
                 logger.error(
                     "heads: the disk holds {held} of {acknowledged} entries acknowledged: it votes no more",
                     event="heads.forgot",
@@ -190,19 +187,19 @@
                     acknowledged=effect.acknowledged,
                 )
 
-    def wrote(self, effect: Durable) -> None:
+    def wrote(self, effect: Persist) -> None:
         """A write is on the disk: what has waited for it goes out."""
         for send in effect.then:
             self.send(send.to, send.message)
-        self.put(Wrote(self.now(), effect.number))
+        self.put(WriteCompleted(self.now(), effect.number))
 
     def not_taken(self, effect: Rejected) -> None:
         """A proposal or read is refused: whoever waits for it is told."""
         future = self.reads.get(effect.id)
         if future is None:
-            self.refused[effect.id] = effect.why
+            self.refused[effect.id] = effect.reason
         elif not future.done():
-            future.set_exception(NotAgreed(effect.why))
+            future.set_exception(ReplicationError(effect.reason))
 
     def apply(self, entries: tuple[Entry, ...]) -> None:
         """Apply committed entries, and answer those who wait for them."""
@@ -212,9 +209,9 @@
             term, future = self.waiting.get(entry.index, (0, None))
             if future is not None and not future.done():
                 if term == entry.term:
-                    future.set_result(answer[1] if answer is not None else b"")
+                    future.set_result(answer.body if answer is not None else b"")
                 else:
-                    future.set_exception(NotAgreed("another leader's entry took its place"))
+                    future.set_exception(ReplicationError("another leader's entry took its place"))
             for listener in self.listeners:
                 listener(entry, answer)
         self.notify_applied()
@@ -229,9 +226,9 @@
         self.machine.restore(snapshot.index, snapshot.state)
         for index, (_, future) in self.waiting.items():
             if index <= snapshot.index and not future.done():
-                future.set_exception(NotAgreed("what became of it is in a snapshot"))
-        for restored in self.restored:
-            restored()
+                future.set_exception(ReplicationError("what became of it is in a snapshot"))
+        for listener in self.restore_listeners:
+            listener()
         self.notify_applied()
 
     def notify_applied(self) -> None:
@@ -245,7 +242,7 @@
         logger.error(
             "heads: the disk takes no writes, this head has no voice: {why}", event="heads.disk", why=why
         )
-        self.lasting = False
+        self.disk_writable = False
         self.put(DiskFailed(self.now()))
 
     def keep(self, done: Callable[[], None], **values: str) -> None:
@@ -258,7 +255,8 @@
         write = Write(term, None, cut_from=1, snapshot=snapshot, keep_from=snapshot.index + 1, origin=origin)
 
         def begun() -> None:
-            self.raft = Raft(raft.me, Disk(term, None, snapshot), raft.seed, raft.timing, now=self.now())
+            disk = PersistentState(term, None, snapshot)
+            self.raft = Raft(raft.me, disk, raft.seed, raft.timing, now=self.now())
             self.restore(snapshot)
             done()
 
--- a/stoatrouter/peering/rulecalls.py
+++ b/stoatrouter/peering/rule_calls.py
@@ -20,8 +20,15 @@
 import msgspec
 from aiohttp import web
 
-from stoatrouter.history.records import Content, Edit, Undo, Version, digest_of, pack, unpack
-from stoatrouter.peering.agreed import NotAgreed
+from stoatrouter.history.records import (
+    Edit,
+    RuleSet,
+    Undo,
+    Version,
+    digest_rule_set,
+    pack_rule_set,
+    unpack_rule_set,
+)
 from stoatrouter.peering.bounds import (
     LARGEST_VERSION,
     LONGEST_FILE_NAME,
@@ -34,8 +41,10 @@
     error_text,
     shown,
 )
-from stoatrouter.peering.operators import answer, seconds
-from stoatrouter.peering.rules import RulesService, stamp
+from stoatrouter.peering.errors import ReplicationError
+from stoatrouter.peering.head_calls import answer, seconds
+from stoatrouter.peering.rules import RulesService
+from stoatrouter.peering.timestamps import utc_timestamp
 
 ROOT = "/control/rules"
 WITHIN = timedelta(seconds=3)
@@ -82,7 +91,7 @@
                     return answer(200, self.told())
                 case "GET", ["newest"]:
                     await self.service.fleet.read(WITHIN)
-                    return answer(200, {"newest": self.service.register.newest})
+                    return answer(200, {"newest": self.service.history.newest})
                 case "GET", ["versions", number]:
                     return await self.version(version_number(number))
                 case "POST", ["edits"]:
@@ -93,7 +102,7 @@
                     return await self.became(id)
         except (msgspec.MsgspecError, ValueError) as error:
             return answer(400, {"error": error_text(error)})
-        except NotAgreed as error:
+        except ReplicationError as error:
             return answer(
                 503,
                 {
@@ -106,29 +115,29 @@
 
     def told(self) -> dict[str, Any]:
         """What this head decides by, and the history as it knows it."""
-        service, register = self.service, self.service.register
+        service, register = self.service, self.service.history
         fleet = service.fleet
         now = fleet.now()
         return {
-            "version": service.active,
+            "version": service.active_version,
             "held_for_s": round((now - service.active_since).total_seconds(), 1),
             "state": fleet.availability.state.value,
             "majority_heard_s_ago": seconds(fleet.majority_age),
             "newest_known": register.newest,
             "history_from": register.versions[0].number if register.versions else None,
             "pending": None if register.pending is None else described(register.pending),
-            "unloadable_here": service.faults,
+            "unloadable_here": service.compiler.errors,
             "versions": [described(v) for v in register.versions[-50:]],
         }
 
     async def version(self, number: int) -> web.Response:
         """One version with its files, as a majority confirms it."""
         await self.service.fleet.read(WITHIN)
-        register = self.service.register
-        found = register.version(number)
+        register = self.service.history
+        found = register.find_version(number)
         if found is None:
             return answer(404, {"error": f"version {number} is not in the history"})
-        content = unpack(register.contents[found.digest])
+        content = unpack_rule_set(register.packed_rule_sets[found.digest])
         return answer(200, described(found) | {"root": content.root, "files": content.files})
 
     async def edit(self, call: EditCall) -> web.Response:
@@ -136,9 +145,11 @@
         check_who(call)
         check_number("base", call.base, LARGEST_VERSION)
         self.check_files(call)
-        content = Content(call.root, call.files)
-        packed = pack(content)
-        edit = Edit(call.id, call.base, digest_of(content), packed, call.author, call.reason, stamp())
+        content = RuleSet(call.root, call.files)
+        packed = pack_rule_set(content)
+        edit = Edit(
+            call.id, call.base, digest_rule_set(content), packed, call.author, call.reason, utc_timestamp()
+        )
         return await self.ask(edit)
 
     def check_files(self, call: EditCall) -> None:
@@ -160,26 +171,28 @@
         check_who(call)
         check_number("version", call.version, LARGEST_VERSION)
         check_number("to", call.to, LARGEST_VERSION)
-        undo = Undo(call.id, call.version, call.to, call.author, call.reason, stamp(), cancelling=True)
+        undo = Undo(
+            call.id, call.version, call.to, call.author, call.reason, utc_timestamp(), skip_cancelled=True
+        )
         return await self.ask(undo)
 
     async def ask(self, command: Edit | Undo) -> web.Response:
         """Bring an edit or undo through; 409 where the history refuses it."""
         body = msgspec.msgpack.encode(command)
         name = f"rules/{command.id}/{hashlib.blake2b(body, digest_size=8).hexdigest()}"
-        said = await self.service.command(command, name)
-        if not said.ok:
-            return answer(409, {"error": said.why, "newest": said.newest})
+        said = await self.service.rollout.submit_command(command, name)
+        if not said.accepted:
+            return answer(409, {"error": said.reason, "newest": said.newest})
         return answer(202, {"number": said.number, "id": command.id})
 
     async def became(self, id: str) -> web.Response:
         """What became of an id, as a majority confirms it."""
         check_id("id", id)
-        service, register = self.service, self.service.register
+        service, register = self.service, self.service.history
         await service.fleet.read(WITHIN)
-        if (ended := register.ended.get(id)) is not None:
-            return answer(200, described(ended.version) | {"state": "abandoned", "why": ended.why})
-        version = register.by_id(id)
+        if (ended := register.abandoned.get(id)) is not None:
+            return answer(200, described(ended.version) | {"state": "abandoned", "why": ended.reason})
+        version = register.find_by_id(id)
         if version is None:
             return answer(
                 404,
@@ -190,15 +203,17 @@
             )
         if version == register.pending:
             return answer(200, described(version) | {"state": "accepted"})
-        spread = await service.spread()
+        spread = await service.rollout.fetch_status()
         told: dict[str, Any] = described(version) | {"state": "in force", "newest": register.newest}
         if spread is not None:
-            there = [name for name in spread.live if spread.active.get(name, 0) >= version.number]
+            there = [
+                name for name in spread.live_heads if spread.active_versions.get(name, 0) >= version.number
+            ]
             told |= {
                 "on": len(there),
-                "of": len(spread.live),
-                "missing": sorted(set(spread.live) - set(there)),
-                "state": "everywhere" if len(there) == len(spread.live) else "in force",
+                "of": len(spread.live_heads),
+                "missing": sorted(set(spread.live_heads) - set(there)),
+                "state": "everywhere" if len(there) == len(spread.live_heads) else "in force",
             }
         return answer(200, told)
 
--- a/stoatrouter/peering/parts.py
+++ b/stoatrouter/peering/services.py
@@ -50,7 +50,7 @@
         return None
     from stoatrouter.credit.ledger import Ledger
     from stoatrouter.peering.credit import PART, CreditService
-    from stoatrouter.peering.creditcalls import CreditCalls
+    from stoatrouter.peering.credit_calls import CreditCalls
 
     ledger = parts[PART] = Ledger()
     scheduler = head.engine.reducer.scheduler
@@ -79,21 +79,24 @@
     """The shared history of the HTTP front's rules."""
     if settings.rules is None or head.http_tables is None:
         return None
-    from stoatrouter.history.register import Register
-    from stoatrouter.peering.rulecalls import RuleCalls
-    from stoatrouter.peering.rules import PART, RulesService
+    from stoatrouter.history.rule_history import RuleHistory
+    from stoatrouter.peering.rule_calls import RuleCalls
+    from stoatrouter.peering.rule_rollout import PART
+    from stoatrouter.peering.rules import RulesService
 
-    register = parts[PART] = Register()
-    service = RulesService(settings.rules, fleet, register, head.http_tables, started_with)
+    history = parts[PART] = RuleHistory()
+    service = RulesService(settings.rules, fleet, history, head.http_tables, started_with)
     calls.append(RuleCalls(service).call)
     return service
 
 
-def kept_version(settings: HeadsSettings, http: HttpSettings | None) -> tuple[int, HttpSettings | None]:
+def persisted_version(settings: HeadsSettings, http: HttpSettings | None) -> tuple[int, HttpSettings | None]:
     """With which version of the rules this head starts, and so with which files; 0: with its own."""
     if settings.rules is None or http is None:
         return 0, http
-    from stoatrouter.peering.rules import kept_rules
+    from stoatrouter.peering.rule_store import RuleStore
 
-    found = kept_rules(settings)
-    return (0, http) if found is None else (found[0], msgspec.structs.replace(http, rules=found[1]))
+    loaded = RuleStore(settings.folder).load()
+    if loaded is None:
+        return 0, http
+    return loaded.number, msgspec.structs.replace(http, rules=loaded.root)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,9 +12,10 @@
 import aiohttp
 import pytest
 
-from stoatrouter.net import bodies, clients
-from stoatrouter.net.bodies import BodyCapacity, NoCapacity, TooLarge
-from stoatrouter.net.discovery import read_node
+from stoatrouter.net import bodies, client_table
+from stoatrouter.net.bodies import BodyCapacity
+from stoatrouter.net.endpoint_list import read_node
+from stoatrouter.net.errors import NoCapacity, TooLarge
 from stoatrouter.policy.interface import ListKind
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, started
@@ -46,7 +47,7 @@
             assert node.pieces[KEY] == BODY
             assert [seen[3] for seen in node.seen] == [len(BODY)] * 2  # declined, then sent anew
             assert {r.headers["Content-Length"] for r in node.requests} == {str(len(BODY))}
-            assert not head.room.taken
+            assert not head.body_capacity.reserved
 
     run(story())
 
@@ -60,7 +61,7 @@
         async with started(node) as (there, _):
             body = in_chunks(b"b" * 200_000) if b"chunked" in head else b""
             assert b" 413 " in await exchange(there, PUT.encode() + head + body)
-            assert not node.seen and not there.room.taken
+            assert not node.seen and not there.body_capacity.reserved
 
     monkeypatch.setattr(bodies, "LARGEST", 70_000)
     run(story())
@@ -90,7 +91,7 @@
     async def story():
         async with started(Node("a", 0)) as (head, _):
             assert b" 408 " in await exchange(head, f"{PUT}Content-Length: 90000\r\n\r\n".encode() + b"b" * 9)
-            assert not head.room.taken
+            assert not head.body_capacity.reserved
 
     run(story())
 
@@ -100,9 +101,9 @@
         async with started(Node("a", 0)) as (head, _):
             _, writer = await asyncio.open_connection(HOST, head.platform.port)
             writer.write(f"{PUT}Content-Length: 90000\r\n\r\n".encode() + b"b" * 9)
-            await until(lambda: head.room.taken == 90000)
+            await until(lambda: head.body_capacity.reserved == 90000)
             writer.close()
-            await until(lambda: not head.room.taken)
+            await until(lambda: not head.body_capacity.reserved)
 
     run(story())
 
@@ -111,7 +112,7 @@
     async def story():
         node = Node("a", 0)
         async with started(node) as (head, _):
-            head.room.most = len(BODY)
+            head.body_capacity.limit = len(BODY)
             sent = f"{PUT}Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n".encode() + in_chunks(BODY)
             assert (await exchange(head, sent)).startswith(b"HTTP/1.1 200") and node.pieces[KEY] == BODY
 
@@ -121,9 +122,11 @@
 def test_without_a_place_to_keep_it_a_large_body_is_refused(tmp_path):
     async def story():
         async with started(Node("a", 0)) as (head, _):
-            head.room.folder = str(tmp_path / "absent")
+            head.body_capacity.folder = str(tmp_path / "absent")
             sent = f"{PUT}Content-Length: {len(BODY)}\r\n\r\n".encode() + BODY
-            assert (await exchange(head, sent)).startswith(b"HTTP/1.1 503") and not head.room.taken
+            assert (await exchange(head, sent)).startswith(
+                b"HTTP/1.1 503"
+            ) and not head.body_capacity.reserved
             assert sum(head.engine.reducer.counters.shed) == 1
 
     run(story())
@@ -131,25 +134,25 @@
 
 def test_room_is_given_in_turn_and_nobody_waits_for_ever(monkeypatch):
     async def story():
-        room = BodyCapacity(100)
-        await room.take(60)
-        large, small = asyncio.create_task(room.take(90)), asyncio.create_task(room.take(10))
+        capacity = BodyCapacity(100)
+        await capacity.reserve(60)
+        large, small = asyncio.create_task(capacity.reserve(90)), asyncio.create_task(capacity.reserve(10))
         await asyncio.sleep(0)
-        assert room.taken == 60 and not small.done()  # it would keep the large one waiting
-        room.free(60)
+        assert capacity.reserved == 60 and not small.done()  # it would keep the large one waiting
+        capacity.release(60)
         await asyncio.gather(large, small)
-        assert room.taken == 100
+        assert capacity.reserved == 100
         monkeypatch.setattr(bodies, "CAPACITY_WAIT", timedelta(0))
         with pytest.raises(NoCapacity):
-            await room.take(1)
+            await capacity.reserve(1)
         with pytest.raises(TooLarge):
-            await room.take(101)
-        leaving = asyncio.create_task(room.take(1))
+            await capacity.reserve(101)
+        leaving = asyncio.create_task(capacity.reserve(1))
         await asyncio.sleep(0)
         leaving.cancel()
-        room.free(100)
+        capacity.release(100)
         await asyncio.gather(leaving, return_exceptions=True)
-        assert room.taken == 0 and not room.waiting
+        assert capacity.reserved == 0 and not capacity.waiting
 
     run(story())
 
@@ -303,9 +306,9 @@
 # -- slow heads in a crowd ---------------------------------------------------------------------------------
 def test_a_head_that_comes_slowly_is_heard(monkeypatch):
     """Idle connections may be ended long before; one on which a request has begun may not."""
-    monkeypatch.setattr(clients, "IDLE", timedelta(milliseconds=20))
-    monkeypatch.setattr(clients, "SWEEP_EVERY", timedelta(milliseconds=5))
-    monkeypatch.setattr(clients, "HEAD_WITHIN", timedelta(seconds=60))
+    monkeypatch.setattr(client_table, "IDLE_TIMEOUT", timedelta(milliseconds=20))
+    monkeypatch.setattr(client_table, "SWEEP_INTERVAL", timedelta(milliseconds=5))
+    monkeypatch.setattr(client_table, "HEAD_TIMEOUT", timedelta(seconds=60))
 
     async def story():
         async with started(Node("a", 0)) as (head, _):
@@ -324,12 +327,12 @@
 
 
 def test_heads_of_which_nothing_more_comes_make_room_for_those_that_go_on(monkeypatch):
-    monkeypatch.setattr(clients, "STALE", timedelta(0))
+    monkeypatch.setattr(client_table, "STALE_HEAD_AFTER", timedelta(0))
 
     async def story():
         async with started(Node("a", 0), sockets=32) as (head, _), contextlib.AsyncExitStack() as stack:
             begun = []
-            for _ in range(head.clients.most - 1):
+            for _ in range(head.clients.max_connections - 1):
                 _, writer = await asyncio.open_connection(HOST, head.platform.port)
                 stack.callback(writer.close)
                 writer.write(b"GET /")
@@ -337,14 +340,14 @@
             slow, writer = await asyncio.open_connection(HOST, head.platform.port)
             stack.callback(writer.close)
             writer.write(GOOD[:50])
-            held = head.clients.by_state[clients.State.BEGUN]
-            await until(lambda: len(held) == head.clients.most)
-            for _ in range(head.clients.most - 1):
+            held = head.clients.by_state[client_table.State.BEGUN]
+            await until(lambda: len(held) == head.clients.max_connections)
+            for _ in range(head.clients.max_connections - 1):
                 _, more = await asyncio.open_connection(HOST, head.platform.port)
                 stack.callback(more.close)
                 writer.write(b"")
             writer.write(GOOD[50:])
             assert (await slow.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-            assert len(head.clients) <= head.clients.most + clients.SPARE
+            assert len(head.clients) <= head.clients.max_connections + client_table.SPARE_CONNECTIONS
 
     run(story())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,8 +18,8 @@
 from stoatrouter import config
 from stoatrouter.core.list_times import MS
 from stoatrouter.head import Head
-from stoatrouter.net import presence
-from stoatrouter.net.clients import State
+from stoatrouter.net import disconnects
+from stoatrouter.net.client_table import State
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.interface import Outcome
@@ -71,7 +71,7 @@
                 "restarted": {"startedAtMs": now + 1},
             }[change]
             # a long while ago, as where an agent was silent
-            head.watch.take(told(2, left.entry(**entry), reset=False), None)
+            head.watch.apply(told(2, left.entry(**entry), reset=False), None)
             await asyncio.sleep(0.005)  # the start that was told is over
             dials.let.set()
             answer = await asked
@@ -145,7 +145,7 @@
             reader, writer = await raw(head)
             writer.write(text(HEADERS))
             await until(lambda: dials.waiting == 1)
-            (client,) = head.engine.callers.values()
+            (client,) = head.engine.client_transports.values()
             client.pause_reading()  # as for a body that waits for room, or a client that sent much at once
             writer.write(b"y" * 1000)
             await writer.drain()
@@ -153,7 +153,7 @@
                 sock = writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             writer.close()
-            await until(lambda: presence.gone(client))
+            await until(lambda: disconnects.has_disconnected(client))
             dials.let.set()
             await until(lambda: not head.engine.reducer.records)
             assert not a.seen and head.engine.reducer.tally.counts["client_gone"] == 1
@@ -265,7 +265,7 @@
     plan = api.Plan("basic", usual_rate=4, limit=4.0, burst=8.0, tolerance=0.0)
     for on_arrival in (True, False):
         driver = SchedulerDriver(
-            plans=[plan], rules={"taken_on_arrival": on_arrival}, nodes=[api.NodeEntry("n1", 0)]
+            plans=[plan], rules={"charged_on_arrival": on_arrival}, nodes=[api.NodeEntry("n1", 0)]
         )
         driver.wait(10 * SECOND)  # the store is full
         driver.request("late", units=7)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,19 +14,19 @@
 import aiohttp
 import pytest
 
-from stoatrouter.net.early import NAME, Announcement
+from stoatrouter.net.handover_socket import HandoverSocket
+from stoatrouter.net.startup_notification import SOCKET_NAME, StartupNotification
 from stoatrouter.net.state_file import AdministrativeStateFile
-from stoatrouter.net.succession import Succession
 from stoatrouter.policy import Scheduler, handover
 from stoatrouter.policy import interface as api
-from stoatrouter.policy.rules import SECOND
+from stoatrouter.policy.volume import SECOND
 from tests.addresses import free_port
 from tests.peers import HOST, Discovery, Node, config_data, listening, nodes_up, run, told, until
 from tests.platform_client import started
 from tests.scheduler_driver import CLASSES, PLAN, READ
 from tests.test_program import PATH, ROOT, read
 
-LIMITED = api.Plan("limited", usual_rate=5, reserve=1, share=1, limit=20, burst=40, tolerance=4)
+LIMITED = api.Plan("limited", usual_rate=5, reserve=1, weight=1, limit=20, burst=40, tolerance=4)
 
 
 class Process:
@@ -163,16 +163,16 @@
         folder = tmp_path / ("long" * 30)
         folder.mkdir()
         if left_behind == "file":
-            (folder / NAME).write_text("")
+            (folder / SOCKET_NAME).write_text("")
         else:
-            dead = Succession(str(folder))
+            dead = HandoverSocket(str(folder))
             await dead.listen(lambda *_: None)
             await dead.close()
-        one = Succession(str(folder))
+        one = HandoverSocket(str(folder))
         assert await one.take_over() is None
         asked = asyncio.Event()
         await one.listen(lambda *_: asked.set())
-        taking = asyncio.create_task(Succession(str(folder)).take_over())
+        taking = asyncio.create_task(HandoverSocket(str(folder)).take_over())
         await asked.wait()
         taking.cancel()
         await one.close()
@@ -183,7 +183,7 @@
 # -- what the decision module hands over -------------------------------------------------------------------
 def scheduler(**more) -> Scheduler:
     made = Scheduler(api.Settings(classes=CLASSES, plans=(PLAN, LIMITED), max_units=4, **more), seed=1)
-    made.handle(SECOND, api.NodeList(api.ListKind.RESTORED, (api.NodeEntry("n", 0),)))
+    made.handle(SECOND, api.EndpointList(api.ListKind.RESTORED, (api.NodeEntry("n", 0),)))
     return made
 
 
@@ -195,7 +195,7 @@
 def passed_on(old: Scheduler, now: int) -> Scheduler:
     new = Scheduler(old.settings, seed=2)
     entries = (api.NodeEntry(n.id, n.shard, phase=n.phase, up_since=n.up_since) for n in old.nodes.values())
-    new.handle(now, api.NodeList(api.ListKind.RESTORED, tuple(entries)))
+    new.handle(now, api.EndpointList(api.ListKind.RESTORED, tuple(entries)))
     handover.take_over(new, json.loads(json.dumps(handover.hand_over(old, now))))
     return new
 
@@ -243,11 +243,11 @@
 
 
 def test_a_cold_node_gets_nothing_from_the_old_process():
-    rules = api.Rules(cold_time=18 * SECOND, cold_units=34, fall_time=3 * SECOND)
+    rules = api.Rules(warm_up_time=18 * SECOND, warm_up_units=34, overload_window=3 * SECOND)
     for handed, sent in (False, True), (True, False):
         old = scheduler(rules=rules)
         cold = api.NodeEntry("n", 0, up_since=29 * SECOND)
-        old.handle(30 * SECOND, api.NodeList(api.ListKind.CHANGES, (cold,)))
+        old.handle(30 * SECOND, api.EndpointList(api.ListKind.CHANGES, (cold,)))
         if handed:
             passed_on(old, 30 * SECOND)
         actions = old.handle(31 * SECOND, api.RequestArrived("r", "w", 0, 0, 0, 2 * SECOND, 1.0))
@@ -256,11 +256,11 @@
 
 def test_the_kept_file_and_the_socket_share_the_folder(tmp_path):
     async def story():
-        one = Succession(str(tmp_path))
+        one = HandoverSocket(str(tmp_path))
         await one.listen(lambda *_: None)
         assert AdministrativeStateFile(str(tmp_path)).write(AdministrativeStateFile(str(tmp_path)).read())
         await one.close()
-        assert sorted(p.name for p in tmp_path.iterdir()) == ["stoatrouter-bricks.json", NAME]
+        assert sorted(p.name for p in tmp_path.iterdir()) == ["stoatrouter-bricks.json", SOCKET_NAME]
 
     run(story())
 
@@ -271,14 +271,14 @@
     async def story():
         folder, came = tmp_path / ("long" * 30), asyncio.Event()
         folder.mkdir()
-        early, one = Announcement(), Succession(str(folder))
-        early.connect(str(folder))
-        assert early.connection is None  # there is none to say it to
-        early.connect(None)
+        notification, one = StartupNotification(), HandoverSocket(str(folder))
+        notification.connect(str(folder))
+        assert notification.connection is None  # there is none to say it to
+        notification.connect(None)
         await one.listen(lambda *_: came.set())
-        early.connect(str(folder))
+        notification.connect(str(folder))
         await came.wait()
-        early.end()
+        notification.close()
         await one.close()
 
     run(story())
@@ -287,13 +287,13 @@
 def test_a_head_holds_less_open_while_its_next_version_starts(tmp_path):
     async def story():
         async with started(Node("a", 0)) as (head, _):
-            head.generations.succession.folder = str(tmp_path)
-            await head.generations.listen()
-            assert head.clients.busy_bound() == head.clients.busy_most
-            early = Announcement()
-            early.connect(str(tmp_path))
-            await until(lambda: head.clients.busy_bound() == head.clients.busy_pressed)
-            early.end()
+            head.handover.socket.folder = str(tmp_path)
+            await head.handover.listen()
+            assert head.clients.busy_limit() == head.clients.max_busy
+            notification = StartupNotification()
+            notification.connect(str(tmp_path))
+            await until(lambda: head.clients.busy_limit() == head.clients.max_busy_tightened)
+            notification.close()
             assert head.serving and not head.drain.handed_over
 
     run(story())
