--- a/stoatrouter/config.py
+++ b/stoatrouter/config.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from datetime import timedelta
 from pathlib import Path
@@ -14,6 +14,14 @@
 from stoatrouter.policy.simhost import read_settings
 
 LIMIT_SLACK = timedelta(milliseconds=150)  # by what a limit allows in this time its slack grows on sockets
+FIRST_INHERITED = 3  # below are the standard streams
+MOST_SHOWN_FAULTS = 5
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+DEFAULT_CONNECT_TIMEOUT = 250_000  # microseconds
+DEFAULT_CONN_IDLE = 30_000_000  # microseconds
+DEFAULT_MAX_OPEN = 1 << 20
+# Fields of the file that a variable of the environment may give.
 VARIABLES = {
     "name": "NODE_NAME",
     "listen": "NODE_LISTEN",
@@ -23,7 +31,18 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why in one line."""
+    """The configuration cannot be used; the text says where, why, and what would be right."""
+
+    @classmethod
+    def at(cls, place: str, fault: str, allowed: str) -> ConfigError:
+        """An error with its place.
+
+        Args:
+            place: The variable or field that is concerned.
+            fault: What was found there.
+            allowed: What would be right.
+        """
+        return cls(f"{place}: {fault} (allowed: {allowed})")
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,12 +60,12 @@
     connect_timeout: timedelta
     conn_idle: timedelta
     max_open: int
-    shards: int  # 0: not told
+    shards: int  # 0: not given
     drain_grace: timedelta  # as the settings have it
     zones: tuple[str, ...] = ()  # by name, as the settings number them
     management: str | None = None  # the operators' address; None: there is none
     inherited: int | None = None  # the descriptor of a listening socket that is held for this head
-    folder: str | None = None  # where an upgrade finds what this head keeps; None: nothing is kept
+    folder: str | None = None  # where an upgrade finds what this head saves; None: nothing is saved
     objects: str | None = None  # the operator's file of the object front; None: the front is off
     http: str | None = None  # the same of the HTTP front
     heads: str | None = None  # the same of heads that know each other
@@ -70,53 +89,65 @@
     return read(environ, {})
 
 
-def read(environ: Mapping[str, str], first: Mapping[str, str | None]) -> Config:
+def read(environ: Mapping[str, str], overrides: Mapping[str, str | None]) -> Config:
     """Read and check the whole file.
 
-    Values of `first` take precedence over those of the file; the environment fills in what neither has.
-    Raises ConfigError.
+    Args:
+        environ: The environment, which names the file and fills in what neither the file nor `overrides` has.
+        overrides: Values that take precedence over those of the file, by its field names.
+
+    Raises:
+        ConfigError: The file cannot be read, or it cannot be used.
     """
     path = environ.get("NODE_CONFIG")
     if not path:
-        raise ConfigError("NODE_CONFIG is not set")
+        raise ConfigError("NODE_CONFIG is not set (allowed: the path of the head's JSON file)")
     try:
         data = json.loads(Path(path).read_text())
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"cannot read {path}: {error}") from None
     try:
         for key, variable in VARIABLES.items():
-            data[key] = first.get(key) or data.get(key) or environ.get(variable)
+            data[key] = overrides.get(key) or data.get(key) or environ.get(variable)
         conf = replace(
             parse(data),
             objects=environ.get("STOATROUTER_OBJECTS") or None,
             http=environ.get("STOATROUTER_HTTP") or None,
             heads=environ.get("STOATROUTER_HEADS") or None,
             folder=environ.get("TMPDIR") or None,
-            inherited=descriptor(environ.get("NODE_INHERITED_FD")),
+            inherited=parse_descriptor(environ.get("NODE_INHERITED_FD")),
         )
-        address(conf.listen), address(conf.discovery), conf.management and address(conf.management)
+        check_addresses(conf)
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
         raise ConfigError(f"bad configuration in {path}: {describe_error(data, error)}") from None
     return conf
 
 
+def check_addresses(conf: Config) -> None:
+    """Raise ConfigError where an address that this head listens at or connects to is malformed."""
+    parse_address(conf.listen, "listen")
+    parse_address(conf.discovery, "discovery")
+    if conf.management:
+        parse_address(conf.management, "management")
+
+
 def describe_error(data: Any, error: Exception) -> str:
-    """Describe what is wrong with a configuration: the known faults, else the exception."""
+    """Describe the faults of a configuration: the known ones, else the exception."""
     from stoatrouter.faults import explain  # only where a start or a reload fails
 
-    return "; ".join(explain(data)[:5]) or f"{type(error).__name__}: {error}"
+    return "; ".join(explain(data)[:MOST_SHOWN_FAULTS]) or f"{type(error).__name__}: {error}"
 
 
-def descriptor(text: str | None) -> int | None:
+def parse_descriptor(text: str | None) -> int | None:
     """Parse the number of an inherited descriptor; None where the text is empty.
 
-    Raises ValueError where it is no number or below 3.
+    Raises ValueError where it is no number or below FIRST_INHERITED.
     """
     if not text:
         return None
     number = int(text)
-    if number < 3:
-        raise ValueError(f"NODE_INHERITED_FD is {text}")
+    if number < FIRST_INHERITED:
+        raise ValueError(f"NODE_INHERITED_FD is {text} (allowed: {FIRST_INHERITED} or more)")
     return number
 
 
@@ -125,54 +156,66 @@
 
     Raises KeyError, TypeError, ValueError or AttributeError where a field is missing or wrong.
     """
-    raw, limits = data["settings"], data.get("limits") or {}
-    connect_timeout = span(raw["Limits"].get("ConnectTimeout") or 250_000)
+    raw = data["settings"]
+    limits = data.get("limits") or {}
+    connect_timeout = span(raw["Limits"].get("ConnectTimeout") or DEFAULT_CONNECT_TIMEOUT)
     return Config(
         name=str(data["name"]),
         listen=str(data["listen"]),
         discovery=str(data["discovery"]),
         seed=int(str(data.get("seed") or "0"), 16),
-        settings=on_sockets(read_settings(raw), connect_timeout),
+        settings=adapt_to_sockets(read_settings(raw), connect_timeout),
         known=data.get("known") or {},
-        sockets=int(limits.get("sockets") or 1024),
-        memory_mb=int(limits.get("memory_mb") or 192),
+        sockets=int(limits.get("sockets") or DEFAULT_SOCKETS),
+        memory_mb=int(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
         connect_timeout=connect_timeout,
-        conn_idle=span(raw["Limits"].get("ConnIdle") or 30_000_000),
-        max_open=int(raw["Limits"].get("MaxOpen") or 1 << 20),
+        conn_idle=span(raw["Limits"].get("ConnIdle") or DEFAULT_CONN_IDLE),
+        max_open=int(raw["Limits"].get("MaxOpen") or DEFAULT_MAX_OPEN),
         shards=int((raw.get("Extra") or {}).get("Shards") or 0),
         zones=tuple(str(zone) for zone in raw.get("Areas") or ()),
         drain_grace=span(raw["Contract"].get("DrainGrace") or 0),
         management=data.get("management") or None,
-        peers=addresses(data.get("peers")),
+        peers=parse_peers(data.get("peers")),
         peer_listen=data.get("peer_listen") or None,
     )
 
 
-def addresses(value: Any) -> tuple[str, ...]:
+def parse_peers(value: Any) -> tuple[str, ...]:
     """The addresses of other heads, from a list or from an object with their names.
 
     Items that are no `host:port` are skipped.
     """
-    listed = value.values() if isinstance(value, dict) else value if isinstance(value, list) else ()
-    texts = (item for item in listed if isinstance(item, str))
-    return tuple(item for item in texts if item.rpartition(":")[0] and item.rpartition(":")[2].isdigit())
+    items: Iterable[Any] = ()
+    if isinstance(value, dict):
+        items = value.values()
+    elif isinstance(value, list):
+        items = value
+    return tuple(item for item in items if isinstance(item, str) and is_address(item))
 
 
-def on_sockets(settings: api.Settings, connect_timeout: timedelta) -> api.Settings:
+def adapt_to_sockets(settings: api.Settings, connect_timeout: timedelta) -> api.Settings:
     """Adjust the platform's settings to real sockets, where connecting takes time."""
     # Guards the rule on drains: a send decided within the grace may first have to connect.
     grace = max(0, settings.rules.drain_grace - micros(connect_timeout))
     # Guards the rule on limits: the platform's store stands full until a request comes, while ours fills from
     # the decision on. What it fills in the time to connect, beyond the slack, is not spent.
     late = max(timedelta(0), connect_timeout - LIMIT_SLACK).total_seconds()
-    plans = tuple(replace(p, tolerance=max(0.0, p.tolerance - p.limit * late)) for p in settings.plans)
+    plans = tuple(
+        replace(plan, tolerance=max(0.0, plan.tolerance - plan.limit * late)) for plan in settings.plans
+    )
     rules = replace(settings.rules, drain_grace=grace, taken_on_arrival=True)
     return replace(settings, plans=plans, rules=rules)
 
 
-def address(text: str) -> tuple[str, int]:
-    """Split `host:port`, with an IPv6 host in brackets; raises ConfigError."""
+def is_address(text: str) -> bool:
+    """Whether a text has the form `host:port`."""
+    host, _, port = text.rpartition(":")
+    return bool(host) and port.isdigit()
+
+
+def parse_address(text: str, place: str = "address") -> tuple[str, int]:
+    """Split `host:port`, with an IPv6 host in brackets; raises ConfigError, which names `place`."""
+    if not is_address(text):
+        raise ConfigError.at(place, f"not an address: {text!r}", "host:port, with an IPv6 host in brackets")
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit():
-        raise ConfigError(f"not an address: {text!r}")
     return host.strip("[]"), int(port)
--- a/stoatrouter/faults.py
+++ b/stoatrouter/faults.py
@@ -6,114 +6,151 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from dataclasses import dataclass
+from enum import Enum
 from typing import Any
 
-NUMBER, WHOLE, TEXT, LIST, FIELDS = (int, float), (int,), (str,), (list,), (dict,)
-WORDS = {NUMBER: "a number", WHOLE: "a whole number", TEXT: "text", LIST: "a list", FIELDS: "fields"}
-EFFECTS, GROUPS = ("retryable", "dedup", "fragile"), ("all", "zone", "cell")
-REGISTRY = ("automatic", "subscribe")
-# field, type, least, what may stand instead; a field in brackets may be left out
+LONGEST_SHOWN = 40  # characters of a value
+ELLIPSIS = "..."
+
+
+class Kind(Enum):
+    """The type of a field's value, by what operators are shown for it."""
+
+    NUMBER = "a number"
+    INTEGER = "a whole number"
+    TEXT = "text"
+    LIST = "a list"
+    FIELDS = "fields"
+
+
+TYPES: dict[Kind, tuple[type, ...]] = {
+    Kind.NUMBER: (int, float),
+    Kind.INTEGER: (int,),
+    Kind.TEXT: (str,),
+    Kind.LIST: (list,),
+    Kind.FIELDS: (dict,),
+}
+
+
+@dataclass(slots=True, frozen=True)
+class Field:
+    """A field of the configuration file, and the values that it may have."""
+
+    name: str
+    kind: Kind
+    minimum: float | None = None
+    choices: tuple[str, ...] = ()  # empty: any
+    optional: bool = False
+
+    def accepts(self, value: Any) -> bool:
+        """Whether a value has the field's type and is one of those allowed."""
+        if not isinstance(value, TYPES[self.kind]) or isinstance(value, bool):
+            return False
+        if self.choices:
+            return value in self.choices
+        return self.minimum is None or (isinstance(value, int | float) and value >= self.minimum)
+
+    def allowed(self) -> str:
+        """The allowed type and values, as they are shown to operators."""
+        if self.choices:
+            return ", ".join(self.choices)
+        return self.kind.value + (f", {self.minimum} or more" if self.minimum is not None else "")
+
+
 TOP = (
-    ("name", TEXT, None),
-    ("listen", TEXT, None),
-    ("discovery", TEXT, None),
-    ("settings", FIELDS, None),
-    ("[limits]", FIELDS, None),
-    ("[known]", FIELDS, None),
+    Field("name", Kind.TEXT),
+    Field("listen", Kind.TEXT),
+    Field("discovery", Kind.TEXT),
+    Field("settings", Kind.FIELDS),
+    Field("limits", Kind.FIELDS, optional=True),
+    Field("known", Kind.FIELDS, optional=True),
 )
 SETTINGS = (
-    ("Balancers", WHOLE, 1),
-    ("Me", WHOLE, 0),
-    ("Classes", LIST, None),
-    ("Contracts", LIST, None),
-    ("Contract", FIELDS, None),
-    ("Limits", FIELDS, None),
-    ("[Extra]", FIELDS, None),
-    ("[RegistryMode]", TEXT, REGISTRY),
+    Field("Balancers", Kind.INTEGER, 1),
+    Field("Me", Kind.INTEGER, 0),
+    Field("Classes", Kind.LIST),
+    Field("Contracts", Kind.LIST),
+    Field("Contract", Kind.FIELDS),
+    Field("Limits", Kind.FIELDS),
+    Field("Extra", Kind.FIELDS, optional=True),
+    Field("RegistryMode", Kind.TEXT, choices=("automatic", "subscribe"), optional=True),
 )
-CLASS = (
-    ("Name", TEXT, None),
-    ("Points", NUMBER, 0),
-    ("Promise", WHOLE, 1),
-    ("HardLimit", WHOLE, 1),
-    ("Effect", TEXT, EFFECTS),
-    ("[Group]", TEXT, GROUPS),
-    ("[LateWorth]", NUMBER, 0),
-    ("[Window]", WHOLE, 0),
+REQUEST_CLASS = (
+    Field("Name", Kind.TEXT),
+    Field("Points", Kind.NUMBER, 0),
+    Field("Promise", Kind.INTEGER, 1),
+    Field("HardLimit", Kind.INTEGER, 1),
+    Field("Effect", Kind.TEXT, choices=("retryable", "dedup", "fragile")),
+    Field("Group", Kind.TEXT, choices=("all", "zone", "cell"), optional=True),
+    Field("LateWorth", Kind.NUMBER, 0, optional=True),
+    Field("Window", Kind.INTEGER, 0, optional=True),
 )
 PLAN = (
-    ("Name", TEXT, None),
+    Field("Name", Kind.TEXT),
     *(
-        (f"[{name}]", NUMBER, 0)
+        Field(name, Kind.NUMBER, 0, optional=True)
         for name in ("UsualRate", "Guaranteed", "Shares", "Price", "Limit", "Burst", "Tolerance")
     ),
 )
 LIMITS = (
-    ("MostTries", WHOLE, 1),
-    ("[ConnectTimeout]", WHOLE, 0),
-    ("[ConnIdle]", WHOLE, 0),
-    ("[MaxOpen]", WHOLE, 0),
-    ("[MaxRetryAfter]", WHOLE, 0),
+    Field("MostTries", Kind.INTEGER, 1),
+    Field("ConnectTimeout", Kind.INTEGER, 0, optional=True),
+    Field("ConnIdle", Kind.INTEGER, 0, optional=True),
+    Field("MaxOpen", Kind.INTEGER, 0, optional=True),
+    Field("MaxRetryAfter", Kind.INTEGER, 0, optional=True),
+)
+RULES = (
+    Field("DrainGrace", Kind.INTEGER, 0, optional=True),
+    Field("Cold", Kind.INTEGER, 0, optional=True),
+    Field("ColdFrom", Kind.NUMBER, 0, optional=True),
+    Field("Fall", Kind.INTEGER, 0, optional=True),
 )
-RULES = (("[DrainGrace]", WHOLE, 0), ("[Cold]", WHOLE, 0), ("[ColdFrom]", NUMBER, 0), ("[Fall]", WHOLE, 0))
 
 
 def explain(data: Any) -> list[str]:
     """All faults found, one line each; empty where none of the known kinds is found."""
     if not isinstance(data, dict):
-        return [f"the file: found {shorten(data)} (allowed: fields)"]
+        return [f"the file: found {shorten(data)} (allowed: {Kind.FIELDS.value})"]
     faults = list(field_faults("", data, TOP))
     settings = data.get("settings")
     if isinstance(settings, dict):
         faults += field_faults("settings.", settings, SETTINGS)
-        for name, rows in (("Classes", CLASS), ("Contracts", PLAN)):
-            faults += item_faults(f"settings.{name}", settings.get(name), rows)
-        for name, rows in (("Limits", LIMITS), ("Contract", RULES)):
+        for name, fields in (("Classes", REQUEST_CLASS), ("Contracts", PLAN)):
+            faults += item_faults(f"settings.{name}", settings.get(name), fields)
+        for name, fields in (("Limits", LIMITS), ("Contract", RULES)):
             if isinstance(settings.get(name), dict):
-                faults += field_faults(f"settings.{name}.", settings[name], rows)
+                faults += field_faults(f"settings.{name}.", settings[name], fields)
     return faults
 
 
-def item_faults(place: str, items: Any, rows: tuple[tuple[str, Any, Any], ...]) -> Iterator[str]:
+def item_faults(place: str, items: Any, fields: tuple[Field, ...]) -> Iterator[str]:
     """The faults of a list and of each of its items; `place` is the list's path in the file."""
     if not isinstance(items, list):
         return
     if not items:
         yield f"{place}: found none (allowed: one or more)"
-    for i, item in enumerate(items):
+    for index, item in enumerate(items):
         if isinstance(item, dict):
-            yield from field_faults(f"{place}[{i}].", item, rows)
+            yield from field_faults(f"{place}[{index}].", item, fields)
         else:
-            yield f"{place}[{i}]: found {shorten(item)} (allowed: fields)"
+            yield f"{place}[{index}]: found {shorten(item)} (allowed: {Kind.FIELDS.value})"
 
 
-def field_faults(place: str, fields: dict[str, Any], rows: tuple[tuple[str, Any, Any], ...]) -> Iterator[str]:
-    """The faults of one group of fields, checked against its rows; `place` is the prefix of their paths."""
-    for name, kind, least in rows:
-        key = name.strip("[]")
-        value = fields.get(key)
+def field_faults(place: str, values: dict[str, Any], fields: tuple[Field, ...]) -> Iterator[str]:
+    """The faults of one group of values, checked against its fields; `place` is the prefix of their paths."""
+    for field in fields:
+        value = values.get(field.name)
         if value is None:
-            if name == key:
-                yield f"{place}{key}: found nothing (allowed: {allowed(kind, least)})"
-        elif not isinstance(value, kind) or isinstance(value, bool) or not within(value, least):
-            yield f"{place}{key}: found {shorten(value)} (allowed: {allowed(kind, least)})"
-
-
-def within(value: Any, least: Any) -> bool:
-    """Whether a value is at least `least`, or one of the values where `least` is a tuple; None allows any."""
-    if least is None:
-        return True
-    return value in least if isinstance(least, tuple) else value >= least
-
-
-def allowed(kind: Any, least: Any) -> str:
-    """The allowed type and values of a field, as they are shown to operators."""
-    if isinstance(least, tuple):
-        return ", ".join(least)
-    return WORDS[kind] + (f", {least} or more" if least is not None else "")
+            if not field.optional:
+                yield f"{place}{field.name}: found nothing (allowed: {field.allowed()})"
+        elif not field.accepts(value):
+            yield f"{place}{field.name}: found {shorten(value)} (allowed: {field.allowed()})"
 
 
 def shorten(value: Any) -> str:
-    """A value as it is shown to operators, cut to 40 characters."""
+    """A value as it is shown to operators, cut to LONGEST_SHOWN characters."""
     text = repr(value)
-    return text if len(text) <= 40 else text[:37] + "..."
+    if len(text) <= LONGEST_SHOWN:
+        return text
+    return text[: LONGEST_SHOWN - len(ELLIPSIS)] + ELLIPSIS
--- a/stoatrouter/fronts/http/settings.py
+++ b/stoatrouter/fronts/http/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from stoatrouter.config import Config, ConfigError, address
+from stoatrouter.config import Config, ConfigError, parse_address
 from stoatrouter.core.spans import span
 from stoatrouter.matching.vocabulary import KnownClass, Vocabulary
 from stoatrouter.policy import interface as api
@@ -50,7 +50,7 @@
         made = load(path, HttpFile, "http.#Http").record
     except SettingsError as error:
         raise ConfigError(f"bad settings of the HTTP front:\n{error}") from None
-    address(made.listen)
+    parse_address(made.listen)
     folder = path.parent
     return HttpSettings(
         made.listen,
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -200,7 +200,7 @@
     async def start(self) -> None:
         """Restore the node list, follow discovery, and listen once discovery has answered or timed out."""
         if self.conf.management is not None:
-            await self.management.start(*config.address(self.conf.management))
+            await self.management.start(*config.parse_address(self.conf.management))
         await self._start_watch()
         if self.heads is not None:
             await self.heads.start()
@@ -237,11 +237,11 @@
 
     async def accept(self) -> None:
         """Accept clients at all fronts."""
-        await self.platform.start(*config.address(self.conf.listen), inherited=self.conf.inherited)
+        await self.platform.start(*config.parse_address(self.conf.listen), inherited=self.conf.inherited)
         if self.objects is not None and self.object_settings is not None:
-            await self.objects.start(*config.address(self.object_settings.listen))
+            await self.objects.start(*config.parse_address(self.object_settings.listen))
         if self.http is not None and self.http_settings is not None:
-            await self.http.start(*config.address(self.http_settings.listen))
+            await self.http.start(*config.parse_address(self.http_settings.listen))
         self.serving = True
 
     async def stop_accepting(self) -> None:
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -105,10 +105,10 @@
     async def start(self) -> None:
         """Listen, then take part."""
         settings = self.settings
-        await self.streams.start(config.address(settings.listen) if settings.listen else None)
+        await self.streams.start(config.parse_address(settings.listen) if settings.listen else None)
         loop = asyncio.get_running_loop()
         if self.datagrams is not None and settings.peer_listen is not None:
-            await self.datagrams.start(*config.address(settings.peer_listen))
+            await self.datagrams.start(*config.parse_address(settings.peer_listen))
             self.tasks.append(loop.create_task(self.datagrams.run_for_ever()))
         self.tasks += [
             loop.create_task(work)
--- a/stoatrouter/peering/settings.py
+++ b/stoatrouter/peering/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from stoatrouter.agreement.state import Timing as AgreementTiming
-from stoatrouter.config import Config, ConfigError, address
+from stoatrouter.config import Config, ConfigError, parse_address
 from stoatrouter.membership.detector import Timing as DetectorTiming
 from stoatrouter.peering.envelope import read_secret
 from stoatrouter.settings import SettingsError, load
@@ -120,7 +120,7 @@
         raise ConfigError(f"bad settings of the heads:\n{error}") from None
     check(path, made, conf)
     for at in made.streams.values():
-        address(at)
+        parse_address(at)
     listen = made.listen or made.streams.get(conf.name)
     timing = made.detector
     return HeadsSettings(
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from stoatrouter.config import ConfigError, address, on_sockets
+from stoatrouter.config import ConfigError, adapt_to_sockets, parse_address
 from stoatrouter.core import model
 from stoatrouter.core.invariants import InvariantBroken, invariant
 from stoatrouter.core.reducer import Reducer
@@ -157,7 +157,7 @@
 def test_on_sockets_the_grace_of_drains_leaves_time_to_connect():
     rules = api.Rules(drain_grace=2_000_000)
     settings = api.Settings(classes=CLASSES, plans=(PLAN,), rules=rules)
-    assert on_sockets(settings, timedelta(milliseconds=250)).rules.drain_grace == 1_750_000
+    assert adapt_to_sockets(settings, timedelta(milliseconds=250)).rules.drain_grace == 1_750_000
 
 
 @pytest.mark.parametrize(
@@ -167,9 +167,9 @@
 def test_addresses(text, read):
     if read is None:
         with pytest.raises(ConfigError):
-            address(text)
+            parse_address(text)
     else:
-        assert address(text) == read
+        assert parse_address(text) == read
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -284,6 +284,6 @@
 def test_a_limit_keeps_what_it_fills_while_a_connection_comes_up():
     plan = api.Plan("p", 4, limit=10.0, burst=20.0, tolerance=8.0)
     settings = replace(head_config().settings, plans=(plan,))
-    kept = config.on_sockets(settings, timedelta(milliseconds=350)).plans[0].tolerance
+    kept = config.adapt_to_sockets(settings, timedelta(milliseconds=350)).plans[0].tolerance
     assert kept == pytest.approx(8.0 - 10.0 * 0.2)
-    assert config.on_sockets(settings, timedelta(milliseconds=100)).plans[0].tolerance == 8.0
+    assert config.adapt_to_sockets(settings, timedelta(milliseconds=100)).plans[0].tolerance == 8.0
