--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -61,7 +61,7 @@
         try:
             given = read_request(request)
             if self.recorder is not None:
-                self.recorder.take(given, request.raw_path, request.raw_headers)
+                self.recorder.record(given, request.raw_path, request.raw_headers)
             decided = self.matcher.decide(given, self.engine.clock.now(), stated_key(request))
             if isinstance(decided, Refusal):
                 return self.refused(request, decided)
--- a/stoatrouter/lab/hollow/tables.py
+++ b/stoatrouter/lab/hollow/tables.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from stoatrouter.net.tables import Made, TableService
+from stoatrouter.net.tables import CompiledTable, TableService
 
 MOST_KEPT = 8  # compiled sets; beyond, the oldest is forgotten and compiled again when it is asked for
 
@@ -22,9 +22,9 @@
     def __init__(self, service: TableService) -> None:
         self.service = service
         self.compiled = 0
-        self.made: dict[str, asyncio.Task[Made]] = {}
+        self.made: dict[str, asyncio.Task[CompiledTable]] = {}
 
-    async def compile(self, path: Path) -> Made:
+    async def compile(self, path: Path) -> CompiledTable:
         """The table of a set of files, whose folder is named by its digest; raises SettingsError."""
         digest = path.parent.name
         if digest not in self.made:
@@ -41,12 +41,12 @@
 
     shared: SharedTables
     managed: bool = False
-    in_force: Made | None = field(default=None, repr=False)
+    in_force: CompiledTable | None = field(default=None, repr=False)
 
-    async def compile(self, path: Path) -> Made:
+    async def compile(self, path: Path) -> CompiledTable:
         """A table of other files, put nowhere yet; raises SettingsError."""
         return await self.shared.compile(path)
 
-    def put(self, made: Made) -> None:
+    def put(self, made: CompiledTable) -> None:
         """Put a table in force that was made before."""
         self.in_force = made
--- a/stoatrouter/net/recorder.py
+++ b/stoatrouter/net/recorder.py
@@ -13,8 +13,10 @@
 from stoatrouter.matching.inputs import Input
 from stoatrouter.matching.samples import Sampler
 
-WRITE_EVERY = timedelta(seconds=1)
-MOST_WAITING = 1_000  # records between two writes; what comes beyond is left out and counted
+WRITE_INTERVAL = timedelta(seconds=1)
+APPEND = os.O_WRONLY | os.O_CREAT | os.O_APPEND
+PRIVATE = 0o600  # requests may hold what others must not read
+MOST_WAITING = 1_000  # records between two writes; what comes beyond is dropped and counted
 
 
 class Recorder:
@@ -28,46 +30,41 @@
             most_bytes: The bound on the bytes of `file` and `file.1` together.
             sampler: Chooses the requests that are recorded.
         """
-        self.file, self.most, self.sampler = file, most_bytes // 2, sampler
+        self.file = file
+        self.max_file_bytes = most_bytes // 2
+        self.sampler = sampler
         self.waiting: list[str] = []
-        self.left_out = 0
+        self.dropped = 0
         self.failing = False
 
-    def take(self, given: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> None:
+    def record(self, matcher_input: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> None:
         """Record a request if it is one of the sample; beyond MOST_WAITING it is only counted."""
-        line = self.sampler.take(given, target, fields)
+        line = self.sampler.take(matcher_input, target, fields)
         if line is None:
             return
         if len(self.waiting) >= MOST_WAITING:
-            self.left_out += 1
+            self.dropped += 1
             return
         self.waiting.append(line)
 
     async def run(self) -> None:
-        """Write the records every WRITE_EVERY, and once more when cancelled."""
+        """Write the records every WRITE_INTERVAL, and once more when cancelled."""
         try:
             while True:
-                await asyncio.sleep(WRITE_EVERY.total_seconds())
+                await asyncio.sleep(WRITE_INTERVAL.total_seconds())
                 self.write()
         finally:
             self.write()
 
     def write(self) -> None:
         """Append the waiting records; the first of several failures is logged, and the head serves on."""
-        lines, self.waiting = self.waiting, []
+        lines = self.waiting
+        self.waiting = []
         if not lines:
             return
         data = "".join(f"{line}\n" for line in lines).encode()
         try:
-            descriptor = os.open(self.file, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
-            try:
-                if os.fstat(descriptor).st_size + len(data) > self.most:
-                    os.replace(self.file, f"{self.file}.1")
-                    os.close(descriptor)
-                    descriptor = os.open(self.file, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
-                os.write(descriptor, data[: self.most])
-            finally:
-                os.close(descriptor)
+            self.append(data)
             self.failing = False
         except OSError as error:
             if not self.failing:
@@ -75,3 +72,15 @@
                     "record: requests cannot be recorded: {error}", event="record.failed", error=str(error)
                 )
             self.failing = True
+
+    def append(self, data: bytes) -> None:
+        """Append to the file, which is rotated first where its bound would be exceeded; raises OSError."""
+        descriptor = os.open(self.file, APPEND, PRIVATE)
+        try:
+            if os.fstat(descriptor).st_size + len(data) > self.max_file_bytes:
+                os.replace(self.file, f"{self.file}.1")
+                os.close(descriptor)
+                descriptor = os.open(self.file, APPEND, PRIVATE)
+            os.write(descriptor, data[: self.max_file_bytes])
+        finally:
+            os.close(descriptor)
--- a/stoatrouter/net/tables.py
+++ b/stoatrouter/net/tables.py
@@ -8,6 +8,7 @@
 import sys
 import threading
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
 from functools import partial
 from pathlib import Path
@@ -20,32 +21,32 @@
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
 
-# While a table is made in another thread, the loop gets the interpreter back after so long (5 ms by default).
-SWITCH = timedelta(microseconds=500)
-Done = TypeVar("Done")
+# While a table is compiled in another thread, the loop gets the interpreter back this often (default: 5 ms).
+SWITCH_INTERVAL = timedelta(microseconds=500)
+Result = TypeVar("Result")
 MOST_LOGGED = 20  # lines about one table
-LOG_EVERY = timedelta(seconds=10)
+LOG_INTERVAL = timedelta(seconds=10)
 
 
-async def in_thread(work: Callable[[], Done]) -> Done:
+async def in_thread(work: Callable[[], Result]) -> Result:
     """The result of work in a daemon thread of its own.
 
     An executor's threads would be waited for at the end of the process, however long they take.
     """
     loop = asyncio.get_running_loop()
-    result: asyncio.Future[Done] = loop.create_future()
+    result: asyncio.Future[Result] = loop.create_future()
 
-    def give(set_it: Callable[[Any], None], value: Any) -> None:
-        if not result.done():  # nobody waits for it any more
-            set_it(value)
+    def resolve(set_outcome: Callable[[Any], None], outcome: Any) -> None:
+        if not result.done():  # else nobody waits for it any more
+            set_outcome(outcome)
 
     def run() -> None:
         try:
-            done = work()
-        except BaseException as error:  # noqa: BLE001 - it is raised where it is waited for
-            deliver = partial(give, result.set_exception, error)
+            value = work()
+        except BaseException as error:  # noqa: BLE001 - it is raised where it is awaited
+            deliver = partial(resolve, result.set_exception, error)
         else:
-            deliver = partial(give, result.set_result, done)
+            deliver = partial(resolve, result.set_result, value)
         with contextlib.suppress(RuntimeError):  # the loop has ended
             loop.call_soon_threadsafe(deliver)
 
@@ -53,25 +54,40 @@
     return await result
 
 
-def without_long_pauses(work: Callable[[], Done]) -> Done:
+def without_long_pauses(work: Callable[[], Result]) -> Result:
     """Run work that creates many objects with short switches between threads and no garbage collection.
 
-    A collection would stop requests for up to a second. What is created is kept for good, so it is frozen.
+    A collection would stop requests for up to a second. What is created stays for good, so it is frozen.
     """
-    before = sys.getswitchinterval()
-    sys.setswitchinterval(SWITCH.total_seconds())
-    # Guards requests against standing still: looking for garbage in what is made takes a third of the time,
-    # and a second at once when it is done. What is made is kept; all else is freed at once.
+    previous_interval = sys.getswitchinterval()
+    sys.setswitchinterval(SWITCH_INTERVAL.total_seconds())
+    # Guards requests against stalls: collecting garbage among the new objects takes a third of the time, and
+    # a second at once at the end. The new objects stay; all else is freed by reference count.
     gc.disable()
     try:
         return work()
     finally:
         gc.freeze()
         gc.enable()
-        sys.setswitchinterval(before)
+        sys.setswitchinterval(previous_interval)
 
 
-Made = tuple[Tables, Table, Sources]
+@dataclass(slots=True, frozen=True)
+class CompiledTable:
+    """A compiled table, where it was read from, and its files as they were read."""
+
+    tables: Tables
+    table: Table
+    sources: Sources
+
+
+@dataclass(slots=True, frozen=True)
+class LoadedTables:
+    """The tables loaded from the operator's files: the one to put in force, and the one in shadow, if any."""
+
+    table: Table
+    sources: Sources
+    shadow: Table | None
 
 
 class TableService:
@@ -88,10 +104,11 @@
         Raises:
             SettingsError: The tables cannot be loaded.
         """
-        self.tables, self.shadow = tables, shadow
-        made, other = self.load()
-        self.matcher = Matcher(self.log_in_force(*made), windows)
-        self.matcher.put_in_shadow(other)
+        self.tables = tables
+        self.shadow = shadow
+        loaded = self.load()
+        self.matcher = Matcher(self.log_in_force(loaded.table, loaded.sources), windows)
+        self.matcher.put_in_shadow(loaded.shadow)
         self.reloading: asyncio.Task[None] | None = None
         self.reload_again = False
         self.managed = False  # the table comes from the heads' history, not from this head's files
@@ -123,65 +140,64 @@
         self.reloading = asyncio.get_running_loop().create_task(self.load_again())
 
     async def load_again(self) -> None:
-        """Load the files in a thread and put the table in force; a refused one leaves the old in force."""
+        """Load the files in a thread and put the table in force; a rejected one leaves the old in force."""
         self.reload_again = True
         while self.reload_again:
             self.reload_again = False
             try:
-                made = await in_thread(self.load)
+                loaded = await in_thread(self.load)
             except SettingsError as error:
-                # Guards a serving head against rules that are wrong or half written.
-                logger.error(
-                    "rules: refused, table {epoch} stays in force",
-                    event="rules.refused",
-                    epoch=self.matcher.table.epoch,
-                )
-                for fault in error.faults[:MOST_LOGGED]:
-                    logger.error("rules: {wrong}", event="rules.wrong", wrong=str(fault))
+                # Guards a serving head against rules that are faulty or half written.
+                self.log_rejected(error)
                 continue
             except Exception:
                 logger.exception("rules: loading failed in an unforeseen way", event="rules.fault")
                 continue
-            (table, sources), shadow = made
-            self.matcher.replace(self.log_in_force(table, sources))
-            self.matcher.put_in_shadow(shadow)
+            self.matcher.replace(self.log_in_force(loaded.table, loaded.sources))
+            self.matcher.put_in_shadow(loaded.shadow)
+
+    def log_rejected(self, error: SettingsError) -> None:
+        """Log that the files were rejected, and their faults."""
+        logger.error(
+            "rules: refused, table {epoch} stays in force",
+            event="rules.refused",
+            epoch=self.matcher.table.epoch,
+        )
+        for fault in error.faults[:MOST_LOGGED]:
+            logger.error("rules: {wrong}", event="rules.wrong", wrong=str(fault))
 
-    def load(self) -> tuple[tuple[Table, Sources], Table | None]:
+    def load(self) -> LoadedTables:
         """Load the tables from their files; raises SettingsError."""
-        return without_long_pauses(
-            lambda: (self.tables.load(), self.shadow.load()[0] if self.shadow is not None else None)
-        )
+        return without_long_pauses(self._load)
+
+    def _load(self) -> LoadedTables:
+        table, sources = self.tables.load()
+        shadow = self.shadow.load()[0] if self.shadow is not None else None
+        return LoadedTables(table, sources, shadow)
 
-    async def compile(self, path: Path) -> Made:
+    async def compile(self, path: Path) -> CompiledTable:
         """Compile a table of other files without putting it in force; raises SettingsError."""
         now = self.tables
         tables = Tables(path, now.words, now.environment, now.buckets, cache=now.cache)
         table, sources = await in_thread(lambda: without_long_pauses(tables.load))
-        return tables, table, sources
+        return CompiledTable(tables, table, sources)
 
-    def put(self, made: Made) -> None:
+    def put(self, compiled: CompiledTable) -> None:
         """Put a compiled table in force."""
-        self.tables, table, sources = made
-        self.matcher.replace(self.log_in_force(table, sources))
+        self.tables = compiled.tables
+        self.matcher.replace(self.log_in_force(compiled.table, compiled.sources))
 
     async def log_periodically(self) -> None:
         """Log from time to time where the shadow table differs, and placements that were forgotten."""
-        logged, forgotten = 0, 0
+        logged_differences = 0
+        forgotten = 0
         while True:
-            await asyncio.sleep(LOG_EVERY.total_seconds())
+            await asyncio.sleep(LOG_INTERVAL.total_seconds())
             matcher = self.matcher
-            different = matcher.differences.total()
-            if matcher.shadow is not None and different != logged:
-                for (in_force, other), count in matcher.differences.most_common(MOST_LOGGED):
-                    logger.info(
-                        "rules: shadow differs {count} of {asked} times: {in_force} in force, {other} there",
-                        event="rules.shadow",
-                        count=count,
-                        asked=matcher.shadowed,
-                        in_force=in_force,
-                        other=other,
-                    )
-            logged = different
+            differences = matcher.differences.total()
+            if matcher.shadow is not None and differences != logged_differences:
+                self.log_differences()
+            logged_differences = differences
             if matcher.placements.forgotten != forgotten:
                 forgotten = matcher.placements.forgotten
                 logger.warning(
@@ -190,6 +206,18 @@
                     count=forgotten,
                 )
 
+    def log_differences(self) -> None:
+        """Log the most frequent differences between the table in force and the one in shadow."""
+        for (in_force, other), count in self.matcher.differences.most_common(MOST_LOGGED):
+            logger.info(
+                "rules: shadow differs {count} of {asked} times: {in_force} in force, {other} there",
+                event="rules.shadow",
+                count=count,
+                asked=self.matcher.shadowed,
+                in_force=in_force,
+                other=other,
+            )
+
     async def close(self) -> None:
         """Cancel a reload that is under way."""
         if self.reloading is not None:
--- a/stoatrouter/peering/rules.py
+++ b/stoatrouter/peering/rules.py
@@ -24,7 +24,7 @@
 from stoatrouter.history.activation import Checked, decide
 from stoatrouter.history.records import Abandon, Activate, Answer, Command, Version, digest_of, unpack
 from stoatrouter.history.register import Register
-from stoatrouter.net.tables import Made, TableService, in_thread
+from stoatrouter.net.tables import CompiledTable, TableService, in_thread
 from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.envelope import Envelope
 from stoatrouter.peering.fleet import Fleet
@@ -119,7 +119,7 @@
     tables: TableService
     active: int = 0  # the version that this head decides by
     active_since: timedelta = timedelta(0)
-    made: dict[str, Made] = field(default_factory=dict)  # tables, by the digest of their set
+    made: dict[str, CompiledTable] = field(default_factory=dict)  # tables, by the digest of their set
     faults: dict[str, str] = field(default_factory=dict)  # sets that cannot be loaded here
     heard: dict[str, Heard] = field(default_factory=dict)  # at the leader
     pending_since: tuple[int, timedelta] = (0, timedelta(0))
--- a/tests/test_http_tables.py
+++ b/tests/test_http_tables.py
@@ -211,7 +211,7 @@
             matcher = head.http_front.matcher
             assert matcher.differences == {("feed/reads", "feed/-"): 30} and matcher.shadowed == 31
             head.recorder.write()
-            head.recorder.most = 2048
+            head.recorder.max_file_bytes = 2048
             head.recorder.sampler.take(
                 matcher_input := next(iter(read_samples([first_line(tmp_path)])))[1], "/feed/0", ()
             )
