--- a/stoatrouter/core/events.py
+++ b/stoatrouter/core/events.py
@@ -38,12 +38,12 @@
     body: bytes = b""
     units_by_others: float = 0.0
     load: dict[str, float] | None = None
-    flow: Any = None
+    stream: Any = None
     head: Head | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class FlowEnded:
+class StreamEnded:
     """A streamed answer has ended: `complete` True, cut off (False), or its client has left (None)."""
 
     at: timedelta
@@ -144,7 +144,7 @@
     Arrived
     | RejectedByFront
     | AttemptEnded
-    | FlowEnded
+    | StreamEnded
     | HealthCheckEnded
     | EndpointListReceived
     | ClientLeft
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -50,7 +50,7 @@
         # for what is rejected unseen: as late a Retry-After as the settings let a client be given
         self.advice = span(settings.max_advice if settings.takes_advice else 0)
         self.records: dict[str, model.Record] = {}
-        self.flows: dict[str, int] = {}  # classes of requests whose answers are still being passed on
+        self.streams: dict[str, int] = {}  # classes of requests whose answers are still being passed on
         self.nodes: dict[str, model.NodeInfo] = {}  # as listed
         self.administrative_state = model.AdministrativeState()
         self.tally = model.Tally()
@@ -69,8 +69,8 @@
                 return self._reject(event.request_class, model.Refused(self.advice), "crowded")
             case model.AttemptEnded():
                 return self._attempt_ended(event)
-            case model.FlowEnded():
-                return self._flow_ended(event)
+            case model.StreamEnded():
+                return self._stream_ended(event)
             case model.TimerDue():
                 return self._decide(api.TimerFired(event.token))
             case model.EndpointListReceived():
@@ -101,7 +101,7 @@
     @property
     def open(self) -> int:
         """How many requests are not yet answered, have an attempt open or are being streamed."""
-        return len(self.records) + len(self.flows)
+        return len(self.records) + len(self.streams)
 
     def nodes_in_flight(self) -> list[str]:
         """The node of each attempt in flight, once per attempt."""
@@ -127,7 +127,7 @@
     # -- requests -----------------------------------------------------------------------------------------
     def _arrived(self, request: model.Request) -> list[model.Effect]:
         # Guards against an id used twice: the module drops the second, and its client would wait in vain.
-        if request.id in self.records or request.id in self.flows:
+        if request.id in self.records or request.id in self.streams:
             return self._reject(request.request_class, model.Failed(), "duplicate_id")
         # Guards against a flood: beyond what the settings let a head hold, nothing reaches the module.
         if len(self.records) >= self.max_open:
@@ -179,8 +179,8 @@
         if self.gate is not None:
             self.gate.end(request_id, isinstance(answer, model.Served) or record.may_have_run())
         self.tally.add(type(answer).__name__.lower())
-        if isinstance(answer, model.Served) and answer.flow is not None:
-            self.flows[request_id] = record.request.request_class  # it ends with its last byte
+        if isinstance(answer, model.Served) and answer.stream is not None:
+            self.streams[request_id] = record.request.request_class  # it ends with its last byte
         else:
             self._count(record.request.request_class, answer)
         self._forget(request_id)
@@ -190,8 +190,8 @@
         self.counters.active -= 1
         self.counters.count(request_class, answer)
 
-    def _flow_ended(self, event: model.FlowEnded) -> list[model.Effect]:
-        request_class = self.flows.pop(event.request, None)
+    def _stream_ended(self, event: model.StreamEnded) -> list[model.Effect]:
+        request_class = self.streams.pop(event.request, None)
         if request_class is None:
             return []
         if event.complete is None:
@@ -217,7 +217,7 @@
         ok = event.outcome is api.Outcome.OK
         self.tally.add(event.outcome.name.lower())
         finished = ok or record.answered
-        served = model.Served(event.body, attempt.shard, event.flow, event.head)
+        served = model.Served(event.body, attempt.shard, event.stream, event.head)
         effects = self._answer(event.request, served) if ok else []
         effects += self._decide(
             api.AttemptEnded(
--- a/stoatrouter/core/requests.py
+++ b/stoatrouter/core/requests.py
@@ -65,7 +65,7 @@
 
     body: bytes
     shard: int = -1
-    flow: Any = None  # of a large one, what the network passes on as it comes
+    stream: Any = None  # of a large one, what the network passes on as it comes
     head: Head | None = None  # where the request passes it on
 
 
--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -7,7 +7,8 @@
 from aiohttp import HttpVersion11, web
 
 from stoatrouter.core import model
-from stoatrouter.net.bodies import Body, BodyCapacity, Flow, read_body
+from stoatrouter.net.answer_stream import AnswerStream
+from stoatrouter.net.bodies import Body, BodyCapacity, read_body
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.errors import BrokenOff, TooLarge, TooSlow
 from stoatrouter.net.listener import Drain
@@ -40,12 +41,16 @@
         return body
 
     async def pass_on(
-        self, request: web.BaseRequest, name: str, flow: Flow, response: web.StreamResponse | None = None
+        self,
+        request: web.BaseRequest,
+        name: str,
+        stream: AnswerStream,
+        response: web.StreamResponse | None = None,
     ) -> web.StreamResponse:
         """Stream an answer to the client; a truncated one ends the connection, so that clients can tell."""
         response = self.drain.mark(response or web.StreamResponse())
-        if flow.length is not None:
-            response.content_length = flow.length
+        if stream.length is not None:
+            response.content_length = stream.length
         elif request.version >= HttpVersion11:
             response.enable_chunked_encoding()
         else:
@@ -53,7 +58,7 @@
         whole: bool | None = None
         try:
             await response.prepare(request)
-            async for piece in flow.pieces():
+            async for piece in stream.pieces():
                 await response.write(piece)
             await response.write_eof()
             whole = True
@@ -62,8 +67,8 @@
             if request.transport is not None:
                 request.transport.close()  # what was written still goes out
         finally:
-            flow.close()
-            self.engine.flow_ended(name, whole)
+            stream.close()
+            self.engine.stream_ended(name, whole)
         return response
 
 
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -88,9 +88,9 @@
         if not isinstance(final, model.Served):
             return self.drain.mark(answer(final))
         head = final.head or model.Head(200, ())
-        if final.flow is not None:
+        if final.stream is not None:
             response = web.StreamResponse(status=head.status, headers=without_length(head))
-            return await self.pass_on(request, wanted.id, final.flow, response)
+            return await self.pass_on(request, wanted.id, final.stream, response)
         return self.drain.mark(whole(request, head, final.body))
 
     def refused(self, request: web.BaseRequest, refusal: Refusal) -> web.StreamResponse:
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -57,8 +57,8 @@
         finally:
             if isinstance(body, StoredBody):
                 body.close()
-        if isinstance(final, model.Served) and final.flow is not None:
-            return await self.pass_on(request, wanted.id, final.flow)
+        if isinstance(final, model.Served) and final.stream is not None:
+            return await self.pass_on(request, wanted.id, final.stream)
         return self.drain.mark(answer(final))
 
     def refuse(self, data: bytes) -> bytes | None:
--- a/stoatrouter/lab/demo.py
+++ b/stoatrouter/lab/demo.py
@@ -72,7 +72,7 @@
         match answer:
             case model.Served():
                 status = f"{answer.head.status} " if answer.head is not None else ""
-                size = "a large answer" if answer.flow is not None else f"{len(answer.body)} bytes"
+                size = "a large answer" if answer.stream is not None else f"{len(answer.body)} bytes"
                 return f"served: {status}{size} from shard {answer.shard}"
             case model.Refused():
                 when = answer.retry_after
--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -1,9 +1,8 @@
-"""Bodies of any size: clients' bodies are stored for repeats, nodes' answers are streamed."""
+"""Clients' bodies of any size: each is read once and stored, so that any attempt can send it."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import os
 import tempfile
 from collections import deque
@@ -14,7 +13,7 @@
 import aiohttp
 from aiohttp import web
 
-from stoatrouter.net.errors import BrokenOff, NoCapacity, TooLarge, TooSlow
+from stoatrouter.net.errors import NoCapacity, TooLarge, TooSlow
 
 SMALL = 64 * 1024  # in memory, and checked whole
 LARGEST = 36 * 1024 * 1024  # honest work reaches 32 MB
@@ -24,7 +23,6 @@
 STALL, SLOWEST = timedelta(seconds=1), 24 * 1024
 START = timedelta(milliseconds=2500)  # from when on its mean rate counts
 CAPACITY_WAIT = timedelta(seconds=4)  # how long a body waits, unread, for capacity
-SILENT = timedelta(seconds=10)  # how long an answer that has begun may stall
 
 
 @dataclass(slots=True, frozen=True, eq=False)
@@ -255,64 +253,3 @@
         if data and self.spent > START.total_seconds() and self.received < self.spent * SLOWEST:
             raise TooSlow(self.received, timedelta(seconds=self.spent))
         return data
-
-
-class Flow:
-    """A node's answer that is streamed to the client."""
-
-    def __init__(self, response: aiohttp.ClientResponse, first: bytes, length: int | None) -> None:
-        """Wrap a node's answer whose first bytes were read already.
-
-        Args:
-            response: The node's answer, open until its body is read.
-            first: The bytes of its body read so far.
-            length: Its body's length in bytes as the node stated it; None where it stated none.
-        """
-        self.response = response
-        self.first = first
-        self.length = length
-        self.claimed = False  # by whoever passes it on
-
-    async def pieces(self) -> AsyncIterator[bytes]:
-        """The whole answer in pieces.
-
-        Raises BrokenOff for a truncated or oversized answer, after all that came of it.
-        """
-        data = self.first
-        size = len(data)
-        while data:
-            for offset in range(0, len(data), PIECE):
-                yield data[offset : offset + PIECE]
-            data = await self.next()
-            size += len(data)
-            if size > LARGEST:  # guards clients against an answer without end
-                raise BrokenOff(f"an answer of {size} bytes or more (allowed: {LARGEST} or less)")
-        if self.length is not None and size != self.length:
-            raise BrokenOff(f"an answer of {size} bytes that stated {self.length}")
-
-    async def next(self) -> bytes:
-        """The next bytes, empty at the end; raises BrokenOff where the node broke off or stands still."""
-        content = self.response.content
-        try:
-            async with asyncio.timeout(SILENT.total_seconds()):
-                return await content.readany()
-        except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            # what had come before the break is the client's; aiohttp has no public way to it
-            if content._buffer:
-                return content._read_nowait(-1)
-            raise BrokenOff(repr(error)) from error
-
-    async def read_complete(self, limit: int) -> bytes:
-        """The whole answer at once; raises BrokenOff where it is truncated or exceeds `limit` bytes."""
-        data = bytearray()
-        with contextlib.closing(self):
-            async for piece in self.pieces():
-                data += piece
-                if len(data) > limit:
-                    raise BrokenOff(f"an answer of {len(data)} bytes or more (allowed here: {limit} or less)")
-        return bytes(data)
-
-    def close(self) -> None:
-        """Release the answer; a connection with some of it unread is closed."""
-        self.claimed = True
-        self.response.close()
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -101,28 +101,28 @@
     async def serve_complete(self, request: model.Request) -> model.Answer:
         """As serve, for a front that needs the whole body of an answer, at most LARGEST_PIECE bytes."""
         answer = await self.serve(request)
-        if not isinstance(answer, model.Served) or answer.flow is None:
+        if not isinstance(answer, model.Served) or answer.stream is None:
             return answer
         complete: bool | None = None
         try:
-            body = await answer.flow.read_complete(LARGEST_PIECE)
+            body = await answer.stream.read_complete(LARGEST_PIECE)
             complete = True
             return model.Served(body, answer.shard)
         except BrokenOff:
             complete = False
             return model.Failed()
         finally:
-            self.flow_ended(request.id, complete)
+            self.stream_ended(request.id, complete)
 
-    def flow_ended(self, request: str, complete: bool | None) -> None:
+    def stream_ended(self, request: str, complete: bool | None) -> None:
         """Report the end of a streamed answer: complete, cut off, or None where its client has left."""
-        self.put(model.FlowEnded(self.clock.now(), request, complete))
+        self.put(model.StreamEnded(self.clock.now(), request, complete))
 
     def discard_answer(self, request: str, answer: model.Answer) -> None:
         """Release an answer whose client has left."""
-        if isinstance(answer, model.Served) and answer.flow is not None:
-            answer.flow.close()
-            self.flow_ended(request, None)
+        if isinstance(answer, model.Served) and answer.stream is not None:
+            answer.stream.close()
+            self.stream_ended(request, None)
 
     def reject(self, request_class: int) -> model.Answer:
         """The answer to a request that a front rejects for lack of capacity."""
@@ -218,8 +218,8 @@
         """Give a request its answer; nothing is given where its client has left."""
         waiter = self.waiters.get(effect.request)
         if waiter is not None and not waiter.done():
-            if isinstance(effect.answer, model.Served) and effect.answer.flow is not None:
-                effect.answer.flow.claimed = True
+            if isinstance(effect.answer, model.Served) and effect.answer.stream is not None:
+                effect.answer.stream.claimed = True
             waiter.set_result(effect.answer)
 
     def may_begin(self, effect: model.SendAttempt) -> bool:
@@ -264,14 +264,14 @@
                 reply.body,
                 reply.units_by_others,
                 reply.load,
-                reply.flow,
+                reply.stream,
                 reply.head,
             )
         )
         # Guards a connection against an answer that came after the one that was given.
-        if reply.flow is not None and not reply.flow.claimed:
-            reply.flow.close()
-            self.flow_ended(effect.request.id, None)
+        if reply.stream is not None and not reply.stream.claimed:
+            reply.stream.close()
+            self.stream_ended(effect.request.id, None)
 
     async def check_health(self, effect: model.CheckHealth) -> None:
         """Run a health check on a node and put its outcome and load to the core."""
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -87,7 +87,7 @@
                     middlewares=(once_if(may_begin),),
                 )
                 reply = await read_reply(response, request.passes)
-            if reply.flow is not None:
+            if reply.stream is not None:
                 response = None  # whoever passes it on closes it
             return reply
         except (aiohttp.ClientError, NotBegun, Broken, OSError, ValueError) as error:
--- a/stoatrouter/net/replies.py
+++ b/stoatrouter/net/replies.py
@@ -9,7 +9,8 @@
 from multidict import CIMultiDictProxy
 
 from stoatrouter.core import model
-from stoatrouter.net.bodies import SMALL, Flow
+from stoatrouter.net.answer_stream import AnswerStream
+from stoatrouter.net.bodies import SMALL
 from stoatrouter.net.node_connection import NodeConnection
 from stoatrouter.policy.interface import Outcome
 
@@ -41,7 +42,7 @@
     body: bytes = b""
     units_by_others: float = 0.0
     load: dict[str, float] | None = None
-    flow: Flow | None = None  # of an answer that is too large to be checked whole
+    stream: AnswerStream | None = None  # of an answer that is too large to be checked whole
     head: model.Head | None = None  # for a request that passes it on
 
 
@@ -69,7 +70,7 @@
 
 
 async def read_complete_reply(response: aiohttp.ClientResponse) -> Reply:
-    """Read a successful answer; a large one is returned as a Flow."""
+    """Read a successful answer; a large one is returned as an AnswerStream."""
     stated = response.content_length
     body = b""
     while len(body) <= SMALL and (stated is None or stated <= SMALL or not body):
@@ -79,7 +80,7 @@
         body += data
     if response.connection is not None and isinstance(response.connection.protocol, NodeConnection):
         response.connection.protocol.start_streaming()
-    return replace(judge(200, response.headers, b""), flow=Flow(response, body, stated))
+    return replace(judge(200, response.headers, b""), stream=AnswerStream(response, body, stated))
 
 
 async def read_small(response: aiohttp.ClientResponse) -> bytes:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -139,7 +139,7 @@
         script = Script((head + body[:200_000], body[200_000:]), OK + b"good")
         async with client_of(script) as (nodes, effect):
             script.more.set()
-            assert await (await nodes.attempt(effect)).flow.read_complete(len(body)) == body
+            assert await (await nodes.attempt(effect)).stream.read_complete(len(body)) == body
             assert (await nodes.attempt(effect)).body == b"good"
             assert script.connections == 1
 
