--- a/stoatrouter/__main__.py
+++ b/stoatrouter/__main__.py
@@ -1,4 +1,4 @@
-"""What is started: one real head, or a command."""
+"""The program's entry point: one head, or a command."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import sys
 
 if __name__ == "__main__" and len(sys.argv) > 1:
-    from stoatrouter.cli import main as command  # a command; a head is started without a word
+    from stoatrouter.cli import main as command  # a command; a head is started without arguments
 
     command(prog_name="stoatrouter")
 
@@ -20,7 +20,7 @@
 
 if __name__ == "__main__":
     startup_notification.connect(os.environ.get("TMPDIR"))
-    gc.disable()  # what they make is kept, and looking for garbage in it takes a third of their time
+    gc.disable()  # what they create stays, and collecting garbage in it takes a third of their time
 
 import asyncio
 import signal
@@ -37,12 +37,12 @@
     from stoatrouter.fronts.objects.settings import ObjectSettings
     from stoatrouter.peering.settings import HeadsSettings
 
-# How many new objects call for a look at the youngest, and so on: most of a request's end without it.
-GARBAGE = (10_000, 20, 20)
+# The collector's thresholds: most of a request's objects are freed by reference count before them.
+GC_THRESHOLDS = (10_000, 20, 20)
 
 
-def write_logs(form: str | None) -> None:
-    """Lines for people, or the same as JSON with event and fields (loguru's own form, docs/on-call.md)."""
+def configure_logs(form: str | None) -> None:
+    """Set up the log: lines for people, or JSON with event and fields (loguru's form, docs/on-call.md)."""
     logger.remove()
     if form == "json":
         logger.add(sys.stderr, serialize=True, level="INFO", backtrace=False, diagnose=False)
@@ -63,12 +63,13 @@
     heads: HeadsSettings | None,
 ) -> None:
     """Serve until asked to stop."""
-    loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    for sign in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sign, stop.set)
+    loop = asyncio.get_running_loop()
+    stop = asyncio.Event()
+    for stop_signal in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(stop_signal, stop.set)
     gc.freeze()
     gc.enable()
-    gc.set_threshold(*GARBAGE)
+    gc.set_threshold(*GC_THRESHOLDS)
     head = Head(conf, objects, http, heads)
     loop.add_signal_handler(signal.SIGHUP, head.reload, os.environ)
     if hangup_signal.received:  # after the file was read, perhaps
@@ -80,7 +81,7 @@
 
 def main() -> int:
     """Run one head until it is asked to stop; returns 2 where its configuration is unusable."""
-    write_logs(os.environ.get("STOATROUTER_LOG_FORMAT"))
+    configure_logs(os.environ.get("STOATROUTER_LOG_FORMAT"))
     try:
         conf = config.load(os.environ)
         objects = http = heads = None
--- a/stoatrouter/config.py
+++ b/stoatrouter/config.py
@@ -64,11 +64,11 @@
     drain_grace: timedelta  # as the settings have it
     zones: tuple[str, ...] = ()  # by name, as the settings number them
     management: str | None = None  # the operators' address; None: there is none
-    inherited: int | None = None  # the descriptor of a listening socket that is held for this head
+    inherited: int | None = None  # the descriptor of a listening socket that this head inherits
     folder: str | None = None  # where an upgrade finds what this head saves; None: nothing is saved
     objects: str | None = None  # the operator's file of the object front; None: the front is off
     http: str | None = None  # the same of the HTTP front
-    heads: str | None = None  # the same of heads that know each other
+    heads: str | None = None  # the same of peering with other heads
     peers: tuple[str, ...] = ()  # where datagrams reach other heads
     peer_listen: str | None = None  # where theirs reach this one; None: there are none
 
@@ -109,20 +109,25 @@
     try:
         for key, variable in VARIABLES.items():
             data[key] = overrides.get(key) or data.get(key) or environ.get(variable)
-        conf = replace(
-            parse(data),
-            objects=environ.get("STOATROUTER_OBJECTS") or None,
-            http=environ.get("STOATROUTER_HTTP") or None,
-            heads=environ.get("STOATROUTER_HEADS") or None,
-            folder=environ.get("TMPDIR") or None,
-            inherited=parse_descriptor(environ.get("NODE_INHERITED_FD")),
-        )
+        conf = with_environment(parse(data), environ)
         check_addresses(conf)
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
         raise ConfigError(f"bad configuration in {path}: {describe_error(data, error)}") from None
     return conf
 
 
+def with_environment(conf: Config, environ: Mapping[str, str]) -> Config:
+    """The configuration with what only the environment has; raises ValueError for a bad descriptor."""
+    return replace(
+        conf,
+        objects=environ.get("STOATROUTER_OBJECTS") or None,
+        http=environ.get("STOATROUTER_HTTP") or None,
+        heads=environ.get("STOATROUTER_HEADS") or None,
+        folder=environ.get("TMPDIR") or None,
+        inherited=parse_descriptor(environ.get("NODE_INHERITED_FD")),
+    )
+
+
 def check_addresses(conf: Config) -> None:
     """Raise ConfigError where an address that this head listens at or connects to is malformed."""
     parse_address(conf.listen, "listen")
@@ -154,7 +159,7 @@
 def parse(data: dict[str, Any]) -> Config:
     """Build the configuration from the file's data.
 
-    Raises KeyError, TypeError, ValueError or AttributeError where a field is missing or wrong.
+    Raises KeyError, TypeError, ValueError or AttributeError where a field is missing or malformed.
     """
     raw = data["settings"]
     limits = data.get("limits") or {}
@@ -197,8 +202,8 @@
     """Adjust the platform's settings to real sockets, where connecting takes time."""
     # Guards the rule on drains: a send decided within the grace may first have to connect.
     grace = max(0, settings.rules.drain_grace - micros(connect_timeout))
-    # Guards the rule on limits: the platform's store stands full until a request comes, while ours fills from
-    # the decision on. What it fills in the time to connect, beyond the slack, is not spent.
+    # Guards the rule on limits: the platform's token bucket stays full until a request arrives, while ours
+    # refills from the decision on. What it refills in the time to connect, beyond the slack, is not spent.
     late = max(timedelta(0), connect_timeout - LIMIT_SLACK).total_seconds()
     plans = tuple(
         replace(plan, tolerance=max(0.0, plan.tolerance - plan.limit * late)) for plan in settings.plans
--- a/stoatrouter/core/effects.py
+++ b/stoatrouter/core/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the reducer asks the network code to do, in the order given."""
+"""Effects: what the network code must do for the reducer, in the order given."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Run a health check of a node: ask it for its load."""
+    """Run a health check of a node: request its load report."""
 
     node: str
     address: str
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SaveAdministrativeState:
-    """Save the administrative state to disk; it comes before any other effect of the change."""
+    """Save the administrative state to disk; it precedes any other effect of the change."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/stoatrouter/core/list_times.py
+++ b/stoatrouter/core/list_times.py
@@ -21,7 +21,7 @@
 
     hold: timedelta  # the requested hold of a watch; drawn from three quarters of it up
     late: timedelta  # past the hold, until the watch counts as silent
-    connect: timedelta  # for a connection to come up
+    connect: timedelta  # for a connection to open
     answer: timedelta  # for the answer to a call that is not held, its connect included
     brief: timedelta  # the hold that such a call requests
     backoff: timedelta  # before the first call after one that failed
@@ -32,7 +32,7 @@
     def silence(self) -> timedelta:
         """The longest time from a change that a watch misses to its arrival.
 
-        It includes a first new connection that never comes up.
+        It includes a first new connection that never opens.
         """
         return self.hold + self.late + self.backoff + self.connect + 2 * self.backoff + self.answer
 
--- a/stoatrouter/core/nodes.py
+++ b/stoatrouter/core/nodes.py
@@ -1,4 +1,4 @@
-"""The node list as the core holds it, and the nodes that operators took out of service."""
+"""The node list of the core, and the nodes that operators took out of service."""
 
 from __future__ import annotations
 
@@ -44,6 +44,6 @@
             return node if node.phase is api.Phase.GONE else replace(node, phase=api.Phase.DRAINING)
         since, back = self.back.get(node.id, (node.started, node.started))
         if node.started < since:
-            # Guards a node that was restarted while it was out, which the list may not say: it warms up.
+            # Guards a node that was restarted while it was out, which the list may not show: it warms up.
             return replace(node, started=back)
         return node
--- a/stoatrouter/core/records.py
+++ b/stoatrouter/core/records.py
@@ -1,4 +1,4 @@
-"""What the reducer keeps of open requests, and its counts for operators."""
+"""The reducer's records of open requests, and its counts for operators."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt at a node, as the reducer keeps it."""
+    """The reducer's record of one attempt at a node."""
 
     node: str
     shard: int
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -44,7 +44,7 @@
             seed: the decision module's random seed, so that a run can be repeated.
             max_open: most requests not yet answered at once; one more is rejected before the module.
         """
-        self.gate: Gate | None = None  # asked before the module whether a request can be paid for
+        self.gate: Gate | None = None  # called before the module: whether a request can be paid for
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
         # for what is rejected unseen: as late a Retry-After as the settings let a client be given
@@ -60,7 +60,7 @@
 
     def reduce(self, event: model.Event) -> list[model.Effect]:
         """Take one event and return the effects to run, in order."""
-        # Guards against events stamped before one already taken: the module's time never goes back.
+        # Guards against events stamped before the latest one: the module's time never goes back.
         self.now = max(self.now, event.at)
         match event:
             case model.Arrived():
@@ -114,11 +114,11 @@
 
     @property
     def avoided(self) -> int:
-        """How many listed nodes get nothing new now: draining, out by an operator, or left by choice."""
+        """How many listed nodes get nothing new now: draining, out by an operator, or ejected."""
         return sum(self.scheduler.avoids(name) for name in self.nodes)
 
     def may_begin(self, at: timedelta, request: str, attempt: int) -> bool:
-        """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
+        """Whether an attempt may still be sent; called once it has a connection and before its first byte."""
         record = self.records.get(request)
         if record is None or record.answered or not record.attempts[attempt].in_flight:
             return False
@@ -155,7 +155,7 @@
         if self.gate is not None:
             self.gate.end(request_id, record.may_have_run())
         effects = self._decide(api.ClientGone(request_id))
-        # nobody waits for it any more: nodes stop work that is cancelled
+        # no client waits for it any more: nodes stop work that is cancelled
         effects += cancel_attempts(record)
         self._forget(request_id)
         return effects
@@ -165,7 +165,7 @@
         if record is None:
             return []
         effects: list[model.Effect] = []
-        # Guards against a decision that never came (the module failed on it): no request goes unanswered.
+        # Guards against a missing decision (the module failed on it): no request goes unanswered.
         if not invariant(record.answered, "a request had no answer at its deadline", request=request_id):
             effects += self._answer(request_id, model.Failed())
         return effects + cancel_attempts(record)
@@ -209,7 +209,7 @@
     def _attempt_ended(self, event: model.AttemptEnded) -> list[model.Effect]:
         record = self.records.get(event.request)
         attempt = record.attempt_in_flight(event.attempt) if record is not None else None
-        # Guards against an outcome reported twice (an attempt cancelled as its answer came): first counts.
+        # Guards against an outcome reported twice (an attempt cancelled as its answer arrived): first counts.
         if record is None or attempt is None:
             return []
         attempt.in_flight = False
@@ -236,7 +236,8 @@
         return effects
 
     def _send(self, action: api.Send) -> list[model.Effect]:
-        record, node = self.records.get(action.request), self.nodes.get(action.node)
+        record = self.records.get(action.request)
+        node = self.nodes.get(action.node)
         if not invariant(
             record is not None and not record.answered,
             "a send for a request that is over",
@@ -319,7 +320,7 @@
         except Exception:
             if __debug__:
                 raise
-            # Guards against a fault in a decision: this head goes on, and Overdue answers what it left.
+            # Guards against a fault in a decision: this head serves on, and Overdue answers what remains.
             logger.exception("decision failed on {kind}", event="decision.failed", kind=type(event).__name__)
             self.tally.add("decision_failed")
             return []
--- a/stoatrouter/core/requests.py
+++ b/stoatrouter/core/requests.py
@@ -19,15 +19,15 @@
         key: the object within the volume.
         shard: the shard that holds the object; -1 for a new object, which any node takes.
         units: its cost, in the units of work that plans' rates count per second.
-        hosts: through how many hosts the volume's requests come.
+        hosts: through how many hosts the volume's requests arrive.
         time_left: from its arrival to its deadline, at most its class's.
         write: whether it changes stored data.
-        repeat: whether its client says that it is a retry (on the platform API, `Req-Retry: 1`).
-        method: the HTTP method sent on to the node.
-        target: the HTTP target (path and query) sent on to the node.
-        body: the body, as bytes, or what the network code keeps of a large one.
+        repeat: whether its client marks it as a retry (on the platform API, `Req-Retry: 1`).
+        method: the HTTP method forwarded to the node.
+        target: the HTTP target (path and query) forwarded to the node.
+        body: the body, as bytes, or the network code's stored form of a large one.
         idempotency_key: the client's `Idempotency-Key` header, if any.
-        fields: header fields sent on beside the protocol's own, as (name, value) pairs.
+        fields: header fields forwarded beside the protocol's own, as (name, value) pairs.
         passes: whatever a node answers below 500 is the answer, with its status and fields.
     """
 
@@ -45,10 +45,10 @@
 
     method: str = "GET"
     target: str = "/"
-    body: Any = b""  # bytes, or what the network keeps of a large one
+    body: Any = b""  # bytes, or the network code's stored form of a large one
     idempotency_key: str | None = None
     fields: tuple[tuple[str, str], ...] = ()  # header fields beside the protocol's own
-    passes: bool = False  # whatever a node says below 500 is the answer, with its status and fields
+    passes: bool = False  # any answer of a node below 500 is the answer, with its status and fields
 
 
 @dataclass(slots=True, frozen=True)
@@ -65,7 +65,7 @@
 
     body: bytes
     shard: int = -1
-    stream: Any = None  # of a large one, what the network passes on as it comes
+    stream: Any = None  # of a large answer: streamed by the network code
     head: Head | None = None  # where the request passes it on
 
 
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -1,4 +1,4 @@
-"""One head: its parts created and connected. It is started by __main__ and by the demo."""
+"""One head: its parts built and connected, its start and its shutdown."""
 
 from __future__ import annotations
 
@@ -44,12 +44,13 @@
     from stoatrouter.peering.heads import Heads
     from stoatrouter.peering.settings import HeadsSettings
 
-# Of the descriptors (core/descriptors.py): of their part, clients that asked once and rest hold no more than
-# this.
+# Of the descriptors (core/descriptors.py): idle clients that have sent one request hold no more than this.
 IDLE_FRACTION = 0.125
-# Beyond these what comes is refused as it comes, before clients have no connection left to be heard on.
-BUSY_FRACTION, TIGHTENED_FRACTION, TIGHTENED_LEAST = 0.75 / 3, 0.4 / 3, 48
-BASE_MEMORY = 46_000_000  # of memory: what a head needs beside the bodies it keeps
+# Beyond these, requests are rejected before they are parsed, while clients still have connections left.
+BUSY_FRACTION = 0.75 / 3
+TIGHTENED_FRACTION = 0.4 / 3
+TIGHTENED_LEAST = 48
+BASE_MEMORY = 46_000_000  # bytes that a head needs beside the bodies it stores
 
 
 def tightened_busy_limit(sockets: int) -> int:
@@ -113,10 +114,10 @@
         """Wire the parts of one head; nothing listens or connects before `start`.
 
         Args:
-            conf: what `NODE_CONFIG` says (stoatrouter/config.py).
+            conf: the configuration (stoatrouter/config.py).
             objects: the object front's settings, or None where that front is off.
             http: the HTTP front's settings, or None where that front is off.
-            heads: the settings of heads that know each other, or None where that part is off.
+            heads: the settings of peering with other heads, or None where it is off.
 
         Raises:
             ConfigError: a rule table cannot be loaded.
@@ -182,7 +183,7 @@
         self.recorder = parts.recorder
 
     def _build_management(self) -> None:
-        # a table of its own: however many clients come, operators are heard
+        # a table of its own: however many clients connect, operators are served
         self.management_clients = ClientTable(MOST_CALLERS, MOST_CALLERS, MOST_CALLERS)
         peering_call = self.heads.call if self.heads is not None else None
         calls = Management(self.engine, self.drain, self.ready, peering_call)
--- a/stoatrouter/net/answer_stream.py
+++ b/stoatrouter/net/answer_stream.py
@@ -34,7 +34,7 @@
     async def pieces(self) -> AsyncIterator[bytes]:
         """The whole answer in pieces.
 
-        Raises BrokenOff for a truncated or oversized answer, after all that came of it.
+        Raises BrokenOff for a truncated or oversized answer, after all that arrived of it.
         """
         data = self.first
         size = len(data)
@@ -55,7 +55,7 @@
             async with asyncio.timeout(STALL_TIMEOUT.total_seconds()):
                 return await content.readany()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            # what had come before the break is the client's; aiohttp has no public way to it
+            # what arrived before the break is the client's; aiohttp has no public way to it
             if content._buffer:
                 return content._read_nowait(-1)
             raise BrokenOff(repr(error)) from error
--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -15,12 +15,13 @@
 
 from stoatrouter.net.errors import NoCapacity, TooLarge, TooSlow
 
-SMALL = 64 * 1024  # in memory, and checked whole
-LARGEST = 36 * 1024 * 1024  # honest work reaches 32 MB
+SMALL = 64 * 1024  # in memory, and checked complete
+LARGEST = 36 * 1024 * 1024  # legitimate requests reach 32 MB
 PIECE = 64 * 1024
 STEP = 1024 * 1024  # by which the capacity reserved for a body without a stated length grows
 # A body that stalls is given up, and so is one far slower than clients in service (64 kB a second).
-STALL, SLOWEST = timedelta(seconds=1), 24 * 1024
+STALL = timedelta(seconds=1)
+SLOWEST = 24 * 1024  # bytes a second
 START = timedelta(milliseconds=2500)  # from when on its mean rate counts
 CAPACITY_WAIT = timedelta(seconds=4)  # how long a body waits, unread, for capacity
 
@@ -97,7 +98,7 @@
     """A large body in an unnamed file; each attempt reads it from its start."""
 
     def __init__(self, capacity: BodyCapacity) -> None:
-        """Open an unnamed file for a body; it takes no capacity until it grows.
+        """Open an unnamed file for a body; it reserves no capacity until it grows.
 
         Args:
             capacity: The capacity that the body's bytes are reserved from, and its folder.
@@ -184,7 +185,7 @@
             self.stored = StoredBody(self.capacity)
         stored = self.stored
         if size > stored.reserved:
-            # a step further, yet no more than there is: it would wait for capacity that never comes
+            # a step further, yet no more than the limit: it would wait for capacity that never becomes free
             await stored.grow(max(size, min(stored.reserved + STEP, self.capacity.limit)))
         if self.small:
             stored.write(bytes(self.small))
--- a/stoatrouter/net/client_table.py
+++ b/stoatrouter/net/client_table.py
@@ -14,7 +14,7 @@
 SWEEP_INTERVAL = timedelta(milliseconds=200)
 # A head: clients in service take up to 2 s for one, and those that never end theirs are owed a close in 3 s.
 HEAD_TIMEOUT = timedelta(milliseconds=2750)
-# A head of which nothing has come for so long is evicted before others.
+# A head of which nothing has arrived for so long is evicted before others.
 STALE_HEAD_AFTER = timedelta(milliseconds=700)
 # How long what a client still sends is read and dropped after its last answer: closing over unread input
 # would reset the connection, and the client might never see that answer.
@@ -26,11 +26,11 @@
     """The state of a client's connection."""
 
     ENDING = 0  # has its last answer
-    SILENT = 1  # nothing has come that is a request
+    SILENT = 1  # no part of a request has arrived
     ONCE = 2  # between requests, and has sent only one
     IDLE = 3  # between requests
     BUSY = 4  # a request is open
-    BEGUN = 5  # a part of a head has come; in the order of the latest bytes
+    BEGUN = 5  # a part of a head has arrived; in the order of the latest bytes
 
 
 class TrackedConnection(Protocol):
@@ -93,9 +93,9 @@
         self.by_state[state][connection] = connection.since
         once = self.by_state[State.ONCE]
         if len(once) > self.max_idle and not self.keep_idle:
-            # Guards the other clients: what they may hold together is bounded, and those that ask once and
-            # keep their connection would take all of it. Those that ask again keep theirs: at a high rate,
-            # opening new ones would take a core's time.
+            # Guards the other clients: their connections together are bounded, and clients that send one
+            # request and stay connected would use them up. Those that send more stay: at a high rate, opening
+            # new connections would take a core's time.
             next(iter(once)).end()
 
     def remove(self, connection: TrackedConnection) -> None:
--- a/stoatrouter/net/clients.py
+++ b/stoatrouter/net/clients.py
@@ -48,8 +48,8 @@
         Args:
             manager: The server that accepted it.
             clients: The table the connection enters and leaves.
-            refuse: While the head has as many requests open as it may, gives the bytes that came the answer
-                that rejects them, or None to take them; None: none are rejected before they are parsed.
+            refuse: Called with the bytes that arrived while the head has as many requests open as it may;
+                returns the answer that rejects them, or None to parse them. None: all are parsed.
             loop: The event loop that runs the connection.
             **more: Passed on to aiohttp's RequestHandler.
         """
@@ -99,9 +99,10 @@
 
         It bounds connections and memory, as answers are buffered until they are read.
         """
-        left = self.transport.get_write_buffer_size() if self.writing_paused and self.transport else 0
-        if not left or left != self.stalled_bytes:
-            self.stalled_bytes, self.stalled_since = left, self.loop.time()
+        unread = self.transport.get_write_buffer_size() if self.writing_paused and self.transport else 0
+        if not unread or unread != self.stalled_bytes:
+            self.stalled_bytes = unread
+            self.stalled_since = self.loop.time()
         return self.loop.time() - self.stalled_since
 
     # -- the protocol's callbacks -------------------------------------------------------------------------
@@ -116,7 +117,7 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came and follow the connection's state; an overloaded head rejects requests here."""
+        """Parse what arrived and follow the connection's state; an overloaded head rejects requests here."""
         if self.state is State.ENDING:
             return  # read only so that the answer arrives
         if (
@@ -135,7 +136,7 @@
         if isinstance(self._messages[-1][0], _ErrInfo):
             if open_before or len(self._messages) > 1:
                 # Guards a client's time: unreadable input behind an open request would get its error only
-                # after that. It also may be what a request of wrong length left over.
+                # after that. It also may be the rest of a request whose stated length was too short.
                 return self.end()
             self.clients.set_state(self, State.ENDING)
         elif not open_before:
@@ -153,7 +154,7 @@
             self.answered = True
 
     def _begin(self) -> None:
-        """Record that more of a head has come; a first one counts from the connection's start."""
+        """Record that more of a head has arrived; a first one counts from the connection's start."""
         if self.state is not State.BEGUN:
             self.begun = self.since if self.state is State.SILENT else self.loop.time()
         self.clients.set_state(self, State.BEGUN)
@@ -210,12 +211,12 @@
         """Whether the connection can go on.
 
         Guards the next request against trailers of this one, which aiohttp's parser takes for the first
-        headers of whatever comes next.
+        headers of whatever arrives next.
         """
         if "Transfer-Encoding" not in request.headers:
             return True
         if self._messages:
-            return False  # what comes next has them already
+            return False  # the next request has them already
         self._parser = HttpRequestParser(
             self,
             self.loop,
@@ -243,7 +244,8 @@
             **more: Passed on to aiohttp's Server.
         """
         super().__init__(handler, **more)
-        self.clients, self.refuse = clients, refuse
+        self.clients = clients
+        self.refuse = refuse
 
     def __call__(self) -> RequestHandler:
         """The protocol of a new connection."""
--- a/stoatrouter/net/clock.py
+++ b/stoatrouter/net/clock.py
@@ -9,7 +9,7 @@
 class Clock:
     """A monotonic clock, set once from the system's time.
 
-    Node starts are given as Unix times, but the system's clock may be set while the head runs.
+    Node starts are Unix times, but the system's clock may be set while the head runs.
     """
 
     def __init__(self) -> None:
--- a/stoatrouter/net/disconnects.py
+++ b/stoatrouter/net/disconnects.py
@@ -1,4 +1,4 @@
-"""Whether a request's client is still connected, asked of the system at the moment it matters.
+"""Whether a request's client is still connected, polled from the system at the moment it matters.
 
 A connection whose reading is paused, or whose loop lags, has not yet been notified that its client has left.
 """
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -112,7 +112,9 @@
         try:
             if self.known:
                 message = read_list(self.known, zones=self.zones)
-                self.generation, nodes, faults = message.generation, message.nodes, message.faults
+                self.generation = message.generation
+                nodes = message.nodes
+                faults = message.faults
         except ValueError as error:
             logger.warning(
                 "discovery: the known list cannot be read: {error}",
@@ -138,7 +140,7 @@
     def change_address(self, address: str) -> None:
         """Watch at another address from now on.
 
-        The list and its generation stay: the next call asks there for newer changes, so that none is missed.
+        The list and its generation stay: the next call requests newer changes there, so that none is missed.
         """
         if address != self.address:
             self.address = address
@@ -194,7 +196,7 @@
         return min(self.times.max_backoff, doubled) * (0.5 + random.random() / 2)
 
     async def call(self, session: aiohttp.ClientSession) -> bool:
-        """Make one call, for the whole list or for changes; returns whether it brought any.
+        """Make one call, for the complete list or for changes; returns whether it brought any.
 
         Raises ValueError for a malformed answer, and the client's errors.
         """
@@ -213,13 +215,13 @@
         return changed
 
     def plan_call(self) -> PlannedCall:
-        """The next call: for the complete list, or for changes since the generation held.
+        """Plan the next call: for the complete list, or for changes since the cached generation.
 
-        After a failure the call is not held: an answer is then due at once, and a silent peer is found out
-        in a fraction of the time.
+        After a failure the call is not held: an answer is then due at once, and a silent peer is detected in
+        a fraction of the time.
         """
         times = self.times
-        hold = times.hold * (0.75 + random.random() / 4)  # all heads' calls do not come together
+        hold = times.hold * (0.75 + random.random() / 4)  # so that the calls of all heads do not coincide
         if self.failures or not self.answered.is_set():
             hold = times.brief
         timeout = hold + times.late if hold > times.brief else times.answer
@@ -244,7 +246,7 @@
         if not message.complete and (self.generation is None or message.generation < self.generation):
             # Guards against changes to another list than the cached one, as from an agent that restarted
             # its generations.
-            self.generation = None  # the next call asks for the complete list
+            self.generation = None  # the next call requests the complete list
             raise ValueError("changes to a list that is not cached")
         self.generation = message.generation
         if message.complete or message.nodes or message.faults:
--- a/stoatrouter/net/endpoint_list.py
+++ b/stoatrouter/net/endpoint_list.py
@@ -24,9 +24,9 @@
 
     Attributes:
         generation: The generation of the list after this message.
-        complete: Whether it is the complete list; else it holds changes.
-        nodes: The entries, those that cannot be read left out or taken from the cache.
-        faults: What is wrong with each entry that cannot be read.
+        complete: Whether it is the complete list; else it is changes.
+        nodes: The entries; one that cannot be read is omitted, or replaced from the cache.
+        faults: A description of each entry that cannot be read.
     """
 
     generation: int
@@ -44,31 +44,44 @@
 
     Args:
         data: The message as JSON data.
-        cached: The entries as last read, which stand in for those that a complete list spoils.
+        cached: The entries as last read, which stand in for malformed ones of a complete list.
         zones: The zones by name, in the order in which the settings number them.
 
     Raises:
         ValueError: The message as a whole breaks the protocol.
     """
     try:
-        generation, complete, entries = int(data["generation"]), bool(data["reset"]), data["instances"]
+        generation = int(data["generation"])
+        complete = bool(data["reset"])
+        entries = data["instances"]
         if not isinstance(entries, list):
             raise TypeError("instances is no list")
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"bad list: {type(error).__name__}: {error}") from None
+    nodes, faults = read_entries(entries, cached if complete else NONE_CACHED, zones)
+    return ListMessage(generation, complete, nodes, faults)
+
+
+def read_entries(
+    entries: list[Any], cached: Mapping[str, NodeInfo], zones: tuple[str, ...]
+) -> tuple[tuple[NodeInfo, ...], tuple[str, ...]]:
+    """Parse the entries of a message: those that can be read, and the faults of the others.
+
+    An unreadable entry is replaced by the node of its name in `cached`, if there is one.
+    """
     nodes: list[NodeInfo] = []
     faults: list[str] = []
     for entry in entries:
-        # Guards the list against one spoilt entry: it would void all others, and what they say of drains.
+        # Guards the list against one malformed entry: it would void all others, and the drains among them.
         try:
             nodes.append(read_node(entry, zones))
         except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
             name = entry.get("instanceId") if isinstance(entry, dict) else None
             faults.append(f"{name!r}: {type(error).__name__}: {error}"[:LONGEST_FAULT])
             # nor is the node that it stands for considered gone
-            if complete and isinstance(name, str) and name in cached:
+            if isinstance(name, str) and name in cached:
                 nodes.append(cached[name])
-    return ListMessage(generation, complete, tuple(nodes), tuple(faults))
+    return tuple(nodes), tuple(faults)
 
 
 def zone_number(name: Any, zones: tuple[str, ...]) -> int:
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -21,20 +21,20 @@
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.policy.interface import ListKind, Outcome
 
-LARGEST_PIECE = 1024 * 1024  # of an answer that a front needs whole
+LARGEST_PIECE = 1024 * 1024  # of an answer that a front needs complete
 
 
 class Engine:
-    """Holds open requests and attempts, and runs effects. It makes no decisions."""
+    """Tracks open requests and attempts, and runs effects. It makes no decisions."""
 
     def __init__(
         self, reducer: Reducer, clock: Clock, nodes: NodeClient, state_file: AdministrativeStateFile
     ) -> None:
-        """Set up an engine with nothing open; it must be made within the running event loop.
+        """Set up an engine with nothing open; it must be created within the running event loop.
 
         Args:
             reducer: The core, which makes all decisions.
-            clock: The time that effects and events are given.
+            clock: The time of events.
             nodes: The client of all nodes.
             state_file: Where the administrative state is saved when it changes.
         """
@@ -60,7 +60,7 @@
             request = await self.prepared(request)
         now = self.clock.now()
         if self.answer_deadline is not None:
-            # Guards what a stopping head still admits: no answer is left to come after its end.
+            # Guards what a stopping head still admits: no answer can follow its end.
             left = max(timedelta(0), min(request.time_left, self.answer_deadline - now))
             request = replace(request, time_left=left)
         effects = self.reducer.reduce(model.Arrived(now, request))
@@ -99,7 +99,7 @@
         return replace(request, time_left=left)
 
     async def serve_complete(self, request: model.Request) -> model.Answer:
-        """As serve, for a front that needs the whole body of an answer, at most LARGEST_PIECE bytes."""
+        """Serve a request for a front that needs the complete answer, at most LARGEST_PIECE bytes."""
         answer = await self.serve(request)
         if not isinstance(answer, model.Served) or answer.stream is None:
             return answer
@@ -223,7 +223,7 @@
             waiter.set_result(effect.answer)
 
     def may_begin(self, effect: model.SendAttempt) -> bool:
-        """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
+        """Whether an attempt may still be sent; called once it has a connection and before its first byte."""
         client = self.client_transports.get(effect.request.id)
         if has_disconnected(client):
             # Guards nodes against work for nobody: the notice of the client's end is still on its way here.
@@ -233,9 +233,9 @@
         return self.reducer.may_begin(self.clock.now(), effect.request.id, effect.attempt)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine in a task that is held until its end and cancelled by close."""
+        """Run a coroutine in a task that is referenced until its end and cancelled by close."""
         task = self.loop.create_task(work)
-        self.tasks.add(task)  # the loop itself holds tasks only weakly
+        self.tasks.add(task)  # the loop itself references tasks only weakly
         task.add_done_callback(self.tasks.discard)
         return task
 
@@ -268,7 +268,7 @@
                 reply.head,
             )
         )
-        # Guards a connection against an answer that came after the one that was given.
+        # Guards a connection against an answer that arrived after the one that was given.
         if reply.stream is not None and not reply.stream.claimed:
             reply.stream.close()
             self.stream_ended(effect.request.id, None)
@@ -286,7 +286,7 @@
     if task.cancelled():
         return Reply(Outcome.CANCELLED)
     if (fault := task.exception()) is not None:
-        # Guards against a fault in the client library: the attempt may have run, the head goes on.
+        # Guards against a fault in the client library: the attempt may have run, the head serves on.
         logger.opt(exception=fault).error("attempt failed in an unforeseen way", event="attempt.fault")
         return Reply(Outcome.RESET)
     return task.result()
--- a/stoatrouter/net/errors.py
+++ b/stoatrouter/net/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong between this head, its clients and its nodes, as one hierarchy of errors."""
+"""The errors between this head, its clients and its nodes, as one hierarchy."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         """Say how large a body is and may be.
 
         Args:
-            size: Its bytes, as stated or as far as they have come.
+            size: Its bytes, as stated or as far as they have arrived.
             limit: The bytes that it may have at most.
         """
         super().__init__(f"a body of {size} bytes or more (allowed: {limit} or less)")
--- a/stoatrouter/net/framing.py
+++ b/stoatrouter/net/framing.py
@@ -16,7 +16,9 @@
     Raises ValueError where the end is ambiguous: two lengths, none on a persistent connection, a length that
     is malformed or over the bound, or one together with chunks.
     """
-    lengths, codings, closes = [], [], head[:8] == b"HTTP/1.0"
+    lengths: list[bytes] = []
+    codings: list[bytes] = []
+    closes = head[:8] == b"HTTP/1.0"
     for line in head[: -len(HEAD_END)].split(b"\r\n")[1:]:
         name, colon, value = line.partition(b":")
         if not colon or not name or name.strip() != name:
--- a/stoatrouter/net/handover.py
+++ b/stoatrouter/net/handover.py
@@ -52,7 +52,7 @@
         stop_accepting: Callable[[], Awaitable[None]],
         resume_accepting: Callable[[], Awaitable[None]],
     ) -> None:
-        """Set up this process; it takes over and hands over only when asked.
+        """Set up this process; it takes over and hands over only on request.
 
         Args:
             engine: The engine whose state is handed over.
@@ -171,7 +171,7 @@
                 "upgrade: the new process broke off: {error}", event="upgrade.broke_off", error=repr(error)
             )
         except Exception:
-            # Guards against a fault on the way: without this, nobody would accept clients.
+            # Guards against a fault in the handover: without this, no process would accept clients.
             logger.exception("upgrade: handing over failed", event="upgrade.fault")
         await self.take_back()
 
--- a/stoatrouter/net/handover_socket.py
+++ b/stoatrouter/net/handover_socket.py
@@ -23,7 +23,7 @@
 from stoatrouter.net.state_format import Holdings, JsonObject, read_holdings
 
 VERSION = 1
-# A new process is due to serve within 6 s: an old one that says nothing is left alone after this time.
+# A new process is due to serve within 6 s: an old one that does not answer is ignored after this time.
 ANSWER_WITHIN = timedelta(seconds=2)
 HOLDINGS_INTERVAL = timedelta(milliseconds=25)
 LARGEST_LINE = 16 * 1024 * 1024
@@ -65,7 +65,7 @@
     """The socket at which the next process finds this one."""
 
     def __init__(self, folder: str | None) -> None:
-        """Set up the socket's place; nothing listens until asked.
+        """Set up the socket's place; nothing listens until `listen`.
 
         Args:
             folder: Where the socket lies ($TMPDIR); None: there is no handover.
@@ -89,7 +89,7 @@
                     raise ValueError(f"version {state['v']}")
                 return Predecessor(reader, writer, state)
         except (OSError, TimeoutError, ValueError, KeyError, TypeError) as error:
-            # Guards a start against what an old process left behind as it died: nothing is to be had there.
+            # Guards a start against the stale socket of a process that died.
             logger.warning(
                 "upgrade: no old process hands over: {error}", event="upgrade.none", error=repr(error)
             )
--- a/stoatrouter/net/listener.py
+++ b/stoatrouter/net/listener.py
@@ -25,15 +25,17 @@
 # the next one.
 ACCEPT_AT_ONCE = 16
 # A stopping head is killed no sooner than this after the longest deadline, which counts as 3 s at most.
-KILLED_AFTER, LONGEST_DEADLINE = timedelta(milliseconds=700), timedelta(seconds=3)
+KILLED_AFTER = timedelta(milliseconds=700)
+LONGEST_DEADLINE = timedelta(seconds=3)
 ANSWERED_BEFORE = timedelta(milliseconds=350)  # the kill: by then all that arrived is answered
-LAST_ACCEPTED_BEFORE = timedelta(milliseconds=400)  # that: what comes later has too little time to be of use
+LAST_ACCEPTED_BEFORE = timedelta(milliseconds=400)  # that: what arrives later has too little time left
 LONGEST_ACCEPT = timedelta(seconds=3)
 # Then connections end between requests. A request that crosses such an end is sent once more over a new one:
 # these are still accepted.
 RESEND_WINDOW = timedelta(milliseconds=200)
-# After a head was drained: its front asks ten times a second and then needs 0.2 s.
-CLOSE_IDLE_AFTER, CLOSE_IDLE_INTERVAL = timedelta(milliseconds=1000), timedelta(milliseconds=100)
+# After a head was drained: its load balancer polls ten times a second and then needs 0.2 s.
+CLOSE_IDLE_AFTER = timedelta(milliseconds=1000)
+CLOSE_IDLE_INTERVAL = timedelta(milliseconds=100)
 
 
 @dataclass(slots=True, frozen=True)
@@ -122,7 +124,9 @@
         """
         await asyncio.sleep(CLOSE_IDLE_AFTER.total_seconds())
         while True:
-            self.clients.end_idle(silent=False)  # what has just come is still read; the sweep ends it later
+            self.clients.end_idle(
+                silent=False
+            )  # what has just connected is still read; the sweep ends it later
             await asyncio.sleep(CLOSE_IDLE_INTERVAL.total_seconds())
 
     def overloaded(self) -> bool:
@@ -131,12 +135,12 @@
 
 
 class ListeningSocket(socket.socket):
-    """A listening socket with a fixed backlog, whatever asyncio asks for."""
+    """A listening socket with a fixed backlog, whatever asyncio requests."""
 
     keeps_backlog = False
 
     def listen(self, backlog: int = BACKLOG) -> None:
-        """Listen with BACKLOG; an inherited socket keeps the backlog that it has."""
+        """Listen with BACKLOG; an inherited socket retains its backlog."""
         # Guards connections on their way: a backlog that shrinks, if for a moment, leaves them unanswered.
         if not self.keeps_backlog:
             super().listen(BACKLOG)
--- a/stoatrouter/net/loop_monitor.py
+++ b/stoatrouter/net/loop_monitor.py
@@ -13,7 +13,8 @@
 CHECK_INTERVAL = timedelta(milliseconds=100)
 LOGGED_LAG = timedelta(milliseconds=100)
 # A loop this late has too little of its core; in quiet times it is late by a few milliseconds.
-TIGHTENING_LAG, TIGHTENED_FOR = timedelta(milliseconds=30), timedelta(milliseconds=500)
+TIGHTENING_LAG = timedelta(milliseconds=30)
+TIGHTENED_FOR = timedelta(milliseconds=500)
 CHECKS_PER_TALLY = 100
 
 
--- a/stoatrouter/net/node_connection.py
+++ b/stoatrouter/net/node_connection.py
@@ -1,7 +1,7 @@
-"""Connections to nodes: only a whole, well-formed answer passes, and nothing after it.
+"""Connections to nodes: only a complete, well-formed answer passes, and nothing after it.
 
-Three behaviours of aiohttp's client stand against that, as probes have shown: noise in one segment with a
-good answer makes its parser drop that answer too; an answer that arrives on an idle connection is kept and
+Three behaviours of aiohttp's client prevent that, as experiments have shown: noise in one segment with a good
+answer makes its parser drop that answer too; an answer that arrives on an idle connection is buffered and
 given to the next request; and a message without a length is read until the connection ends.
 """
 
@@ -18,7 +18,7 @@
 from stoatrouter.net.framing import CHUNKED, HEAD_END, UNTIL_CLOSE, body_length
 
 LARGEST_HEAD = 16 * 1024
-RECEIVE = 64 * 1024  # at once: what asyncio takes by itself would cost each of many large answers more
+RECEIVE = 64 * 1024  # bytes read at once: asyncio's default would cost each of many large answers more memory
 
 
 class ConnectionOwner(Protocol):
@@ -54,9 +54,9 @@
         self.awaiting_answer = False
         self.chunked = False
         self.ends_with_connection = False  # no length is stated: the body ends as the connection does
-        # its client has the first of it, and waits for the rest however slowly it comes
+        # its client has the first of it, and waits for the rest however slowly it arrives
         self.streaming = False
-        self.head = b""  # of the present answer: what has come of its head
+        self.head = b""  # of the present answer: what has arrived of its head
         self.body_left = 0  # how many bytes its body lacks
         self.in_body = False
         self.bodiless = False  # whatever length it states: the answer to HEAD
@@ -72,7 +72,7 @@
         self.pool.alive.add(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End the exchange; a body without a stated length is whole only after a clean end."""
+        """End the exchange; a body without a stated length is complete only after a clean end."""
         self.pool.alive.discard(self)
         by_peer = self.transport is not None  # an end of our own has dropped it already
         if by_peer and self.awaiting_answer and not self.head and not self.in_body:
@@ -83,7 +83,7 @@
             and exc is not None
             and self._payload is not None
         ):
-            # Guards against a break that aiohttp takes for the end of an answer without a length.
+            # Guards against a break that aiohttp treats as the end of an answer without a length.
             self._payload.set_exception(MalformedAnswer("it broke off"))
             self._parser = None
         self._exchange_done()
@@ -101,7 +101,7 @@
     def is_connected(self) -> bool:
         """Whether the connection can be reused.
 
-        It cannot where unread bytes or an end have arrived since the last answer: they would be taken for
+        It cannot where unread bytes or an end have arrived since the last answer: they would be treated as
         the next one.
         """
         return super().is_connected() and (
@@ -113,9 +113,9 @@
         return self.should_close or idle > self.pool.reuse_within
 
     def data_received(self, data: bytes) -> None:
-        """Pass on one whole, well-formed answer, and end the connection on anything else."""
+        """Pass on one complete, well-formed answer, and end the connection on anything else."""
         if not data:
-            super().data_received(data)  # aiohttp goes on with what it has
+            super().data_received(data)  # aiohttp continues with what it has
         elif not self.awaiting_answer:
             # Guards the next request on this connection: bytes behind an answer belong to nobody.
             self._end()
@@ -141,7 +141,7 @@
                 return self._fail_exchange("another protocol, which nobody asked for")
             if not status.isdigit() or status[:1] != b"1":
                 return self._begin(head, rest)
-            self.head = rest  # an interim answer: the one that counts is still to come
+            self.head = rest  # an interim answer: the final one is still to come
         self._start_stall_timer()
         # Guards memory against a head that never ends, and time against what is no head at all.
         if len(self.head) > LARGEST_HEAD or self.head[:7] != b"HTTP/1."[: len(self.head)]:
@@ -155,7 +155,9 @@
             return self._fail_exchange(str(error))
         # Guards memory: it may pin the large block that it was read into, as long as the connection lives.
         self.head = b""
-        self.in_body, self.chunked, self.ends_with_connection = True, length == CHUNKED, length == UNTIL_CLOSE
+        self.in_body = True
+        self.chunked = length == CHUNKED
+        self.ends_with_connection = length == UNTIL_CLOSE
         self.body_left = max(0, length)
         if self.chunked or self.ends_with_connection:
             self._take_chunked(head + rest)
@@ -183,7 +185,7 @@
     def _start_stall_timer(self, restart: bool = False) -> None:
         """Start the timer of an answer that has begun and stalls; `restart` replaces one that runs.
 
-        Guards the client's time against such an answer: the rest of it must come within rest_within.
+        Guards the client's time against such an answer: the rest of it must arrive within rest_within.
         """
         if restart:
             self._cancel_stall_timer()
@@ -196,7 +198,8 @@
         """End the exchange: nothing is due any more."""
         if self.awaiting_answer and self.in_body:
             self.pool.record_success(self.idle_for)
-        self.awaiting_answer, self.idle_since = False, self._loop.time()
+        self.awaiting_answer = False
+        self.idle_since = self._loop.time()
         self._cancel_stall_timer()
 
     def _cancel_stall_timer(self) -> None:
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -43,7 +43,7 @@
 
         Args:
             connect_timeout: How long a connection to a node may take to open.
-            conn_idle: How long a node keeps an idle connection; this head keeps it half as long.
+            conn_idle: How long a node keeps an idle connection open; this head closes it after half of that.
             max_connections: How many connections to nodes may be open at once, idle ones included.
             rest_within: How long the rest of an answer may take once it has begun.
         """
@@ -74,7 +74,8 @@
         """
         request = effect.request
         url = URL(f"http://{effect.address}{request.target}", encoded=True)  # encoded: bytes pass unchanged
-        headers, data = attempt_headers(effect), attempt_data(request)
+        headers = attempt_headers(effect)
+        data = attempt_data(request)
         response: aiohttp.ClientResponse | None = None
         try:
             async with asyncio.timeout(effect.timeout.total_seconds()):
@@ -115,7 +116,7 @@
 
 
 def once_if(may_begin: Callable[[], bool] | None) -> ClientMiddlewareType:
-    """The middleware of one attempt: it is sent once, and only if `may_begin` says so (NodePool.connect)."""
+    """The middleware of one attempt: sent once, and only if `may_begin` allows it (NodePool.connect)."""
 
     async def send_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
         assert isinstance(request, TrackedRequest)
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -35,7 +35,7 @@
         self.reuse_within = self.keep  # seconds that a connection may have been idle to be reused
         self.alive: set[NodeConnection] = set()
         self.attempts_written = 0  # attempts written complete, since the start
-        # aiohttp has no public way to say which connections a connector makes
+        # aiohttp has no public way to choose the class of a connector's connections
         self._factory = partial(  # type: ignore[assignment]  # partial is invariant in what it returns
             NodeConnection,
             loop=asyncio.get_running_loop(),
@@ -44,7 +44,7 @@
         )
 
     def set_limit(self, max_connections: int) -> None:
-        """Set the bound, as the previous process still holds connections."""
+        """Set the bound, as the previous process still has connections open."""
         self.max_connections = self._limit = max_connections
 
     def record_break(self, idle: float) -> None:
@@ -75,7 +75,7 @@
             # Guards drains, windows for repeats and clients that have gone: a dial may outlast all of them.
             protocol = connection.protocol
             if isinstance(protocol, NodeConnection) and protocol.idle_since is None:
-                protocol.idle_since = asyncio.get_running_loop().time()  # it has just come up
+                protocol.idle_since = asyncio.get_running_loop().time()  # it has just been opened
             connection.release()
             raise NotBegun
         return connection
--- a/stoatrouter/net/replies.py
+++ b/stoatrouter/net/replies.py
@@ -62,11 +62,11 @@
 def end_to_end(headers: CIMultiDictProxy[str]) -> tuple[tuple[str, str], ...]:
     """The header fields of an answer that are meant for the client.
 
-    Fields of this connection (RFC 9110, 7.6.1) and of the nodes' protocol are left out.
+    Fields of this connection (RFC 9110, 7.6.1) and of the nodes' protocol are omitted.
     """
     named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
-    left = HOP_BY_HOP | named
-    return tuple((name, value) for name, value in headers.items() if name.lower() not in left)
+    omitted = HOP_BY_HOP | named
+    return tuple((name, value) for name, value in headers.items() if name.lower() not in omitted)
 
 
 async def read_complete_reply(response: aiohttp.ClientResponse) -> Reply:
--- a/stoatrouter/net/sighup.py
+++ b/stoatrouter/net/sighup.py
@@ -6,14 +6,14 @@
 
 
 class HangupSignal:
-    """Whether SIGHUP came while the program was still starting."""
+    """Whether SIGHUP was received while the program was still starting."""
 
     def __init__(self) -> None:
         """Start with no SIGHUP received."""
         self.received = False
 
     def install_handler(self) -> None:
-        """Install the handler of SIGHUP, which records that it came.
+        """Install the handler of SIGHUP, which records that it was received.
 
         By default SIGHUP would end the process, and imports alone take half a second.
         """
--- a/stoatrouter/net/startup_notification.py
+++ b/stoatrouter/net/startup_notification.py
@@ -30,8 +30,7 @@
     def connect(self, folder: str | None) -> None:
         """Connect to the previous process, if there is one.
 
-        A start takes a good part of the processor, so the previous process holds fewer requests open from
-        now on.
+        A start uses much processor time, so the previous process admits fewer open requests from now on.
         """
         if not folder:
             return
--- a/stoatrouter/net/state_file.py
+++ b/stoatrouter/net/state_file.py
@@ -1,4 +1,4 @@
-"""The file in $TMPDIR that keeps the administrative state over restarts and upgrades."""
+"""The file in $TMPDIR that persists the administrative state over restarts and upgrades."""
 
 from __future__ import annotations
 
--- a/stoatrouter/net/state_format.py
+++ b/stoatrouter/net/state_format.py
@@ -52,7 +52,9 @@
     """The administrative state as plain data; times in microseconds since the Unix epoch."""
     return {
         "out": {node: micros(at) for node, at in administrative_state.out.items()},
-        "back": {node: [micros(a), micros(b)] for node, (a, b) in administrative_state.back.items()},
+        "back": {
+            node: [micros(since), micros(until)] for node, (since, until) in administrative_state.back.items()
+        },
     }
 
 
@@ -61,7 +63,10 @@
     try:
         return AdministrativeState(
             {str(node): span(int(at)) for node, at in data["out"].items()},
-            {str(node): (span(int(a)), span(int(b))) for node, (a, b) in data["back"].items()},
+            {
+                str(node): (span(int(since)), span(int(until)))
+                for node, (since, until) in data["back"].items()
+            },
         )
     except UNREADABLE as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
--- a/stoatrouter/net/tracked_request.py
+++ b/stoatrouter/net/tracked_request.py
@@ -20,22 +20,22 @@
     """
 
     written = False
-    may_begin: Callable[[], bool] | None = None  # asked with a connection in hand, before the first byte
+    may_begin: Callable[[], bool] | None = None  # called with a connection in hand, before the first byte
 
     def mark_written(self, written: bool, conn: aiohttp.connector.Connection) -> None:
-        """Note whether the last byte was handed to the system; such an attempt counts as a try."""
+        """Note whether the last byte was handed to the system; such an attempt is counted."""
         self.written = written
         if written and "Req-Id" in self.headers and isinstance(conn.protocol, NodeConnection):
             conn.protocol.pool.attempts_written += 1  # health checks are none
 
     async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
-        """Send the request; drain() waits until the system has taken the last byte."""
+        """Send the request; drain() waits until the system has accepted the last byte."""
         transport = conn.transport
         if transport is not None:
             transport.set_write_buffer_limits(high=0)  # drain() then waits for the last byte
         response = await super().send(conn)
         if not self.body and transport is not None:
-            # what the system has not taken yet may still go out: nobody asks again before a break
+            # what the system has not sent yet may still go out: there is no second check before a break
             self.mark_written(not transport.is_closing(), conn)
         return response
 
@@ -45,15 +45,15 @@
         conn: aiohttp.connector.Connection,
         content_length: int | None = None,
     ) -> None:
-        """Write the body, and note whether the system has taken all of it."""
+        """Write the body, and note whether the system has accepted all of it."""
         transport = conn.transport
-        broken = transport is None or transport.is_closing()  # then nothing goes out; the call below says so
+        broken = transport is None or transport.is_closing()  # then nothing goes out; the call below raises
         await super().write_bytes(writer, conn, content_length)
         if broken or conn.transport is None and writer.output_size < (content_length or 0):
             return  # it broke before the last byte was handed to the system
-        await writer.drain()  # raises where the system had not taken all of it
+        await writer.drain()  # raises where the system had not accepted all of it
         # Guards against a second effect: a node may begin the request and reset its connection before this
-        # task goes on, so an end that has come meanwhile proves nothing.
+        # task resumes, so an end that arrived meanwhile proves nothing.
         self.mark_written(True, conn)
 
 
--- a/stoatrouter/reload.py
+++ b/stoatrouter/reload.py
@@ -26,18 +26,12 @@
     try:
         conf = config.reload(environ)
     except config.ConfigError as error:
-        # Guards a serving head against a file that is half written or wrong.
+        # Guards a serving head against a file that is half written or faulty.
         logger.error(
             "reload: the configuration in force stays: {error}", event="reload.refused", error=str(error)
         )
         return
-    deferred = [name for name in FIXED_FIELDS if getattr(conf, name) != getattr(current, name)]
-    if deferred:
-        logger.warning(
-            "reload: changes of {fields} wait for the next start",
-            event="reload.later",
-            fields=", ".join(deferred),
-        )
+    log_deferred(conf, current)
     logger.info(
         "reload: discovery at {address}, was {before}",
         event="reload.taken",
@@ -45,3 +39,14 @@
         before=watch.address,
     )
     watch.change_address(conf.discovery)
+
+
+def log_deferred(conf: config.Config, current: config.Config) -> None:
+    """Log the changed fields that take effect only at a start, if there are any."""
+    deferred = [name for name in FIXED_FIELDS if getattr(conf, name) != getattr(current, name)]
+    if deferred:
+        logger.warning(
+            "reload: changes of {fields} wait for the next start",
+            event="reload.later",
+            fields=", ".join(deferred),
+        )
