--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -44,13 +44,13 @@
             seed: the decision module's random seed, so that a run can be repeated.
             max_open: most requests not yet answered at once; one more is rejected before the module.
         """
-        self.gate: Gate | None = None  # asked before the module whether a request can be paid for
+        self.gate: Gate | None = None  # called before the module: whether a request can be paid for
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
         # for what is rejected unseen: as late a Retry-After as the settings let a client be given
         self.advice = span(settings.max_retry_after if settings.accepts_retry_after else 0)
         self.records: dict[str, model.Record] = {}
-        self.flows: dict[str, int] = {}  # classes of requests whose answers are still being passed on
+        self.streams: dict[str, int] = {}  # classes of requests whose answers are still being passed on
         self.nodes: dict[str, model.NodeInfo] = {}  # as listed
         self.administrative_state = model.AdministrativeState()
         self.tally = model.Tally()
@@ -60,7 +60,7 @@
 
     def reduce(self, event: model.Event) -> list[model.Effect]:
         """Take one event and return the effects to run, in order."""
-        # Guards against events stamped before one already taken: the module's time never goes back.
+        # Guards against events stamped before the latest one: the module's time never goes back.
         self.now = max(self.now, event.at)
         match event:
             case model.Arrived():
@@ -69,8 +69,8 @@
                 return self._reject(event.request_class, model.Refused(self.advice), "crowded")
             case model.AttemptEnded():
                 return self._attempt_ended(event)
-            case model.FlowEnded():
-                return self._flow_ended(event)
+            case model.StreamEnded():
+                return self._stream_ended(event)
             case model.TimerDue():
                 return self._decide(api.TimerFired(event.token))
             case model.EndpointListReceived():
@@ -103,7 +103,7 @@
     @property
     def open(self) -> int:
         """How many requests are not yet answered, have an attempt open or are being streamed."""
-        return len(self.records) + len(self.flows)
+        return len(self.records) + len(self.streams)
 
     def nodes_in_flight(self) -> list[str]:
         """The node of each attempt in flight, once per attempt."""
@@ -116,11 +116,11 @@
 
     @property
     def avoided(self) -> int:
-        """How many listed nodes get nothing new now: draining, out by an operator, or left by choice."""
+        """How many listed nodes get nothing new now: draining, out by an operator, or ejected."""
         return sum(self.scheduler.avoids(name) for name in self.nodes)
 
     def may_begin(self, at: timedelta, request: str, attempt: int) -> bool:
-        """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
+        """Whether an attempt may still be sent; called once it has a connection and before its first byte."""
         record = self.records.get(request)
         if record is None or record.answered or not record.attempts[attempt].in_flight:
             return False
@@ -129,7 +129,7 @@
     # -- requests -----------------------------------------------------------------------------------------
     def _arrived(self, request: model.Request) -> list[model.Effect]:
         # Guards against an id used twice: the module drops the second, and its client would wait in vain.
-        if request.id in self.records or request.id in self.flows:
+        if request.id in self.records or request.id in self.streams:
             return self._reject(request.request_class, model.Failed(), "duplicate_id")
         # Guards against a flood: beyond what the settings let a head hold, nothing reaches the module.
         if len(self.records) >= self.max_open:
@@ -157,7 +157,7 @@
         if self.gate is not None:
             self.gate.end(request_id, record.may_have_run())
         effects = self._decide(api.ClientGone(request_id))
-        # nobody waits for it any more: nodes stop work that is cancelled
+        # no client waits for it any more: nodes stop work that is cancelled
         effects += cancel_attempts(record)
         self._forget(request_id)
         return effects
@@ -167,7 +167,7 @@
         if record is None:
             return []
         effects: list[model.Effect] = []
-        # Guards against a decision that never came (the module failed on it): no request goes unanswered.
+        # Guards against a missing decision (the module failed on it): no request goes unanswered.
         if not invariant(record.answered, "a request had no answer at its deadline", request=request_id):
             effects += self._answer(request_id, model.Failed())
         return effects + cancel_attempts(record)
@@ -181,8 +181,8 @@
         if self.gate is not None:
             self.gate.end(request_id, isinstance(answer, model.Served) or record.may_have_run())
         self.tally.add(type(answer).__name__.lower())
-        if isinstance(answer, model.Served) and answer.flow is not None:
-            self.flows[request_id] = record.request.request_class  # it ends with its last byte
+        if isinstance(answer, model.Served) and answer.stream is not None:
+            self.streams[request_id] = record.request.request_class  # it ends with its last byte
         else:
             self._count(record.request.request_class, answer)
         self._forget(request_id)
@@ -192,8 +192,8 @@
         self.counters.active -= 1
         self.counters.count(request_class, answer)
 
-    def _flow_ended(self, event: model.FlowEnded) -> list[model.Effect]:
-        request_class = self.flows.pop(event.request, None)
+    def _stream_ended(self, event: model.StreamEnded) -> list[model.Effect]:
+        request_class = self.streams.pop(event.request, None)
         if request_class is None:
             return []
         if event.complete is None:
@@ -211,7 +211,7 @@
     def _attempt_ended(self, event: model.AttemptEnded) -> list[model.Effect]:
         record = self.records.get(event.request)
         attempt = record.attempt_in_flight(event.attempt) if record is not None else None
-        # Guards against an outcome reported twice (an attempt cancelled as its answer came): first counts.
+        # Guards against an outcome reported twice (an attempt cancelled as its answer arrived): first counts.
         if record is None or attempt is None:
             return []
         attempt.in_flight = False
@@ -219,7 +219,7 @@
         ok = event.outcome is api.Outcome.OK
         self.tally.add(event.outcome.name.lower())
         finished = ok or record.answered
-        served = model.Served(event.body, attempt.shard, event.flow, event.head)
+        served = model.Served(event.body, attempt.shard, event.stream, event.head)
         effects = self._answer(event.request, served) if ok else []
         effects += self._decide(
             api.AttemptEnded(
@@ -238,7 +238,8 @@
         return effects
 
     def _send(self, action: api.Send) -> list[model.Effect]:
-        record, node = self.records.get(action.request), self.nodes.get(action.node)
+        record = self.records.get(action.request)
+        node = self.nodes.get(action.node)
         if not invariant(
             record is not None and not record.answered,
             "a send for a request that is over",
@@ -321,7 +322,7 @@
         except Exception:
             if __debug__:
                 raise
-            # Guards against a fault in a decision: this head goes on, and Overdue answers what it left.
+            # Guards against a fault in a decision: this head serves on, and Overdue answers what remains.
             logger.exception("decision failed on {kind}", event="decision.failed", kind=type(event).__name__)
             self.tally.add("decision_failed")
             return []
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -103,8 +103,8 @@
             answer = await self.engine.serve(replace(translated, body=body) if len(body) else translated)
         finally:
             release_body(body)
-        if isinstance(answer, model.Served) and answer.flow is not None:
-            return await self.stream_answer(request, translated.id, answer.flow)
+        if isinstance(answer, model.Served) and answer.stream is not None:
+            return await self.stream_answer(request, translated.id, answer.stream)
         return self.drain.mark(answer_response(answer))
 
     def reject_unparsed(self, data: bytes) -> bytes | None:
