--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -72,11 +72,11 @@
 
 @dataclass
 class CountingSealer(EnvelopeSealer):
-    """Counts the bytes of the answers that are opened."""
+    """Counts the bytes of the answers that are unsealed."""
 
     opened: int = 0
 
-    def open(self, data: bytes) -> Envelope:
+    def unseal(self, data: bytes) -> Envelope:
         self.opened += len(data)
         return super().unseal(data)
 
--- a/benchmarks/capacity/head_processes.py
+++ b/benchmarks/capacity/head_processes.py
@@ -19,7 +19,7 @@
 from tests.peers import Node
 
 FLEET = "test"  # the name that tests/heads/processes.py gives
-MARK = struct.Struct(">QQ")  # of peering/storage.py: the number of the last write, twice
+MARK = struct.Struct(">QQ")  # of peering/write_mark.py: the number of the last write, twice
 SS_FIELDS = ("bytes_sent:", "bytes_received:")
 
 
--- a/stoatrouter/peering/__init__.py
+++ b/stoatrouter/peering/__init__.py
@@ -1,5 +1,5 @@
-"""Between heads: datagrams, streams, their MAC, and the disk. It runs the effects of the pure packages below
-it.
+"""Between heads: datagrams, streams, their authentication, and the disk.
 
-Nothing of it is imported by a head whose STOATROUTER_HEADS names no file.
+This package runs the effects of the pure packages below it (agreement, credit, history, membership). A head
+whose STOATROUTER_HEADS names no file imports nothing of it.
 """
--- a/stoatrouter/peering/availability.py
+++ b/stoatrouter/peering/availability.py
@@ -14,11 +14,17 @@
 from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
 
-REFRESH_EVERY = timedelta(milliseconds=100)
+REFRESH_INTERVAL = timedelta(milliseconds=100)
 
 
 class AvailabilityMonitor:
-    """One head's availability; `watchers` are called when it has changed."""
+    """One head's availability.
+
+    Attributes:
+        contact: When a majority of the voters was last connected, as far as this head knows.
+        watchers: Called after the availability has changed.
+        latest: The availability as of the last look; None before the first.
+    """
 
     def __init__(
         self,
@@ -27,54 +33,71 @@
         bootstrap: FleetBootstrap,
         now: Callable[[], timedelta],
     ) -> None:
-        self.settings, self.replication, self.bootstrap, self.now = settings, replication, bootstrap, now
+        """Count the time since the start from now on.
+
+        Args:
+            settings: How long after a majority was connected this head counts as cut off, and how long it
+                waits for one at the start.
+            replication: What is applied here, and who leads.
+            bootstrap: Whether this head belongs to a fleet.
+            now: This head's monotonic time.
+        """
         self.contact = MajorityContact()
         self.watchers: list[Callable[[], None]] = []
         self.latest: Availability | None = None
-        self._catch_up_to: int | None = None  # what was agreed on when this head first heard of it
-        self._began = now()
+        self._settings = settings
+        self._replication = replication
+        self._bootstrap = bootstrap
+        self._now = now
+        self._started_at = now()
+        self._catch_up_to: int | None = None  # what was committed when this head first heard of a majority
 
     def current(self) -> Availability:
-        """What this head may do at this moment."""
-        self.refresh()
-        assert self.latest is not None
-        return self.latest
+        """What this head may do at this moment; the watchers are called where it has changed."""
+        availability = availability_of(
+            self._facts(),
+            self._settings.cut_off_after,
+            self._now() - self._started_at,
+            self._settings.wait_at_start,
+        )
+        if availability != self.latest:
+            self._publish(availability)
+        return availability
+
+    def refresh(self) -> None:
+        """Look what this head may do; the watchers are called where it has changed."""
+        self.current()
 
     def note_contact(self, contact: MajorityContact, commit: int) -> None:
-        """A majority was connected then; up to here it had agreed."""
+        """Take in that a majority was connected at a time, and had committed the log up to an index."""
         self.contact.seen(contact.at)
         if self._catch_up_to is None and contact.at is not None:
             self._catch_up_to = commit
 
-    def refresh(self) -> None:
-        """Look what this head may do, and say so when that has changed."""
-        settings = self.settings
-        latest = availability_of(
-            self._facts(), settings.cut_off_after, self.now() - self._began, settings.wait_at_start
-        )
-        if latest == self.latest:
-            return
-        before, self.latest = self.latest, latest
-        if before is None or before.state is not latest.state:
-            logger.info("heads: {state}", event="heads.standing", state=latest.state.value)
-        for watcher in self.watchers:
-            watcher()
-
     async def run_for_ever(self) -> None:
         """Refresh now and then: time alone cuts a head off."""
         while True:
             self.refresh()
-            await asyncio.sleep(REFRESH_EVERY.total_seconds())
+            await asyncio.sleep(REFRESH_INTERVAL.total_seconds())
+
+    def _publish(self, availability: Availability) -> None:
+        before = self.latest
+        self.latest = availability
+        if before is None or before.state is not availability.state:
+            logger.info("heads: {state}", event="heads.standing", state=availability.state.value)
+        for watcher in self.watchers:
+            watcher()
 
     def _facts(self) -> Facts:
-        replication, raft = self.replication, self.replication.raft
+        replication = self._replication
+        raft = replication.raft
         if raft.settled:
             self.note_contact(raft.contact, raft.commit)
         caught_up = self._catch_up_to is not None and replication.machine.index >= self._catch_up_to
         return Facts(
-            founded=bool(self.bootstrap.origin),
+            founded=bool(self._bootstrap.origin),
             caught_up=caught_up,
-            majority_age=self.contact.age(self.now()),
+            majority_age=self.contact.age(self._now()),
             votes=raft.votes_here,
             leads=raft.leads,
             disk=replication.disk_writable,
--- a/stoatrouter/peering/bootstrap.py
+++ b/stoatrouter/peering/bootstrap.py
@@ -1,7 +1,7 @@
-"""To which fleet this head belongs, and how it comes to belong to one: founding, adopting and following.
+"""How this head comes to belong to a fleet: founding it, adopting a founding, or following one that runs.
 
 Decides nothing: when a fleet is founded, and by whom, stands in agreement/founding.py. What a head promises
-or adopts is on its disk before it is told to anybody.
+or adopts is on its disk before anybody is notified of it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,6 @@
 import contextlib
 from collections.abc import Callable
 from datetime import timedelta
-from typing import Any
 
 import msgspec
 from loguru import logger
@@ -20,115 +19,158 @@
 from stoatrouter.peering import calls
 from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
-from stoatrouter.peering.storage import StoredState
-from stoatrouter.peering.streams import Streams
+from stoatrouter.peering.storage import BootstrapWrite, StoredState
+from stoatrouter.peering.streams import Reply, Streams
 
-FOUND_EVERY = timedelta(milliseconds=300)
-PROMISE_WITHIN = timedelta(seconds=2)
+FOUNDING_INTERVAL = timedelta(milliseconds=300)  # between two rounds of a founder
+PROMISE_TIMEOUT = timedelta(seconds=2)  # for the disk; a broken one promises nothing
 
 
 class FleetBootstrap:
-    """One head's fleet. `changed` is called when the head has begun to belong to one."""
+    """To which fleet one head belongs, and how it comes to belong to one.
+
+    Attributes:
+        durable: Whether the beginning of the fleet is on this head's disk.
+    """
 
     def __init__(
         self,
         me: Voter,
         settings: HeadsSettings,
         stored: StoredState,
-        agreed: Replication,
+        replication: Replication,
         streams: Streams,
-        changed: Callable[[], None],
+        on_begun: Callable[[], None],
     ) -> None:
-        self.me, self.settings, self.replication, self.streams = me, settings, agreed, streams
-        self.founding = Founding(me, settings.voters, stored.origin, stored.promised)
-        self.durable = bool(stored.origin)  # the beginning of the fleet is on this head's disk
-        self._changed = changed
+        """Go on with what the disk holds.
+
+        Args:
+            me: This head, with the identity of its disk.
+            settings: Names the first voters.
+            stored: What the disk holds.
+            replication: Stores what is promised, and begins with a fleet's first state.
+            streams: To the other voters.
+            on_begun: Called once this head has begun to belong to a fleet, durably.
+        """
+        self.durable = bool(stored.origin)
+        self._me = me
+        self._settings = settings
+        self._replication = replication
+        self._streams = streams
+        self._founding = Founding(me, settings.voters, stored.origin, stored.promised)
+        self._on_begun = on_begun
 
     @property
     def origin(self) -> str:
         """The identity of the fleet's founder; "" where this head belongs to none."""
-        return self.founding.origin
+        return self._founding.origin
 
     def may_learn_from(self, origin: str) -> bool:
-        """Whether what a head of this fleet has agreed on may be taken in here."""
+        """Whether entries that a head of this fleet holds as committed may be learnt here."""
         return bool(origin) and (not self.origin or (origin == self.origin and self.durable))
 
     # -- founding -----------------------------------------------------------------------------------------
     async def promise(self, founder: Voter) -> bytes:
-        """Promise a founder to begin with it, once that is on the disk; the answer to it."""
-        before = self.founding.promised
-        answer = self.founding.promise(founder)
-        if self.founding.promised != before:
-            done = asyncio.get_running_loop().create_future()
-            self.replication.keep(lambda: done.done() or done.set_result(None), promised=answer.founder)
-            async with asyncio.timeout(PROMISE_WITHIN.total_seconds()):  # a broken disk promises nothing
-                await done
+        """Promise a founder to begin with it, once that is on the disk; the encoded answer to it.
+
+        Raises:
+            TimeoutError: The disk did not take the promise in time.
+        """
+        before = self._founding.promised
+        answer = self._founding.promise(founder)
+        if self._founding.promised != before:
+            async with asyncio.timeout(PROMISE_TIMEOUT.total_seconds()):
+                await self._store_promise(answer.founder)
         return msgspec.msgpack.encode(answer)
 
+    async def _store_promise(self, founder: str) -> None:
+        """Store to whom this head is promised, and wait until that is on the disk."""
+        stored: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+
+        def on_stored() -> None:
+            if not stored.done():  # whoever waited may have given up
+                stored.set_result(None)
+
+        self._replication.store(BootstrapWrite(promised=founder), on_stored)
+        await stored
+
     async def found_fleet(self) -> None:
-        """The founder's part: ask the voters of the settings until a fleet has begun."""
+        """Ask the voters for their promises until a fleet has begun, where this head is its founder."""
         while not self.origin:
-            await asyncio.sleep(FOUND_EVERY.total_seconds())
-            if not self.founding.founds or not self.replication.disk_writable:
+            await asyncio.sleep(FOUNDING_INTERVAL.total_seconds())
+            if not self._founding.founds or not self._replication.disk_writable:
                 continue
-            if self.founding.promised != self.me.identity:
+            if self._founding.promised != self._me.identity:
                 with contextlib.suppress(TimeoutError):
-                    await self.promise(self.me)
+                    await self.promise(self._me)
                 continue
-            for answer in await self._ask_promises():
-                founded = self.founding.heard(answer)
-                if founded is not None:
-                    self.adopt(founded)
-                    await self._ask_others(calls.FOUND, msgspec.msgpack.encode(founded))
-                    break
-
-    async def _ask_promises(self) -> list[Promised]:
+            founded = self._count_promises(await self._collect_promises())
+            if founded is not None:
+                self.adopt(founded)
+                await self._request_of_voters(calls.FOUND, msgspec.msgpack.encode(founded))
+
+    def _count_promises(self, promises: list[Promised]) -> Founded | None:
+        """Take in promises; the founding, once all voters have promised."""
+        for promised in promises:
+            founded = self._founding.heard(promised)
+            if founded is not None:
+                return founded
+        return None
+
+    async def _collect_promises(self) -> list[Promised]:
         """What the other voters promise; alone, what this head has promised itself."""
-        answers = await self._ask_others(calls.PROMISE, b"")
-        bodies = [answer[1] for answer in answers if isinstance(answer, tuple) and answer[1]]
-        promised = [msgspec.msgpack.decode(body, type=Promised) for body in bodies]
-        return promised or [self.founding.promise(self.me)]
+        results = await self._request_of_voters(calls.PROMISE, b"")
+        bodies = [result.body for result in results if isinstance(result, Reply) and result.body]
+        promises = [msgspec.msgpack.decode(body, type=Promised) for body in bodies]
+        return promises or [self._founding.promise(self._me)]
 
-    async def _ask_others(self, kind: str, body: bytes) -> list[Any]:
-        """Ask all other voters of the settings at once: who answered with what, or the error."""
-        others = [name for name in self.settings.voters if name != self.settings.name]
-        questions = (self.streams.request(name, kind, body) for name in others)
-        return await asyncio.gather(*questions, return_exceptions=True)
+    async def _request_of_voters(self, kind: str, body: bytes) -> list[Reply | BaseException]:
+        """Send a request to all other voters of the settings at once: each one's answer, or the error."""
+        others = [name for name in self._settings.voters if name != self._settings.name]
+        requests = (self._streams.request(name, kind, body) for name in others)
+        return await asyncio.gather(*requests, return_exceptions=True)
 
     # -- beginning ----------------------------------------------------------------------------------------
     def adopt(self, founded: Founded) -> None:
-        """Begin with a founding that names this head."""
-        if not self.founding.adopt(founded):
+        """Begin with a founding that names this head; nothing where it is not the one promised to."""
+        if not self._founding.adopt(founded):
             return
         logger.info(
             "heads: the fleet {origin} is founded by {voters}",
             event="heads.founded",
             origin=founded.origin[:8],
-            voters=", ".join(v.name for v in founded.voters),
+            voters=", ".join(voter.name for voter in founded.voters),
         )
-        self.replication.begin(founded.snapshot(), 0, founded.origin, self._begun)
+        self._replication.begin(founded.snapshot(), 0, founded.origin, self._begun)
 
     def adopt_missed(self, fetched: calls.Fetched) -> bool:
         """Begin with a founding that this head had promised to and did not hear of; whether it does."""
         if self.origin or fetched.snapshot is None:
             return False
-        if not self.founding.adopt(Founded(fetched.origin, fetched.voters)):
+        if not self._founding.adopt(Founded(fetched.origin, fetched.voters)):
             return False
-        self.replication.begin(fetched.snapshot, 0, fetched.origin, self._begun)
+        self._replication.begin(fetched.snapshot, 0, fetched.origin, self._begun)
         return True
 
-    def follow(self, origin: str) -> None:
-        """A head that has no vote belongs to the fleet that it follows."""
+    def join(self, origin: str) -> None:
+        """Belong to the fleet that this head follows, without a vote; nothing where it belongs to one."""
         if origin and not self.origin:
-            self.founding.origin, self.durable = origin, True
-            self.replication.keep(lambda: None, origin=origin)
+            self._founding.origin = origin
+            self.durable = True
+            self._replication.store(BootstrapWrite(origin=origin), lambda: None)
 
     def begin_alone(self, origin: str, snapshot: Snapshot, term: int) -> None:
-        """Go on as a fleet of another origin, with this state."""
-        self.founding.origin = origin
-        self.replication.begin(snapshot, term, origin, self._begun)
+        """Go on as a fleet of another origin, with this state: the voters of the old one are lost.
+
+        Args:
+            origin: The identity of the new fleet.
+            snapshot: Its state, with this head as its only voter.
+            term: The term that its log goes on in, above that of the old one.
+        """
+        self._founding.origin = origin
+        self._replication.begin(snapshot, term, origin, self._begun)
 
     def _begun(self) -> None:
-        """The beginning is on the disk."""
+        """Note that the beginning is on the disk."""
         self.durable = True
-        self._changed()
+        self._on_begun()
--- a/stoatrouter/peering/datagrams.py
+++ b/stoatrouter/peering/datagrams.py
@@ -1,10 +1,14 @@
-"""Datagrams between heads: one socket, the detector behind it. Decides nothing."""
+"""The failure detector's socket: authenticates datagrams, and runs the effects of membership/detector.py.
+
+Decides nothing: which head is suspected or failed is the detector's to say.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 from datetime import timedelta
+from typing import cast
 
 from loguru import logger
 
@@ -21,14 +25,21 @@
     Tick,
 )
 from stoatrouter.membership.roster import Status
-from stoatrouter.peering.counters import MessageCounters
+from stoatrouter.peering.counters import Channel, MessageCounters
+from stoatrouter.peering.errors import RejectReason
 
 TICK = timedelta(milliseconds=25)
-MOST_AT_ONCE = 256  # datagrams taken between two ticks; a flood beyond is dropped and counted
+MOST_PER_TICK = 256  # datagrams received between two ticks; a flood beyond is dropped and counted
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Runs the detector's effects on one socket."""
+    """One head's detector, and the UDP socket it speaks through.
+
+    Attributes:
+        detector: What decides.
+        transport: The socket, once it is open.
+        counters: Where messages are counted.
+    """
 
     def __init__(
         self,
@@ -38,78 +49,106 @@
         peers: tuple[str, ...],
         now: Callable[[], timedelta],
         counters: MessageCounters,
-        changed: Callable[[str, Status], None],
+        on_status_change: Callable[[str, Status], None],
     ) -> None:
-        self.detector, self.secret, self.fleet = detector, secret, fleet
-        self.peers, self.now, self.counters, self.changed = set(peers), now, counters, changed
+        """Set up the socket's protocol; it listens once started.
+
+        Args:
+            detector: What decides.
+            secret: The key of the datagrams' MACs.
+            fleet: The fleet's name, which the MACs are personalised with.
+            peers: The addresses (HOST:PORT) that datagrams are accepted from.
+            now: This head's monotonic time.
+            counters: Where messages are counted.
+            on_status_change: Called with a head's name and its new status, as the detector sees it.
+        """
+        self.detector = detector
+        self.counters = counters
         self.transport: asyncio.DatagramTransport | None = None
-        self.taken = 0
+        self._secret = secret
+        self._fleet = fleet
+        self._peers = frozenset(peers)
+        self._now = now
+        self._on_status_change = on_status_change
+        self._received_this_tick = 0
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Listen; raises OSError where the address cannot be used."""
         loop = asyncio.get_running_loop()
-        self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
+        await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
-        self.transport = transport  # type: ignore[assignment]
+        """Take over the socket, which is open."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """A datagram has come; what is not believed is dropped and counted."""
-        where = f"{addr[0]}:{addr[1]}"
-        self.taken += 1
+        """Hand a datagram to the detector; one that is rejected is dropped and counted."""
+        source = f"{addr[0]}:{addr[1]}"
+        self._received_this_tick += 1
         self.counters.add("datagrams.received")
         # Guards the loop against a flood.
-        if self.taken > MOST_AT_ONCE:
-            return self.counters.drop("datagram", "flood", where)
+        if self._received_this_tick > MOST_PER_TICK:
+            self._drop(RejectReason.FLOOD, source)
+            return
         # Guards against anybody: only addresses that the configuration names are heard.
-        if where not in self.peers:
-            return self.counters.drop("datagram", "not_a_peer", where)
+        if source not in self._peers:
+            self._drop(RejectReason.NOT_A_PEER, source)
+            return
         try:
-            message = decode(data, self.secret, self.fleet)
+            message = decode(data, self._secret, self._fleet)
         except Malformed as error:
-            return self.counters.drop("datagram", str(error), where)
-        self.put(Heard(self.now(), where, message), where)
+            self._drop(str(error), source)
+            return
+        self._step(Heard(self._now(), source, message), source)
 
     def error_received(self, exc: Exception) -> None:
-        """A datagram could not be sent; the detector finds out by itself."""
-        self.counters.add("datagrams.errors")  # a peer that does not listen; the probe's end says it
-
-    def put(self, event: Event, where: str = "") -> None:
-        """Reduce an event of the detector, and run its effects."""
-        for effect in self.detector.reduce(event):
-            self.run(effect, where)
-
-    def run(self, effect: Effect, where: str) -> None:
-        """Run one effect."""
-        match effect:
-            case SendTo():
-                data = encode(effect.message, self.secret, self.fleet)
-                self.counters.add("datagrams.sent")
-                self.counters.add("datagrams.bytes", len(data))
-                host, _, port = effect.address.rpartition(":")
-                if self.transport is not None and not self.transport.is_closing():
-                    self.transport.sendto(data, (host, int(port)))
-            case Changed():
-                logger.info(
-                    "heads: {head} is {status}, as seen from here",
-                    event="heads.seen",
-                    head=effect.name,
-                    status=effect.status.name.lower(),
-                )
-                self.changed(effect.name, effect.status)
-            case Dropped():
-                self.counters.drop("datagram", effect.why, where)
+        """Count a datagram that could not be sent; the detector finds out by itself that its peer is gone."""
+        self.counters.add("datagrams.errors")
 
     async def run_for_ever(self) -> None:
         """Let time pass for the detector."""
         while True:
-            self.taken = 0
-            self.put(Tick(self.now()))
+            self._received_this_tick = 0
+            self._step(Tick(self._now()))
             await asyncio.sleep(TICK.total_seconds())
 
     def close(self) -> None:
-        """Say that this head leaves, then close."""
+        """Notify the others that this head leaves, then close the socket."""
         if self.transport is not None:
-            self.put(Leaving(self.now()))
+            self._step(Leaving(self._now()))
             self.transport.close()
+
+    # -- events in, effects out ---------------------------------------------------------------------------
+    def _step(self, event: Event, source: str = "") -> None:
+        """Reduce an event, and run its effects in order; `source` is where its datagram came from."""
+        for effect in self.detector.reduce(event):
+            self._perform(effect, source)
+
+    def _perform(self, effect: Effect, source: str) -> None:
+        match effect:
+            case SendTo():
+                self._send(effect)
+            case Changed():
+                self._report_change(effect)
+            case Dropped():
+                self._drop(effect.why, source)
+
+    def _send(self, effect: SendTo) -> None:
+        data = encode(effect.message, self._secret, self._fleet)
+        self.counters.add("datagrams.sent")
+        self.counters.add("datagrams.bytes", len(data))
+        host, _, port = effect.address.rpartition(":")
+        if self.transport is not None and not self.transport.is_closing():
+            self.transport.sendto(data, (host, int(port)))
+
+    def _report_change(self, effect: Changed) -> None:
+        logger.info(
+            "heads: {head} is {status}, as seen from here",
+            event="heads.seen",
+            head=effect.name,
+            status=effect.status.name.lower(),
+        )
+        self._on_status_change(effect.name, effect.status)
+
+    def _drop(self, reason: str, source: str) -> None:
+        self.counters.count_drop(Channel.DATAGRAM, reason, source)
--- a/stoatrouter/peering/disk_writer.py
+++ b/stoatrouter/peering/disk_writer.py
@@ -1,4 +1,4 @@
-"""The disk's own thread: writes in order, beside requests; what waits for a write is told when it is done."""
+"""The disk's own thread: writes in order, beside requests; each write's callback runs once it is on disk."""
 
 from __future__ import annotations
 
@@ -8,60 +8,94 @@
 import sqlite3
 import threading
 from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
 
 from stoatrouter.agreement.records import Write
-from stoatrouter.peering.storage import Storage
+from stoatrouter.peering.storage import BootstrapWrite, Storage
+
+MOST_QUEUED = 4_096  # writes; a disk that is so far behind counts as failed
+CLOSE_TIMEOUT_S = 5  # for what is queued when this head ends
 
-MOST_WAITING = 4_096  # writes; a disk that is so far behind counts as failed
 Done = Callable[[], None]
 
 
-class Writer:
-    """Puts writes to the storage, one after the other. `failed` is called once, with the reason."""
+@dataclass(slots=True, frozen=True)
+class QueuedWrite:
+    """A write, and what is called on the loop once it is on the disk."""
+
+    write: Write | BootstrapWrite
+    done: Done
+
+
+class DiskWriter:
+    """Writes to the storage, one write after the other, in a thread of its own."""
 
     def __init__(
-        self, storage: Storage, loop: asyncio.AbstractEventLoop, failed: Callable[[str], None], lasting: bool
+        self,
+        storage: Storage,
+        loop: asyncio.AbstractEventLoop,
+        on_failure: Callable[[str], None],
+        writable: bool,
     ) -> None:
-        self.storage, self.loop, self.failed, self.lasting = storage, loop, failed, lasting
-        self.waiting: queue.Queue[tuple[Write | dict[str, str], Done] | None] = queue.Queue(MOST_WAITING)
-        self.broken = not lasting
-        self.thread = threading.Thread(target=self._run, daemon=True, name="heads-disk")
-        self.thread.start()
-
-    def put(self, write: Write | dict[str, str], done: Done) -> None:
-        """Write, then call `done` on the loop. After a failure nothing is written and nothing called."""
+        """Start the thread.
+
+        Args:
+            storage: The open storage; only this writer uses it from now on.
+            loop: Where callbacks run.
+            on_failure: Called once, on the loop, with the reason; nothing is written after it.
+            writable: False where the disk takes no writes: none is queued then.
+        """
+        self._storage = storage
+        self._loop = loop
+        self._on_failure = on_failure
+        self._queue: queue.Queue[QueuedWrite | None] = queue.Queue(MOST_QUEUED)
+        self._failed = not writable
+        self._thread = threading.Thread(target=self._run, daemon=True, name="heads-disk")
+        self._thread.start()
+
+    def put(self, write: Write | BootstrapWrite, done: Done) -> None:
+        """Queue a write; `done` is called on the loop once it is on the disk.
+
+        After a failure nothing is written and nothing called.
+        """
         try:
-            if not self.broken:
-                self.waiting.put_nowait((write, done))
+            if not self._failed:
+                self._queue.put_nowait(QueuedWrite(write, done))
         except queue.Full:
             self._fail("too many writes wait for it")
 
+    def close(self) -> None:
+        """Write what is queued, end the thread and close the storage."""
+        self._queue.put(None)
+        self._thread.join(CLOSE_TIMEOUT_S)
+        self._storage.close()
+
+    def _fail(self, reason: str) -> None:
+        """Write nothing any more, and notify the owner; called on the loop."""
+        self._failed = True
+        self._on_failure(reason)
+
+    # -- in the thread ------------------------------------------------------------------------------------
     def _run(self) -> None:
-        while (work := self.waiting.get()) is not None:
-            if self.broken:
+        """Write until the end of the queue."""
+        while (queued := self._queue.get()) is not None:
+            if self._failed:
                 continue
-            write, done = work
             try:
-                if isinstance(write, dict):
-                    self.storage.keep(**write)
-                elif not write.empty:
-                    self.storage.write(write)
+                self._write(queued.write)
             except (sqlite3.Error, OSError) as error:
-                self._tell(lambda error=error: self._fail(str(error)))
-                self.broken = True
+                self._call_on_loop(partial(self._fail, str(error)))
+                self._failed = True
                 continue
-            self._tell(done)
+            self._call_on_loop(queued.done)
 
-    def _tell(self, done: Done) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended
-            self.loop.call_soon_threadsafe(done)
+    def _write(self, write: Write | BootstrapWrite) -> None:
+        if isinstance(write, BootstrapWrite):
+            self._storage.write_bootstrap(write)
+        elif not write.empty:
+            self._storage.write(write)
 
-    def _fail(self, why: str) -> None:
-        self.broken = True
-        self.failed(why)
-
-    def close(self) -> None:
-        """Finish what waits, then end."""
-        self.waiting.put(None)
-        self.thread.join(5)
-        self.storage.close()
+    def _call_on_loop(self, callback: Done) -> None:
+        with contextlib.suppress(RuntimeError):  # the loop has ended
+            self._loop.call_soon_threadsafe(callback)
--- a/stoatrouter/peering/envelope.py
+++ b/stoatrouter/peering/envelope.py
@@ -1,8 +1,9 @@
-"""Messages between heads on streams: sealed, addressed, bounded.
+"""The envelope of messages on streams: authenticated, addressed and bounded.
 
-On the wire: 32 bytes of BLAKE2b, keyed with the fleet's secret and personalised with its name, over the rest,
-which is one msgpack array (`Envelope`). The sender's identity and process number are inside; what an earlier
-process of a head said is not believed once a later one was heard.
+On the wire: 32 bytes of BLAKE2b (RFC 7693), keyed with the fleet's secret and personalised with the fleet's
+name, over the rest, which is one msgpack array (`Envelope`). The sender's identity and incarnation are
+inside: once a later incarnation of a head was heard, messages of its earlier ones are rejected. Nothing is
+encrypted.
 """
 
 from __future__ import annotations
@@ -16,26 +17,53 @@
 
 from stoatrouter.agreement.records import Voter
 from stoatrouter.config import ConfigError
-from stoatrouter.peering.errors import MessageRejected
+from stoatrouter.peering.errors import MessageRejected, RejectReason
 
-LARGEST = 64 * 1024 * 1024  # bytes of one message
-MAC, SHORTEST_SECRET = 32, 32  # bytes
+LARGEST_MESSAGE = 64 * 1024 * 1024  # bytes, with the MAC; longer ones are rejected unread
+MAC_BYTES = 32
+SHORTEST_SECRET = 32  # bytes
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message with its sender, its receiver and its number."""
+    """A message with its sender, its receiver and its number.
+
+    Heads of two releases talk to each other: fields are told by their position, so a new one goes at the end
+    and has a default.
+    """
 
     origin: str  # of the sender's fleet; "": it belongs to none yet
     sender: Voter
-    process: int  # of the sender; later ones have higher numbers
-    to: str  # the name of the head that it is for
-    number: int  # of the question; an answer repeats it
+    incarnation: int  # of the sender's process; a later process has a higher one
+    receiver: str  # the name of the head that it is for
+    request_id: int  # the sender's; an answer repeats it
     kind: str
     body: bytes
 
 
+class OlderIncarnation(MessageRejected):
+    """A message of an earlier process of its head, or of one whose clock went back.
+
+    Attributes:
+        envelope: The message, which is authentic.
+        latest: The highest incarnation heard of that head.
+    """
+
+    def __init__(self, envelope: Envelope, latest: int) -> None:
+        """Reject a message for the latest incarnation heard of its sender."""
+        super().__init__(RejectReason.OLDER_PROCESS)
+        self.envelope = envelope
+        self.latest = latest
+
+
 def read_secret(path: Path) -> bytes:
-    """The fleet's secret; raises ConfigError."""
+    """Read the fleet's secret and derive the key of all MACs from it.
+
+    Returns:
+        64 bytes.
+
+    Raises:
+        ConfigError: The file cannot be read, or the secret is shorter than SHORTEST_SECRET.
+    """
     try:
         secret = path.read_bytes().strip()
     except OSError as error:
@@ -48,52 +76,61 @@
     return hashlib.blake2b(secret, digest_size=64).digest()
 
 
-class OlderIncarnation(MessageRejected):
-    """From an earlier process of its head, or from one whose clock went back."""
-
-    def __init__(self, envelope: Envelope, latest: int) -> None:
-        super().__init__("older_process")
-        self.envelope, self.latest = envelope, latest
-
-
 @dataclass(slots=True)
 class EnvelopeSealer:
-    """Seals and opens messages of one fleet."""
+    """Seals and unseals envelopes for one head of a fleet.
+
+    Attributes:
+        secret: The key of the MACs (`read_secret`).
+        fleet: The fleet's name.
+        name: This head's name; only envelopes for it are unsealed.
+        incarnations: The latest incarnation heard of each head, by its name.
+    """
 
     secret: bytes
     fleet: str
     name: str
-    processes: dict[str, int] = field(default_factory=dict)  # the latest heard of, by head
-    person: bytes = b""
+    incarnations: dict[str, int] = field(default_factory=dict)
+    _personalisation: bytes = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
-        self.person = hashlib.blake2b(b"stream/" + self.fleet.encode(), digest_size=16).digest()
-
-    def mac(self, data: bytes) -> bytes:
-        """The authentication code of these bytes."""
-        return hashlib.blake2b(data, key=self.secret, person=self.person, digest_size=MAC).digest()
+        """Derive the personalisation of the MACs from the fleet's name."""
+        self._personalisation = hashlib.blake2b(b"stream/" + self.fleet.encode(), digest_size=16).digest()
 
     def seal(self, envelope: Envelope) -> bytes:
-        """An envelope as bytes, authenticated."""
+        """Encode an envelope and put its MAC before it."""
         data = msgspec.msgpack.encode(envelope)
-        return self.mac(data) + data
+        return self._mac(data) + data
 
     def unseal(self, data: bytes) -> Envelope:
-        """Read a message; raises MessageRejected. Nothing inside is looked at before the MAC."""
-        if len(data) > LARGEST:
-            raise MessageRejected("too_long")
-        body = data[MAC:]
-        if not hmac.compare_digest(data[:MAC], self.mac(body)):
-            raise MessageRejected("foreign")
+        """Authenticate and decode an envelope; nothing inside is looked at before the MAC.
+
+        Raises:
+            MessageRejected: It is too long, not authentic, malformed or for another head.
+            OlderIncarnation: A later incarnation of its sender was heard before.
+        """
+        if len(data) > LARGEST_MESSAGE:
+            raise MessageRejected(RejectReason.TOO_LONG)
+        body = data[MAC_BYTES:]
+        if not hmac.compare_digest(data[:MAC_BYTES], self._mac(body)):
+            raise MessageRejected(RejectReason.FOREIGN)
         try:
             envelope = msgspec.msgpack.decode(body, type=Envelope)
         except (msgspec.MsgspecError, ValueError):
-            raise MessageRejected("malformed") from None
-        if envelope.to != self.name:
-            raise MessageRejected("for_another")
-        latest = self.processes.get(envelope.sender.name, 0)
-        # Guards against what an earlier process of that head said, sent again.
-        if envelope.process < latest:
-            raise OlderIncarnation(envelope, latest)
-        self.processes[envelope.sender.name] = envelope.process
+            raise MessageRejected(RejectReason.MALFORMED) from None
+        if envelope.receiver != self.name:
+            raise MessageRejected(RejectReason.FOR_ANOTHER)
+        self._check_incarnation(envelope)
         return envelope
+
+    def _check_incarnation(self, envelope: Envelope) -> None:
+        """Guard against replays of what an earlier process of the sender sent; raises OlderIncarnation."""
+        latest = self.incarnations.get(envelope.sender.name, 0)
+        if envelope.incarnation < latest:
+            raise OlderIncarnation(envelope, latest)
+        self.incarnations[envelope.sender.name] = envelope.incarnation
+
+    def _mac(self, data: bytes) -> bytes:
+        return hashlib.blake2b(
+            data, key=self.secret, person=self._personalisation, digest_size=MAC_BYTES
+        ).digest()
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -1,97 +1,135 @@
-"""One head among the others: detector, agreement and what runs beside them, put together and kept going."""
+"""One head among the others: the failure detector, the agreement and what runs beside them, put together."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 import time
-from collections.abc import Awaitable, Callable
 from datetime import timedelta
 
-import msgspec
 from loguru import logger
 
 from stoatrouter import config
 from stoatrouter.agreement.availability import Availability
-from stoatrouter.agreement.founding import Founded
-from stoatrouter.agreement.machine import Command, Machine, Part
-from stoatrouter.agreement.records import AnyMessage, AppendEntries, Voter
+from stoatrouter.agreement.machine import Machine, Part
+from stoatrouter.agreement.records import AnyMessage, Voter
 from stoatrouter.membership.detector import Detector
 from stoatrouter.membership.roster import Status
-from stoatrouter.peering import calls
 from stoatrouter.peering.availability import AvailabilityMonitor
 from stoatrouter.peering.bootstrap import FleetBootstrap
 from stoatrouter.peering.counters import MessageCounters
 from stoatrouter.peering.datagrams import Datagrams
 from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
 from stoatrouter.peering.follower import Follower
+from stoatrouter.peering.follower_feed import FollowerFeed
+from stoatrouter.peering.handlers import MessageHandlers
 from stoatrouter.peering.leader_client import LeaderClient
+from stoatrouter.peering.leader_service import LeaderService
 from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
-from stoatrouter.peering.storage import Storage
+from stoatrouter.peering.storage import Storage, StoredState
 from stoatrouter.peering.streams import Streams
-
-CallHandler = Callable[[Envelope], Awaitable[bytes]]
+from stoatrouter.peering.tasks import cancel_tasks
 
 
 class Fleet:
-    """What other parts of the head see of the others. `parts` are what the heads agree on, by name."""
+    """What other parts of the head see of the other heads.
+
+    Attributes:
+        settings: The settings of the heads.
+        counters: Messages between heads, by kind.
+        stored: What the disk held at the start.
+        me: This head, with the identity of its disk.
+        incarnation: Of this process; higher than that of any earlier process of this head.
+        replication: The replicated log and state machine.
+        streams: Requests to other heads.
+        bootstrap: To which fleet this head belongs.
+        monitor: What this head may do.
+        follower: Polls voters where no leader replicates to this head.
+        follower_feed: Answers the polls of others.
+        datagrams: The failure detector; None where no address for it is configured.
+        handlers: What answers messages of other heads, by kind; parts add their own kinds.
+        tasks: The loops that run since `start`.
+    """
 
     def __init__(self, settings: HeadsSettings, seed: int, parts: dict[str, Part]) -> None:
-        self.settings, self.counters = settings, MessageCounters()
+        """Open the disk and put all parts together; nothing is sent or heard before `start`.
+
+        Args:
+            settings: The settings of the heads.
+            seed: Of election timeouts, the detector's draws and the jitter of retries.
+            parts: What the heads agree on, by name; parts may be added until `restore_stored`.
+
+        Raises:
+            ConfigError: The folder is in use, or its database belongs to something else.
+        """
+        self.settings = settings
+        self.counters = MessageCounters()
         draws = random.Random(f"fleet/{seed}/{settings.name}")
         storage = Storage(settings.folder)
-        stored = self.stored = storage.open()
-        if stored.reset_reason is not None:
-            logger.error(
-                "heads: begins under a new identity, without a vote: {why}",
-                event="heads.fresh",
-                why=stored.reset_reason,
-            )
-        self.me = Voter(settings.name, stored.identity)
-        # what an earlier process of this head said is told from what this one says by a number that goes up,
-        # also without a disk as long as the clock does not go back
-        self.incarnation = max(time.time_ns() // 1_000_000, stored.boot)
-        self.replication = Replication(
+        self.stored = storage.open()
+        report_reset(self.stored)
+        self.me = Voter(settings.name, self.stored.identity)
+        self.incarnation = choose_incarnation(self.stored)
+        self.replication = self._make_replication(storage, seed, parts)
+        self.streams = self._make_streams()
+        self.bootstrap = FleetBootstrap(
+            self.me, settings, self.stored, self.replication, self.streams, self._refresh
+        )
+        self.monitor = AvailabilityMonitor(settings, self.replication, self.bootstrap, self.now)
+        self.follower = Follower(
+            settings, self.replication, self.streams, self.bootstrap, self.monitor, self.now, draws
+        )
+        self.follower_feed = FollowerFeed(self.replication, self.bootstrap, self.monitor, self.now)
+        self.datagrams = self._make_datagrams(seed)
+        self.tasks: list[asyncio.Task[None]] = []
+        service = LeaderService(self.replication)
+        self._leader_client = LeaderClient(
+            settings, self.replication, self.streams, self.follower, service, self.now, draws
+        )
+        self._message_handlers = MessageHandlers(
+            self.me, self.replication, self.bootstrap, self.monitor, self.follower_feed, service
+        )
+        self.handlers = self._message_handlers.by_kind
+
+    def _make_replication(self, storage: Storage, seed: int, parts: dict[str, Part]) -> Replication:
+        return Replication(
             self.me,
-            stored,
+            self.stored,
             storage,
             Machine(parts),
-            settings.agreement,
+            self.settings.agreement,
             seed,
             self.now,
             self._send,
             self._refresh,
         )
-        self.streams = Streams(
+
+    def _make_streams(self) -> Streams:
+        settings = self.settings
+        return Streams(
             EnvelopeSealer(settings.secret, settings.fleet, settings.name),
             self.me,
             self.incarnation,
             settings.streams,
             self.counters,
-            self._answer,
+            self._handle,
             lambda: self.bootstrap.origin,
         )
-        self.bootstrap = FleetBootstrap(
-            self.me, settings, stored, self.replication, self.streams, self._refresh
-        )
-        self.monitor = AvailabilityMonitor(settings, self.replication, self.bootstrap, self.now)
-        self.follower = Follower(
-            settings, self.replication, self.streams, self.bootstrap, self.monitor, self.now, draws
-        )
-        self._client = LeaderClient(settings, self.replication, self.streams, self.follower, self.now, draws)
-        self.datagrams = self._make_datagrams(seed)
-        self.handlers: dict[str, CallHandler] = {}  # of parts, for calls between heads of their own kinds
-        self.tasks: list[asyncio.Task[None]] = []
 
     def _make_datagrams(self, seed: int) -> Datagrams | None:
-        """The failure detector; None where this head is told of no address for it."""
         settings = self.settings
         if settings.peer_listen is None:
             return None
         detector = Detector(settings.name, self.incarnation, settings.peers, seed, settings.detector)
         return Datagrams(
-            detector, settings.secret, settings.fleet, settings.peers, self.now, self.counters, self._seen
+            detector,
+            settings.secret,
+            settings.fleet,
+            settings.peers,
+            self.now,
+            self.counters,
+            self._on_status_change,
         )
 
     @staticmethod
@@ -100,12 +138,12 @@
         return timedelta(seconds=time.monotonic())
 
     # -- start and end ------------------------------------------------------------------------------------
-    def restart(self) -> None:
+    def restore_stored(self) -> None:
         """Apply what the disk holds, once all parts are known."""
-        self.replication.restart(self.stored.disk.snapshot)
+        self.replication.restore_stored()
 
     async def start(self) -> None:
-        """Listen, then take part."""
+        """Listen, then take part; raises OSError where an address cannot be listened on."""
         settings = self.settings
         await self.streams.start(config.address(settings.listen) if settings.listen else None)
         loop = asyncio.get_running_loop()
@@ -131,12 +169,10 @@
         )
 
     async def close(self) -> None:
-        """Say that this head leaves, and end."""
+        """Notify the others that this head leaves, and end; what is queued for the disk is written."""
         if self.datagrams is not None:
             self.datagrams.close()
-        for task in self.tasks:
-            task.cancel()
-        await asyncio.gather(*self.tasks, return_exceptions=True)
+        await cancel_tasks(self.tasks)
         await self.streams.close()
         self.replication.close()
 
@@ -148,74 +184,73 @@
 
     @property
     def majority_age(self) -> timedelta | None:
-        """How long ago a majority was connected, as far as this head knows."""
+        """How long ago a majority was connected, as far as this head knows; None: it knows of none."""
         return self.monitor.contact.age(self.now())
 
     @property
     def leader(self) -> str | None:
-        """Who leads, as far as this head knows."""
-        return self._client.leader
+        """The name of the leader, as far as this head knows."""
+        return self._leader_client.leader
 
     def live_heads(self) -> set[str]:
-        """Heads that are not known to have failed or left, this one with them."""
+        """Names of the heads that are not known to have failed or left, this one with them."""
         if self.datagrams is None:
             return {self.settings.name, *self.settings.streams}
-        held = self.datagrams.detector.roster.members.values()
-        return {news.name for news in held if news.status <= Status.SUSPECT}
+        members = self.datagrams.detector.roster.members.values()
+        return {member.name for member in members if member.status <= Status.SUSPECT}
 
     async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
-        """Bring a command through at whoever leads; its answer.
+        """Have a command committed by whoever leads; the part's answer.
 
-        Raises ReplicationError: it may come to hold later, and asked again under its id it gives one answer.
+        Args:
+            part: The part that the command is for.
+            body: The command, as the part encodes it.
+            id: Its idempotency key: sent again under it, it is not applied again.
+            within: How long it may take.
+
+        Raises:
+            ReplicationError: It was not brought through in time, but may still take effect; sent again under
+                its id it gives the one answer.
         """
-        return await self._client.command(part, body, id, within)
+        return await self._leader_client.command(part, body, id, within)
 
     async def read(self, within: timedelta) -> None:
-        """Wait until this head holds all that was agreed on before; raises ReplicationError."""
-        await self._client.read(within)
+        """Wait until all that was committed before the call is applied here, as a majority confirms it.
+
+        Raises:
+            ReplicationError: That could not be confirmed or applied in time.
+        """
+        await self._leader_client.read(within)
 
-    # -- messages -----------------------------------------------------------------------------------------
-    def _send(self, to: Voter, message: AnyMessage) -> None:
-        self.streams.enqueue(to.name, (to.identity, message))
+    # -- between the parts --------------------------------------------------------------------------------
+    def _send(self, receiver: Voter, message: AnyMessage) -> None:
+        self.streams.enqueue(receiver, message)
+
+    async def _handle(self, envelope: Envelope) -> bytes | None:
+        return await self._message_handlers.handle(envelope)
 
     def _refresh(self) -> None:
         self.monitor.refresh()
 
-    def _seen(self, name: str, status: Status) -> None:
-        """The detector's view has changed."""
+    def _on_status_change(self, name: str, status: Status) -> None:
         for watcher in self.monitor.watchers:
             watcher()
 
-    async def _answer(self, envelope: Envelope) -> bytes | None:
-        """One message of another head, believed; the answer, where there is one."""
-        body = envelope.body
-        match envelope.kind:
-            case calls.AGREE:
-                for identity, message in msgspec.msgpack.decode(body, type=calls.Batch):
-                    # Guards promises: what is for this head's earlier disk is not for it.
-                    if identity == self.me.identity:
-                        self._hear(envelope.sender, message)
-                return None
-            case calls.FETCH:
-                return await self.follower.answer(msgspec.msgpack.decode(body, type=calls.Fetch))
-            case calls.COMMAND:
-                return await self._client.answer_command(msgspec.msgpack.decode(body, type=Command))
-            case calls.READ:
-                return await self._client.answer_read()
-            case calls.PROMISE:
-                return await self.bootstrap.promise(envelope.sender)
-            case calls.FOUND:
-                self.bootstrap.adopt(msgspec.msgpack.decode(body, type=Founded))
-                return None
-        handler = self.handlers.get(envelope.kind)
-        return None if handler is None else await handler(envelope)
-
-    def _hear(self, sender: Voter, message: AnyMessage) -> None:
-        """A message of the agreement."""
-        # Guards promises: what comes before this head's beginning is on its disk would be forgotten by it.
-        if not self.bootstrap.durable:
-            return
-        self.replication.hear(sender, message)
-        raft = self.replication.raft
-        if isinstance(message, AppendEntries) and raft.leader == sender and message.term == raft.term:
-            self.monitor.note_contact(raft.contact, message.leader_commit)
+
+def report_reset(stored: StoredState) -> None:
+    """Log why the disk has a new identity, where it had another one before."""
+    if stored.reset_reason is not None:
+        logger.error(
+            "heads: begins under a new identity, without a vote: {why}",
+            event="heads.fresh",
+            why=stored.reset_reason,
+        )
+
+
+def choose_incarnation(stored: StoredState) -> int:
+    """A number for this process above those of the earlier processes of this head.
+
+    It is the time of day in milliseconds, and at least the count of starts that the disk holds: without a
+    disk it goes up as long as the clock does not go back.
+    """
+    return max(time.time_ns() // 1_000_000, stored.boot)
--- a/stoatrouter/peering/follower.py
+++ b/stoatrouter/peering/follower.py
@@ -1,13 +1,13 @@
-"""How heads learn what was agreed on from voters, and how a head answers those that ask it.
+"""How a head learns what was committed where no leader replicates to it: it polls the voters.
 
-A voter that hears its leader needs none of this. All others ask one voter after the other; each answer brings
-committed entries, who leads, and how long ago a majority was connected (agreement/contact.py).
+A voter that hears its leader needs none of this. All others poll one voter after the other; each answer
+brings committed entries, who leads, and how long ago a majority was connected (agreement/contact.py). The
+other side is `follower_feed`.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import random
 from collections.abc import Callable
 from datetime import timedelta
@@ -17,124 +17,116 @@
 from stoatrouter.agreement.contact import MajorityContact
 from stoatrouter.peering import calls
 from stoatrouter.peering.availability import AvailabilityMonitor
+from stoatrouter.peering.backoff import Backoff
 from stoatrouter.peering.bootstrap import FleetBootstrap
 from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
 from stoatrouter.peering.streams import Streams
 
-LONG_POLL_TIMEOUT = timedelta(milliseconds=500)  # a question waits so long for news
-FIRST_BACKOFF, LONGEST_BACKOFF = timedelta(milliseconds=50), timedelta(seconds=1)
+IDLE_INTERVAL = timedelta(milliseconds=500)  # between two looks whether this head has to poll
+FIRST_BACKOFF = timedelta(milliseconds=50)
+LONGEST_BACKOFF = timedelta(seconds=1)
 
 
 class Follower:
-    """One head's questions to voters, and its answers to others."""
+    """One head's polls of the voters.
+
+    Attributes:
+        leader: The name of the leader, as the last answer had it; None where it is not known.
+    """
 
     def __init__(
         self,
         settings: HeadsSettings,
-        agreed: Replication,
+        replication: Replication,
         streams: Streams,
-        belonging: FleetBootstrap,
+        bootstrap: FleetBootstrap,
         monitor: AvailabilityMonitor,
         now: Callable[[], timedelta],
         draws: random.Random,
     ) -> None:
-        self.settings, self.replication, self.streams = settings, agreed, streams
-        self.bootstrap, self.monitor, self.now, self.draws = belonging, monitor, now, draws
-        self.leader: str | None = None  # as the last answer told
-        self.turn = 0  # which voter is asked next
+        """Set up; nothing is polled before `run_for_ever`.
+
+        Args:
+            settings: Names this head, the first voters and where heads listen.
+            replication: Takes in the committed entries.
+            streams: To the voters.
+            bootstrap: Says which fleet's entries may be learnt.
+            monitor: Notified of majorities that were connected.
+            now: This head's monotonic time.
+            draws: Draws the jitter of the backoff.
+        """
+        self.leader: str | None = None
+        self._turn = 0  # counts the voters chosen, so that the next one differs
+        self._settings = settings
+        self._replication = replication
+        self._streams = streams
+        self._bootstrap = bootstrap
+        self._monitor = monitor
+        self._now = now
+        self._backoff = Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, draws)
 
-    # -- asking -------------------------------------------------------------------------------------------
     async def run_for_ever(self) -> None:
-        """Ask the voters, one after the other, unless a leader tells this head or it leads."""
-        wait = FIRST_BACKOFF
+        """Poll the voters, one after the other, unless this head leads or hears its leader."""
         while True:
-            raft = self.replication.raft
-            if raft.leads or (raft.votes_here and raft.leader is not None) or not self.settings.streams:
-                await asyncio.sleep(LONG_POLL_TIMEOUT.total_seconds())
-                continue
-            if await self.fetch(self.next_voter()):
-                wait = FIRST_BACKOFF
+            if not self._has_to_poll():
+                await asyncio.sleep(IDLE_INTERVAL.total_seconds())
+            elif await self._poll(self.next_voter()):
+                self._backoff.reset()
             else:
-                await asyncio.sleep(wait.total_seconds() * (0.5 + self.draws.random()))
-                wait = min(2 * wait, LONGEST_BACKOFF)
+                await asyncio.sleep(self._backoff.next_pause())
+
+    def _has_to_poll(self) -> bool:
+        raft = self._replication.raft
+        hears_leader = raft.votes_here and raft.leader is not None
+        return not raft.leads and not hears_leader and bool(self._settings.streams)
 
     def next_voter(self) -> str:
-        """A voter to ask; those of the settings until others are known."""
-        me, known = self.settings.name, self.settings.streams
-        voters = [v.name for v in self.replication.raft.voters] or list(self.settings.voters)
-        names = [n for n in voters if n in known and n != me]
-        names = names or [n for n in known if n != me] or [me]
-        self.turn += 1
-        return names[(self.turn + voter_offset(me)) % len(names)]
-
-    async def fetch(self, name: str) -> bool:
-        """Ask one voter; whether it is in touch with a majority."""
-        machine, raft, asked_at = self.replication.machine, self.replication.raft, self.now()
-        ask = calls.Fetch(machine.index, raft.log.term(machine.index) or 0)
+        """Choose a voter to poll; those of the settings until others are known."""
+        me = self._settings.name
+        addresses = self._settings.streams
+        voters = [voter.name for voter in self._replication.raft.voters] or list(self._settings.voters)
+        names = [name for name in voters if name in addresses and name != me]
+        names = names or [name for name in addresses if name != me] or [me]
+        self._turn += 1
+        return names[(self._turn + voter_offset(me)) % len(names)]
+
+    def forget_leader(self) -> None:
+        """Give up the leader that is known, and choose another voter than the next one."""
+        self.leader = None
+        self._turn += 1
+
+    async def _poll(self, name: str) -> bool:
+        """Poll one voter; whether it answered and is connected to a majority."""
+        machine = self._replication.machine
+        asked_at = self._now()
+        fetch = calls.Fetch(machine.index, self._replication.raft.log.term(machine.index) or 0)
         try:
-            _, body = await self.streams.request(name, calls.FETCH, msgspec.msgpack.encode(ask))
-            fetched = msgspec.msgpack.decode(body, type=calls.Fetched)
+            reply = await self._streams.request(name, calls.FETCH, msgspec.msgpack.encode(fetch))
+            fetched = msgspec.msgpack.decode(reply.body, type=calls.Fetched)
         except (PeerUnreachable, msgspec.MsgspecError):
             return False
-        if not self.bootstrap.may_learn_from(fetched.origin) or self.bootstrap.adopt_missed(fetched):
+        if not self._bootstrap.may_learn_from(fetched.origin) or self._bootstrap.adopt_missed(fetched):
             return False
         self._learn(fetched, asked_at)
         return fetched.in_touch
 
     def _learn(self, fetched: calls.Fetched, asked_at: timedelta) -> None:
-        """Take in an answer to a question that was asked at this time."""
-        self.bootstrap.follow(fetched.origin)
-        self.replication.learn(
-            fetched.prev_index, fetched.prev_term, fetched.entries, fetched.commit, fetched.snapshot
-        )
+        """Take in an answer to a poll that was sent at this time."""
+        self._bootstrap.join(fetched.origin)
+        self._replication.learn(fetched)
         if not fetched.in_touch:
             return
-        self.turn -= 1  # stay with a voter that serves
+        self._turn -= 1  # stay with a voter that serves
         self.leader = fetched.leader
         contact = MajorityContact()
         if fetched.majority_age is not None:
             contact.learned(asked_at, fetched.held_for, fetched.majority_age)
-        self.monitor.note_contact(contact, fetched.commit)
-        self.monitor.refresh()
-
-    # -- answering ----------------------------------------------------------------------------------------
-    async def answer(self, ask: calls.Fetch) -> bytes:
-        """The answer to a head that asks; waits a little where there is nothing new."""
-        came_at = self.now()
-        await self._wait_for_news(ask.after)
-        raft, origin = self.replication.raft, self.bootstrap.origin
-        in_touch = self.monitor.current().changes
-        fetched = calls.Fetched(
-            origin,
-            in_touch,
-            raft.leader.name if raft.leader else None,
-            commit=raft.commit,
-            voters=raft.voters,
-            majority_age=self.monitor.contact.age(self.now()),
-            held_for=self.now() - came_at,
-        )
-        if ask.after and raft.log.term(ask.after) == ask.after_term:
-            entries = raft.log.since(ask.after + 1, raft.commit)
-            fetched = msgspec.structs.replace(
-                fetched, prev_index=ask.after, prev_term=ask.after_term, entries=entries
-            )
-        elif origin:
-            fetched = msgspec.structs.replace(fetched, snapshot=raft.log.snapshot)
-        return msgspec.msgpack.encode(fetched)
-
-    async def _wait_for_news(self, after: int) -> None:
-        """Wait until more than this is agreed on, for a while."""
-        raft = self.replication.raft
-        if not self.bootstrap.origin:
-            return
-        with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LONG_POLL_TIMEOUT.total_seconds()):
-                while raft.commit <= after and raft is self.replication.raft:
-                    await self.replication.changed.wait()
+        self._monitor.note_contact(contact, fetched.commit)
+        self._monitor.refresh()
 
 
 def voter_offset(name: str) -> int:
-    """A number of a name that is the same in every process: heads spread over the voters by it."""
-    return sum(i * byte for i, byte in enumerate(name.encode(), 1))
+    """A number of a head's name that is the same in every process: heads spread over the voters by it."""
+    return sum(position * byte for position, byte in enumerate(name.encode(), 1))
--- /dev/null
+++ b/stoatrouter/peering/follower_feed.py
@@ -0,0 +1,75 @@
+"""What this head answers to the polls of followers: committed entries, or a snapshot, by long poll."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import Callable
+from datetime import timedelta
+
+import msgspec
+
+from stoatrouter.peering import calls
+from stoatrouter.peering.availability import AvailabilityMonitor
+from stoatrouter.peering.bootstrap import FleetBootstrap
+from stoatrouter.peering.replication import Replication
+
+LONG_POLL_TIMEOUT = timedelta(milliseconds=500)  # a poll is answered after this, whatever there is
+
+
+class FollowerFeed:
+    """One head's answers to followers."""
+
+    def __init__(
+        self,
+        replication: Replication,
+        bootstrap: FleetBootstrap,
+        monitor: AvailabilityMonitor,
+        now: Callable[[], timedelta],
+    ) -> None:
+        """Set up.
+
+        Args:
+            replication: The log that is fed from.
+            bootstrap: Says which fleet the log is of.
+            monitor: Says how this head is connected to the others.
+            now: This head's monotonic time.
+        """
+        self._replication = replication
+        self._bootstrap = bootstrap
+        self._monitor = monitor
+        self._now = now
+
+    async def answer(self, fetch: calls.Fetch) -> bytes:
+        """Answer a poll, encoded; waits up to LONG_POLL_TIMEOUT where nothing more is committed."""
+        arrived_at = self._now()
+        await self._wait_for_commit(fetch.after)
+        raft = self._replication.raft
+        origin = self._bootstrap.origin
+        fetched = calls.Fetched(
+            origin,
+            self._monitor.current().changes,
+            raft.leader.name if raft.leader else None,
+            commit=raft.commit,
+            voters=raft.voters,
+            majority_age=self._monitor.contact.age(self._now()),
+            held_for=self._now() - arrived_at,
+        )
+        if fetch.after and raft.log.term(fetch.after) == fetch.after_term:
+            entries = raft.log.since(fetch.after + 1, raft.commit)
+            fetched = msgspec.structs.replace(
+                fetched, prev_index=fetch.after, prev_term=fetch.after_term, entries=entries
+            )
+        elif origin:
+            fetched = msgspec.structs.replace(fetched, snapshot=raft.log.snapshot)
+        return msgspec.msgpack.encode(fetched)
+
+    async def _wait_for_commit(self, after: int) -> None:
+        """Wait until entries after this index are committed, up to LONG_POLL_TIMEOUT."""
+        raft = self._replication.raft
+        if not self._bootstrap.origin:
+            return
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(LONG_POLL_TIMEOUT.total_seconds()):
+                while raft.commit <= after and raft is self._replication.raft:
+                    await self._replication.changed.wait()
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -1,10 +1,13 @@
-"""All that a head has of heads that know each other, put together from its file. Loaded only where it is
-on.
+"""All that a head has of heads that know each other, put together from its file.
+
+Loaded only where STOATROUTER_HEADS names a file.
 """
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
+from datetime import timedelta
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -13,46 +16,71 @@
 from stoatrouter.config import Config
 from stoatrouter.peering.fleet import Fleet
 from stoatrouter.peering.operators import Operators
-from stoatrouter.peering.services import Call, ServingHead, credit, persisted_version, rules
+from stoatrouter.peering.services import Call, ServingHead, add_credit, add_rules, persisted_version
 from stoatrouter.peering.settings import HeadsSettings, load_heads
+from stoatrouter.peering.tasks import cancel_tasks
 
 if TYPE_CHECKING:
     from stoatrouter.agreement.machine import Part
 
+__all__ = ["Heads", "load", "persisted_version"]
+
+POLL_INTERVAL = timedelta(milliseconds=20)  # between two looks whether this head may serve
+
 
 class Heads:
-    """The fleet and what it agrees on."""
+    """The fleet, and the services that the heads agree on.
+
+    Attributes:
+        settings: The settings of the heads.
+        fleet: This head among the others.
+        calls: What answers management calls, in the order they are tried.
+        credit: Prepaid credit; None where it is off.
+        rules: The shared history of rules; None where it is off.
+        tasks: The loops of the services that run since `start`.
+    """
 
     def __init__(self, settings: HeadsSettings, head: ServingHead, started_with: int) -> None:
+        """Open the disk and put all parts together; nothing is sent or heard before `start`.
+
+        Args:
+            settings: The settings of the heads.
+            head: The head that these are parts of.
+            started_with: The version of the rules that the head starts with (`persisted_version`).
+
+        Raises:
+            ConfigError: The heads' folder is in use, or its database belongs to something else.
+        """
         self.settings = settings
         self.tasks: list[asyncio.Task[None]] = []
         parts: dict[str, Part] = {}
         self.fleet = Fleet(settings, head.conf.seed, parts)
         self.calls: list[Call] = [Operators(self.fleet).call]
-        self.credit = credit(settings, head, self.fleet, parts, self.calls)
-        self.rules = rules(settings, head, self.fleet, parts, self.calls, started_with)
-        self.fleet.restart()  # all parts are known: what the disk holds is applied to them
+        self.credit = add_credit(settings, head, self.fleet, parts, self.calls)
+        self.rules = add_rules(settings, head, self.fleet, parts, self.calls, started_with)
+        self.fleet.restore_stored()
 
     async def start(self) -> None:
-        """Take part; returns once this head may serve, or serves with what it kept."""
+        """Take part; returns once this head may serve, or serves with what it has stored.
+
+        Raises:
+            OSError: An address cannot be listened on.
+        """
         await self.fleet.start()
+        loop = asyncio.get_running_loop()
         if self.credit is not None:
-            self.tasks.append(asyncio.get_running_loop().create_task(self.credit.run()))
+            self.tasks.append(loop.create_task(self.credit.run()))
         if self.rules is not None:
-            self.tasks.append(asyncio.get_running_loop().create_task(self.rules.run()))
-        while not self.fleet.availability.serves:
-            await asyncio.sleep(0.02)
-        # a head that comes back decides by what is in force, however long its table takes to make
-        while self.rules is not None and not self.rules.caught_up:
-            await asyncio.sleep(0.02)
-        until = self.fleet.now() + self.settings.wait_at_start
-        while (
-            self.credit is not None
-            and not self.credit.begun
-            and self.fleet.availability.draws
-            and self.fleet.now() < until
-        ):
-            await asyncio.sleep(0.02)
+            self.tasks.append(loop.create_task(self.rules.run()))
+        await poll_until(lambda: self.fleet.availability.serves)
+        # A head that comes back decides by what is in force, however long its table takes to compile.
+        await poll_until(lambda: self.rules is None or self.rules.caught_up)
+        deadline = self.fleet.now() + self.settings.wait_at_start
+        await poll_until(lambda: self._credit_ready() or self.fleet.now() >= deadline)
+
+    def _credit_ready(self) -> bool:
+        """Whether nothing of credit has to be waited for: it is off, has begun, or cannot draw now."""
+        return self.credit is None or self.credit.begun or not self.fleet.availability.draws
 
     @property
     def ready(self) -> bool:
@@ -60,17 +88,15 @@
         return self.fleet.availability.ready
 
     async def call(self, method: str, path: str, body: bytes) -> web.Response | None:
-        """An operators' call that concerns the heads; None where it does not."""
+        """Answer a management call that concerns the heads; None where it does not."""
         for call in self.calls:
             if (response := await call(method, path, body)) is not None:
                 return response
         return None
 
     async def close(self) -> None:
-        """End all parts, the fleet last."""
-        for task in self.tasks:
-            task.cancel()
-        await asyncio.gather(*self.tasks, return_exceptions=True)
+        """End all services, the fleet last."""
+        await cancel_tasks(self.tasks)
         if self.rules is not None:
             await self.rules.close()
         if self.credit is not None:
@@ -78,7 +104,10 @@
         await self.fleet.close()
 
 
-__all__ = ["Heads", "persisted_version", "load"]
+async def poll_until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition holds; returns at once where it does."""
+    while not condition():
+        await asyncio.sleep(POLL_INTERVAL.total_seconds())
 
 
 def load(path: str, conf: Config) -> HeadsSettings:
--- a/stoatrouter/peering/leader_client.py
+++ b/stoatrouter/peering/leader_client.py
@@ -1,4 +1,8 @@
-"""Commands and reads, brought to whichever head leads, and answered at that head."""
+"""Commands and reads, sent to whichever head leads and retried until it answers or the time is over.
+
+A command that is retried takes effect once: the state machine answers a known id with the first answer
+(agreement/machine.py).
+"""
 
 from __future__ import annotations
 
@@ -11,105 +15,134 @@
 
 from stoatrouter.agreement.machine import Command
 from stoatrouter.peering import calls
-from stoatrouter.peering.errors import PeerUnreachable, ReplicationError
+from stoatrouter.peering.backoff import Backoff
+from stoatrouter.peering.errors import LeaderUnavailable, PeerUnreachable, ReplicaBehind
 from stoatrouter.peering.follower import Follower
+from stoatrouter.peering.leader_service import LeaderService
 from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.settings import HeadsSettings
 from stoatrouter.peering.streams import Streams
 
-ANSWER_WITHIN = timedelta(seconds=2)  # at the leader
-ASK_WITHIN = timedelta(seconds=3)  # of the leader
-FIRST_BACKOFF, LONGEST_BACKOFF = timedelta(milliseconds=50), timedelta(milliseconds=400)
+ATTEMPT_TIMEOUT = timedelta(seconds=3)  # of one request to the leader
+SHORTEST_APPLY_WAIT = timedelta(milliseconds=50)  # for the log here, however late the answer came
+FIRST_BACKOFF = timedelta(milliseconds=50)
+LONGEST_BACKOFF = timedelta(milliseconds=400)
 
 
 class LeaderClient:
-    """Asks the leader, and answers others as the leader."""
+    """One head's commands and reads, which only the leader answers."""
 
     def __init__(
         self,
         settings: HeadsSettings,
-        agreed: Replication,
+        replication: Replication,
         streams: Streams,
         follower: Follower,
+        service: LeaderService,
         now: Callable[[], timedelta],
         draws: random.Random,
     ) -> None:
-        self.settings, self.replication, self.streams = settings, agreed, streams
-        self.follower, self.now, self.draws = follower, now, draws
+        """Set up.
+
+        Args:
+            settings: Names this head.
+            replication: Knows the leader, where this head votes, and what is applied here.
+            streams: To the leader.
+            follower: Knows the leader from polls, and which voter to try where none is known.
+            service: Answers where this head leads itself.
+            now: This head's monotonic time.
+            draws: Draws the jitter of the backoff.
+        """
+        self._settings = settings
+        self._replication = replication
+        self._streams = streams
+        self._follower = follower
+        self._service = service
+        self._now = now
+        self._draws = draws
 
     @property
     def leader(self) -> str | None:
-        """Who leads, as far as this head knows."""
-        raft = self.replication.raft
-        return raft.leader.name if raft.leader is not None else self.follower.leader
+        """The name of the leader, as far as this head knows."""
+        return self._replicated_leader() or self._follower.leader
 
-    # -- asking -------------------------------------------------------------------------------------------
     async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
-        """Bring a command through at whoever leads; its answer.
+        """Have a command committed by whoever leads.
+
+        Args:
+            part: The part of the state machine that the command is for.
+            body: The command, as the part encodes it.
+            id: Its idempotency key: sent again under it, the command is not applied again.
+            within: How long it may take, retries included.
 
-        Raises ReplicationError: it may come to hold later, and asked again under its id it gives one answer.
+        Returns:
+            The part's answer.
+
+        Raises:
+            LeaderUnavailable: No leader answered in time; the command may still take effect. Sent again under
+                its id it gives the one answer.
         """
-        command = Command(id, part, body, self.settings.name)
+        command = Command(id, part, body, self._settings.name)
         encoded = msgspec.msgpack.encode(command)
-        answer = await self._ask(calls.COMMAND, encoded, within, lambda: self.answer_command(command))
+        answer = await self._request(
+            calls.COMMAND, encoded, within, lambda: self._service.answer_command(command)
+        )
         return answer.body
 
     async def read(self, within: timedelta) -> None:
-        """Wait until this head holds all that was agreed on before; raises ReplicationError."""
-        deadline = self.now() + within
-        answer = await self._ask(calls.READ, b"", within, self.answer_read)
-        if not await self.replication.applied(answer.index, max(FIRST_BACKOFF, deadline - self.now())):
-            raise ReplicationError("what was agreed on has not come here in time")
+        """Wait until all that was committed before the call is applied here, as the leader confirms it.
+
+        Raises:
+            LeaderUnavailable: No leader answered in time.
+            ReplicaBehind: What the leader had committed was not applied here in time.
+        """
+        deadline = self._now() + within
+        answer = await self._request(calls.READ, b"", within, self._service.answer_read)
+        left = max(SHORTEST_APPLY_WAIT, deadline - self._now())
+        if not await self._replication.wait_applied(answer.index, left):
+            raise ReplicaBehind
 
-    async def _ask(
+    async def _request(
         self, kind: str, body: bytes, within: timedelta, answer_here: Callable[[], Awaitable[bytes]]
     ) -> calls.Answer:
-        """Ask whoever leads, again and again until it answers. `answer_here` is for this head itself."""
-        deadline, why, hint, wait = self.now() + within, "no leader is known", None, FIRST_BACKOFF
-        while (left := deadline - self.now()) > timedelta(0):
-            raft = self.replication.raft
-            known = raft.leader.name if raft.leader else None
-            name = known or hint or self.follower.leader or self.follower.next_voter()
+        """Send a request to whoever leads, again and again until it is answered; raises LeaderUnavailable.
+
+        `answer_here` is how this head answers it, where it leads itself.
+        """
+        deadline = self._now() + within
+        backoff = Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, self._draws)
+        reason = "no leader is known"
+        hint: str | None = None  # the leader, as the last answer had it
+        while (left := deadline - self._now()) > timedelta(0):
+            name = self._choose_head(hint)
             try:
-                if raft.leads or name == self.settings.name:
-                    answered = await answer_here()
+                if self._replication.raft.leads or name == self._settings.name:
+                    encoded = await answer_here()
                 else:
-                    _, answered = await self.streams.request(name, kind, body, min(left, ASK_WITHIN))
-                answer = msgspec.msgpack.decode(answered, type=calls.Answer)
+                    reply = await self._streams.request(name, kind, body, min(left, ATTEMPT_TIMEOUT))
+                    encoded = reply.body
+                answer = msgspec.msgpack.decode(encoded, type=calls.Answer)
+            except (PeerUnreachable, msgspec.MsgspecError) as error:
+                reason = str(error)
+                hint = None
+                self._follower.forget_leader()
+            else:
                 if answer.ok:
                     return answer
-                why, hint = answer.why, answer.leader
-            except (PeerUnreachable, msgspec.MsgspecError) as error:
-                why, hint, self.follower.leader = str(error), None, None
-                self.follower.turn += 1
-            await self._pause(wait, deadline)
-            wait = min(2 * wait, LONGEST_BACKOFF)
-        raise ReplicationError(why)
-
-    async def _pause(self, wait: timedelta, deadline: timedelta) -> None:
-        """Wait about so long before another try, and not beyond the deadline."""
-        drawn = wait.total_seconds() * (0.5 + self.draws.random())
-        left = (deadline - self.now()).total_seconds()
-        await asyncio.sleep(min(drawn, max(0.0, left)))
-
-    # -- answering ----------------------------------------------------------------------------------------
-    async def answer_command(self, command: Command) -> bytes:
-        """A command that another head passes on; the leader's answer."""
-        try:
-            body = await self.replication.command(command, ANSWER_WITHIN)
-            answer = calls.Answer(True, body, self.replication.machine.index)
-        except ReplicationError as error:
-            answer = self._refused(error)
-        return msgspec.msgpack.encode(answer)
-
-    async def answer_read(self) -> bytes:
-        """Up to which index a read must have applied; the leader's answer."""
-        try:
-            answer = calls.Answer(True, index=await self.replication.read(ANSWER_WITHIN))
-        except ReplicationError as error:
-            answer = self._refused(error)
-        return msgspec.msgpack.encode(answer)
-
-    def _refused(self, error: ReplicationError) -> calls.Answer:
-        leader = self.replication.raft.leader
-        return calls.Answer(False, why=str(error), leader=leader.name if leader else None)
+                reason = answer.why
+                hint = answer.leader
+            await self._pause(backoff.next_pause(), deadline)
+        raise LeaderUnavailable(reason)
+
+    def _choose_head(self, hint: str | None) -> str:
+        """The leader as far as it is known, by the surest source first; else the next voter."""
+        return self._replicated_leader() or hint or self._follower.leader or self._follower.next_voter()
+
+    def _replicated_leader(self) -> str | None:
+        leader = self._replication.raft.leader
+        return leader.name if leader is not None else None
+
+    async def _pause(self, seconds: float, deadline: timedelta) -> None:
+        """Wait before a retry, but not beyond the deadline."""
+        left = (deadline - self._now()).total_seconds()
+        await asyncio.sleep(min(seconds, max(0.0, left)))
--- a/stoatrouter/peering/replication.py
+++ b/stoatrouter/peering/replication.py
@@ -1,9 +1,14 @@
-"""Runs the agreement: its messages, its disk, and whoever waits for a command or a read. Decides nothing."""
+"""The replication loop of one head: runs the effects of agreement/raft.py, and who waits for their outcome.
+
+Decides nothing: what is accepted, committed and applied, and in which order, is `Raft`'s to say. A message
+that must not go out before a write is on the disk waits for it here (`Durable`).
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
 
 from loguru import logger
@@ -11,6 +16,7 @@
 from stoatrouter.agreement.machine import Command, Machine, encode
 from stoatrouter.agreement.raft import Raft, Timing
 from stoatrouter.agreement.records import (
+    COMMAND,
     VOTERS,
     Accepted,
     AnyMessage,
@@ -38,16 +44,41 @@
     Write,
     Wrote,
 )
-from stoatrouter.peering.disk_writer import Writer
-from stoatrouter.peering.errors import ReplicationError
-from stoatrouter.peering.storage import Storage, StoredState
+from stoatrouter.peering import calls
+from stoatrouter.peering.disk_writer import DiskWriter
+from stoatrouter.peering.errors import (
+    CommitTimeout,
+    EntryOverwritten,
+    OutcomeCompacted,
+    ProposalRejected,
+    ReadTimeout,
+)
+from stoatrouter.peering.storage import BootstrapWrite, Storage, StoredState
 
 TICK = timedelta(milliseconds=20)
-COMPACT_ENTRIES, COMPACT_BYTES = 1_000, 8 * 1024 * 1024  # applied since the last snapshot
+# A snapshot is taken once so much was applied since the last one.
+COMPACT_ENTRIES = 1_000
+COMPACT_BYTES = 8 * 1024 * 1024
+
+
+@dataclass(slots=True, frozen=True)
+class PendingProposal:
+    """A proposal in the log that its proposer waits for."""
+
+    term: int  # the entry's; another term at its index is another leader's entry
+    answer: asyncio.Future[bytes]
 
 
 class Replication:
-    """One head's agreement, running."""
+    """One head's replicated log and state machine, running.
+
+    Attributes:
+        machine: The state machine that committed entries are applied to.
+        raft: The agreement; replaced as a whole where the head begins with another state (`begin`).
+        disk_writable: False once the disk takes no writes: this head has no vote then.
+        changed: Set and replaced whenever entries were applied; wait for it, then look again.
+        restore_listeners: Called after the whole state was replaced by a snapshot.
+    """
 
     def __init__(
         self,
@@ -59,71 +90,115 @@
         seed: int,
         now: Callable[[], timedelta],
         send: Callable[[Voter, AnyMessage], None],
-        notify: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.machine, self.now, self.send, self.notify = machine, now, send, notify
+        """Begin with what is on the disk; `restore_stored` applies it once all parts are known.
+
+        Args:
+            me: This head, with the identity of its disk.
+            stored: What the disk holds.
+            storage: The open storage; it is written to from a thread of its own and closed by `close`.
+            machine: What committed entries are applied to.
+            timing: Heartbeat and election timings.
+            seed: Of the election timeouts.
+            now: This head's monotonic time.
+            send: Sends a message to another voter; it does not wait.
+            on_change: Called after entries were applied and when the leader has changed.
+        """
+        self.machine = machine
         self.raft = Raft(me, stored.disk, seed, timing, now=now())
         self.raft.voiceless = not stored.writable
-        self.writer = Writer(storage, self.loop, self.disk_failed, stored.writable)
         self.disk_writable = stored.writable
-        self.size = 0  # bytes applied since the last snapshot
-        self.waiting: dict[int, tuple[int, asyncio.Future[bytes]]] = {}  # by index: the term, and who waits
-        self.reads: dict[str, asyncio.Future[int]] = {}  # reads under way
-        self.taken: dict[str, tuple[int, int]] = {}
-        self.refused: dict[str, str] = {}
-        self.number = 0
-        self.changed = asyncio.Event()  # set and replaced when something was applied
-        self.listeners: list[Callable[[Entry, tuple[str, bytes] | None], None]] = []
+        self.changed = asyncio.Event()
         self.restore_listeners: list[Callable[[], None]] = []
+        self._loop = asyncio.get_running_loop()
+        self._writer = DiskWriter(storage, self._loop, self._on_disk_failure, stored.writable)
+        self._stored_snapshot = stored.disk.snapshot
+        self._now = now
+        self._send = send
+        self._on_change = on_change
+        self._bytes_since_snapshot = 0  # applied
+        self._last_request = 0  # numbers the ids of proposals and reads
+        self._proposals: dict[int, PendingProposal] = {}  # by index
+        self._reads: dict[str, asyncio.Future[int]] = {}  # by id
+        # What the agreement answers to a proposal at once, by id, until `propose` takes it.
+        self._accepted: dict[str, Accepted] = {}
+        self._rejected: dict[str, Rejected] = {}
 
-    def restart(self, snapshot: Snapshot) -> None:
-        """Begin with what the disk holds, once all parts of the machine are known."""
-        self.machine.restore(snapshot.index, snapshot.state)
+    def restore_stored(self) -> None:
+        """Apply the snapshot that the disk held at the start, once all parts of the machine are known."""
+        self.machine.restore(self._stored_snapshot.index, self._stored_snapshot.state)
 
     # -- for callers --------------------------------------------------------------------------------------
     async def propose(self, body: bytes, kind: str, within: timedelta) -> bytes:
-        """Bring an entry through, here at the leader: the command's answer. Raises ReplicationError."""
-        self.number += 1
-        name = f"p{self.number}"
-        self.put(Propose(self.now(), name, body, kind))
-        if (why := self.refused.pop(name, None)) is not None:
-            raise ReplicationError(why)
-        index, term = self.taken.pop(name)
-        future: asyncio.Future[bytes] = self.loop.create_future()
-        self.waiting[index] = (term, future)
+        """Have an entry committed, here at the leader.
+
+        Args:
+            body: The entry's body.
+            kind: The entry's kind, COMMAND or VOTERS.
+            within: How long to wait for the commit.
+
+        Returns:
+            The machine's answer to a command; b"" for other entries.
+
+        Raises:
+            ProposalRejected: This head does not lead, or cannot take the entry now.
+            CommitTimeout: It was not committed in time; it may be later.
+            EntryOverwritten: Another leader's entry was committed in its place.
+            OutcomeCompacted: A snapshot came that covers its index.
+        """
+        accepted = self._put_proposal(body, kind)
+        answer: asyncio.Future[bytes] = self._loop.create_future()
+        self._proposals[accepted.index] = PendingProposal(accepted.term, answer)
         try:
             async with asyncio.timeout(within.total_seconds()):
-                return await future
+                return await answer
         except TimeoutError:
-            raise ReplicationError("it was not agreed on in time") from None
+            raise CommitTimeout from None
         finally:
-            self.waiting.pop(index, None)
+            self._proposals.pop(accepted.index, None)
+
+    def _put_proposal(self, body: bytes, kind: str) -> Accepted:
+        """Put a proposal to the agreement, which accepts or rejects it at once; raises ProposalRejected."""
+        request_id = self._next_id("p")
+        self.step(Propose(self._now(), request_id, body, kind))
+        rejected = self._rejected.pop(request_id, None)
+        if rejected is not None:
+            raise ProposalRejected(rejected.why)
+        return self._accepted.pop(request_id)
 
     async def command(self, command: Command, within: timedelta) -> bytes:
-        """Bring a command through, here at the leader; its answer. Raises ReplicationError."""
-        return await self.propose(encode(command), "c", within)
+        """Have a command committed, here at the leader; its answer. Raises as `propose` does."""
+        return await self.propose(encode(command), COMMAND, within)
 
     async def change_voters(self, body: bytes, within: timedelta) -> None:
-        """Bring a change of the voters through, here at the leader. Raises ReplicationError."""
+        """Have a change of the voters committed, here at the leader. Raises as `propose` does."""
         await self.propose(body, VOTERS, within)
 
     async def read(self, within: timedelta) -> int:
-        """Up to which index a read must have applied; raises ReplicationError."""
-        self.number += 1
-        name = f"r{self.number}"
-        future = self.reads[name] = self.loop.create_future()
+        """Confirm with a majority, here at the leader, up to which index a read must have applied.
+
+        The result is Raft's read index (Ongaro's thesis, section 6.4): a read is linearizable at any head
+        that has applied the log up to it.
+
+        Raises:
+            ProposalRejected: This head does not lead, or ceased to while it waited.
+            ReadTimeout: No majority answered in time.
+        """
+        request_id = self._next_id("r")
+        index: asyncio.Future[int] = self._loop.create_future()
+        self._reads[request_id] = index
         try:
-            self.put(Read(self.now(), name))
+            self.step(Read(self._now(), request_id))
             async with asyncio.timeout(within.total_seconds()):
-                return await future
+                return await index
         except TimeoutError:
-            raise ReplicationError("no majority confirmed it in time") from None
+            raise ReadTimeout from None
         finally:
-            self.reads.pop(name, None)
+            self._reads.pop(request_id, None)
 
-    async def applied(self, index: int, within: timedelta) -> bool:
-        """Wait until an index is applied here; whether it is."""
+    async def wait_applied(self, index: int, within: timedelta) -> bool:
+        """Wait until an index is applied here; False where it is not within the time."""
         try:
             async with asyncio.timeout(within.total_seconds()):
                 while self.machine.index < index:
@@ -132,141 +207,170 @@
             return False
         return True
 
-    def hear(self, sender: Voter, message: AnyMessage) -> None:
-        """A message of the agreement has come."""
-        self.put(Received(self.now(), sender, message))
+    def receive(self, sender: Voter, message: AnyMessage) -> None:
+        """Take in a message of another voter."""
+        self.step(Received(self._now(), sender, message))
 
-    def learn(
-        self,
-        prev_index: int,
-        prev_term: int,
-        entries: tuple[Entry, ...],
-        commit: int,
-        snapshot: Snapshot | None,
-    ) -> None:
-        """Take in what a voter tells as committed."""
-        self.put(Learnt(self.now(), prev_index, prev_term, entries, commit, snapshot))
+    def learn(self, fetched: calls.Fetched) -> None:
+        """Take in the committed entries that a voter has answered a poll with."""
+        self.step(
+            Learnt(
+                self._now(),
+                fetched.prev_index,
+                fetched.prev_term,
+                fetched.entries,
+                fetched.commit,
+                fetched.snapshot,
+            )
+        )
+
+    def store(self, write: BootstrapWrite, done: Callable[[], None]) -> None:
+        """Store what the fleet's bootstrap promises; `done` is called once it is on the disk."""
+        self._writer.put(write, done)
+
+    def begin(self, snapshot: Snapshot, term: int, origin: str, done: Callable[[], None]) -> None:
+        """Begin with a state, in one write: a founding, or a survivor's own when the voters are lost.
+
+        Args:
+            snapshot: The state, and the voters that go on with it.
+            term: The term that the log goes on in.
+            origin: The identity of the fleet that this head belongs to from now on.
+            done: Called once the beginning is on the disk and has taken effect.
+        """
+        before = self.raft
+        write = Write(term, None, cut_from=1, snapshot=snapshot, keep_from=snapshot.index + 1, origin=origin)
+
+        def on_written() -> None:
+            disk = Disk(term, None, snapshot)
+            self.raft = Raft(before.me, disk, before.seed, before.timing, now=self._now())
+            self._restore(snapshot)
+            done()
+
+        self._writer.put(write, on_written)
+
+    async def run_for_ever(self) -> None:
+        """Let time pass for the agreement."""
+        while True:
+            self.step(Tick(self._now()))
+            await asyncio.sleep(TICK.total_seconds())
+
+    def close(self) -> None:
+        """Finish what is queued for the disk, and close the storage."""
+        self._writer.close()
+
+    def _next_id(self, prefix: str) -> str:
+        self._last_request += 1
+        return f"{prefix}{self._last_request}"
 
     # -- events in, effects out ---------------------------------------------------------------------------
-    def put(self, event: Event) -> None:
-        """Reduce an event, and run its effects in order."""
+    def step(self, event: Event) -> None:
+        """Reduce an event of the agreement, and run its effects in order."""
         for effect in self.raft.reduce(event):
-            self.run(effect)
+            self._perform(effect)
 
-    def run(self, effect: Effect) -> None:
-        """Run one effect."""
+    def _perform(self, effect: Effect) -> None:
         match effect:
             case Send():
-                self.send(effect.to, effect.message)
+                self._send(effect.to, effect.message)
             case Durable():
-                self.writer.put(effect.write, lambda: self.wrote(effect))
+                self._writer.put(effect.write, lambda: self._on_written(effect))
             case Apply():
-                self.apply(effect.entries)
+                self._apply(effect.entries)
             case Restore():
-                self.restore(effect.snapshot)
+                self._restore(effect.snapshot)
             case Accepted():
-                self.taken[effect.id] = (effect.index, effect.term)
+                self._accepted[effect.id] = effect
             case Rejected():
-                self.not_taken(effect)
+                self._reject(effect)
             case Readable():
-                if (future := self.reads.get(effect.id)) is not None and not future.done():
-                    future.set_result(effect.index)
+                self._resolve_read(effect)
             case Role():
-                logger.info(
-                    "heads: term {term}, {leader} leads",
-                    event="heads.role",
-                    term=effect.term,
-                    leader=effect.leader or "nobody known",
-                )
-                self.notify()
+                self._report_role(effect)
             case Forgot():
-                logger.error(
-                    "heads: the disk holds {held} of {acknowledged} entries acknowledged: it votes no more",
-                    event="heads.forgot",
-                    held=effect.last_on_disk,
-                    acknowledged=effect.acknowledged,
-                )
-
-    def wrote(self, effect: Durable) -> None:
-        """A write is on the disk: what has waited for it goes out."""
-        for send in effect.then:
-            self.send(send.to, send.message)
-        self.put(Wrote(self.now(), effect.number))
-
-    def not_taken(self, effect: Rejected) -> None:
-        """A proposal or read is refused: whoever waits for it is told."""
-        future = self.reads.get(effect.id)
-        if future is None:
-            self.refused[effect.id] = effect.why
-        elif not future.done():
-            future.set_exception(ReplicationError(effect.why))
-
-    def apply(self, entries: tuple[Entry, ...]) -> None:
-        """Apply committed entries, and answer those who wait for them."""
+                report_forgotten(effect)
+
+    def _on_written(self, durable: Durable) -> None:
+        """Send what has waited for a write, which is on the disk."""
+        for send in durable.then:
+            self._send(send.to, send.message)
+        self.step(Wrote(self._now(), durable.number))
+
+    def _on_disk_failure(self, reason: str) -> None:
+        """Give up this head's vote: its disk takes no writes any more."""
+        logger.error(
+            "heads: the disk takes no writes, this head has no voice: {why}", event="heads.disk", why=reason
+        )
+        self.disk_writable = False
+        self.step(DiskFailed(self._now()))
+
+    def _apply(self, entries: tuple[Entry, ...]) -> None:
+        """Apply committed entries, answer their proposers, and compact the log where it has grown enough."""
         for entry in entries:
             answer = self.machine.apply(entry)
-            self.size += len(entry.body)
-            term, future = self.waiting.get(entry.index, (0, None))
-            if future is not None and not future.done():
-                if term == entry.term:
-                    future.set_result(answer[1] if answer is not None else b"")
-                else:
-                    future.set_exception(ReplicationError("another leader's entry took its place"))
-            for listener in self.listeners:
-                listener(entry, answer)
-        self.notify_applied()
+            self._bytes_since_snapshot += len(entry.body)
+            self._resolve_proposal(entry, answer[1] if answer is not None else b"")
+        self._report_applied()
         behind = self.machine.index - self.raft.log.snapshot.index
-        if behind >= COMPACT_ENTRIES or self.size >= COMPACT_BYTES:
-            self.size = 0
-            self.put(Compact(self.now(), self.machine.index, self.machine.state()))
+        if behind >= COMPACT_ENTRIES or self._bytes_since_snapshot >= COMPACT_BYTES:
+            self._bytes_since_snapshot = 0
+            self.step(Compact(self._now(), self.machine.index, self.machine.state()))
 
-    def restore(self, snapshot: Snapshot) -> None:
+    def _restore(self, snapshot: Snapshot) -> None:
         """Replace all that was applied by a snapshot."""
         logger.info("heads: caught up by a snapshot at {index}", event="heads.restored", index=snapshot.index)
         self.machine.restore(snapshot.index, snapshot.state)
-        for index, (_, future) in self.waiting.items():
-            if index <= snapshot.index and not future.done():
-                future.set_exception(ReplicationError("what became of it is in a snapshot"))
+        for index, proposal in self._proposals.items():
+            if index <= snapshot.index and not proposal.answer.done():
+                proposal.answer.set_exception(OutcomeCompacted())
         for listener in self.restore_listeners:
             listener()
-        self.notify_applied()
+        self._report_applied()
+
+    # -- who waits ----------------------------------------------------------------------------------------
+    def _resolve_proposal(self, entry: Entry, answer: bytes) -> None:
+        """Answer whoever waits for the entry at this index."""
+        proposal = self._proposals.get(entry.index)
+        if proposal is None or proposal.answer.done():
+            return
+        if proposal.term == entry.term:
+            proposal.answer.set_result(answer)
+        else:
+            proposal.answer.set_exception(EntryOverwritten())
+
+    def _resolve_read(self, readable: Readable) -> None:
+        index = self._reads.get(readable.id)
+        if index is not None and not index.done():
+            index.set_result(readable.index)
+
+    def _reject(self, rejected: Rejected) -> None:
+        """Fail the read of this id; without one it is a proposal, whose caller looks for the rejection."""
+        index = self._reads.get(rejected.id)
+        if index is None:
+            self._rejected[rejected.id] = rejected
+        elif not index.done():
+            index.set_exception(ProposalRejected(rejected.why))
 
-    def notify_applied(self) -> None:
+    def _report_applied(self) -> None:
         """Wake those who wait for an index to be applied."""
         self.changed.set()
         self.changed = asyncio.Event()
-        self.notify()
+        self._on_change()
 
-    def disk_failed(self, why: str) -> None:
-        """The disk takes no writes any more: this head has no vote from now on."""
-        logger.error(
-            "heads: the disk takes no writes, this head has no voice: {why}", event="heads.disk", why=why
+    def _report_role(self, role: Role) -> None:
+        logger.info(
+            "heads: term {term}, {leader} leads",
+            event="heads.role",
+            term=role.term,
+            leader=role.leader or "nobody known",
         )
-        self.disk_writable = False
-        self.put(DiskFailed(self.now()))
-
-    def keep(self, done: Callable[[], None], **values: str) -> None:
-        """Another promise of this head."""
-        self.writer.put(values, done)
-
-    def begin(self, snapshot: Snapshot, term: int, origin: str, done: Callable[[], None]) -> None:
-        """Begin with a state, in one write: a founding, or a survivor's own when the voters are lost."""
-        raft = self.raft
-        write = Write(term, None, cut_from=1, snapshot=snapshot, keep_from=snapshot.index + 1, origin=origin)
-
-        def begun() -> None:
-            self.raft = Raft(raft.me, Disk(term, None, snapshot), raft.seed, raft.timing, now=self.now())
-            self.restore(snapshot)
-            done()
+        self._on_change()
 
-        self.writer.put(write, begun)
 
-    async def run_for_ever(self) -> None:
-        """Let time pass for the agreement."""
-        while True:
-            self.put(Tick(self.now()))
-            await asyncio.sleep(TICK.total_seconds())
-
-    def close(self) -> None:
-        """Stop writing."""
-        self.writer.close()
+def report_forgotten(forgot: Forgot) -> None:
+    """Log that this head's disk is older than what it acknowledged."""
+    logger.error(
+        "heads: the disk holds {held} of {acknowledged} entries acknowledged: it votes no more",
+        event="heads.forgot",
+        held=forgot.last_on_disk,
+        acknowledged=forgot.acknowledged,
+    )
--- a/stoatrouter/peering/services.py
+++ b/stoatrouter/peering/services.py
@@ -1,9 +1,9 @@
-"""The parts that heads agree on, each put together where its settings turn it on."""
+"""The services that heads agree on, each put together where its settings turn it on."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 import msgspec
 from aiohttp import web
@@ -24,7 +24,7 @@
 
 
 class ServingHead(Protocol):
-    """What the parts need of the head that they are parts of."""
+    """What the services need of the head that they are parts of."""
 
     @property
     def conf(self) -> Config:
@@ -33,7 +33,7 @@
 
     @property
     def engine(self) -> Engine:
-        """What serves requests; credit is asked by it first."""
+        """What serves requests; it asks the credit service first."""
         ...
 
     @property
@@ -42,10 +42,28 @@
         ...
 
 
-def credit(
+class StartingRules(NamedTuple):
+    """The rules that a head starts with."""
+
+    version: int  # of the history; 0: the head's own files
+    http: HttpSettings | None  # the HTTP front's settings, with the files of that version
+
+
+def add_credit(
     settings: HeadsSettings, head: ServingHead, fleet: Fleet, parts: dict[str, Part], calls: list[Call]
 ) -> CreditService | None:
-    """Prepaid credit, asked by the core before its module for every front."""
+    """Set up prepaid credit, which the core asks before its module for every front.
+
+    Args:
+        settings: The settings of the heads.
+        head: The head whose engine asks it.
+        fleet: The other heads.
+        parts: Where its part of the replicated state is added.
+        calls: Where its management calls are added.
+
+    Returns:
+        The service; None where the settings turn it off.
+    """
     if settings.credit is None:
         return None
     from stoatrouter.credit.ledger import Ledger
@@ -68,7 +86,7 @@
     return service
 
 
-def rules(
+def add_rules(
     settings: HeadsSettings,
     head: ServingHead,
     fleet: Fleet,
@@ -76,7 +94,19 @@
     calls: list[Call],
     started_with: int,
 ) -> RulesService | None:
-    """The shared history of the HTTP front's rules."""
+    """Set up the shared history of the HTTP front's rules.
+
+    Args:
+        settings: The settings of the heads.
+        head: The head whose rule tables follow the history.
+        fleet: The other heads.
+        parts: Where its part of the replicated state is added.
+        calls: Where its management calls are added.
+        started_with: The version that the head started with (`persisted_version`).
+
+    Returns:
+        The service; None where the settings turn it off, or the head has no HTTP front.
+    """
     if settings.rules is None or head.http_tables is None:
         return None
     from stoatrouter.history.register import Register
@@ -89,11 +119,21 @@
     return service
 
 
-def persisted_version(settings: HeadsSettings, http: HttpSettings | None) -> tuple[int, HttpSettings | None]:
-    """With which version of the rules this head starts, and so with which files; 0: with its own."""
+def persisted_version(settings: HeadsSettings, http: HttpSettings | None) -> StartingRules:
+    """Find the version of the rules that this head has stored, to start with.
+
+    Args:
+        settings: The settings of the heads.
+        http: The HTTP front's settings; None where it is off.
+
+    Returns:
+        The stored version and its files, or version 0 and the head's own files where none can be used.
+    """
     if settings.rules is None or http is None:
-        return 0, http
+        return StartingRules(0, http)
     from stoatrouter.peering.rules import kept_rules
 
     found = kept_rules(settings)
-    return (0, http) if found is None else (found[0], msgspec.structs.replace(http, rules=found[1]))
+    if found is None:
+        return StartingRules(0, http)
+    return StartingRules(found[0], msgspec.structs.replace(http, rules=found[1]))
--- a/stoatrouter/peering/settings.py
+++ b/stoatrouter/peering/settings.py
@@ -1,4 +1,7 @@
-"""The operator's file of heads that know each other (deploy/heads.cue shows its form)."""
+"""The operator's file of heads that know each other (deploy/heads.cue shows its form).
+
+The schema `heads.#Heads` checks the form; what it cannot say is checked here.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +20,21 @@
 SPAN = re.compile(r"([0-9.]+)(ms|s|m)")
 UNITS = {"ms": timedelta(milliseconds=1), "s": timedelta(seconds=1), "m": timedelta(minutes=1)}
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,23}")
+VOTER_COUNTS = (1, 3, 5)
+LEAST_ELECTION = 3  # heartbeats that an election timeout spans at least
+
+
+class HeadsSettingsError(ConfigError):
+    """A setting of the heads has a value that is not allowed."""
+
+    def __init__(self, path: Path, setting: str, found: str, allowed: str) -> None:
+        """Say where the value is, what it is and what would be allowed."""
+        super().__init__(
+            f"bad settings of the heads:\n{path.name}: {setting}: found {found} (allowed: {allowed})"
+        )
 
 
+# -- the file -----------------------------------------------------------------------------------------------
 class DetectorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The part `detector` of the file."""
 
@@ -53,7 +69,7 @@
 
 
 class HeadsFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the file says."""
+    """The whole file; docs/heads.md describes each field."""
 
     fleet: str
     secret_file: str
@@ -69,118 +85,162 @@
     rules: RulesFile | None = None
 
 
+# -- what a head is configured with -------------------------------------------------------------------------
 class CreditSettings(msgspec.Struct, frozen=True):
-    """What a head is told of prepaid credit."""
+    """The settings of prepaid credit."""
 
     prices: tuple[int, ...]  # by class, in millionths of a credit unit for each unit of a request
-    lease: timedelta
-    wait: timedelta
+    lease: timedelta  # how long an allotment may be spent
+    wait: timedelta  # how long a request waits for an allotment, at most
 
 
 class RulesSettings(msgspec.Struct, frozen=True):
-    """What a head is told of the history of rules."""
+    """The settings of the history of rules."""
 
-    versions: int
-    check_within: timedelta
-    largest: int  # bytes
+    versions: int  # that the history retains
+    check_within: timedelta  # how long heads have to check a new version
+    largest: int  # bytes of a version's files
 
 
 class HeadsSettings(msgspec.Struct, frozen=True):
-    """All that a head is told of the others."""
+    """All settings of one head that concern the others."""
 
     name: str
     fleet: str
-    secret: bytes
-    folder: Path
-    streams: dict[str, str]
-    voters: tuple[str, ...]
+    secret: bytes  # the key of all MACs (envelope.read_secret)
+    folder: Path  # this head's own; it lasts over restarts
+    streams: dict[str, str]  # where heads listen for streams, HOST:PORT by name
+    voters: tuple[str, ...]  # the first ones
     listen: str | None  # None: this head is not reached by streams, it only follows
-    cut_off_after: timedelta
-    wait_at_start: timedelta
+    cut_off_after: timedelta  # since a majority was last connected
+    wait_at_start: timedelta  # for a majority, before this head serves without one
     detector: DetectorTiming
     agreement: AgreementTiming
-    peers: tuple[str, ...]
-    peer_listen: str | None
-    credit: CreditSettings | None
-    rules: RulesSettings | None
+    peers: tuple[str, ...]  # addresses that datagrams are accepted from, HOST:PORT
+    peer_listen: str | None  # of datagrams; None: there is no failure detector
+    credit: CreditSettings | None  # None: off
+    rules: RulesSettings | None  # None: off
 
 
-def span_of(text: str) -> timedelta:
-    """A span as the file has it."""
-    match = SPAN.fullmatch(text)
-    assert match is not None, "the schema allows spans only"
-    return float(match[1]) * UNITS[match[2]]
+def load_heads(path: Path, conf: Config) -> HeadsSettings:
+    """Read the operator's file.
 
+    Args:
+        path: The file; the secret's file and the folder are relative to it.
+        conf: The head's own configuration: its name, its peers, its classes.
 
-def load_heads(path: Path, conf: Config) -> HeadsSettings:
-    """Read the operator's file; raises ConfigError with what is wrong and what would be right."""
+    Returns:
+        The settings of this head.
+
+    Raises:
+        ConfigError: The file, the secret or a value in it cannot be used; the text says what would be right.
+    """
     try:
-        made = load(path, HeadsFile, "heads.#Heads").record
+        file = load(path, HeadsFile, "heads.#Heads").record
     except SettingsError as error:
         raise ConfigError(f"bad settings of the heads:\n{error}") from None
-    check(path, made, conf)
-    for at in made.streams.values():
-        address(at)
-    listen = made.listen or made.streams.get(conf.name)
-    timing = made.detector
+    check_file(path, file, conf)
+    for stream_address in file.streams.values():
+        address(stream_address)
     return HeadsSettings(
-        conf.name,
-        made.fleet,
-        read_secret(path.parent / made.secret_file),
-        path.parent / made.folder / conf.name,
-        made.streams,
-        made.voters,
-        listen,
-        span_of(made.cut_off_after),
-        span_of(made.wait_at_start),
-        DetectorTiming(
-            span_of(timing.period),
-            span_of(timing.ack_within),
-            timing.others,
-            timing.suspicion,
-            local_health=timing.local_health,
-        ),
-        AgreementTiming(span_of(made.agreement.heartbeat), span_of(made.agreement.election)),
-        conf.peers,
-        conf.peer_listen,
-        credit_of(path, made, conf),
-        None
-        if made.rules is None
-        else RulesSettings(made.rules.versions, span_of(made.rules.check_within), made.rules.largest),
+        name=conf.name,
+        fleet=file.fleet,
+        secret=read_secret(path.parent / file.secret_file),
+        folder=path.parent / file.folder / conf.name,
+        streams=file.streams,
+        voters=file.voters,
+        listen=file.listen or file.streams.get(conf.name),
+        cut_off_after=parse_span(file.cut_off_after),
+        wait_at_start=parse_span(file.wait_at_start),
+        detector=detector_timing(file.detector),
+        agreement=agreement_timing(file.agreement),
+        peers=conf.peers,
+        peer_listen=conf.peer_listen,
+        credit=credit_settings(path, file.credit, conf),
+        rules=rules_settings(file.rules),
     )
 
 
-def check(path: Path, made: HeadsFile, conf: Config) -> None:
-    """What the schema cannot say."""
+def check_file(path: Path, file: HeadsFile, conf: Config) -> None:
+    """Check what the schema cannot say; raises HeadsSettingsError."""
+    agreement = file.agreement
+    detector = file.detector
+    if not NAME.fullmatch(conf.name):
+        raise HeadsSettingsError(path, "NODE_NAME", repr(conf.name), "1 to 24 letters, digits, _ . -")
+    check_voters(path, file)
+    if parse_span(agreement.election) < LEAST_ELECTION * parse_span(agreement.heartbeat):
+        raise HeadsSettingsError(
+            path, "agreement.election", agreement.election, "three times agreement.heartbeat or more"
+        )
+    if parse_span(detector.ack_within) >= parse_span(detector.period):
+        raise HeadsSettingsError(
+            path, "detector.ack_within", detector.ack_within, "less than detector.period"
+        )
+    if file.rules is not None and not conf.http:
+        raise HeadsSettingsError(
+            path, "rules", "a history of rules", "this part only where STOATROUTER_HTTP names a file"
+        )
+
 
-    def wrong(place: str, found: str, allowed: str) -> ConfigError:
-        return ConfigError(
-            f"bad settings of the heads:\n{path.name}: {place}: found {found} (allowed: {allowed})"
+def check_voters(path: Path, file: HeadsFile) -> None:
+    """Check that the voters are 1, 3 or 5 heads that have an address; raises HeadsSettingsError."""
+    if len(file.voters) not in VOTER_COUNTS or len(set(file.voters)) != len(file.voters):
+        raise HeadsSettingsError(
+            path, "voters", ", ".join(file.voters) or "none", "1, 3 or 5 different heads"
         )
+    missing = [name for name in file.voters if name not in file.streams]
+    if missing:
+        allowed = f"heads of streams: {', '.join(sorted(file.streams))}"
+        raise HeadsSettingsError(path, "voters", ", ".join(missing), allowed)
+
+
+def detector_timing(file: DetectorFile) -> DetectorTiming:
+    """The detector's timings, from its part of the file."""
+    return DetectorTiming(
+        parse_span(file.period),
+        parse_span(file.ack_within),
+        file.others,
+        file.suspicion,
+        local_health=file.local_health,
+    )
 
-    if not NAME.fullmatch(conf.name):
-        raise wrong("NODE_NAME", repr(conf.name), "1 to 24 letters, digits, _ . -")
-    if len(made.voters) not in (1, 3, 5) or len(set(made.voters)) != len(made.voters):
-        raise wrong("voters", ", ".join(made.voters) or "none", "1, 3 or 5 different heads")
-    if missing := [name for name in made.voters if name not in made.streams]:
-        raise wrong("voters", ", ".join(missing), f"heads of streams: {', '.join(sorted(made.streams))}")
-    if span_of(made.agreement.election) < 3 * span_of(made.agreement.heartbeat):
-        raise wrong("agreement.election", made.agreement.election, "three times agreement.heartbeat or more")
-    if span_of(made.detector.ack_within) >= span_of(made.detector.period):
-        raise wrong("detector.ack_within", made.detector.ack_within, "less than detector.period")
-    if made.rules is not None and not conf.http:
-        raise wrong("rules", "a history of rules", "this part only where STOATROUTER_HTTP names a file")
-
-
-def credit_of(path: Path, made: HeadsFile, conf: Config) -> CreditSettings | None:
-    """The credit's settings; raises ConfigError where a price names no class."""
-    if made.credit is None:
+
+def agreement_timing(file: AgreementFile) -> AgreementTiming:
+    """The agreement's timings, from its part of the file."""
+    return AgreementTiming(parse_span(file.heartbeat), parse_span(file.election))
+
+
+def credit_settings(path: Path, file: CreditFile | None, conf: Config) -> CreditSettings | None:
+    """The credit's settings, from its part of the file; None where it is off.
+
+    Raises:
+        HeadsSettingsError: A price is given for a class that the settings do not name.
+    """
+    if file is None:
         return None
-    classes = [c.name for c in conf.settings.classes]
-    if unknown := [name for name in made.credit.prices if name not in classes]:
-        raise ConfigError(
-            f"bad settings of the heads:\n{path.name}: credit.prices: found "
-            f"{', '.join(unknown)} (allowed: classes of the settings: {', '.join(classes)})"
-        )
-    prices = tuple(made.credit.prices.get(name, 0) for name in classes)
-    return CreditSettings(prices, span_of(made.credit.lease), span_of(made.credit.wait))
+    classes = [request_class.name for request_class in conf.settings.classes]
+    unknown = [name for name in file.prices if name not in classes]
+    if unknown:
+        allowed = f"classes of the settings: {', '.join(classes)}"
+        raise HeadsSettingsError(path, "credit.prices", ", ".join(unknown), allowed)
+    prices = tuple(file.prices.get(name, 0) for name in classes)
+    return CreditSettings(prices, parse_span(file.lease), parse_span(file.wait))
+
+
+def rules_settings(file: RulesFile | None) -> RulesSettings | None:
+    """The settings of the history of rules, from its part of the file; None where it is off."""
+    if file is None:
+        return None
+    return RulesSettings(file.versions, parse_span(file.check_within), file.largest)
+
+
+def parse_span(text: str) -> timedelta:
+    """Parse a span as the file has it, such as 500ms, 2.5s or 1m.
+
+    Raises:
+        ValueError: It is none; the schema lets no such text through.
+    """
+    match = SPAN.fullmatch(text)
+    if match is None:
+        raise ValueError(f"{text!r} is not a span (allowed: a number with the unit ms, s or m)")
+    return float(match[1]) * UNITS[match[2]]
--- a/stoatrouter/peering/spent_journal.py
+++ b/stoatrouter/peering/spent_journal.py
@@ -1,8 +1,11 @@
-"""What this head has spent of each allotment, in a mapped file: a killed process loses none of it.
+"""The journal of what this head has spent of each allotment, in a mapped file.
 
-Each charge is one store of 24 bytes into memory that is the file's, well under a microsecond, before the
-answer goes out. A crash of the whole machine may lose what the system had not written yet: then less is
-settled than was spent, at most what this head's allotments held (docs/credit.md).
+A killed process loses none of it: each charge is one store of 20 bytes into memory that is the file's, well
+under a microsecond, before the answer goes out. A crash of the whole machine may lose what the system had not
+written yet: then less is settled than was spent, at most what this head's allotments held (docs/credit.md).
+
+The file (`spent.book`) has SLOTS slots of SLOT_BYTES each: the allotment's name, padded with zero bytes, and
+its record: the figure twice and a CRC-32 of it, so that a torn store is found out.
 """
 
 from __future__ import annotations
@@ -13,72 +16,98 @@
 import zlib
 from pathlib import Path
 
-SLOTS, SIZE = 4_096, 64  # allotments at once, and bytes of each
-NAME = 32  # bytes
-SPENT = struct.Struct("<QQI")  # the figure twice and a check of it: a torn store is found out
+SLOTS = 4_096  # allotments recorded at once; beyond, `begin` takes none and nothing is spent of it
+SLOT_BYTES = 64
+NAME_BYTES = 32
+FIGURE_BYTES = 8  # little-endian, as the CRC covers it
+RECORD = struct.Struct("<QQI")
 
 
 class SpentJournal:
-    """One file. Slots are found by allotment; a slot whose name is empty is free."""
+    """One head's journal. Slots are found by allotment; a slot whose name is empty is free.
+
+    The journal is what `credit.escrow.HeadEscrow` records to.
+    """
 
     def __init__(self, path: Path | None) -> None:
-        self.file = -1
-        if path is None:  # the disk takes no writes: what is spent is known to this process alone
-            self.map: mmap.mmap = mmap.mmap(-1, SLOTS * SIZE)
+        """Map the file, which is made where there is none.
+
+        Args:
+            path: The file; None where the disk takes no writes: what is spent is known to this process alone.
+
+        Raises:
+            OSError: The file cannot be opened or mapped.
+        """
+        self._file = -1
+        if path is None:
+            self._map = mmap.mmap(-1, SLOTS * SLOT_BYTES)
         else:
-            self.file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
-            os.ftruncate(self.file, SLOTS * SIZE)
-            self.map = mmap.mmap(self.file, SLOTS * SIZE)
-        self.places: dict[str, int] = {}
-        self.free = list(range(SLOTS - 1, -1, -1))
+            self._file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
+            os.ftruncate(self._file, SLOTS * SLOT_BYTES)
+            self._map = mmap.mmap(self._file, SLOTS * SLOT_BYTES)
+        self._slots: dict[str, int] = {}
+        self._free = list(range(SLOTS - 1, -1, -1))  # the lowest is used first
 
     def read(self) -> dict[str, int]:
-        """What an earlier process had spent, by allotment. A figure that is torn counts as the larger
-        half.
+        """Find what an earlier process had spent, and take over its slots.
+
+        Returns:
+            What was spent in all, by allotment. A figure that is torn counts as the larger of its halves:
+            what a customer was charged is never forgotten.
         """
-        found: dict[str, int] = {}
+        spent: dict[str, int] = {}
         for slot in range(SLOTS):
-            at = slot * SIZE
-            name = self.map[at : at + NAME].rstrip(b"\0")
+            start = slot * SLOT_BYTES
+            name = self._map[start : start + NAME_BYTES].rstrip(b"\0")
             if not name:
                 continue
-            first, second, check = SPENT.unpack_from(self.map, at + NAME)
-            spent = (
-                first
-                if zlib.crc32(first.to_bytes(8, "little")) == check and first == second
-                else max(first, second)
-            )
-            found[name.decode("ascii", "replace")] = spent
-            self.places[name.decode("ascii", "replace")] = slot
-        self.free = [slot for slot in range(SLOTS - 1, -1, -1) if slot not in self.places.values()]
-        return found
+            allotment = name.decode("ascii", "replace")
+            spent[allotment] = self._read_figure(slot)
+            self._slots[allotment] = slot
+        used = set(self._slots.values())
+        self._free = [slot for slot in range(SLOTS - 1, -1, -1) if slot not in used]
+        return spent
+
+    def _read_figure(self, slot: int) -> int:
+        first: int
+        second: int
+        first, second, checksum = RECORD.unpack_from(self._map, slot * SLOT_BYTES + NAME_BYTES)
+        if first == second and checksum_of(first) == checksum:
+            return first
+        return max(first, second)
 
     def begin(self, allotment: str) -> bool:
-        """Take a slot for an allotment; whether there is one."""
-        if not self.free or len(allotment) > NAME:
+        """Take a slot for an allotment of which nothing is spent; whether there is one that fits."""
+        if not self._free or len(allotment) > NAME_BYTES:
             return False
-        slot = self.places[allotment] = self.free.pop()
-        self.set(allotment, 0)
-        self.map[slot * SIZE : slot * SIZE + NAME] = allotment.encode().ljust(NAME, b"\0")
+        slot = self._free.pop()
+        self._slots[allotment] = slot
+        self.set(allotment, 0)  # before the name: a slot that is named has a record
+        start = slot * SLOT_BYTES
+        self._map[start : start + NAME_BYTES] = allotment.encode().ljust(NAME_BYTES, b"\0")
         return True
 
     def set(self, allotment: str, spent: int) -> None:
-        """Record what was spent of it in all."""
-        slot = self.places.get(allotment)
+        """Record what was spent of an allotment in all; nothing where it has no slot."""
+        slot = self._slots.get(allotment)
         if slot is not None:
-            SPENT.pack_into(
-                self.map, slot * SIZE + NAME, spent, spent, zlib.crc32(spent.to_bytes(8, "little"))
-            )
+            start = slot * SLOT_BYTES + NAME_BYTES
+            RECORD.pack_into(self._map, start, spent, spent, checksum_of(spent))
 
     def end(self, allotment: str) -> None:
-        """Free its slot."""
-        slot = self.places.pop(allotment, None)
+        """Free the slot of an allotment that is settled; nothing where it has none."""
+        slot = self._slots.pop(allotment, None)
         if slot is not None:
-            self.map[slot * SIZE : (slot + 1) * SIZE] = bytes(SIZE)
-            self.free.append(slot)
+            self._map[slot * SLOT_BYTES : (slot + 1) * SLOT_BYTES] = bytes(SLOT_BYTES)
+            self._free.append(slot)
 
     def close(self) -> None:
-        """Close the file."""
-        self.map.close()
-        if self.file >= 0:
-            os.close(self.file)
+        """Unmap and close the file."""
+        self._map.close()
+        if self._file >= 0:
+            os.close(self._file)
+
+
+def checksum_of(spent: int) -> int:
+    """The CRC-32 that a record holds of its figure."""
+    return zlib.crc32(spent.to_bytes(FIGURE_BYTES, "little"))
--- a/stoatrouter/peering/storage.py
+++ b/stoatrouter/peering/storage.py
@@ -1,12 +1,9 @@
 """What a head has promised, on its disk: one SQLite file and a mark beside it, in a folder that lasts.
 
-What is promised: once `write` returns, the write is there after a crash of the process or of the machine (WAL
-with synchronous=FULL). A database that is torn, foreign, from a later version or older than what this head
-acknowledged is never voted from: it is set aside and the head goes on under a new identity, without a vote;
-one that belongs to something else is left alone and ends the start.
-
-The mark is how an older copy of the database is found out: after each write it is told the write's number,
-and a database that is behind its mark has lost what was acknowledged.
+What is promised: once a write returns, it is there after a crash of the process or of the machine (WAL with
+synchronous=FULL). A database that is torn, foreign, from a later version or older than what this head
+acknowledged (`write_mark`) is never voted from: it is set aside and the head goes on under a new identity,
+without a vote; one that belongs to something else is left alone and ends the start.
 """
 
 from __future__ import annotations
@@ -14,12 +11,10 @@
 import contextlib
 import fcntl
 import hashlib
-import mmap
 import os
 import secrets
 import sqlite3
-import struct
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -27,279 +22,318 @@
 
 from stoatrouter.agreement.records import Disk, Entry, Snapshot, Write
 from stoatrouter.config import ConfigError
+from stoatrouter.peering.errors import CorruptDatabase, StorageClosed
+from stoatrouter.peering.write_mark import WriteMark
 
-APPLICATION, VERSION = 0x53544F54, 1  # "STOT"; of the schema
+APPLICATION_ID = 0x53544F54  # "STOT"
+SCHEMA_VERSION = 1
 DATABASE_FILE, MARK_FILE, LOCK_FILE = "heads.db", "heads.mark", "heads.lock"
 SCHEMA = """
 CREATE TABLE meta (key TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
 CREATE TABLE entries (at INTEGER PRIMARY KEY, data BLOB NOT NULL, sum BLOB NOT NULL);
 CREATE TABLE snapshot (one INTEGER PRIMARY KEY CHECK (one = 1), data BLOB NOT NULL, sum BLOB NOT NULL);
 """
-
-
-# what SQLite says of a file that it cannot reach or write, as opposed to one whose content is wrong
+BUSY_TIMEOUT_MS = 2_000
+# What SQLite says of a file that it cannot reach or write, as opposed to one whose content is corrupt.
 UNREACHABLE = ("readonly", "unable to open", "disk I/O", "full", "locked")
-
-
-class CorruptDatabase(Exception):
-    """The database cannot be believed; the text says why."""
-
-
-def checksum(data: bytes) -> bytes:
-    """A checksum of one row."""
-    return hashlib.blake2b(data, digest_size=16).digest()
+LONGEST_CAUSE = 100  # characters of SQLite's own text that an error repeats
 
 
 @dataclass(slots=True, frozen=True)
 class StoredState:
-    """What a start found."""
+    """What a start found on the disk, or began there."""
 
-    identity: str
+    identity: str  # of the disk; a new one wherever what was promised may be lost
     boot: int  # how often a process began with this disk
     disk: Disk
     origin: str  # of the fleet this disk belongs to; "": of none
-    promised: str  # the founder it was promised to
+    promised: str  # the founder it was promised to; "": to none
     reset_reason: str | None = None  # why the identity is new, where there was one before
-    writable: bool = True  # False: the disk takes no writes, nothing here is kept
-
-
-class Mark:
-    """A number that goes up, in a file of its own: a crash of the process loses none of it."""
+    writable: bool = True  # False: the disk takes no writes, nothing is stored
 
-    FORM = struct.Struct(">QQ")
 
-    def __init__(self, path: Path) -> None:
-        self.file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
-        os.ftruncate(self.file, self.FORM.size)
-        self.map = mmap.mmap(self.file, self.FORM.size)
-
-    def read(self) -> int:
-        """The number; 0 where the file is new. Of two halves that differ the lower counts: it was torn."""
-        first, second = self.FORM.unpack(self.map[:])
-        return min(first, second)
+@dataclass(slots=True, frozen=True)
+class BootstrapWrite:
+    """What the bootstrap of the fleet stores; whatever is None stays as it is."""
 
-    def set(self, number: int) -> None:
-        """Set the mark."""
-        self.map[:] = self.FORM.pack(number, number)
-
-    def close(self) -> None:
-        """Close the file."""
-        self.map.close()
-        os.close(self.file)
+    origin: str | None = None  # the fleet that this disk belongs to
+    promised: str | None = None  # the founder that this disk is promised to
 
 
 class Storage:
-    """The file. All calls come from one thread at a time; `open` before `write`."""
+    """One head's database. All calls come from one thread at a time; `open` before any write.
+
+    Attributes:
+        connection: The open database; None before `open`, after `close` and where the disk takes no writes.
+    """
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.path = folder, folder / DATABASE_FILE
+        """Name the folder; nothing in it is touched before `open`."""
         self.connection: sqlite3.Connection | None = None
-        self.mark: Mark | None = None
-        self.number = 0
-        self.lock = -1
+        self._folder = folder
+        self._path = folder / DATABASE_FILE
+        self._mark: WriteMark | None = None
+        self._lock = -1
+        self._write_number = 0  # of the last write
 
     # -- a start ------------------------------------------------------------------------------------------
     def open(self) -> StoredState:
-        """Read what is there, or begin anew; raises ConfigError where the file belongs to something else."""
+        """Read what is there, or begin anew.
+
+        Returns:
+            What was found. A disk that takes no writes is no error: the head serves, without a vote.
+
+        Raises:
+            ConfigError: The folder is in use, or its database belongs to another program or a later version.
+        """
         try:
-            self.folder.mkdir(parents=True, exist_ok=True)
-            self._lock()
-            self.mark = Mark(self.folder / MARK_FILE)
-            why = None
-            try:
-                return self._read()
-            except CorruptDatabase as error:
-                why = self._set_aside(str(error)) if self.path.exists() else str(error)
-            return self._begin(why)
+            self._folder.mkdir(parents=True, exist_ok=True)
+            self._lock_folder()
+            self._mark = WriteMark(self._folder / MARK_FILE)
+            return self._load_or_reset(self._mark)
         except (sqlite3.Error, OSError) as error:
-            # Guards the start of a head whose disk is full or read-only: it serves, without a voice.
+            # Guards the start of a head whose disk is full or read-only.
             self.close()
-            why = f"the disk takes no writes: {error}"
-            return StoredState(secrets.token_hex(16), 0, Disk(), "", "", why, False)
+            reason = f"the disk takes no writes: {error}"
+            return StoredState(secrets.token_hex(16), 0, Disk(), "", "", reason, writable=False)
 
-    def _lock(self) -> None:
-        """One process at a time: two would vote twice under one identity. A killed one holds it no more."""
-        self.lock = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
+    def _lock_folder(self) -> None:
+        """Guard against two processes of one head, which would vote twice under one identity.
+
+        The system drops the lock of a process that is killed.
+        """
+        self._lock = os.open(self._folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             raise ConfigError(
-                f"{self.folder}: another process of this head uses the folder; end it first "
+                f"{self._folder}: another process of this head uses the folder; end it first "
                 "(with heads that know each other on, a new version does not start beside the "
                 "old one)"
             ) from None
 
-    def _read(self) -> StoredState:
-        if not self.path.exists():
-            assert self.mark is not None
-            if self.mark.read():
+    def _load_or_reset(self, mark: WriteMark) -> StoredState:
+        """Load the database; one that is corrupt is set aside, and the head begins anew."""
+        reset_reason = None
+        try:
+            if self._path.exists():
+                return self._load_existing(mark)
+            if mark.read():
                 raise CorruptDatabase("the database is gone")
-            return self._begin(None)
-        self.connection = base = self._connect()
-        with self._doubts():
-            application = base.execute("PRAGMA application_id").fetchone()[0]
-            version = base.execute("PRAGMA user_version").fetchone()[0]
-            tables = base.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
-        if application != APPLICATION and tables:
-            raise ConfigError(f"{self.path}: this database belongs to another program; name another folder")
-        if version > VERSION:
+        except CorruptDatabase as error:
+            reset_reason = self._set_aside(str(error)) if self._path.exists() else str(error)
+        return self._create(mark, reset_reason)
+
+    def _load_existing(self, mark: WriteMark) -> StoredState:
+        connection = self._connect()
+        self._check_owner(connection)
+        with corruption_detected():
+            if connection.execute("PRAGMA quick_check").fetchone()[0] != "ok":
+                raise CorruptDatabase("the database is damaged")
+            return self._load(connection, mark)
+
+    def _check_owner(self, connection: sqlite3.Connection) -> None:
+        """Raise ConfigError where the database is another program's, or a later version's of this one."""
+        with corruption_detected():
+            application = connection.execute("PRAGMA application_id").fetchone()[0]
+            version = connection.execute("PRAGMA user_version").fetchone()[0]
+            tables = connection.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
+        if application != APPLICATION_ID and tables:
+            raise ConfigError(f"{self._path}: this database belongs to another program; name another folder")
+        if version > SCHEMA_VERSION:
             raise ConfigError(
-                f"{self.path}: written by a later version (schema {version}, this one knows "
-                f"{VERSION}); start that version, or name another folder"
+                f"{self._path}: written by a later version (schema {version}, this one knows "
+                f"{SCHEMA_VERSION}); start that version, or name another folder"
             )
-        with self._doubts():
-            if base.execute("PRAGMA quick_check").fetchone()[0] != "ok":
-                raise CorruptDatabase("the database is damaged")
-            found = self._load(base)
-        return found
 
-    def _load(self, base: sqlite3.Connection) -> StoredState:
-        meta = dict(base.execute("SELECT key, value FROM meta"))
+    def _load(self, connection: sqlite3.Connection, mark: WriteMark) -> StoredState:
+        """Read and check all tables, and count the start; raises CorruptDatabase."""
+        meta: dict[str, bytes] = dict(connection.execute("SELECT key, value FROM meta"))
         try:
-            identity, boot = meta["identity"].decode(), int(meta["boot"]) + 1
-            self.number = int(meta["number"])
-            entries = [
-                self._entry(at, data, held)
-                for at, data, held in base.execute("SELECT at, data, sum FROM entries ORDER BY at")
-            ]
-            snapshot = Snapshot(0, 0, (), b"")
-            for data, held in base.execute("SELECT data, sum FROM snapshot"):
-                if checksum(data) != held:
-                    raise CorruptDatabase("the snapshot does not match its checksum")
-                snapshot = msgspec.msgpack.decode(data, type=Snapshot)
+            identity = meta["identity"].decode()
+            boot = int(meta["boot"]) + 1
+            self._write_number = int(meta["number"])
+            entries = read_entries(connection)
+            snapshot = read_snapshot(connection)
             term = int(meta.get("term", b"0"))
         except (KeyError, ValueError, msgspec.MsgspecError) as error:
             raise CorruptDatabase(f"a record cannot be read: {error!r}") from None
-        if any(b.index != a.index + 1 for a, b in zip(entries, entries[1:], strict=False)):
-            raise CorruptDatabase("entries are missing")
-        assert self.mark is not None
-        if self.number < self.mark.read():
+        check_contiguous(entries)
+        self._check_acknowledged(mark)
+        connection.execute("UPDATE meta SET value = ? WHERE key = 'boot'", (str(boot).encode(),))
+        connection.commit()
+        voted = meta.get("voted", b"").decode() or None
+        origin = meta.get("origin", b"").decode()
+        promised = meta.get("promised", b"").decode()
+        return StoredState(identity, boot, Disk(term, voted, snapshot, entries), origin, promised)
+
+    def _check_acknowledged(self, mark: WriteMark) -> None:
+        """Raise CorruptDatabase where the database is older than what this head acknowledged."""
+        acknowledged = mark.read()
+        if self._write_number < acknowledged:
             raise CorruptDatabase(
-                f"it is older than what this head acknowledged (write {self.number}, and "
-                f"{self.mark.read()} was done)"
+                f"it is older than what this head acknowledged (write {self._write_number}, and "
+                f"{acknowledged} was done)"
             )
-        base.execute("UPDATE meta SET value = ? WHERE key = 'boot'", (str(boot).encode(),))
-        base.commit()
-        voted = meta.get("voted", b"").decode() or None
-        return StoredState(
-            identity,
-            boot,
-            Disk(term, voted, snapshot, tuple(entries)),
-            meta.get("origin", b"").decode(),
-            meta.get("promised", b"").decode(),
-        )
-
-    @staticmethod
-    def _entry(at: int, data: bytes, held: bytes) -> Entry:
-        if checksum(data) != held:
-            raise CorruptDatabase(f"entry {at} does not match its checksum")
-        return msgspec.msgpack.decode(data, type=Entry)
 
     def _connect(self) -> sqlite3.Connection:
-        base = sqlite3.connect(self.path, check_same_thread=False, isolation_level="IMMEDIATE")
-        base.execute("PRAGMA busy_timeout = 2000")
-        return base
+        connection = sqlite3.connect(self._path, check_same_thread=False, isolation_level="IMMEDIATE")
+        self.connection = connection
+        connection.execute(f"PRAGMA busy_timeout = {BUSY_TIMEOUT_MS}")
+        return connection
 
-    @contextlib.contextmanager
-    def _doubts(self) -> Iterator[None]:
-        """A file that SQLite cannot read is spoilt; one that cannot be reached at all is another matter."""
-        try:
-            yield
-        except sqlite3.OperationalError as error:
-            if any(word in str(error) for word in UNREACHABLE):
-                raise
-            raise CorruptDatabase(str(error)[:100]) from None
-        except (sqlite3.DatabaseError, UnicodeDecodeError) as error:
-            raise CorruptDatabase(str(error)[:100]) from None
-
-    def _set_aside(self, why: str) -> str:
-        """Keep the spoilt file for whoever looks into it, under a name that says so."""
+    def _set_aside(self, reason: str) -> str:
+        """Rename the corrupt file for whoever looks into it; the reason, with its new name."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
-        aside = self.path.with_name(f"{DATABASE_FILE}.spoilt-{secrets.token_hex(4)}")
-        for end in ("", "-wal", "-shm"):
+        aside = self._path.with_name(f"{DATABASE_FILE}.spoilt-{secrets.token_hex(4)}")
+        for suffix in ("", "-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
-                os.replace(f"{self.path}{end}", f"{aside}{end}")
-        return f"{why}; set aside as {aside.name}"
+                os.replace(f"{self._path}{suffix}", f"{aside}{suffix}")
+        return f"{reason}; set aside as {aside.name}"
 
-    def _begin(self, why: str | None) -> StoredState:
-        """A new database under a new identity."""
-        self.connection = base = self._connect()
-        base.executescript(
+    def _create(self, mark: WriteMark, reset_reason: str | None) -> StoredState:
+        """Make a new database under a new identity."""
+        connection = self._connect()
+        connection.executescript(
             "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL;"
             + SCHEMA
-            + f"PRAGMA application_id = {APPLICATION}; PRAGMA user_version = {VERSION};"
+            + f"PRAGMA application_id = {APPLICATION_ID}; PRAGMA user_version = {SCHEMA_VERSION};"
         )
         identity = secrets.token_hex(16)
-        self.number = 0
+        self._write_number = 0
         for key, value in (("identity", identity), ("boot", "1"), ("number", "0"), ("term", "0")):
-            base.execute("INSERT INTO meta VALUES (?, ?)", (key, value.encode()))
-        base.commit()
-        assert self.mark is not None
-        self.mark.set(0)
-        return StoredState(identity, 1, Disk(), "", "", why)
+            connection.execute("INSERT INTO meta VALUES (?, ?)", (key, value.encode()))
+        connection.commit()
+        mark.set(0)
+        return StoredState(identity, 1, Disk(), "", "", reset_reason)
 
     # -- a running head -----------------------------------------------------------------------------------
     def write(self, write: Write) -> None:
-        """One transaction; it is on the disk when this returns. Raises sqlite3.Error or OSError."""
-        assert self.connection is not None
-        with self.connection as base:
+        """Carry out one transaction of the agreement; it is on the disk when this returns.
+
+        Raises:
+            sqlite3.Error: The disk takes no writes.
+            OSError: As above.
+            StorageClosed: No database is open.
+        """
+        with self._transaction() as connection:
             if write.term is not None:
-                self._set(base, "term", str(write.term))
-                self._set(base, "voted", write.voted or "")
+                set_meta(connection, "term", str(write.term))
+                set_meta(connection, "voted", write.voted or "")
             if write.cut_from is not None:
-                base.execute("DELETE FROM entries WHERE at >= ?", (write.cut_from,))
-            for entry in write.entries:
-                data = msgspec.msgpack.encode(entry)
-                base.execute(
-                    "INSERT OR REPLACE INTO entries VALUES (?, ?, ?)", (entry.index, data, checksum(data))
-                )
+                connection.execute("DELETE FROM entries WHERE at >= ?", (write.cut_from,))
+            insert_entries(connection, write.entries)
             if write.snapshot is not None:
-                data = msgspec.msgpack.encode(write.snapshot)
-                base.execute("INSERT OR REPLACE INTO snapshot VALUES (1, ?, ?)", (data, checksum(data)))
+                insert_snapshot(connection, write.snapshot)
             if write.origin is not None:
-                self._set(base, "origin", write.origin)
+                set_meta(connection, "origin", write.origin)
             if write.keep_from is not None:
-                base.execute("DELETE FROM entries WHERE at < ?", (write.keep_from,))
-            self._number(base)
-        self._done()
-
-    def keep(self, **values: str) -> None:
-        """Other promises: the fleet that this disk belongs to, and who may found it."""
-        assert self.connection is not None
-        with self.connection as base:
-            for key, value in values.items():
-                self._set(base, key, value)
-            self._number(base)
-        self._done()
-
-    def kept(self, key: str) -> str:
-        """What is kept under a key; "" where there is nothing."""
-        assert self.connection is not None
-        row = self.connection.execute("SELECT value FROM meta WHERE key = ?", (key,)).fetchone()
-        return row[0].decode() if row else ""
-
-    def _number(self, base: sqlite3.Connection) -> None:
-        self.number += 1
-        self._set(base, "number", str(self.number))
-
-    def _done(self) -> None:
-        if self.mark is not None:
-            self.mark.set(self.number)
-
-    @staticmethod
-    def _set(base: sqlite3.Connection, key: str, value: str) -> None:
-        base.execute("INSERT OR REPLACE INTO meta VALUES (?, ?)", (key, value.encode()))
+                connection.execute("DELETE FROM entries WHERE at < ?", (write.keep_from,))
+
+    def write_bootstrap(self, write: BootstrapWrite) -> None:
+        """Store what the bootstrap of the fleet promises; it is on the disk when this returns.
+
+        Raises:
+            sqlite3.Error: The disk takes no writes.
+            OSError: As above.
+            StorageClosed: No database is open.
+        """
+        with self._transaction() as connection:
+            if write.origin is not None:
+                set_meta(connection, "origin", write.origin)
+            if write.promised is not None:
+                set_meta(connection, "promised", write.promised)
+
+    @contextlib.contextmanager
+    def _transaction(self) -> Iterator[sqlite3.Connection]:
+        """Number a transaction, commit it, and set the mark once it is on the disk."""
+        if self.connection is None:
+            raise StorageClosed("no database is open: `open` comes before a write, `close` after the last")
+        with self.connection as connection:
+            yield connection
+            self._write_number += 1
+            set_meta(connection, "number", str(self._write_number))
+        if self._mark is not None:
+            self._mark.set(self._write_number)
 
     def close(self) -> None:
-        """Close the database."""
+        """Close the database and its mark, and unlock the folder."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
-        if self.mark is not None:
-            self.mark.close()
-            self.mark = None
-        if self.lock >= 0:
-            os.close(self.lock)
-            self.lock = -1
+        if self._mark is not None:
+            self._mark.close()
+            self._mark = None
+        if self._lock >= 0:
+            os.close(self._lock)
+            self._lock = -1
+
+
+# -- rows -------------------------------------------------------------------------------------------------
+def checksum(data: bytes) -> bytes:
+    """The checksum of one row: 16 bytes of BLAKE2b."""
+    return hashlib.blake2b(data, digest_size=16).digest()
+
+
+def set_meta(connection: sqlite3.Connection, key: str, value: str) -> None:
+    """Store a value under a key of the table `meta`."""
+    connection.execute("INSERT OR REPLACE INTO meta VALUES (?, ?)", (key, value.encode()))
+
+
+def insert_entries(connection: sqlite3.Connection, entries: Sequence[Entry]) -> None:
+    """Store entries of the log, in place of those at the same indices."""
+    for entry in entries:
+        data = msgspec.msgpack.encode(entry)
+        connection.execute(
+            "INSERT OR REPLACE INTO entries VALUES (?, ?, ?)", (entry.index, data, checksum(data))
+        )
+
+
+def insert_snapshot(connection: sqlite3.Connection, snapshot: Snapshot) -> None:
+    """Store a snapshot in place of the one before."""
+    data = msgspec.msgpack.encode(snapshot)
+    connection.execute("INSERT OR REPLACE INTO snapshot VALUES (1, ?, ?)", (data, checksum(data)))
+
+
+def read_entries(connection: sqlite3.Connection) -> tuple[Entry, ...]:
+    """Read the entries of the log, in order; raises CorruptDatabase where a checksum fails."""
+    rows = connection.execute("SELECT at, data, sum FROM entries ORDER BY at")
+    return tuple(read_entry(index, data, stored_checksum) for index, data, stored_checksum in rows)
+
+
+def read_entry(index: int, data: bytes, stored_checksum: bytes) -> Entry:
+    """Read one entry; raises CorruptDatabase where its checksum fails."""
+    if checksum(data) != stored_checksum:
+        raise CorruptDatabase(f"entry {index} does not match its checksum")
+    return msgspec.msgpack.decode(data, type=Entry)
+
+
+def read_snapshot(connection: sqlite3.Connection) -> Snapshot:
+    """Read the snapshot, or an empty one; raises CorruptDatabase where its checksum fails."""
+    snapshot = Snapshot(0, 0, (), b"")
+    for data, stored_checksum in connection.execute("SELECT data, sum FROM snapshot"):
+        if checksum(data) != stored_checksum:
+            raise CorruptDatabase("the snapshot does not match its checksum")
+        snapshot = msgspec.msgpack.decode(data, type=Snapshot)
+    return snapshot
+
+
+def check_contiguous(entries: Sequence[Entry]) -> None:
+    """Raise CorruptDatabase unless each entry follows on the one before it."""
+    if any(after.index != before.index + 1 for before, after in zip(entries, entries[1:], strict=False)):
+        raise CorruptDatabase("entries are missing")
+
+
+@contextlib.contextmanager
+def corruption_detected() -> Iterator[None]:
+    """Turn what SQLite says of a corrupt file into CorruptDatabase; a file out of reach is another matter."""
+    try:
+        yield
+    except sqlite3.OperationalError as error:
+        if any(text in str(error) for text in UNREACHABLE):
+            raise
+        raise CorruptDatabase(str(error)[:LONGEST_CAUSE]) from None
+    except (sqlite3.DatabaseError, UnicodeDecodeError) as error:
+        raise CorruptDatabase(str(error)[:LONGEST_CAUSE]) from None
--- a/stoatrouter/peering/streams.py
+++ b/stoatrouter/peering/streams.py
@@ -1,197 +1,276 @@
 """Streams between heads: HTTP over aiohttp, one sealed message each way. Decides nothing.
 
-`POST /heads` with a sealed message answers 200 with one, or 204 where there is nothing to say; what is not
-believed is told 403 and nothing else.
+`POST /heads` with a sealed message answers 200 with one, or 204 where there is no answer. What is rejected is
+answered 403 and nothing else, a message of an earlier incarnation 409 with the latest one that was heard, and
+what is beyond MOST_IN_FLIGHT 503.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable
+import socket
+from collections.abc import Awaitable, Callable, Mapping
 from datetime import timedelta
-from typing import Any
+from http import HTTPStatus
+from typing import NamedTuple
 
 import aiohttp
 import msgspec
 from aiohttp import web
 from loguru import logger
 
-from stoatrouter.agreement.records import Voter
+from stoatrouter.agreement.records import AnyMessage, Voter
 from stoatrouter.net.listener import ListeningSocket
-from stoatrouter.peering.counters import MessageCounters
-from stoatrouter.peering.envelope import LARGEST, Envelope, EnvelopeSealer, OlderIncarnation
-from stoatrouter.peering.errors import MessageRejected, PeerUnreachable
+from stoatrouter.peering import calls
+from stoatrouter.peering.counters import Channel, MessageCounters
+from stoatrouter.peering.envelope import LARGEST_MESSAGE, Envelope, EnvelopeSealer, OlderIncarnation
+from stoatrouter.peering.errors import MessageRejected, PeerUnreachable, RejectReason
+from stoatrouter.peering.tasks import cancel_tasks
 
 PATH = "/heads"
-MOST_IN_FLIGHT = 256  # questions answered at once; beyond, 503
-MOST_QUEUED = 256  # messages that wait for one head; beyond, the oldest go: all of them are sent again
+OLDER = "older"  # the kind of an answer to an earlier incarnation; its body is the latest one, in decimal
+MOST_IN_FLIGHT = 256  # requests answered at once; beyond, 503
+MOST_CONNECTIONS = 8  # to one head
+MOST_QUEUED = 256  # messages queued for one head; beyond, the oldest go: all of them are sent again
 MOST_IN_BATCH = 32
 CONNECT_TIMEOUT = timedelta(milliseconds=500)
 REQUEST_TIMEOUT = timedelta(seconds=3)
+BATCH_TIMEOUT = timedelta(seconds=1)
+BATCH_RETRY_PAUSE = timedelta(milliseconds=20)
+SHUTDOWN_TIMEOUT = timedelta(milliseconds=100)
 
 Handler = Callable[[Envelope], Awaitable[bytes | None]]
 
 
+class Reply(NamedTuple):
+    """The answer to a request."""
+
+    sender: Voter  # its identity is "" where the head answered with no message
+    body: bytes
+
+
 class Streams:
-    """What a head says to others over streams, and what it hears."""
+    """One head's requests to other heads, and its answers to theirs.
+
+    Attributes:
+        counters: Where messages are counted.
+        in_flight: Requests of others that are being answered.
+    """
 
     def __init__(
         self,
         sealer: EnvelopeSealer,
         me: Voter,
-        process: int,
-        addresses: dict[str, str],
+        incarnation: int,
+        addresses: Mapping[str, str],
         counters: MessageCounters,
         handler: Handler,
         origin: Callable[[], str],
     ) -> None:
-        self.sealer, self.me, self.process = sealer, me, process
-        self.addresses, self.counters, self.handler, self.origin = addresses, counters, handler, origin
-        self.number = self.in_flight = 0
-        self.session: aiohttp.ClientSession | None = None
-        self.server: web.Server | None = None
-        self.sockets: asyncio.Server | None = None
-        self.queues: dict[str, list[Any]] = {}
-        self.senders: dict[str, asyncio.Task[None]] = {}
+        """Set up the streams; nothing is sent or heard before `start`.
+
+        Args:
+            sealer: Seals and unseals the messages.
+            me: This head, with the identity of its disk.
+            incarnation: Of this process; higher than that of any earlier process of this head.
+            addresses: Where other heads listen, HOST:PORT by name.
+            counters: Where messages are counted.
+            handler: Answers an authentic request of another head; None where there is no answer.
+            origin: The identity of the fleet that this head belongs to; "" for none.
+        """
+        self.counters = counters
+        self.in_flight = 0
+        self._sealer = sealer
+        self._me = me
+        self._incarnation = incarnation
+        self._addresses = addresses
+        self._handler = handler
+        self._origin = origin
+        self._last_request_id = 0
+        self._session: aiohttp.ClientSession | None = None
+        self._server: web.Server | None = None
+        self._listener: asyncio.Server | None = None
+        self._queues: dict[str, calls.Batch] = {}
+        self._senders: dict[str, asyncio.Task[None]] = {}
 
     async def start(self, listen: tuple[str, int] | None) -> None:
-        """Listen where this head is reached, and open connections as they are needed."""
-        self.session = aiohttp.ClientSession(
-            connector=aiohttp.TCPConnector(limit=0, limit_per_host=8),
+        """Open the client's side and, where this head is reached by streams, listen.
+
+        Args:
+            listen: Host and port; None: this head only sends requests.
+
+        Raises:
+            OSError: The address cannot be listened on.
+        """
+        self._session = aiohttp.ClientSession(
+            connector=aiohttp.TCPConnector(limit=0, limit_per_host=MOST_CONNECTIONS),
             timeout=aiohttp.ClientTimeout(
                 total=REQUEST_TIMEOUT.total_seconds(), connect=CONNECT_TIMEOUT.total_seconds()
             ),
         )
-        if listen is not None:
-            self.server = web.Server(self.take, access_log=None, handler_cancellation=True)
-            listening = ListeningSocket()
-            listening.setsockopt(1, 2, 1)  # SOL_SOCKET, SO_REUSEADDR
-            listening.bind(listen)
-            listening.setblocking(False)
-            self.sockets = await asyncio.get_running_loop().create_server(self.server, sock=listening)
+        if listen is None:
+            return
+        self._server = web.Server(self._handle, access_log=None, handler_cancellation=True)
+        listening = ListeningSocket()
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening.bind(listen)
+        listening.setblocking(False)
+        self._listener = await asyncio.get_running_loop().create_server(self._server, sock=listening)
 
     async def close(self) -> None:
-        """Stop sending and listening."""
-        for task in self.senders.values():
-            task.cancel()
-        await asyncio.gather(*self.senders.values(), return_exceptions=True)
-        if self.sockets is not None:
-            self.sockets.close()
-        if self.server is not None:
-            await self.server.shutdown(0.1)
-        if self.session is not None:
-            await self.session.close()
-
-    # -- hearing ------------------------------------------------------------------------------------------
-    async def take(self, request: web.BaseRequest) -> web.StreamResponse:
-        """One message from another head."""
-        where = request.remote or ""
+        """Stop sending and listening; what is queued is not sent."""
+        await cancel_tasks(self._senders.values())
+        if self._listener is not None:
+            self._listener.close()
+        if self._server is not None:
+            await self._server.shutdown(SHUTDOWN_TIMEOUT.total_seconds())
+        if self._session is not None:
+            await self._session.close()
+
+    # -- answering ----------------------------------------------------------------------------------------
+    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answer one HTTP request of another head."""
+        source = request.remote or ""
         if request.method != "POST" or request.path != PATH:
-            return web.Response(status=404)
-        # Guards memory and the loop: heads that ask too much at once are told so.
+            return web.Response(status=HTTPStatus.NOT_FOUND)
+        # Guards memory and the loop: heads that request too much at once are told so.
         if self.in_flight >= MOST_IN_FLIGHT:
-            return web.Response(status=503)
+            return web.Response(status=HTTPStatus.SERVICE_UNAVAILABLE)
         self.in_flight += 1
         try:
-            data = await self.read(request)
-            self.counters.add("streams.received")
-            envelope = self.sealer.unseal(data)
-            if envelope.origin and self.origin() and envelope.origin != self.origin():
-                raise MessageRejected("another_fleet")
-            answer = await self.handler(envelope)
+            envelope = await self._receive(request)
+            body = await self._handler(envelope)
         except OlderIncarnation as error:
-            # a head whose clock went back is told how far others have heard of it, and goes beyond
-            self.counters.drop("stream", "older_process", where)
-            latest = str(error.latest).encode()
-            told = self.envelope(error.envelope.sender.name, error.envelope.number, "older", latest)
-            return web.Response(status=409, body=self.sealer.seal(told))
-        except (MessageRejected, msgspec.MsgspecError) as error:
-            self.counters.drop(
-                "stream", str(error) if isinstance(error, MessageRejected) else "malformed", where
-            )
-            return web.Response(status=403)
+            self.counters.count_drop(Channel.STREAM, error.reason, source)
+            return self._older_incarnation_response(error)
+        except MessageRejected as error:
+            self.counters.count_drop(Channel.STREAM, error.reason, source)
+            return web.Response(status=HTTPStatus.FORBIDDEN)
+        except msgspec.MsgspecError:
+            self.counters.count_drop(Channel.STREAM, RejectReason.MALFORMED, source)
+            return web.Response(status=HTTPStatus.FORBIDDEN)
         finally:
             self.in_flight -= 1
-        if answer is None:
-            return web.Response(status=204)
-        return web.Response(
-            body=self.sealer.seal(self.envelope(envelope.sender.name, envelope.number, envelope.kind, answer))
-        )
+        if body is None:
+            return web.Response(status=HTTPStatus.NO_CONTENT)
+        reply = self._envelope(envelope.sender.name, envelope.request_id, envelope.kind, body)
+        return web.Response(body=self._sealer.seal(reply))
+
+    async def _receive(self, request: web.BaseRequest) -> Envelope:
+        """Read and unseal the message of a request; raises MessageRejected."""
+        data = await self._read_body(request)
+        self.counters.add("streams.received")
+        envelope = self._sealer.unseal(data)
+        if envelope.origin and self._origin() and envelope.origin != self._origin():
+            raise MessageRejected(RejectReason.ANOTHER_FLEET)
+        return envelope
 
     @staticmethod
-    async def read(request: web.BaseRequest) -> bytes:
-        """A message's bytes; raises MessageRejected where they are too many."""
-        if (request.content_length or 0) > LARGEST:
-            raise MessageRejected("too_long")
+    async def _read_body(request: web.BaseRequest) -> bytes:
+        """Read a message's bytes; raises MessageRejected where they are more than LARGEST_MESSAGE."""
+        if (request.content_length or 0) > LARGEST_MESSAGE:
+            raise MessageRejected(RejectReason.TOO_LONG)
         data = bytearray()
-        async for piece in request.content.iter_any():
-            data += piece
-            if len(data) > LARGEST:
-                raise MessageRejected("too_long")
+        async for chunk in request.content.iter_any():
+            data += chunk
+            if len(data) > LARGEST_MESSAGE:
+                raise MessageRejected(RejectReason.TOO_LONG)
         return bytes(data)
 
-    def envelope(self, to: str, number: int, kind: str, body: bytes) -> Envelope:
-        """A message of this head."""
-        return Envelope(self.origin(), self.me, self.process, to, number, kind, body)
-
-    # -- saying -------------------------------------------------------------------------------------------
-    async def request(
-        self, name: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT
-    ) -> tuple[Voter, bytes]:
-        """Ask a head, and who answered with what; raises PeerUnreachable."""
-        address = self.addresses.get(name)
-        if address is None or self.session is None or self.session.closed:
+    def _older_incarnation_response(self, error: OlderIncarnation) -> web.Response:
+        """Tell a head whose clock went back the latest incarnation heard of it: it will go beyond."""
+        envelope = error.envelope
+        latest = str(error.latest).encode()
+        reply = self._envelope(envelope.sender.name, envelope.request_id, OLDER, latest)
+        return web.Response(status=HTTPStatus.CONFLICT, body=self._sealer.seal(reply))
+
+    def _envelope(self, receiver: str, request_id: int, kind: str, body: bytes) -> Envelope:
+        return Envelope(self._origin(), self._me, self._incarnation, receiver, request_id, kind, body)
+
+    # -- requests -----------------------------------------------------------------------------------------
+    async def request(self, name: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT) -> Reply:
+        """Send a request to a head and wait for its answer.
+
+        Args:
+            name: The head.
+            kind: What is requested (`calls`, or a part's own kind).
+            body: The request, encoded.
+            within: How long the exchange may take.
+
+        Returns:
+            Who answered with what; an empty body where the head had no answer.
+
+        Raises:
+            PeerUnreachable: No answer came that can be used; the request may have been carried out.
+        """
+        address = self._addresses.get(name)
+        if address is None or self._session is None or self._session.closed:
             raise PeerUnreachable(f"no address of {name} is known")
-        self.number += 1
-        number = self.number
-        data = self.sealer.seal(self.envelope(name, number, kind, body))
-        self.counters.add("streams.sent")
-        self.counters.add("streams.bytes", len(data))
+        self._last_request_id += 1
+        sent = self._envelope(name, self._last_request_id, kind, body)
         try:
-            async with (
-                asyncio.timeout(within.total_seconds()),
-                self.session.post(f"http://{address}{PATH}", data=data) as response,
-            ):
-                said = await response.read()
-                if response.status == 204:
-                    return Voter(name, ""), b""
-                if response.status not in (200, 409):
-                    raise PeerUnreachable(f"{name} answered {response.status}")
-            envelope = self.sealer.unseal(said)
+            status, data = await self._post(self._session, address, sent, within)
+            if status == HTTPStatus.NO_CONTENT:
+                return Reply(Voter(name, ""), b"")
+            if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
+                raise PeerUnreachable(f"{name} answered {status}")
+            answer = self._sealer.unseal(data)
         except MessageRejected as error:
-            self.counters.drop("stream", str(error), address)
+            self.counters.count_drop(Channel.STREAM, error.reason, address)
             raise PeerUnreachable(f"{name} answered what is not believed") from None
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise PeerUnreachable(f"{name}: {type(error).__name__}") from None
-        # Guards against an answer to another question, late or sent again.
-        if envelope.number != number or envelope.sender.name != name:
-            self.counters.drop("stream", "another_answer", address)
-            raise PeerUnreachable(f"{name} answered another question")
-        if response.status == 409:
-            self.process = max(self.process, int(envelope.body) + 1)
+        self._check_answer(answer, sent, address)
+        if status == HTTPStatus.CONFLICT:
+            self._incarnation = max(self._incarnation, int(answer.body) + 1)
             raise PeerUnreachable(f"{name} has heard of a later process of this head")
-        return envelope.sender, envelope.body
+        return Reply(answer.sender, answer.body)
+
+    async def _post(
+        self, session: aiohttp.ClientSession, address: str, envelope: Envelope, within: timedelta
+    ) -> tuple[int, bytes]:
+        """Post an envelope; the status and the bytes of the answer."""
+        data = self._sealer.seal(envelope)
+        self.counters.add("streams.sent")
+        self.counters.add("streams.bytes", len(data))
+        async with (
+            asyncio.timeout(within.total_seconds()),
+            session.post(f"http://{address}{PATH}", data=data) as response,
+        ):
+            return response.status, await response.read()
+
+    def _check_answer(self, answer: Envelope, sent: Envelope, address: str) -> None:
+        """Guard against an answer to another request, late or replayed; raises PeerUnreachable."""
+        if answer.request_id != sent.request_id or answer.sender.name != sent.receiver:
+            self.counters.count_drop(Channel.STREAM, RejectReason.ANOTHER_ANSWER, address)
+            raise PeerUnreachable(f"{sent.receiver} answered another question")
+
+    # -- messages of the agreement ------------------------------------------------------------------------
+    def enqueue(self, receiver: Voter, message: AnyMessage) -> None:
+        """Queue a message of the agreement for a head; nobody waits for it.
 
-    def enqueue(self, name: str, message: Any) -> None:
-        """Queue a message of the agreement for a head; several go together. None of them is ever waited
-        for.
+        Messages that are queued together are sent as one batch. One that is lost is sent again by the
+        agreement itself.
         """
-        queue = self.queues.setdefault(name, [])
-        queue.append(message)
+        name = receiver.name
+        queue = self._queues.setdefault(name, [])
+        queue.append((receiver.identity, message))
         if len(queue) > MOST_QUEUED:
             del queue[0]
             self.counters.add("streams.queue_full")
-        if name not in self.senders or self.senders[name].done():
-            self.senders[name] = asyncio.get_running_loop().create_task(self.send_queue(name))
+        sender = self._senders.get(name)
+        if sender is None or sender.done():
+            self._senders[name] = asyncio.get_running_loop().create_task(self._send_queue(name))
 
-    async def send_queue(self, name: str) -> None:
-        """Send what is queued for a head, in batches."""
-        queue = self.queues[name]
+    async def _send_queue(self, name: str) -> None:
+        """Send what is queued for a head, in batches, until the queue is empty."""
+        queue = self._queues[name]
         while queue:
-            batch, queue[:] = queue[:MOST_IN_BATCH], queue[MOST_IN_BATCH:]
+            batch = queue[:MOST_IN_BATCH]
+            del queue[:MOST_IN_BATCH]
             try:
-                await self.request(name, "agree", msgspec.msgpack.encode(batch), timedelta(seconds=1))
+                await self.request(name, calls.AGREE, msgspec.msgpack.encode(batch), BATCH_TIMEOUT)
             except PeerUnreachable as error:
                 self.counters.add("streams.unreachable")
                 logger.debug("heads: {error}", event="heads.unreachable", error=str(error))
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(BATCH_RETRY_PAUSE.total_seconds())
--- /dev/null
+++ b/stoatrouter/peering/write_mark.py
@@ -0,0 +1,40 @@
+"""The mark beside the database: the number of the last write that this head acknowledged.
+
+It is how an older copy of the database is found out: one that is behind its mark has lost what was
+acknowledged (`storage`). The mark is mapped, so a crash of the process loses none of it.
+"""
+
+from __future__ import annotations
+
+import mmap
+import os
+import struct
+from pathlib import Path
+
+RECORD = struct.Struct(">QQ")  # the number twice: a torn store is found out
+
+
+class WriteMark:
+    """A number that goes up, in a file of its own."""
+
+    def __init__(self, path: Path) -> None:
+        """Map the file, which is made where there is none; raises OSError."""
+        self._file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
+        os.ftruncate(self._file, RECORD.size)
+        self._map = mmap.mmap(self._file, RECORD.size)
+
+    def read(self) -> int:
+        """The number; 0 where the file is new. Of two halves that differ the lower counts: it was torn."""
+        first: int
+        second: int
+        first, second = RECORD.unpack(self._map[:])
+        return min(first, second)
+
+    def set(self, number: int) -> None:
+        """Set the number."""
+        self._map[:] = RECORD.pack(number, number)
+
+    def close(self) -> None:
+        """Unmap and close the file."""
+        self._map.close()
+        os.close(self._file)
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -138,7 +138,7 @@
 async def answer_with_nothing_new(fleet: Fleet) -> int:
     """Bytes of the answer to a follower that has all of it."""
     raft = fleet.replication.raft
-    answer = await fleet.follower.answer(calls.Fetch(raft.commit, raft.log.term(raft.commit) or 0))
+    answer = await fleet.follower_feed.answer(calls.Fetch(raft.commit, raft.log.term(raft.commit) or 0))
     told = msgspec.msgpack.decode(answer, type=calls.Fetched)
     assert told.in_touch and not told.entries and told.snapshot is None
     # the two spans are written in as many digits as they have: the same ones at each size
@@ -150,7 +150,7 @@
     async def story() -> list[int]:
         port = free_port()
         fleet = Fleet(one_voter(tmp_path / "v0", port), 1, {CREDIT: Ledger()})
-        fleet.restart()
+        fleet.restore_stored()
         await fleet.start()
         try:
             await until(lambda: fleet.replication.raft.settled)
