--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -138,7 +138,7 @@
 async def answer_with_nothing_new(fleet: Fleet) -> int:
     """Bytes of the answer to a follower that has all of it."""
     raft = fleet.replication.raft
-    answer = await fleet.follower.answer(
+    answer = await fleet.follower_feed.answer(
         calls.Fetch(raft.commit_index, raft.log.term_at(raft.commit_index) or 0)
     )
     told = msgspec.msgpack.decode(answer, type=calls.Fetched)
@@ -152,7 +152,7 @@
     async def story() -> list[int]:
         port = free_port()
         fleet = Fleet(one_voter(tmp_path / "v0", port), 1, {CREDIT: Ledger()})
-        fleet.restart()
+        fleet.restore_stored()
         await fleet.start()
         try:
             await until(lambda: fleet.replication.raft.settled)
