--- a/stoatrouter/lab/hollow/worker.py
+++ b/stoatrouter/lab/hollow/worker.py
@@ -191,21 +191,21 @@
     """One head's line of the report."""
     if head.heads is None or head.life not in (Life.STARTING, Life.RUNNING):
         return HeadReport(head.name, head.life.value, head.why, served=head.served, refused=head.refused)
-    told = HeadCalls(head.heads.fleet).told()  # as an operator is told
+    status = HeadCalls(head.heads.fleet).status()  # as an operator sees it
     rules = head.heads.rules
     return HeadReport(
         head.name,
         head.life.value,
         head.why,
-        told["state"],
-        told["leader"] or "",
-        told["applied"],
+        status.state,
+        status.leader or "",
+        status.applied,
         0 if rules is None else rules.active_version,
         head.listed,
         head.served,
         head.refused,
         dict(head.counts),
-        {status: list(told["seen"].values()).count(status) for status in HeadReport.COUNTED},
+        {seen: list(status.seen.values()).count(seen) for seen in HeadReport.COUNTED},
     )
 
 
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -1,8 +1,7 @@
-"""Prepaid credit of one head, running: draws and settles with the account, expires what is over at the
-leader.
+"""Prepaid credit of one head, running: draws allotments, settles them, and expires all heads' at the leader.
 
-Decides nothing: what a request is charged stands in credit/escrow.py, what an account gives in
-credit/ledger.py.
+Decides nothing: what a request is charged stands in credit/escrow.py, what an account grants in
+credit/ledger.py. Amounts are whole millionths of a credit unit.
 """
 
 from __future__ import annotations
@@ -26,17 +25,20 @@
 from stoatrouter.peering.settings import CreditSettings
 from stoatrouter.policy import interface as api
 
-PART = "credit"
-EVERY = timedelta(milliseconds=50)
-WITHIN = timedelta(seconds=3)
-LAST_WORD = timedelta(milliseconds=1500)
-# Leases are counted by the voters from a moment later than by their holders, and for longer by this: clocks
-# that run apart by a twentieth are told from broken ones.
-DRIFT, MARGIN = 1.05, timedelta(milliseconds=500)
+PART = "credit"  # the ledger's name in the heads' log
+SPENT_FILE = "spent.book"
+EXCHANGE_INTERVAL = timedelta(milliseconds=50)  # also without a request that waits
+COMMAND_TIMEOUT = timedelta(seconds=3)
+FINAL_SETTLE_TIMEOUT = timedelta(milliseconds=1500)
+MAX_WAIT_FRACTION = 4  # a request waits for an allotment for a quarter of the time it has left, at most
+# The voters count a lease from a moment later than its holder, and for longer by this: clocks that drift
+# apart by a twentieth are told from broken ones.
+CLOCK_DRIFT = 1.05
+LEASE_MARGIN = timedelta(milliseconds=500)
 
 
 class CreditService:
-    """Runs one head's holder, and at the leader the expiry of all allotments."""
+    """Exchanges one head's escrow with the account and, while it leads, expires all heads' allotments."""
 
     def __init__(
         self,
@@ -47,165 +49,192 @@
         background: set[str],
         now: Callable[[], timedelta],
     ) -> None:
-        # the core's time: set once at the start and monotonic since, so leases hold whatever clocks do
-        self.now = now
-        self.settings, self.fleet, self.ledger = settings, fleet, ledger
-        path = fleet.settings.folder / "spent.book" if fleet.found.lasting else None
-        self.book = SpentBook(path)
-        self.before = self.book.read()  # of an earlier process
-        self.holder = HeadEscrow(settings.lease, self.book)
-        self.gate = Gate(self.holder, ledger.customers_of, settings.prices, ranks(classes, background))
-        self.number = fleet.found.boot << 32  # of this head's words to the account
-        self.begun = False
-        self.kick, self.told = asyncio.Event(), asyncio.Event()
-        self.seen: dict[str, timedelta] = {}  # allotments, since this head knows of them
-        self.closing = False
-        fleet.monitor.watchers.append(self.look)
-        fleet.agreed.restored.append(self.seen.clear)  # a state that came whole: ages count anew
-
-    def look(self) -> None:
-        """What this head may do has changed: a cut-off one says so in what it refuses."""
+        """Read what an earlier process spent; nothing is sent yet.
+
+        Args:
+            settings: The operator's settings of credit.
+            fleet: The heads.
+            ledger: The accounts that the heads agreed on.
+            classes: The classes of requests, in the order of their prices.
+            background: The names of the classes that are throttled first.
+            now: The core's time: set once at the start and monotonic since, so leases hold whatever
+                clocks do.
+        """
+        self.settings, self.fleet, self.ledger, self.now = settings, fleet, ledger, now
+        self.book = SpentBook(fleet.settings.folder / SPENT_FILE if fleet.found.lasting else None)
+        self.escrow = HeadEscrow(settings.lease, self.book)
+        self.gate = Gate(self.escrow, ledger.customers_of, settings.prices, ranks(classes, background))
+        self.begun = False  # the account knows of this process
+        self._previously_spent = self.book.read()  # by an earlier process, by allotment
+        self._number = fleet.found.boot << 32  # of this head's last command to the account
+        self._request_waits = asyncio.Event()
+        self._answered = asyncio.Event()  # replaced after each answer of the account
+        self._known_since: dict[str, timedelta] = {}  # allotments of all heads
+        self._closing = False
+        fleet.monitor.watchers.append(self._update_reachability)
+        fleet.agreed.restored.append(self._known_since.clear)  # after a snapshot ages count anew
+
+    def _update_reachability(self) -> None:
+        """Follow the head's availability: a cut-off head says so in its rejections."""
         availability = self.fleet.monitor.latest
-        self.holder.reachable = availability is not None and availability.draws
+        self.escrow.reachable = availability is not None and availability.draws
 
     # -- requests -----------------------------------------------------------------------------------------
     async def prepare(self, request: model.Request) -> bool:
-        """Wait a moment where a customer's allotment is on its way here; whether it did."""
-        holder, now = self.holder, self.now
+        """Wait a moment where a customer's allotment may be on its way here.
+
+        Returns:
+            Whether it waited and the account is still reachable.
+        """
+        now = self.now
         if not self.gate.lacks(request, now()):
             return False
-        deadline = now() + min(self.settings.wait, request.time_left / 4)
+        deadline = now() + min(self.settings.wait, request.time_left / MAX_WAIT_FRACTION)
         with self.gate.waiting(request):
             while (left := deadline - now()) > timedelta(0) and self.gate.lacks(request, now()):
                 self.gate.want(request, now())
-                self.kick.set()
-                told = self.told
+                self._request_waits.set()
+                answered = self._answered
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(left.total_seconds()):
-                        await told.wait()
-        return holder.reachable
+                        await answered.wait()
+        return self.escrow.reachable
 
     # -- the account --------------------------------------------------------------------------------------
     async def run(self) -> None:
-        """Say what there is to be said, one word after the other."""
+        """Exchange with the account, one command after the other; runs until it is cancelled."""
         while True:
-            self.kick.clear()
-            if self.holder.reachable:
-                await self.speak()
+            self._request_waits.clear()
+            if self.escrow.reachable:
+                await self._exchange()
                 await self.expire()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(EVERY.total_seconds()):
-                    await self.kick.wait()
+                async with asyncio.timeout(EXCHANGE_INTERVAL.total_seconds()):
+                    await self._request_waits.wait()
 
-    async def speak(self) -> None:
-        """Say what there is to be said, and take in the answer."""
+    async def _exchange(self) -> None:
+        """Settle and draw what is due, and apply the account's answer."""
         if not self.begun:
-            await self.begin()
+            await self._begin()
         asked_at = self.now()
-        turns = self.holder.turns(asked_at)
+        turns = self.escrow.turns(asked_at)
         if turns:
-            grants = await self.say(turns)
-            # the account does not hear this head (it was written off), or an answer is lost for good
+            grants = await self._send_turns(turns)
+            # without all grants the account does not know this head (it was written off), or an answer is
+            # lost for good
             self.begun = len(grants.grants) == len(turns)
-            self.hear(turns, grants, asked_at)
+            self._apply_grants(turns, grants, asked_at)
 
-    def hear(self, turns: list[Turn], grants: Grants, asked_at: timedelta) -> None:
-        """Take in the account's answer, and wake the requests that wait for it."""
+    def _apply_grants(self, turns: list[Turn], grants: Grants, asked_at: timedelta) -> None:
+        """Apply the account's answer, and wake the requests that wait for it."""
         now = self.now()
         for turn, grant in zip(turns, grants.grants, strict=False):
-            self.holder.granted(turn, grant, asked_at, now)
+            self.escrow.granted(turn, grant, asked_at, now)
         for turn in turns[len(grants.grants) :]:
-            self.holder.unanswered(turn)
-        self.told.set()
-        self.told = asyncio.Event()
-
-    async def say(self, turns: list[Turn]) -> Grants:
-        """One word to the account, said under one number until it is answered."""
-        self.number += 1
-        body = msgspec.msgpack.encode(
-            Turns(self.fleet.settings.name, self.fleet.me.identity, self.number, tuple(turns))
-        )
-        answer = await self.until_answered(body)
+            self.escrow.unanswered(turn)
+        self._answered.set()
+        self._answered = asyncio.Event()
+
+    async def _send_turns(self, turns: list[Turn]) -> Grants:
+        """Send turns to the account under the next number; no grants where this head stops first."""
+        self._number += 1
+        name, identity = self.fleet.settings.name, self.fleet.me.identity
+        answer = await self._submit_until_answered(Turns(name, identity, self._number, tuple(turns)))
         return msgspec.msgpack.decode(answer, type=Grants) if answer else Grants(())
 
-    async def until_answered(self, body: bytes) -> bytes:
-        """Bring one word through, again and again under its id; b"" where this head ends first."""
-        id = f"credit/{self.fleet.me.identity}/{self.number}"
+    async def _submit_until_answered(self, command: Turns | Begin) -> bytes:
+        """Retry a command under its id until it is answered; b"" where this head stops first."""
+        body = msgspec.msgpack.encode(command)
+        id = f"credit/{self.fleet.me.identity}/{self._number}"
         while True:
             try:
-                return await self.fleet.command(PART, body, id, WITHIN)
+                return await self.fleet.command(PART, body, id, COMMAND_TIMEOUT)
             except NotAgreed:
-                if self.closing:
+                if self._closing:
                     return b""
 
-    async def begin(self) -> None:
-        """The first word: what this disk knows of, and what was spent of it by the process before."""
-        name, me = self.fleet.settings.name, self.fleet.me
-        held = {h.id for purse in self.holder.purses.values() for h in purse.allotments}
-        over, booked = self.ledger.heads.get(name, ("", 0))[0], Booked(False)
-        while not booked.ok and not self.closing:
-            self.number += 1
-            body = msgspec.msgpack.encode(
-                Begin(name, me.identity, over, self.number, (*self.before, *sorted(held)))
+    async def _begin(self) -> None:
+        """Tell the account of this process, and settle what the one before it spent."""
+        await self._introduce()
+        if self._previously_spent:
+            await self._settle_previous()
+        self.begun = True
+
+    async def _introduce(self) -> None:
+        """Tell the account which allotments this head's disk and process know of, until it accepts."""
+        name, identity = self.fleet.settings.name, self.fleet.me.identity
+        allotments = sorted({a.id for purse in self.escrow.purses.values() for a in purse.allotments})
+        takes_over_from = self.ledger.heads.get(name, ("", 0))[0]
+        booked = Booked(False)
+        while not booked.ok and not self._closing:
+            self._number += 1
+            known = (*self._previously_spent, *allotments)
+            answer = await self._submit_until_answered(
+                Begin(name, identity, takes_over_from, self._number, known)
             )
-            answer = await self.until_answered(body)
             booked = msgspec.msgpack.decode(answer, type=Booked) if answer else booked
-            over = booked.why
-        if self.before:
-            settles = tuple(Settle(id, spent, True) for id, spent in self.before.items())
-            await self.say([Turn("", (), settles)])
-            logger.info(
-                "credit: settled {count} allotments of the process before",
-                event="credit.settled",
-                count=len(settles),
-            )
-        for id in self.before:
+            takes_over_from = booked.why
+
+    async def _settle_previous(self) -> None:
+        settles = tuple(Settle(id, spent, True) for id, spent in self._previously_spent.items())
+        await self._send_turns([Turn("", (), settles)])
+        logger.info(
+            "credit: settled {count} allotments of the process before",
+            event="credit.settled",
+            count=len(settles),
+        )
+        for id in self._previously_spent:
             self.book.end(id)
-        self.before = {}
-        self.begun = True
+        self._previously_spent = {}
 
+    # -- the leader ---------------------------------------------------------------------------------------
     async def expire(self) -> None:
-        """At the leader: say which allotments' time is over, by this head's own clock since it knew of
-        them.
-        """
-        now = self.fleet.now()
-        if len(self.seen) != len(self.ledger.places) or self.seen.keys() != self.ledger.places.keys():
-            self.seen = {id: self.seen.get(id, now) for id in self.ledger.places}
+        """Where this head leads: expire allotments by its own clock, counted since it knew of them."""
+        now, places = self.fleet.now(), self.ledger.places
+        if len(self._known_since) != len(places) or self._known_since.keys() != places.keys():
+            self._known_since = {id: self._known_since.get(id, now) for id in places}
         if not self.fleet.agreed.raft.settled:
             return
-        lease = self.settings.lease * DRIFT + MARGIN
-        over = tuple(
+        lease = self.settings.lease * CLOCK_DRIFT + LEASE_MARGIN
+        expired = tuple(
             id
-            for id, since in self.seen.items()
+            for id, since in self._known_since.items()
             if since + lease < now and not self.ledger.allotment(id).expired
         )
-        if over:
-            body = msgspec.msgpack.encode(Expired(over))
-            id = f"expired/{self.fleet.me.identity}/{now.total_seconds()}"
+        if expired:
+            body = msgspec.msgpack.encode(Expired(expired))
+            command_id = f"expired/{self.fleet.me.identity}/{now.total_seconds()}"
             with contextlib.suppress(NotAgreed):
-                await self.fleet.command(PART, body, id, WITHIN)
+                await self.fleet.command(PART, body, command_id, COMMAND_TIMEOUT)
 
     async def close(self) -> None:
-        """The last word: what is unspent goes back at once."""
-        self.closing = True
-        turns = self.holder.closing()
+        """Settle for the last time, so that what is unspent goes back at once; then close the book."""
+        self._closing = True
+        turns = self.escrow.closing()
         if turns and self.begun and self.fleet.availability.draws:
             try:
-                async with asyncio.timeout(LAST_WORD.total_seconds()):
-                    await self.say(turns)
-                for turn in turns:
-                    for settle in turn.settles:
-                        if settle.final:
-                            self.book.end(settle.allotment)
+                async with asyncio.timeout(FINAL_SETTLE_TIMEOUT.total_seconds()):
+                    await self._send_turns(turns)
+                self._forget_settled(turns)
             except TimeoutError:
                 logger.warning(
-                    "credit: ends before its last word was heard; the next process says it",
+                    "credit: stops before its final settlement was confirmed; the next process settles",
                     event="credit.unsettled",
                 )
         self.book.close()
 
+    def _forget_settled(self, turns: list[Turn]) -> None:
+        for turn in turns:
+            for settle in turn.settles:
+                if settle.final:
+                    self.book.end(settle.allotment)
+
     # -- for operators ------------------------------------------------------------------------------------
-    async def command(self, command: Command, id: str, within: timedelta) -> Booked:
-        """Bring an operator's entry through; raises NotAgreed."""
+    async def submit_command(self, command: Command, id: str, timeout: timedelta) -> Booked:
+        """Submit an operator's command to the account under an idempotency key.
+
+        Raises:
+            NotAgreed: No leader confirmed it in time; it may be applied all the same.
+        """
         body = msgspec.msgpack.encode(command)
-        return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, within), type=Booked)
+        return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, timeout), type=Booked)
--- a/stoatrouter/peering/credit_calls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -12,232 +12,295 @@
 
 from __future__ import annotations
 
+import enum
 import secrets
 from datetime import timedelta
-from typing import Any
-from urllib.parse import unquote
 
 import msgspec
-from aiohttp import web
 
-from stoatrouter.credit.records import Begin, Book, Booked, DropCustomer, PutCustomer
-from stoatrouter.peering.agreed import NotAgreed
+from stoatrouter.credit.records import Begin, Book, Command, DropCustomer, PutCustomer
 from stoatrouter.peering.bounds import (
-    LARGEST_AMOUNT,
-    LONGEST_CUSTOMER,
-    LONGEST_PERSON,
-    LONGEST_REASON,
-    OutOfBounds,
+    MAX_AMOUNT,
+    MAX_PERSON_LENGTH,
+    MAX_REASON_LENGTH,
+    OutOfBoundsError,
+    check_customer,
     check_head,
     check_id,
     check_number,
     check_text,
     check_volumes,
-    error_text,
-    shown,
+    quote_found,
 )
+from stoatrouter.peering.call_errors import ConflictError, NotFoundError, UnknownCallError
 from stoatrouter.peering.credit import CreditService
-from stoatrouter.peering.head_calls import answer
+from stoatrouter.peering.operator_calls import RootedCalls
 from stoatrouter.peering.timestamps import utc_timestamp
 
-ROOT = "/control/credit"
-WITHIN = timedelta(seconds=4)
-KINDS = ("top-up", "correction", "refund")
+TIMEOUT = timedelta(seconds=4)  # of a read or command
+COMMAND_ID_SIZE = 8  # bytes of a random id, for calls that bring none
 
 
-class CustomerCall(msgspec.Struct, forbid_unknown_fields=True):
-    """What is said of a customer."""
+class EntryKind(enum.StrEnum):
+    """The kinds of entries that operators book."""
+
+    TOP_UP = "top-up"
+    CORRECTION = "correction"
+    REFUND = "refund"
+
+
+class UnsettledPolicy(enum.StrEnum):
+    """How what an expired allotment had left is counted until its head settles."""
+
+    SPENT = "spent"
+    UNSPENT = "unspent"
+
+
+# -- requests ---------------------------------------------------------------------------------------------
+class CustomerRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """A customer's volumes and limits."""
 
     by: str
     why: str
     volumes: list[str] = []
     overdraft: int = 0
     low_water: int = 0
-    unsettled: str = "spent"  # or "unspent"
+    unsettled: str = UnsettledPolicy.SPENT.value
 
 
-class EntryCall(msgspec.Struct, forbid_unknown_fields=True):
+class EntryRequest(msgspec.Struct, forbid_unknown_fields=True):
     """A top-up, correction or refund."""
 
     id: str
     amount: int
     by: str
     why: str
-    kind: str = "top-up"
+    kind: str = EntryKind.TOP_UP.value
 
 
-class DropCall(msgspec.Struct):
-    """What a call that drops a customer may say."""
+class DropRequest(msgspec.Struct):
+    """What a call that drops a customer may bring."""
 
     by: str = ""
     why: str = ""
 
 
-class CreditCalls:
-    """Answers these calls."""
+# -- answers ----------------------------------------------------------------------------------------------
+class HeldCustomer(msgspec.Struct):
+    """What this head holds of one customer's credit."""
+
+    left: int
+    allotments: int  # how many
+    balance: int = msgspec.field(name="balance_told")  # as the account last answered
+    quota: float = msgspec.field(name="narrowed_to")  # 1 to 0: less while the balance is under the low water
+
+
+class HeldCredit(msgspec.Struct):
+    """What this head holds of all customers' credit."""
+
+    state: str
+    draws: bool  # whether the account answers
+    charged: int  # since the head's start
+    refused: int  # requests, since the head's start
+    reservations: int  # how many
+    customers: dict[str, HeldCustomer]
+
+
+class AllotmentAnswer(msgspec.Struct):
+    """One allotment that a head holds of an account."""
+
+    head: str
+    amount: int
+    spent: int
+    expired: bool
+
+
+class AccountAnswer(msgspec.Struct):
+    """A customer's account."""
+
+    name: str
+    volumes: list[str]
+    open: bool
+    paid: int
+    charged: int
+    balance: int
+    free: int
+    overdraft: int
+    low_water: int
+    unsettled: UnsettledPolicy
+    out: dict[str, AllotmentAnswer]  # by allotment
+
+
+class EntryAnswer(msgspec.Struct):
+    """An entry that was booked."""
+
+    id: str
+    customer: str
+    amount: int
+    kind: str
+    by: str
+    why: str
+    when: str
+
+
+class BookedAnswer(msgspec.Struct):
+    """The account after a change."""
+
+    balance: int
+    booked_before: bool
+
+
+class CreditCalls(RootedCalls):
+    """Answers the calls about credit."""
+
+    ROOT = "/control/credit"
 
     def __init__(self, service: CreditService) -> None:
+        """Answer about one head's credit."""
         self.service = service
 
-    async def call(self, method: str, path: str, body: bytes) -> web.Response | None:
-        """Answer one call; None where it is not about credit."""
-        if path != ROOT and not path.startswith(ROOT + "/"):
-            return None
-        parts = [unquote(part) for part in path[len(ROOT) :].split("/")[1:]]
-        try:
-            match method, parts:
-                case "GET", []:
-                    return answer(200, self.held())
-                case "GET", ["customers", name]:
-                    return await self.customer(name)
-                case "PUT", ["customers", name]:
-                    return await self.put(name, msgspec.json.decode(body, type=CustomerCall))
-                case "DELETE", ["customers", name]:
-                    return await self.drop(name, msgspec.json.decode(body or b"{}", type=DropCall))
-                case "POST", ["customers", name, "entries"]:
-                    return await self.entry(name, msgspec.json.decode(body, type=EntryCall))
-                case "GET", ["entries", id]:
-                    return await self.entry_told(id)
-                case "POST", ["heads", name, "write-off"]:
-                    return await self.write_off(name)
-        except (msgspec.MsgspecError, ValueError) as error:
-            return answer(400, {"error": error_text(error)})
-        except NotAgreed as error:
-            return answer(
-                503,
-                {
-                    "error": str(error),
-                    "unknown": True,
-                    "advice": "it may still come to hold: ask by its id, or call again with it",
-                },
-            )
-        return answer(404, {"error": "no such call"})
+    async def answer_parts(self, method: str, parts: list[str], body: bytes) -> msgspec.Struct:
+        """Answer one call by the parts of its path below the root."""
+        match method, parts:
+            case "GET", []:
+                return self.held_credit()
+            case "GET", ["customers", name]:
+                return await self.read_account(name)
+            case "PUT", ["customers", name]:
+                return await self.put_customer(name, msgspec.json.decode(body, type=CustomerRequest))
+            case "DELETE", ["customers", name]:
+                return await self.drop_customer(name, msgspec.json.decode(body or b"{}", type=DropRequest))
+            case "POST", ["customers", name, "entries"]:
+                return await self.book_entry(name, msgspec.json.decode(body, type=EntryRequest))
+            case "GET", ["entries", id]:
+                return await self.read_entry(id)
+            case "POST", ["heads", name, "write-off"]:
+                return await self.write_off(name)
+        raise UnknownCallError
 
-    def held(self) -> dict[str, Any]:
+    def held_credit(self) -> HeldCredit:
         """What this head holds of each customer's credit."""
-        holder, service = self.service.holder, self.service
-        purses = {
-            name: {
-                "left": sum(h.left for h in purse.allotments),
-                "allotments": len(purse.allotments),
-                "balance_told": purse.balance,
-                "narrowed_to": round(purse.fraction(), 3),
-            }
-            for name, purse in sorted(holder.purses.items())
-        }
-        return {
-            "state": service.fleet.availability.state.value,
-            "draws": holder.reachable,
-            "charged": holder.charged,
-            "refused": holder.refused,
-            "reservations": len(holder.reservations),
-            "customers": purses,
+        escrow = self.service.escrow
+        customers = {
+            name: HeldCustomer(
+                left=sum(allotment.left for allotment in purse.allotments),
+                allotments=len(purse.allotments),
+                balance=purse.balance,
+                quota=round(purse.fraction(), 3),
+            )
+            for name, purse in sorted(escrow.purses.items())
         }
+        return HeldCredit(
+            state=self.service.fleet.availability.state.value,
+            draws=escrow.reachable,
+            charged=escrow.charged,
+            refused=escrow.refused,
+            reservations=len(escrow.reservations),
+            customers=customers,
+        )
 
-    async def customer(self, name: str) -> web.Response:
+    async def read_account(self, name: str) -> AccountAnswer:
         """The account, as a majority confirms it."""
         check_customer(name)
-        await self.service.fleet.read(WITHIN)
+        await self.service.fleet.read(TIMEOUT)
         account = self.service.ledger.accounts.get(name)
         if account is None:
-            return answer(404, {"error": f"there is no customer {name!r}"})
-        return answer(
-            200,
-            {
-                "name": name,
-                "volumes": account.volumes,
-                "open": account.open,
-                "paid": account.paid,
-                "charged": account.charged,
-                "balance": account.balance,
-                "free": account.free,
-                "overdraft": account.overdraft,
-                "low_water": account.low_water,
-                "unsettled": "unspent" if account.returned else "spent",
-                "out": {
-                    id: {"head": a.head, "amount": a.amount, "spent": a.spent, "expired": a.expired}
-                    for id, a in account.out.items()
-                },
+            raise NotFoundError(f"there is no customer {name!r}")
+        return AccountAnswer(
+            name=name,
+            volumes=account.volumes,
+            open=account.open,
+            paid=account.paid,
+            charged=account.charged,
+            balance=account.balance,
+            free=account.free,
+            overdraft=account.overdraft,
+            low_water=account.low_water,
+            unsettled=UnsettledPolicy.UNSPENT if account.returned else UnsettledPolicy.SPENT,
+            out={
+                id: AllotmentAnswer(allotment.head, allotment.amount, allotment.spent, allotment.expired)
+                for id, allotment in account.out.items()
             },
         )
 
-    async def put(self, name: str, call: CustomerCall) -> web.Response:
-        """Make a customer, or change what is said of it."""
+    async def put_customer(self, name: str, request: CustomerRequest) -> BookedAnswer:
+        """Make a customer, or change its volumes and limits."""
         check_customer(name)
-        check_who(call)
-        check_volumes(call.volumes)
-        check_number("overdraft", call.overdraft, LARGEST_AMOUNT)
-        check_number("low_water", call.low_water, LARGEST_AMOUNT)
-        if call.unsettled not in ("spent", "unspent"):
-            raise OutOfBounds("unsettled", shown(call.unsettled), "spent, unspent")
-        return await self.book(
-            PutCustomer(
-                name,
-                tuple(call.volumes),
-                call.overdraft,
-                call.low_water,
-                call.unsettled == "unspent",
-                call.by,
-                call.why,
-                utc_timestamp(),
-            ),
-            secrets.token_hex(8),
+        check_signature(request)
+        check_volumes(request.volumes)
+        check_number("overdraft", request.overdraft, MAX_AMOUNT)
+        check_number("low_water", request.low_water, MAX_AMOUNT)
+        check_choice("unsettled", request.unsettled, UnsettledPolicy)
+        command = PutCustomer(
+            name,
+            tuple(request.volumes),
+            request.overdraft,
+            request.low_water,
+            request.unsettled == UnsettledPolicy.UNSPENT,
+            request.by,
+            request.why,
+            utc_timestamp(),
         )
+        return await self._submit(command, secrets.token_hex(COMMAND_ID_SIZE))
 
-    async def drop(self, name: str, call: DropCall) -> web.Response:
-        """No more is drawn; what is out is still settled."""
+    async def drop_customer(self, name: str, request: DropRequest) -> BookedAnswer:
+        """Let heads draw no more of a customer's credit; what is out is still settled."""
         check_customer(name)
-        check_who(call)
-        return await self.book(DropCustomer(name, call.by, call.why, utc_timestamp()), secrets.token_hex(8))
+        check_signature(request)
+        command = DropCustomer(name, request.by, request.why, utc_timestamp())
+        return await self._submit(command, secrets.token_hex(COMMAND_ID_SIZE))
 
-    async def entry(self, name: str, call: EntryCall) -> web.Response:
+    async def book_entry(self, name: str, request: EntryRequest) -> BookedAnswer:
         """Book a top-up, correction or refund."""
         check_customer(name)
-        check_id("id", call.id)
-        check_who(call)
-        check_number("amount", call.amount, LARGEST_AMOUNT, -LARGEST_AMOUNT)
-        if call.kind not in KINDS:
-            raise OutOfBounds("kind", shown(call.kind), ", ".join(KINDS))
-        # the id within the agreement holds the content too: another entry under it is refused, not answered
-        # like the first
-        return await self.book(
-            Book(call.id, name, call.amount, call.kind, call.by, call.why, utc_timestamp()),
-            f"entry/{call.id}/{name}/{call.kind}/{call.amount}",
+        check_id("id", request.id)
+        check_signature(request)
+        check_number("amount", request.amount, MAX_AMOUNT, -MAX_AMOUNT)
+        check_choice("kind", request.kind, EntryKind)
+        command = Book(
+            request.id, name, request.amount, request.kind, request.by, request.why, utc_timestamp()
         )
+        # the command's id holds the content too: another entry under the caller's id is rejected, not
+        # answered like the first
+        return await self._submit(command, f"entry/{request.id}/{name}/{request.kind}/{request.amount}")
 
-    async def book(self, command: Any, id: str) -> web.Response:
-        """Bring a command through; 409 where the account refuses it."""
-        booked: Booked = await self.service.command(command, id, WITHIN)
-        if not booked.ok:
-            return answer(409, {"error": booked.why})
-        return answer(200, {"balance": booked.balance, "booked_before": booked.again})
-
-    async def entry_told(self, id: str) -> web.Response:
-        """Whether, and how, an entry was booked."""
+    async def read_entry(self, id: str) -> EntryAnswer:
+        """Whether, and how, an entry was booked, as a majority confirms it."""
         check_id("id", id)
-        await self.service.fleet.read(WITHIN)
+        await self.service.fleet.read(TIMEOUT)
         entry = self.service.ledger.entries.get(id)
         if entry is None:
-            return answer(404, {"error": f"no entry {id!r} is booked"})
-        return answer(
-            200,
-            msgspec.to_builtins(
-                {f: getattr(entry, f) for f in ("id", "customer", "amount", "kind", "by", "why", "when")}
-            ),
+            raise NotFoundError(f"no entry {id!r} is booked")
+        return EntryAnswer(
+            entry.id, entry.customer, entry.amount, entry.kind, entry.by, entry.why, entry.when
         )
 
-    async def write_off(self, name: str) -> web.Response:
-        """Only for a head that will not come back with its disk: what it held is charged, to the last."""
+    async def write_off(self, name: str) -> BookedAnswer:
+        """Charge all that a head holds; only for one that will not come back with its disk."""
         check_head("head", name)
-        return await self.book(Begin(name, "", "", 0, ()), secrets.token_hex(8))
+        return await self._submit(Begin(name, "", "", 0, ()), secrets.token_hex(COMMAND_ID_SIZE))
+
+    async def _submit(self, command: Command, id: str) -> BookedAnswer:
+        """Submit a command to the account.
+
+        Raises:
+            ConflictError: The account rejects it.
+            NotAgreed: No majority confirmed it in time.
+        """
+        booked = await self.service.submit_command(command, id, TIMEOUT)
+        if not booked.ok:
+            raise ConflictError(booked.why)
+        return BookedAnswer(booked.balance, booked.again)
 
 
-def check_customer(name: str) -> None:
-    """Raise OutOfBounds unless a customer may be named so."""
-    check_text("customer", name, LONGEST_CUSTOMER, least=1)
+def check_signature(request: CustomerRequest | EntryRequest | DropRequest) -> None:
+    """Raise OutOfBoundsError unless the request says in few words who asks and why."""
+    check_text("by", request.by, MAX_PERSON_LENGTH)
+    check_text("why", request.why, MAX_REASON_LENGTH)
 
 
-def check_who(call: CustomerCall | EntryCall | DropCall) -> None:
-    """Raise OutOfBounds unless the call says in few words who asks and why."""
-    check_text("by", call.by, LONGEST_PERSON)
-    check_text("why", call.why, LONGEST_REASON)
+def check_choice(field: str, text: str, choices: type[enum.StrEnum]) -> None:
+    """Raise OutOfBoundsError unless the text is one of the choices."""
+    allowed = [choice.value for choice in choices]
+    if text not in allowed:
+        raise OutOfBoundsError(field, quote_found(text), ", ".join(allowed))
--- a/stoatrouter/peering/head_calls.py
+++ b/stoatrouter/peering/head_calls.py
@@ -8,143 +8,188 @@
 
 from __future__ import annotations
 
-import json
 import secrets
 from datetime import timedelta
-from typing import Any
 
 import msgspec
-from aiohttp import web
 from loguru import logger
 
 from stoatrouter.agreement.log import write_voters
 from stoatrouter.agreement.records import Snapshot, Voter
 from stoatrouter.peering import calls
 from stoatrouter.peering.agreed import NotAgreed
-from stoatrouter.peering.bounds import OutOfBounds, check_head
+from stoatrouter.peering.bounds import check_head
+from stoatrouter.peering.call_errors import (
+    ConflictError,
+    MethodNotAllowedError,
+    NotLeaderError,
+    UnavailableError,
+)
 from stoatrouter.peering.fleet import Fleet
+from stoatrouter.peering.operator_calls import OperatorCalls, round_seconds
 from stoatrouter.peering.streams import Unreachable
 
-WITHIN = timedelta(seconds=4)
+ROOT = "/control/heads"
+RECOVER = f"{ROOT}/recover"
+VOTERS = f"{ROOT}/voters/"
+CHANGE_TIMEOUT = timedelta(seconds=4)
+PAST_ANY_INDEX = 1 << 60  # a poll for what comes after it is answered without entries
+MAX_CANDIDATE_LAG = 1_000  # entries that a head may be behind when it becomes a voter
+ORIGIN_SIZE = 16  # bytes of a fleet's identity
 
 
-def answer(status: int, told: Any) -> web.Response:
-    """An answer in JSON."""
-    text = json.dumps(told, indent=1) + "\n"
-    return web.Response(status=status, text=text, content_type="application/json")
+class HeadStatus(msgspec.Struct):
+    """What this head knows of itself and the others."""
 
+    name: str
+    identity: str
+    process: int  # a number that goes up with each process of the head
+    fleet: str
+    origin: str  # identity of the fleet's founding; "": this head belongs to none yet
+    state: str
+    majority_age: float | None = msgspec.field(name="majority_heard_s_ago")  # seconds
+    term: int
+    leader: str | None
+    leads: bool
+    votes: bool
+    disk_writable: bool = msgspec.field(name="disk")
+    voters: dict[str, str]  # identities by name
+    applied: int  # index in the log
+    committed: int  # index in the log
+    seen: dict[str, str]  # the detector's status of each head, by name
+    counts: dict[str, int]
 
-def seconds(span: timedelta | None) -> float | None:
-    """A span as answers tell it."""
-    return None if span is None else round(span.total_seconds(), 3)
 
+class VotersAnswer(msgspec.Struct):
+    """The voters after a change."""
 
-class HeadCalls:
-    """Answers these calls."""
+    voters: list[str]
+
+
+class RecoveredAnswer(msgspec.Struct):
+    """The new fleet that a recovered head begins alone."""
+
+    origin: str
+    applied: int  # up to which index of the lost fleet's log
+
+
+class HeadCalls(OperatorCalls):
+    """Answers the calls about heads and voters."""
 
     def __init__(self, fleet: Fleet) -> None:
+        """Answer about this head's fleet."""
         self.fleet = fleet
 
-    async def call(self, method: str, path: str, body: bytes) -> web.Response | None:
-        """Answer one call; None where it is not about the heads."""
-        if path == "/control/heads":
-            return answer(200, self.told()) if method == "GET" else answer(405, {"error": "GET"})
-        if path == "/control/heads/recover":
-            return await self.recover() if method == "POST" else answer(405, {"error": "POST"})
-        if path.startswith("/control/heads/voters/"):
-            return await self.voter(method, path.rpartition("/")[2])
+    async def answer(self, method: str, path: str, body: bytes) -> msgspec.Struct | None:
+        """Answer one call; None where it is not about the heads themselves."""
+        if path == ROOT:
+            check_method(method, "GET")
+            return self.status()
+        if path == RECOVER:
+            check_method(method, "POST")
+            return self.recover()
+        if path.startswith(VOTERS):
+            check_method(method, "POST", "DELETE")
+            name = path.rpartition("/")[2]
+            check_head("voter", name)
+            return await self.change_voter(name, add=method == "POST")
         return None
 
-    def told(self) -> dict[str, Any]:
+    def status(self) -> HeadStatus:
         """What this head knows of itself and the others."""
-        fleet = self.fleet
-        availability, raft = fleet.availability, fleet.agreed.raft
-        seen = (
-            {}
-            if fleet.datagrams is None
-            else {
-                name: news.status.name.lower()
-                for name, news in sorted(fleet.datagrams.detector.roster.members.items())
-            }
+        fleet, raft = self.fleet, self.fleet.agreed.raft
+        return HeadStatus(
+            name=fleet.settings.name,
+            identity=fleet.me.identity,
+            process=fleet.process,
+            fleet=fleet.settings.fleet,
+            origin=fleet.belonging.origin,
+            state=fleet.availability.state.value,
+            majority_age=round_seconds(fleet.majority_age),
+            term=raft.term,
+            leader=fleet.leader,
+            leads=raft.leads,
+            votes=raft.votes_here,
+            disk_writable=fleet.agreed.lasting,
+            voters={voter.name: voter.identity for voter in raft.voters},
+            applied=fleet.agreed.machine.index,
+            committed=raft.commit,
+            seen=self._seen_heads(),
+            counts=dict(sorted(fleet.counts.counts.items())),
         )
-        return {
-            "name": fleet.settings.name,
-            "identity": fleet.me.identity,
-            "process": fleet.process,
-            "fleet": fleet.settings.fleet,
-            "origin": fleet.belonging.origin,
-            "state": availability.state.value,
-            "majority_heard_s_ago": seconds(fleet.majority_age),
-            "term": raft.term,
-            "leader": fleet.leader,
-            "leads": raft.leads,
-            "votes": raft.votes_here,
-            "disk": fleet.agreed.lasting,
-            "voters": {v.name: v.identity for v in raft.voters},
-            "applied": fleet.agreed.machine.index,
-            "committed": raft.commit,
-            "seen": seen,
-            "counts": dict(sorted(fleet.counts.counts.items())),
-        }
-
-    async def voter(self, method: str, name: str) -> web.Response:
-        """Add or remove one voter; answered once the change is agreed on."""
-        if method not in ("POST", "DELETE"):
-            return answer(405, {"error": "POST or DELETE"})
-        try:
-            check_head("voter", name)
-        except OutOfBounds as error:
-            return answer(400, {"error": str(error)})
+
+    def _seen_heads(self) -> dict[str, str]:
+        """The failure detector's status of each head; empty where it is off."""
+        if self.fleet.datagrams is None:
+            return {}
+        members = self.fleet.datagrams.detector.roster.members
+        return {name: member.status.name.lower() for name, member in sorted(members.items())}
+
+    async def change_voter(self, name: str, *, add: bool) -> VotersAnswer:
+        """Add or remove one voter; answered once the change is committed.
+
+        Raises:
+            NotLeaderError: Another head leads, or none.
+            UnavailableError: The candidate is not fit to vote, or no majority confirmed the change in time.
+        """
         raft = self.fleet.agreed.raft
         if not raft.leads:
-            return answer(409, {"error": "ask the head that leads", "leader": self.fleet.leader})
-        voters = raft.voters
+            raise NotLeaderError(self.fleet.leader)
+        before = raft.voters
         try:
-            if method == "DELETE":
-                after = tuple(v for v in voters if v.name != name)
+            if add:
+                after = tuple(sorted((*before, await self._identify_candidate(name))))
             else:
-                after = tuple(sorted((*voters, await self.identify(name))))
-            if after == voters:
-                return answer(200, {"voters": [v.name for v in voters]})
-            await self.fleet.agreed.change_voters(write_voters(after), WITHIN)
+                after = tuple(voter for voter in before if voter.name != name)
+            names = [voter.name for voter in after]
+            if after == before:
+                return VotersAnswer(names)
+            await self.fleet.agreed.change_voters(write_voters(after), CHANGE_TIMEOUT)
         except (NotAgreed, Unreachable) as error:
-            return answer(503, {"error": str(error)})
-        logger.info(
-            "heads: voters are {voters}", event="heads.voters", voters=", ".join(v.name for v in after)
-        )
-        return answer(200, {"voters": [v.name for v in after]})
+            raise UnavailableError(str(error)) from error
+        logger.info("heads: voters are {voters}", event="heads.voters", voters=", ".join(names))
+        return VotersAnswer(names)
+
+    async def _identify_candidate(self, name: str) -> Voter:
+        """Ask a head for its identity now; it must follow already.
 
-    async def identify(self, name: str) -> Voter:
-        """Under which identity a head is there now. It must follow already: a voter that holds nothing yet
-        would hold up the others.
+        A voter that holds nothing of the log yet would hold up the others.
+
+        Raises:
+            Unreachable: The head does not answer.
+            UnavailableError: It is not fit to vote.
         """
-        fleet = self.fleet
+        fleet, raft = self.fleet, self.fleet.agreed.raft
         if name == fleet.settings.name:
             return fleet.me
-        held = next((v for v in fleet.agreed.raft.voters if v.name == name), None)
-        voter, body = await fleet.streams.ask(
-            name, calls.FETCH, msgspec.msgpack.encode(calls.Fetch(1 << 60, 0))
-        )
-        told = msgspec.msgpack.decode(body, type=calls.Fetched)
-        if held == voter:
-            return voter
-        if held is not None:
-            raise NotAgreed(f"{name} votes under an older identity: remove it first")
-        if told.origin != fleet.belonging.origin or told.commit + 1_000 < fleet.agreed.raft.commit:
-            raise NotAgreed(f"{name} has not caught up yet")
-        return voter
-
-    async def recover(self) -> web.Response:
-        """This head goes on alone with what it holds, as a fleet of a new origin: the old one's voters,
-        should they come back, are not heard, and what only they had agreed on is lost.
+        voting = next((voter for voter in raft.voters if voter.name == name), None)
+        poll = msgspec.msgpack.encode(calls.Fetch(PAST_ANY_INDEX, 0))
+        candidate, body = await fleet.streams.ask(name, calls.FETCH, poll)
+        fetched = msgspec.msgpack.decode(body, type=calls.Fetched)
+        if voting == candidate:
+            return candidate
+        if voting is not None:
+            raise UnavailableError(f"{name} votes under an older identity: remove it first")
+        behind = fetched.commit + MAX_CANDIDATE_LAG < fleet.agreed.raft.commit
+        if fetched.origin != fleet.belonging.origin or behind:
+            raise UnavailableError(f"{name} has not caught up yet")
+        return candidate
+
+    def recover(self) -> RecoveredAnswer:
+        """Go on alone with what this head holds, as a fleet of a new origin.
+
+        Should the old fleet's voters come back, they are not heard, and what only they had agreed on is lost.
+
+        Raises:
+            ConflictError: A majority is connected, or this head cannot vote.
         """
         fleet = self.fleet
         if fleet.availability.changes:
-            return answer(409, {"error": "this head hears a majority: there is nothing to recover"})
+            raise ConflictError("this head hears a majority: there is nothing to recover")
         if not fleet.agreed.lasting or not fleet.settings.listen:
-            return answer(409, {"error": "this head cannot vote: its disk fails, or it has no address"})
+            raise ConflictError("this head cannot vote: its disk fails, or it has no address")
         machine, raft = fleet.agreed.machine, fleet.agreed.raft
-        origin = secrets.token_hex(16)
+        origin = secrets.token_hex(ORIGIN_SIZE)
         logger.warning(
             "heads: recovered as {origin}, alone, with what was agreed on up to {index}",
             event="heads.recovered",
@@ -153,4 +198,10 @@
         )
         snapshot = Snapshot(max(1, machine.index), raft.term, (fleet.me,), machine.state())
         fleet.belonging.begin_alone(origin, snapshot, raft.term + 1)
-        return answer(200, {"origin": origin, "applied": machine.index})
+        return RecoveredAnswer(origin, machine.index)
+
+
+def check_method(method: str, *allowed: str) -> None:
+    """Raise MethodNotAllowedError unless the method is one of these."""
+    if method not in allowed:
+        raise MethodNotAllowedError(" or ".join(allowed))
--- a/stoatrouter/peering/rule_calls.py
+++ b/stoatrouter/peering/rule_calls.py
@@ -5,56 +5,66 @@
 GET  /control/rules/versions/N    one version, with its files
 POST /control/rules/edits         {"id", "base", "root", "files", "author", "reason"}
 POST /control/rules/undo          {"id", "version", "to", "author", "reason"}
-GET  /control/rules/edits/ID      what became of an edit or undo: accepted, in force on N of M,
-                                  everywhere, or abandoned and why
+GET  /control/rules/edits/ID      the state of an edit or undo: accepted, in force on N of M, everywhere,
+                                  or abandoned and why
 """
 
 from __future__ import annotations
 
+import enum
 import hashlib
 import re
 from datetime import timedelta
-from typing import Any
-from urllib.parse import unquote
 
 import msgspec
-from aiohttp import web
+from msgspec import UNSET, UnsetType
 
 from stoatrouter.history.records import (
     Edit,
     RuleSet,
     Undo,
     Version,
+    VersionKind,
     digest_rule_set,
     pack_rule_set,
     unpack_rule_set,
 )
-from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.bounds import (
-    LARGEST_VERSION,
-    LONGEST_FILE_NAME,
-    LONGEST_PERSON,
-    LONGEST_REASON,
-    OutOfBounds,
+    MAX_FILE_NAME_LENGTH,
+    MAX_PERSON_LENGTH,
+    MAX_REASON_LENGTH,
+    MAX_VERSION,
+    OutOfBoundsError,
     check_id,
     check_number,
     check_text,
-    error_text,
-    shown,
+    quote_found,
 )
-from stoatrouter.peering.head_calls import answer, seconds
+from stoatrouter.peering.call_errors import EditRejectedError, NotFoundError, UnknownCallError
+from stoatrouter.peering.operator_calls import AcceptedAnswer, RootedCalls, round_seconds
 from stoatrouter.peering.rules import RulesService
 from stoatrouter.peering.timestamps import utc_timestamp
 
-ROOT = "/control/rules"
-WITHIN = timedelta(seconds=3)
-FILE = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,99}\.cue")
-ALLOWED_FILE = f"NAME.cue of up to {LONGEST_FILE_NAME} letters, digits, _ . -"
-MOST_FILES = 256
+READ_TIMEOUT = timedelta(seconds=3)
+FILE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,99}\.cue")
+ALLOWED_FILE_NAME = f"NAME.cue of up to {MAX_FILE_NAME_LENGTH} letters, digits, _ . -"
+MAX_FILES = 256  # of one rule set
+VERSIONS_SHOWN = 50  # of the history, the newest
+CONTENT_ID_SIZE = 8  # bytes of a command's digest in its id
 
 
-class EditCall(msgspec.Struct, forbid_unknown_fields=True):
-    """A set of files to be put in force."""
+class EditState(enum.StrEnum):
+    """How far an edit or undo has come."""
+
+    ACCEPTED = "accepted"
+    IN_FORCE = "in force"
+    EVERYWHERE = "everywhere"
+    ABANDONED = "abandoned"
+
+
+# -- requests ---------------------------------------------------------------------------------------------
+class EditRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """A rule set to be put in force."""
 
     id: str
     base: int
@@ -64,8 +74,8 @@
     reason: str
 
 
-class UndoCall(msgspec.Struct, forbid_unknown_fields=True):
-    """A version to be taken back."""
+class UndoRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """A version to be undone."""
 
     id: str
     version: int
@@ -74,164 +84,249 @@
     to: int = 0
 
 
-class RuleCalls:
-    """Answers these calls."""
+# -- answers ----------------------------------------------------------------------------------------------
+class VersionAnswer(msgspec.Struct):
+    """One version, with the fields of `history.records.Version`."""
+
+    number: int
+    kind: VersionKind
+    id: str
+    digest: str
+    base: int
+    undoes: int
+    restores: int
+    author: str
+    reason: str
+    when: str
+
+
+class VersionFilesAnswer(VersionAnswer):
+    """One version with its files."""
+
+    root: str
+    files: dict[str, str]
+
+
+class EditAnswer(VersionAnswer):
+    """One version and how far it has come."""
+
+    state: EditState
+    newest: int | UnsetType = UNSET  # where it came into force
+    on: int | UnsetType = UNSET  # heads that decide by it or a newer one, where the leader is reached
+    of: int | UnsetType = UNSET  # live heads
+    missing: list[str] | UnsetType = UNSET  # live heads that do not decide by it yet
+    why: str | UnsetType = UNSET  # where it is abandoned
+
+
+class EditAccepted(AcceptedAnswer):
+    """The version that an edit or undo is to become."""
+
+    number: int
+    id: str
+
+
+class NewestAnswer(msgspec.Struct):
+    """The number of the version in force; 0: none ever was."""
+
+    newest: int
+
+
+class HistoryAnswer(msgspec.Struct):
+    """What this head decides by, and the history as it knows it."""
+
+    version: int
+    active_for: float = msgspec.field(name="held_for_s")  # seconds
+    state: str
+    majority_age: float | None = msgspec.field(name="majority_heard_s_ago")  # seconds
+    newest_known: int
+    history_from: int | None
+    pending: VersionAnswer | None
+    unloadable_here: dict[str, str]  # load errors by digest
+    versions: list[VersionAnswer]
+
+
+class RuleCalls(RootedCalls):
+    """Answers the calls about rules."""
+
+    ROOT = "/control/rules"
 
     def __init__(self, service: RulesService) -> None:
+        """Answer about the history of rules at one head."""
         self.service = service
 
-    async def call(self, method: str, path: str, body: bytes) -> web.Response | None:
-        """Answer one call; None where it is not about rules."""
-        if path != ROOT and not path.startswith(ROOT + "/"):
-            return None
-        parts = [unquote(part) for part in path[len(ROOT) :].split("/")[1:]]
-        try:
-            match method, parts:
-                case "GET", []:
-                    return answer(200, self.told())
-                case "GET", ["newest"]:
-                    await self.service.fleet.read(WITHIN)
-                    return answer(200, {"newest": self.service.history.newest})
-                case "GET", ["versions", number]:
-                    return await self.version(version_number(number))
-                case "POST", ["edits"]:
-                    return await self.edit(msgspec.json.decode(body, type=EditCall))
-                case "POST", ["undo"]:
-                    return await self.undo(msgspec.json.decode(body, type=UndoCall))
-                case "GET", ["edits", id]:
-                    return await self.became(id)
-        except (msgspec.MsgspecError, ValueError) as error:
-            return answer(400, {"error": error_text(error)})
-        except NotAgreed as error:
-            return answer(
-                503,
-                {
-                    "error": str(error),
-                    "unknown": True,
-                    "advice": "it may still come to hold: ask by its id, or call again with it",
-                },
-            )
-        return answer(404, {"error": "no such call"})
-
-    def told(self) -> dict[str, Any]:
-        """What this head decides by, and the history as it knows it."""
-        service, register = self.service, self.service.history
-        fleet = service.fleet
-        now = fleet.now()
-        return {
-            "version": service.active_version,
-            "held_for_s": round((now - service.active_since).total_seconds(), 1),
-            "state": fleet.availability.state.value,
-            "majority_heard_s_ago": seconds(fleet.majority_age),
-            "newest_known": register.newest,
-            "history_from": register.versions[0].number if register.versions else None,
-            "pending": None if register.pending is None else described(register.pending),
-            "unloadable_here": service.compiler.errors,
-            "versions": [described(v) for v in register.versions[-50:]],
-        }
-
-    async def version(self, number: int) -> web.Response:
+    async def answer_parts(self, method: str, parts: list[str], body: bytes) -> msgspec.Struct:
+        """Answer one call by the parts of its path below the root."""
+        match method, parts:
+            case "GET", []:
+                return self.describe_history()
+            case "GET", ["newest"]:
+                return await self.read_newest()
+            case "GET", ["versions", number]:
+                return await self.read_version(parse_version_number(number))
+            case "POST", ["edits"]:
+                return await self.edit(msgspec.json.decode(body, type=EditRequest))
+            case "POST", ["undo"]:
+                return await self.undo(msgspec.json.decode(body, type=UndoRequest))
+            case "GET", ["edits", id]:
+                return await self.read_edit(id)
+        raise UnknownCallError
+
+    def describe_history(self) -> HistoryAnswer:
+        """What this head decides by, and the history as it knows it; also without a majority."""
+        service, history, fleet = self.service, self.service.history, self.service.fleet
+        active_for = fleet.now() - service.active_since
+        return HistoryAnswer(
+            version=service.active_version,
+            active_for=round(active_for.total_seconds(), 1),
+            state=fleet.availability.state.value,
+            majority_age=round_seconds(fleet.majority_age),
+            newest_known=history.newest,
+            history_from=history.versions[0].number if history.versions else None,
+            pending=None if history.pending is None else describe_version(history.pending),
+            unloadable_here=service.compiler.errors,
+            versions=[describe_version(version) for version in history.versions[-VERSIONS_SHOWN:]],
+        )
+
+    async def read_newest(self) -> NewestAnswer:
+        """The number of the version in force, as a majority confirms it."""
+        await self.service.fleet.read(READ_TIMEOUT)
+        return NewestAnswer(self.service.history.newest)
+
+    async def read_version(self, number: int) -> VersionFilesAnswer:
         """One version with its files, as a majority confirms it."""
-        await self.service.fleet.read(WITHIN)
-        register = self.service.history
-        found = register.find_version(number)
-        if found is None:
-            return answer(404, {"error": f"version {number} is not in the history"})
-        content = unpack_rule_set(register.packed_rule_sets[found.digest])
-        return answer(200, described(found) | {"root": content.root, "files": content.files})
-
-    async def edit(self, call: EditCall) -> web.Response:
-        """Ask for a set of files to be put in force."""
-        check_who(call)
-        check_number("base", call.base, LARGEST_VERSION)
-        self.check_files(call)
-        content = RuleSet(call.root, call.files)
-        packed = pack_rule_set(content)
-        edit = Edit(
-            call.id, call.base, digest_rule_set(content), packed, call.author, call.reason, utc_timestamp()
+        await self.service.fleet.read(READ_TIMEOUT)
+        history = self.service.history
+        version = history.find_version(number)
+        if version is None:
+            raise NotFoundError(f"version {number} is not in the history")
+        rule_set = unpack_rule_set(history.packed_rule_sets[version.digest])
+        fields = msgspec.structs.asdict(version)
+        return VersionFilesAnswer(**fields, root=rule_set.root, files=rule_set.files)
+
+    async def edit(self, request: EditRequest) -> EditAccepted:
+        """Ask for a rule set to be put in force."""
+        check_signature(request)
+        check_number("base", request.base, MAX_VERSION)
+        self._check_files(request)
+        rule_set = RuleSet(request.root, request.files)
+        command = Edit(
+            id=request.id,
+            base=request.base,
+            digest=digest_rule_set(rule_set),
+            packed_rules=pack_rule_set(rule_set),
+            author=request.author,
+            reason=request.reason,
+            when=utc_timestamp(),
         )
-        return await self.ask(edit)
-
-    def check_files(self, call: EditCall) -> None:
-        """Raise OutOfBounds unless these files may be a version."""
-        if len(call.files) > MOST_FILES:
-            raise OutOfBounds("files", f"{len(call.files)} of them", f"up to {MOST_FILES}")
-        for name in sorted(call.files):
-            if not FILE.fullmatch(name):
-                raise OutOfBounds("files", f"{shown(name)} of {len(name)} characters", ALLOWED_FILE)
-        if call.root not in call.files:
-            raise OutOfBounds("root", shown(call.root), "one of files")
-        size = sum(len(text.encode()) for text in call.files.values())
-        most = self.service.settings.largest
-        if size > most:
-            raise OutOfBounds("files", f"{size} bytes", f"up to {most}")
-
-    async def undo(self, call: UndoCall) -> web.Response:
-        """Ask for a version to be taken back."""
-        check_who(call)
-        check_number("version", call.version, LARGEST_VERSION)
-        check_number("to", call.to, LARGEST_VERSION)
-        undo = Undo(
-            call.id, call.version, call.to, call.author, call.reason, utc_timestamp(), skip_cancelled=True
+        return await self._submit(command)
+
+    def _check_files(self, request: EditRequest) -> None:
+        """Raise OutOfBoundsError unless these files may be a version."""
+        if len(request.files) > MAX_FILES:
+            raise OutOfBoundsError("files", f"{len(request.files)} of them", f"up to {MAX_FILES}")
+        for name in sorted(request.files):
+            if not FILE_NAME.fullmatch(name):
+                found = f"{quote_found(name)} of {len(name)} characters"
+                raise OutOfBoundsError("files", found, ALLOWED_FILE_NAME)
+        if request.root not in request.files:
+            raise OutOfBoundsError("root", quote_found(request.root), "one of files")
+        size = sum(len(text.encode()) for text in request.files.values())
+        largest = self.service.settings.largest
+        if size > largest:
+            raise OutOfBoundsError("files", f"{size} bytes", f"up to {largest}")
+
+    async def undo(self, request: UndoRequest) -> EditAccepted:
+        """Ask for a version to be undone."""
+        check_signature(request)
+        check_number("version", request.version, MAX_VERSION)
+        check_number("to", request.to, MAX_VERSION)
+        command = Undo(
+            id=request.id,
+            version=request.version,
+            to=request.to,
+            author=request.author,
+            reason=request.reason,
+            when=utc_timestamp(),
+            skip_cancelled=True,
         )
-        return await self.ask(undo)
-
-    async def ask(self, command: Edit | Undo) -> web.Response:
-        """Bring an edit or undo through; 409 where the history refuses it."""
-        body = msgspec.msgpack.encode(command)
-        name = f"rules/{command.id}/{hashlib.blake2b(body, digest_size=8).hexdigest()}"
-        said = await self.service.rollout.submit_command(command, name)
-        if not said.accepted:
-            return answer(409, {"error": said.reason, "newest": said.newest})
-        return answer(202, {"number": said.number, "id": command.id})
-
-    async def became(self, id: str) -> web.Response:
-        """What became of an id, as a majority confirms it."""
+        return await self._submit(command)
+
+    async def _submit(self, command: Edit | Undo) -> EditAccepted:
+        """Submit an edit or undo to the history.
+
+        Raises:
+            EditRejectedError: The history rejects it.
+            NotAgreed: No majority confirmed it in time.
+        """
+        content = hashlib.blake2b(msgspec.msgpack.encode(command), digest_size=CONTENT_ID_SIZE).hexdigest()
+        result = await self.service.rollout.submit_command(command, f"rules/{command.id}/{content}")
+        if not result.accepted:
+            raise EditRejectedError(result.reason, result.newest)
+        return EditAccepted(result.number, command.id)
+
+    async def read_edit(self, id: str) -> EditAnswer:
+        """How far an edit or undo has come, as a majority confirms it."""
         check_id("id", id)
-        service, register = self.service, self.service.history
-        await service.fleet.read(WITHIN)
-        if (ended := register.abandoned.get(id)) is not None:
-            return answer(200, described(ended.version) | {"state": "abandoned", "why": ended.reason})
-        version = register.find_by_id(id)
+        history = self.service.history
+        await self.service.fleet.read(READ_TIMEOUT)
+        if (abandoned := history.abandoned.get(id)) is not None:
+            return describe_edit(abandoned.version, EditState.ABANDONED, why=abandoned.reason)
+        version = history.find_by_id(id)
         if version is None:
-            return answer(
-                404,
-                {
-                    "error": f"nothing is known under {id!r}: it was refused, never came, or is "
-                    "past the history's end"
-                },
+            raise NotFoundError(
+                f"nothing is known under {id!r}: it was refused, never came, or is past the history's end"
             )
-        if version == register.pending:
-            return answer(200, described(version) | {"state": "accepted"})
-        spread = await service.rollout.fetch_status()
-        told: dict[str, Any] = described(version) | {"state": "in force", "newest": register.newest}
-        if spread is not None:
-            there = [
-                name for name in spread.live_heads if spread.active_versions.get(name, 0) >= version.number
-            ]
-            told |= {
-                "on": len(there),
-                "of": len(spread.live_heads),
-                "missing": sorted(set(spread.live_heads) - set(there)),
-                "state": "everywhere" if len(there) == len(spread.live_heads) else "in force",
-            }
-        return answer(200, told)
-
-
-def check_who(call: EditCall | UndoCall) -> None:
-    """Raise OutOfBounds unless the call says, in few words, what it is, who asks and why."""
-    check_id("id", call.id)
-    check_text("author", call.author, LONGEST_PERSON, least=1)
-    check_text("reason", call.reason, LONGEST_REASON)
-
-
-def version_number(text: str) -> int:
-    """A version's number in a path; raises OutOfBounds."""
-    if not text.isascii() or not text.isdigit() or len(text) > len(str(LARGEST_VERSION)):
-        raise OutOfBounds("version", shown(text), f"a number up to {LARGEST_VERSION}")
+        if version == history.pending:
+            return describe_edit(version, EditState.ACCEPTED)
+        return await self._describe_rollout(version)
+
+    async def _describe_rollout(self, version: Version) -> EditAnswer:
+        """On which heads a version that came into force decides."""
+        status = await self.service.rollout.fetch_status()
+        newest = self.service.history.newest
+        if status is None:
+            return describe_edit(version, EditState.IN_FORCE, newest=newest)
+        active = status.active_versions
+        missing = sorted(head for head in status.live_heads if active.get(head, 0) < version.number)
+        return describe_edit(
+            version,
+            EditState.IN_FORCE if missing else EditState.EVERYWHERE,
+            newest=newest,
+            on=len(status.live_heads) - len(missing),
+            of=len(status.live_heads),
+            missing=missing,
+        )
+
+
+def check_signature(request: EditRequest | UndoRequest) -> None:
+    """Raise OutOfBoundsError unless the request says, in few words, what it is, who asks and why."""
+    check_id("id", request.id)
+    check_text("author", request.author, MAX_PERSON_LENGTH, shortest=1)
+    check_text("reason", request.reason, MAX_REASON_LENGTH)
+
+
+def parse_version_number(text: str) -> int:
+    """Parse a version's number in a path; raises OutOfBoundsError."""
+    if not text.isascii() or not text.isdigit() or len(text) > len(str(MAX_VERSION)):
+        raise OutOfBoundsError("version", quote_found(text), f"a number up to {MAX_VERSION}")
     return int(text)
 
 
-def described(version: Version) -> dict[str, Any]:
-    """A version as answers tell it."""
-    return {f: getattr(version, f) for f in version.__struct_fields__}
+def describe_version(version: Version) -> VersionAnswer:
+    """A version as answers give it."""
+    return VersionAnswer(**msgspec.structs.asdict(version))
+
+
+def describe_edit(
+    version: Version,
+    state: EditState,
+    *,
+    newest: int | UnsetType = UNSET,
+    on: int | UnsetType = UNSET,
+    of: int | UnsetType = UNSET,
+    missing: list[str] | UnsetType = UNSET,
+    why: str | UnsetType = UNSET,
+) -> EditAnswer:
+    """A version and how far it has come; what is not set does not stand in the answer."""
+    fields = msgspec.structs.asdict(version)
+    return EditAnswer(**fields, state=state, newest=newest, on=on, of=of, missing=missing, why=why)
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -40,15 +40,15 @@
         self.history = SimpleNamespace(
             abandoned={}, find_by_id=lambda id: None, find_version=lambda number: None, versions=[]
         )
-        self.rollout = SimpleNamespace(submit_command=self.command)
+        self.rollout = SimpleNamespace(submit_command=self.submit_command)
         self.ledger = SimpleNamespace(accounts={}, entries={})
 
     async def read(self, within) -> None:
         self.commands.append("read")
 
-    async def command(self, command, id, within=None):
+    async def submit_command(self, command, id, timeout=None):
         self.commands.append(command)
-        return Booked(True) if within is not None else CommandResult(True, 1)
+        return Booked(True) if timeout is not None else CommandResult(True, 1)
 
 
 def call(method: str, path: str, data: object = None) -> tuple[int, str, list[object]]:
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -87,7 +87,7 @@
         speaking.cancel()
         assert len(head.asked) == 1, f"{sum(r.done() for r in requests)} of {count} after one answer"
         assert all([await r for r in requests])
-        assert head.service.holder.purses["acme"].waiting == 0
+        assert head.service.escrow.purses["acme"].waiting == 0
 
     run(story())
 
@@ -97,11 +97,11 @@
         head = OneHead(tmp_path, paid=1_000 * CHARGE)
         requests = [asyncio.create_task(head.request(i)) for i in range(FEW)]
         await settle()
-        assert head.service.holder.purses["acme"].waiting == FEW * CHARGE
+        assert head.service.escrow.purses["acme"].waiting == FEW * CHARGE
         for request in requests[1:]:
             request.cancel()
         await asyncio.gather(*requests[1:], return_exceptions=True)
-        assert head.service.holder.purses["acme"].waiting == CHARGE
+        assert head.service.escrow.purses["acme"].waiting == CHARGE
         requests[0].cancel()
 
     run(story())
