--- a/stoatrouter/history/rule_history.py
+++ b/stoatrouter/history/rule_history.py
@@ -245,10 +245,10 @@
     def _cancel_pending(self, pending: Version, undo: Undo) -> CommandResult:
         """Abandon the pending version on an operator's request; the rules in force stay."""
         self._abandon_pending(pending, f"taken back by {undo.author}: {undo.reason}")
-        made = self._number_version(undo, "", self.newest, pending.number, self.newest)
+        cancelling = self._number_version(undo, "", self.newest, pending.number, self.newest)
         reason = f"version {pending.number} was taken back before it was in force"
-        self._remember_abandoned(AbandonedVersion(made, reason))
-        return self._accept(made.number)
+        self._remember_abandoned(AbandonedVersion(cancelling, reason))
+        return self._accept(cancelling.number)
 
     def _abandon_pending(self, pending: Version, reason: str) -> None:
         self.pending = None
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -32,7 +32,7 @@
 FINAL_SETTLE_TIMEOUT = timedelta(milliseconds=1500)
 MAX_WAIT_FRACTION = 4  # a request waits for an allotment for a quarter of the time it has left, at most
 # The voters count a lease from a moment later than its holder, and for longer by this: clocks that drift
-# apart by a twentieth are told from broken ones.
+# apart by up to a twentieth are tolerated.
 CLOCK_DRIFT = 1.05
 LEASE_MARGIN = timedelta(milliseconds=500)
 
