--- a/benchmarks/closures.py
+++ b/benchmarks/closures.py
@@ -7,6 +7,8 @@
 from typing import Any
 
 from stoatrouter.expressions import runtime
+from stoatrouter.expressions.compiler import find_function
+from stoatrouter.expressions.functions import Target
 from stoatrouter.expressions.typed import Checked, Typed
 
 Run = Callable[[Any], Any]
@@ -18,6 +20,12 @@
     ">": operator.gt,
     ">=": operator.ge,
 }
+PLAIN: dict[str, Callable[..., Any]] = {
+    "str": str,
+    "float": float,
+    "contains": operator.contains,
+    "same": lambda value: value,
+}
 
 
 def closures(checked: Checked) -> Run | None:
@@ -80,15 +88,15 @@
 
 def called(typed: Typed, parts: list[Run]) -> Run:
     function, ready = typed.detail
-    name = function.emit[1:]
+    name = function.emission.name
     if name == "matches":
         return lambda r: ready(parts[0](r))
     if name == "cidr":
         return lambda r: ready
-    if name in ("str", "float"):
-        work: Callable[..., Any] = {"str": str, "float": float}[name]
+    if function.emission.target is Target.METHOD:
+        work: Callable[..., Any] = getattr(str, name)
     else:
-        work = getattr(runtime, name, None) or getattr(str, name)
+        work = PLAIN.get(name) or find_function(name)
     if len(parts) == 1:
         first = parts[0]
         return lambda r: work(first(r))
--- a/stoatrouter/expressions/bounds.py
+++ b/stoatrouter/expressions/bounds.py
@@ -9,34 +9,44 @@
 from dataclasses import dataclass, replace
 
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.literals import LEAST_INT, MOST_INT
+from stoatrouter.expressions.literals import MAX_INT, MIN_INT
 
-MOST_DURATION = 315_576_000_000 * 1_000_000  # microseconds: CEL's 10,000 years, in what timedelta counts
-DIGITS = 20  # of an int of 64 bits with its sign
+MAX_DURATION = 315_576_000_000 * 1_000_000  # microseconds: CEL's 10,000 years, in what timedelta counts
+INT_DIGITS = 20  # of an int of 64 bits with its sign
+ELEMENTS_PER_STEP = 10
 
 
 @dataclass(slots=True, frozen=True)
 class Bound:
-    """The worst that a value can be."""
-
-    length: int = 1  # most code points, bytes or elements; 1 for what has no length
-    least: int = 0  # fewest of these
-    low: int = LEAST_INT  # of an int; of a duration in microseconds
-    high: int = MOST_INT
-    inner: Bound | None = None  # of an element, or of a map's values
-    cap: int | None = None  # most that all elements are together, where that is known
+    """The worst that a value can be.
+
+    Attributes:
+        length: The most code points, bytes or elements; 1 for a value without a length.
+        least: The fewest of these.
+        low: The least value of an int, or of a duration in microseconds.
+        high: The greatest value of one.
+        inner: The bound of an element, or of a map's values.
+        cap: The most code points, bytes or scalars of all elements together, where that is known.
+    """
+
+    length: int = 1
+    least: int = 0
+    low: int = MIN_INT
+    high: int = MAX_INT
+    inner: Bound | None = None
+    cap: int | None = None
 
     @property
     def total(self) -> int:
-        """Code points, bytes or scalars in all."""
+        """The most code points, bytes or scalars in all."""
         total = max(1, self.length) * (self.inner.total if self.inner is not None else 1)
         return total if self.cap is None else min(total, self.cap)
 
-    def joined(self, other: Bound) -> Bound:
+    def union(self, other: Bound) -> Bound:
         """The bound of a value that is one of the two."""
         inner = self.inner if other.inner is None else other.inner
         if self.inner is not None and other.inner is not None:
-            inner = self.inner.joined(other.inner)
+            inner = self.inner.union(other.inner)
         return Bound(
             max(self.length, other.length),
             min(self.least, other.least),
@@ -48,63 +58,67 @@
 
 
 ANY = Bound()
-TRUTH = Bound(low=0, high=1)
+BOOL_BOUND = Bound(low=0, high=1)
 
 
-def text(most: int, least: int = 0) -> Bound:
+def text_bound(most: int, least: int = 0) -> Bound:
+    """The bound of a text of so many code points."""
     return Bound(most, least)
 
 
-def whole(low: int, high: int) -> Bound:
+def int_bound(low: int, high: int) -> Bound:
+    """The bound of an int, or of a duration in microseconds."""
     return Bound(low=low, high=high)
 
 
-def many(most: int, inner: Bound, least: int = 0, cap: int | None = None) -> Bound:
+def list_bound(most: int, inner: Bound, least: int = 0, cap: int | None = None) -> Bound:
+    """The bound of a list of so many elements, or of a map of so many keys; `cap` as in `Bound`."""
     return Bound(most, least, inner=inner, cap=cap)
 
 
-def fits(low: int, high: int, kind: t.Type = t.INT) -> bool:
-    """Whether nothing between these overflows its type."""
+def fits_type(low: int, high: int, kind: t.Type = t.INT) -> bool:
+    """Whether nothing between these overflows an int, or a duration in microseconds."""
     if kind == t.DURATION:
-        return low >= -MOST_DURATION and high <= MOST_DURATION
-    return low >= LEAST_INT and high <= MOST_INT
+        return low >= -MAX_DURATION and high <= MAX_DURATION
+    return low >= MIN_INT and high <= MAX_INT
 
 
-def clipped(low: int, high: int, kind: t.Type = t.INT) -> Bound:
+def clip(low: int, high: int, kind: t.Type = t.INT) -> Bound:
     """The bound of a checked result: what overflows is an error, not a value."""
-    least, most = (-MOST_DURATION, MOST_DURATION) if kind == t.DURATION else (LEAST_INT, MOST_INT)
-    return whole(min(max(low, least), most), max(min(high, most), least))
+    least, most = (-MAX_DURATION, MAX_DURATION) if kind == t.DURATION else (MIN_INT, MAX_INT)
+    return int_bound(min(max(low, least), most), max(min(high, most), least))
 
 
-def arithmetic(operator: str, a: Bound, b: Bound) -> tuple[int, int]:
+def arithmetic_interval(operator: str, left: Bound, right: Bound) -> tuple[int, int]:
     """The interval of a sum, a difference or a product, before overflow is looked at."""
     if operator == "+":
-        return a.low + b.low, a.high + b.high
+        return left.low + right.low, left.high + right.high
     if operator == "-":
-        return a.low - b.high, a.high - b.low
-    corners = [x * y for x in (a.low, a.high) for y in (b.low, b.high)]
+        return left.low - right.high, left.high - right.low
+    corners = [x * y for x in (left.low, left.high) for y in (right.low, right.high)]
     return min(corners), max(corners)
 
 
-def quotient(operator: str, a: Bound, b: Bound) -> tuple[int, int]:
+def division_interval(operator: str, left: Bound, right: Bound) -> tuple[int, int]:
     """The interval of a / b or a % b, truncated towards zero, for a b that is not 0."""
+    greatest_dividend = max(abs(left.low), abs(left.high))
     if operator == "/":
-        most = max(abs(a.low), abs(a.high))
-        return (0 if a.low >= 0 and b.low >= 0 else -most), most
-    most = min(max(abs(b.low), abs(b.high)) - 1, max(abs(a.low), abs(a.high)))
-    return (0 if a.low >= 0 else -most), (0 if a.high <= 0 else most)
+        low = 0 if left.low >= 0 and right.low >= 0 else -greatest_dividend
+        return low, greatest_dividend
+    most = min(max(abs(right.low), abs(right.high)) - 1, greatest_dividend)
+    return (0 if left.low >= 0 else -most), (0 if left.high <= 0 else most)
 
 
-def walk(length: int) -> int:
-    """Steps of going through so many code points, bytes or elements."""
-    return -(-length // 10)
+def walk_steps(length: int) -> int:
+    """The steps of going through so many code points, bytes or elements, rounded up."""
+    return -(-length // ELEMENTS_PER_STEP)
 
 
-def comparing(a: Bound, b: Bound) -> int:
-    """Steps of comparing two values: the shorter one is gone through."""
-    return 1 + walk(min(a.total, b.total))
+def comparison_steps(left: Bound, right: Bound) -> int:
+    """The steps of comparing two values: the shorter one is gone through."""
+    return 1 + walk_steps(min(left.total, right.total))
 
 
-def narrowed(bound: Bound, least: int) -> Bound:
-    """The same, known to be so long at least."""
+def with_least_length(bound: Bound, least: int) -> Bound:
+    """The same bound for a value that is known to be so long at least."""
     return replace(bound, least=max(bound.least, least))
--- a/stoatrouter/expressions/calls.py
+++ b/stoatrouter/expressions/calls.py
@@ -3,124 +3,131 @@
 from __future__ import annotations
 
 from datetime import timedelta
-from typing import Any
+from typing import Any, NamedTuple
 
 from stoatrouter.expressions import bounds as b
 from stoatrouter.expressions import functions as fn
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.checks import CheckerBase
+from stoatrouter.expressions.checks import CheckerBase, failure
+from stoatrouter.expressions.conversions import MICROSECOND, duration_of_text
 from stoatrouter.expressions.errors import EvaluationError, Problem
 from stoatrouter.expressions.show import show
-from stoatrouter.expressions.typed import Scope, Typed, folded
+from stoatrouter.expressions.typed import Op, Scope, Typed, fold_key
 
-LONGEST_PATTERN = 256  # code points of a regular expression
+MAX_PATTERN = 256  # code points of a regular expression
+
+
+class CallDetail(NamedTuple):
+    """The function that is called, and what was prepared of its literal argument, if it wants one."""
+
+    function: fn.Function
+    constant: Any
 
 
 class FunctionChecks(CheckerBase):
-    """Checks calls of functions, and prepares their literal arguments."""
+    """Checks calls of functions, and prepares their literal arguments.
 
-    def function(self, node: s.Call, parts: tuple[Typed, ...], scope: Scope) -> Typed:
-        """Check a call of a function by its overloads; raises Stop where none fits."""
-        overloads = fn.BY_NAME.get((node.function, node.receiver is not None), [])
-        kinds = [part.type for part in parts]
-        found = next(
-            (
-                f
-                for f in overloads
-                if len(f.arguments) == len(kinds) and all(map(fn.accepts, f.arguments, kinds))
-            ),
-            None,
-        )
-        if found is None:
-            raise self.wrong(node, *unknown(node, overloads, kinds))
-        if isinstance(kinds[0] if kinds else None, t.MapOf) and kinds[0].folded:
-            parts = (parts[0], folded(parts[1]))
+    All methods raise UntypedError for what has no type, or for a literal that is malformed.
+    """
+
+    def check_function(self, node: s.Call, parts: tuple[Typed, ...], scope: Scope) -> Typed:
+        """Check a call of a function by its overloads."""
+        function = self.select_overload(node, parts)
+        if parts and isinstance(parts[0].type, t.MapOf) and parts[0].type.folded:
+            parts = (parts[0], fold_key(parts[1]))
         given = [part.bound for part in parts]
-        faults = (
-            ()
-            if not found.fails or self.sure(found, parts, scope)
-            else (
-                Problem(
-                    node.at,
-                    f"{show(node)} may fail: {found.fails}",
-                    f"give it a fallback: try({show(node)}).orValue(...)",
-                ),
-            )
-        )
-        detail, bound = self.ready(found, parts), found.bound(given)
-        if found.name == "duration" and parts[0].op == "literal":
-            micros = detail // timedelta(microseconds=1)
-            return self.made(node, t.DURATION, "literal", detail=detail, bound=b.whole(micros, micros), own=0)
-        if found.name == "split" and parts[1].op == "literal" and parts[1].detail and len(parts) == 2:
-            bound = b.narrowed(bound, 1)  # there is one piece at least
-        return self.made(
+        bound = function.bound(given)
+        if function.name == "duration" and parts[0].is_literal:
+            return self.check_duration_literal(node, parts, bound)
+        faults: tuple[Problem, ...] = ()
+        if function.fails and not cannot_fail(function, parts, scope):
+            faults = (failure(node, function.fails),)
+        constant = self.prepare_literal(function, parts[-1]) if function.literal else None
+        if function.name == "split" and len(parts) == 2 and parts[1].is_literal and parts[1].detail:
+            bound = b.with_least_length(bound, 1)  # a separator that is not empty leaves one piece at least
+        return self.typed_node(
             node,
-            found.result,
-            "call",
+            function.result,
+            Op.CALL,
             parts,
-            detail=(found, detail),
+            detail=CallDetail(function, constant),
             bound=bound,
-            own=found.cost(given),
+            own=function.cost(given),
             faults=faults,
         )
 
-    def sure(self, found: fn.Function, parts: tuple[Typed, ...], scope: Scope) -> bool:
-        """Whether a call that may fail in general cannot fail here."""
-        if found.name == "duration":
-            return parts[0].op == "literal"  # it is read at load
-        if found.name != "substring":
-            return False
-        least = max(parts[0].bound.least, scope.longest(parts[0].node))
-        ends = [part.bound for part in parts[1:]]
-        return ends[0].low >= 0 and ends[-1].high <= least and (len(ends) == 1 or ends[0].high <= ends[1].low)
-
-    def ready(self, found: fn.Function, parts: tuple[Typed, ...]) -> Any:
-        """A literal argument, prepared at load; raises Stop where it is malformed."""
-        # imported here: the matcher is loaded only where an expression has a pattern
-        from stoatrouter.expressions import prepared
+    def select_overload(self, node: s.Call, parts: tuple[Typed, ...]) -> fn.Function:
+        """The overload that takes arguments of these types."""
+        overloads = fn.BY_NAME.get((node.function, node.receiver is not None), [])
+        kinds = [part.type for part in parts]
+        for function in overloads:
+            if len(function.arguments) == len(kinds) and all(map(fn.accepts, function.arguments, kinds)):
+                return function
+        raise self.reject(node, *explain_mismatch(node, overloads, kinds))
 
-        last = parts[-1]
-        if found.name == "duration" and last.op == "literal" and last.type == t.STRING:
+    def check_duration_literal(self, node: s.Call, parts: tuple[Typed, ...], bound: b.Bound) -> Typed:
+        """Check duration() of a literal, which is read at load: a constant."""
+        (text,) = parts
+        span = text.detail
+        if text.type == t.STRING:
             try:
-                return prepared.duration(last.detail)
+                span = duration_of_text(text.detail)
             except EvaluationError as error:
-                raise self.wrong(
-                    last.node, f"{show(last.node)}: {error}", "like '1h30m' or '250ms'"
-                ) from None
-        if not found.literal:
-            return None
-        if last.op != "literal":
-            raise self.wrong(
-                last.node,
-                f"the last argument of {found.name} must be a literal",
-                "it is read once, when the rule is loaded",
-            )
-        if found.name == "matches" and len(last.detail) > LONGEST_PATTERN:
-            raise self.wrong(
-                last.node, f"a pattern of {len(last.detail)} characters", f"{LONGEST_PATTERN} at most"
-            )
+                what = f"{show(text.node)}: {error}"
+                raise self.reject(text.node, what, "like '1h30m' or '250ms'") from None
+        assert isinstance(span, timedelta)
+        micros = span // MICROSECOND
+        bound = b.int_bound(micros, micros)
+        return self.typed_node(node, t.DURATION, Op.LITERAL, detail=span, bound=bound, own=0)
+
+    def prepare_literal(self, function: fn.Function, part: Typed) -> Any:
+        """What a function prepares at load of its last argument, which has to be a literal."""
+        # imported here: the matcher is loaded only where an expression has a pattern
+        from stoatrouter.expressions import prepared
+
+        if not part.is_literal:
+            what = f"the last argument of {function.name} must be a literal"
+            raise self.reject(part.node, what, "it is read once, when the rule is loaded")
+        is_pattern = function.name == "matches"
+        if is_pattern and len(part.detail) > MAX_PATTERN:
+            what = f"a pattern of {len(part.detail)} characters"
+            raise self.reject(part.node, what, f"{MAX_PATTERN} at most")
         try:
-            return prepared.pattern(last.detail) if found.name == "matches" else prepared.network(last.detail)
+            return (prepared.compile_pattern if is_pattern else prepared.parse_network)(part.detail)
         except ValueError as error:
-            raise self.wrong(last.node, f"{show(last.node)}: {error}") from None
+            raise self.reject(part.node, f"{show(part.node)}: {error}") from None
+
+
+def cannot_fail(function: fn.Function, parts: tuple[Typed, ...], scope: Scope) -> bool:
+    """Whether a call that may fail in general cannot fail with these arguments: substring within the text."""
+    if function.name != "substring":
+        return False
+    text, *ends = parts
+    least = max(text.bound.least, scope.least_length(text.node))
+    first, last = ends[0].bound, ends[-1].bound
+    return first.low >= 0 and last.high <= least and (len(ends) == 1 or first.high <= last.low)
 
 
-def unknown(node: s.Call, overloads: list[fn.Function], kinds: list[t.Type]) -> tuple[str, str]:
+def explain_mismatch(node: s.Call, overloads: list[fn.Function], kinds: list[t.Type]) -> tuple[str, str]:
     """Why no function fits a call, and what to write in its place."""
-    if not overloads:
-        if node.function in fn.LEFT_OUT:
-            return f"{node.function}() is left out", fn.LEFT_OUT[node.function]
-        other = fn.BY_NAME.get((node.function, node.receiver is None))
-        remedy = "" if not other else ("call it as a method: x." if node.receiver is None else "call it as ")
-        return f"there is no function {node.function!r}", remedy and f"{remedy}{node.function}(...)"
-    forms = "; ".join(signature(f) for f in overloads)
-    return f"{node.function} does not take ({', '.join(map(str, kinds))})", f"it is {forms}"
+    name = node.function
+    if overloads:
+        forms = "; ".join(map(format_signature, overloads))
+        return f"{name} does not take ({', '.join(map(str, kinds))})", f"it is {forms}"
+    if name in fn.LEFT_OUT:
+        return f"{name}() is left out", fn.LEFT_OUT[name]
+    what = f"there is no function {name!r}"
+    if (name, node.receiver is None) not in fn.BY_NAME:
+        return what, ""
+    if node.receiver is None:
+        return what, f"call it as a method: x.{name}(...)"
+    return what, f"call it as {name}(...)"
 
 
-def signature(f: fn.Function) -> str:
+def format_signature(function: fn.Function) -> str:
     """A function with its types, as the reference writes it."""
-    kinds = [str(kind) for kind in f.arguments]
-    if f.method:
-        return f"{kinds[0]}.{f.name}({', '.join(kinds[1:])}) -> {f.result}"
-    return f"{f.name}({', '.join(kinds)}) -> {f.result}"
+    kinds = [str(kind) for kind in function.arguments]
+    if function.method:
+        return f"{kinds[0]}.{function.name}({', '.join(kinds[1:])}) -> {function.result}"
+    return f"{function.name}({', '.join(kinds)}) -> {function.result}"
--- a/stoatrouter/expressions/checker.py
+++ b/stoatrouter/expressions/checker.py
@@ -7,57 +7,62 @@
 from __future__ import annotations
 
 from stoatrouter.expressions import bounds as b
-from stoatrouter.expressions import functions as fn
+from stoatrouter.expressions import macros, operators, optionals
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
 from stoatrouter.expressions.calls import FunctionChecks
-from stoatrouter.expressions.checks import LIST_STEPS, MAP_STEPS, Stop
+from stoatrouter.expressions.checks import LIST_STEPS, MAP_STEPS, UntypedError
 from stoatrouter.expressions.environment import Environment, Limits
 from stoatrouter.expressions.errors import ExpressionError, Position, Problem
-from stoatrouter.expressions.guards import facts
-from stoatrouter.expressions.macros import MacroChecks
-from stoatrouter.expressions.operators import OperatorChecks
+from stoatrouter.expressions.guards import shown_facts
 from stoatrouter.expressions.show import show
-from stoatrouter.expressions.typed import Checked, Scope, Typed
+from stoatrouter.expressions.typed import Checked, Op, Scope, Typed
 
-OPTIONAL = ("hasValue", "value", "or", "orValue")
+EXPENSIVE_SHOWN = 3  # operations that are named where an expression costs too much
 
 
 def check(
     node: s.Node, environment: Environment, want: t.Type | object | None = None, limits: Limits | None = None
 ) -> Checked:
-    """Check a whole expression; raises ExpressionError with all problems."""
+    """Check a whole expression.
+
+    Args:
+        node: The tree of the expression.
+        environment: The inputs that it may refer to.
+        want: The type that it must yield; anything but a type stands for any.
+        limits: What it may take; the default limits where it is None.
+
+    Raises:
+        ExpressionError: All problems.
+    """
     limits = limits or Limits()
     checker = Checker(environment, limits)
     try:
-        root = checker.of(node, Scope())
-    except Stop:
+        root = checker.check_node(node, Scope())
+    except UntypedError:
         raise ExpressionError(*checker.problems) from None
-    problems = [*checker.problems, *root.faults]
-    if isinstance(want, t.Type) and t.joined(root.type, want) != want:
+    problems = [*checker.problems, *root.faults, *limit_problems(root, limits)]
+    if isinstance(want, t.Type) and t.common_type(root.type, want) != want:
         problems.append(Problem(node.at, f"this yields {root.type}, but {want} is wanted here"))
-    if root.cost > limits.steps:
-        problems.append(
-            Problem(
-                node.at,
-                f"it may take {root.cost} steps, {limits.steps} at most",
-                "most of them: " + ", ".join(breakdown(root)),
-            )
-        )
-    if root.bound.total > limits.result:
-        problems.append(
-            Problem(
-                node.at,
-                f"its value may have a size of {root.bound.total}, {limits.result} at most",
-                "use substring or fewer parts",
-            )
-        )
     if problems:
         raise ExpressionError(*problems)
     return Checked(root, environment)
 
 
-def breakdown(root: Typed, most: int = 3) -> list[str]:
+def limit_problems(root: Typed, limits: Limits) -> list[Problem]:
+    """The limits of steps and size that an expression exceeds."""
+    at = root.node.at
+    problems = []
+    if root.cost > limits.steps:
+        what = f"it may take {root.cost} steps, {limits.steps} at most"
+        problems.append(Problem(at, what, "most of them: " + ", ".join(most_expensive(root))))
+    if root.bound.total > limits.result:
+        what = f"its value may have a size of {root.bound.total}, {limits.result} at most"
+        problems.append(Problem(at, what, "use substring or fewer parts"))
+    return problems
+
+
+def most_expensive(root: Typed, count: int = EXPENSIVE_SHOWN) -> list[str]:
     """The most expensive operations, with their places and steps in the worst case."""
     found: list[tuple[int, Position, str]] = []
     waiting = [(root, 1)]
@@ -66,139 +71,181 @@
         found.append((typed.own * times, typed.node.at, show(typed.node)))
         waiting += [(part, times * typed.times(i)) for i, part in enumerate(typed.parts)]
     found.sort(key=lambda entry: (-entry[0], entry[1]))
-    return [f"{steps} for {text} at {at}" for steps, at, text in found[:most]]
+    return [f"{steps} for {text} at {at}" for steps, at, text in found[:count]]
 
 
-class Checker(MacroChecks, OperatorChecks, FunctionChecks):
+class Checker(optionals.OptionalChecks, operators.OperatorChecks, FunctionChecks):
     """One check of one expression; it collects the problems."""
 
-    def of(self, node: s.Node, scope: Scope) -> Typed:
-        """Check a node by its kind; raises Stop where it has no type."""
+    def check_node(self, node: s.Node, scope: Scope) -> Typed:
+        """Check a node by its kind.
+
+        Raises:
+            UntypedError: It has no type.
+        """
         match node:
             case s.Literal():
-                return self.literal(node)
+                return self.check_literal(node)
             case s.Name() | s.Select():
-                return self.named(node, scope)
+                return self.check_name(node, scope)
             case s.Index():
-                return self.indexed(node, scope)
+                return self.check_index(node, scope)
             case s.Logic():
-                return self.logic(node, scope)
+                return self.check_logic(node, scope)
             case s.Conditional():
-                return self.conditional(node, scope)
+                return self.check_conditional(node, scope)
             case s.ListLiteral():
-                return self.list_literal(node, scope)
+                return self.check_list(node, scope)
             case s.MapLiteral():
-                return self.map_literal(node, scope)
+                return self.check_map(node, scope)
             case s.Call():
-                return self.call(node, scope)
+                return self.check_call(node, scope)
         raise AssertionError(node)
 
-    def logic(self, node: s.Logic, scope: Scope) -> Typed:
-        """Check && or ||: each term is checked with what those before it have shown; raises Stop."""
-        parts, inner, stopped = [], scope, False
+    def check_logic(self, node: s.Logic, scope: Scope) -> Typed:
+        """Check && or ||: each term is checked with what those before it have shown.
+
+        Raises:
+            UntypedError: A term has no type, or is no bool.
+        """
+        parts = []
+        inner = scope
+        failed = False
         for term in node.terms:
             try:
-                part = self.of(term, inner)
+                part = self.check_node(term, inner)
                 if part.type != t.BOOL:
-                    raise self.wrong(
-                        term,
-                        f"{node.operator} wants bool, not {part.type}",
-                        "nothing is converted by itself: compare it",
-                    )
+                    what = f"{node.operator} wants bool, not {part.type}"
+                    raise self.reject(term, what, "nothing is converted by itself: compare it")
                 parts.append(part)
-            except Stop:
-                stopped = True
-            inner = inner.knowing(facts(term, node.operator == "&&", self.environment))
-        if stopped:
-            raise self.stopped(parts)
-        return self.made(
-            node, t.BOOL, "logic", tuple(parts), detail=node.operator, bound=b.TRUTH, own=len(parts) - 1
+            except UntypedError:
+                failed = True
+            inner = inner.with_facts(shown_facts(term, node.operator == "&&", self.environment))
+        if failed:
+            raise self.abandon(parts)
+        own = len(parts) - 1
+        return self.typed_node(
+            node, t.BOOL, Op.LOGIC, tuple(parts), detail=node.operator, bound=b.BOOL_BOUND, own=own
         )
 
-    def conditional(self, node: s.Conditional, scope: Scope) -> Typed:
-        """Check ?: with what the condition shows in either branch; raises Stop."""
-        condition = self.of(node.condition, scope)
+    def check_conditional(self, node: s.Conditional, scope: Scope) -> Typed:
+        """Check ?: with what the condition shows in either branch; the cost is that of the dearer one.
+
+        Raises:
+            UntypedError: The condition is no bool, or the branches are of two types.
+        """
+        condition = self.check_node(node.condition, scope)
         if condition.type != t.BOOL:
-            raise self.wrong(node.condition, f"?: wants bool, not {condition.type}", "compare it")
-        then = self.of(node.then, scope.knowing(facts(node.condition, True, self.environment)))
-        other = self.of(node.other, scope.knowing(facts(node.condition, False, self.environment)))
-        kind = t.joined(then.type, other.type)
+            raise self.reject(node.condition, f"?: wants bool, not {condition.type}", "compare it")
+        then = self.check_node(node.then, self.branch_scope(node, True, scope))
+        other = self.check_node(node.other, self.branch_scope(node, False, scope))
+        kind = t.common_type(then.type, other.type)
         if kind is None:
-            raise self.wrong(node.other, f"?: yields {then.type} or {other.type}", "both must be of one type")
-        return self.made(
+            what = f"?: yields {then.type} or {other.type}"
+            raise self.reject(node.other, what, "both must be of one type")
+        return self.typed_node(
             node,
             kind,
-            "conditional",
+            Op.CONDITIONAL,
             (condition, then, other),
-            bound=then.bound.joined(other.bound),
+            bound=then.bound.union(other.bound),
             total=1 + condition.cost + max(then.cost, other.cost),
         )
 
-    def list_literal(self, node: s.ListLiteral, scope: Scope) -> Typed:
-        """Check a list literal, whose items are of one type; raises Stop."""
-        parts = self.all_of(node.items, scope)
+    def branch_scope(self, node: s.Conditional, truth: bool, scope: Scope) -> Scope:
+        """The scope of the branch that is taken where the condition is `truth`."""
+        return scope.with_facts(shown_facts(node.condition, truth, self.environment))
+
+    def check_list(self, node: s.ListLiteral, scope: Scope) -> Typed:
+        """Check a list literal.
+
+        Raises:
+            UntypedError: Its items are not of one type, or are optionals.
+        """
+        parts = self.check_siblings(node.items, scope)
         kind: t.Type = t.NEVER
-        inner: b.Bound | None = None
         for part in parts:
-            together = t.joined(kind, part.type)
+            together = t.common_type(kind, part.type)
             if together is None:
-                raise self.wrong(part.node, f"a list of {kind} has no {part.type}", "all must be of one type")
-            kind, inner = together, part.bound if inner is None else inner.joined(part.bound)
+                what = f"a list of {kind} has no {part.type}"
+                raise self.reject(part.node, what, "all must be of one type")
+            kind = together
         if isinstance(kind, t.OptionalOf):
-            raise self.wrong(node, "a list of optionals is left out", "use orValue first")
-        return self.made(
-            node,
-            t.ListOf(kind),
-            "list",
-            parts,
-            bound=b.many(len(parts), inner or b.ANY, len(parts)),
-            own=LIST_STEPS,
-        )
+            raise self.reject(node, "a list of optionals is left out", "use orValue first")
+        bound = b.list_bound(len(parts), common_bound(parts), len(parts))
+        return self.typed_node(node, t.ListOf(kind), Op.LIST, parts, bound=bound, own=LIST_STEPS)
+
+    def check_map(self, node: s.MapLiteral, scope: Scope) -> Typed:
+        """Check a map literal.
 
-    def map_literal(self, node: s.MapLiteral, scope: Scope) -> Typed:
-        """Check a map literal with literal keys and values of one type; raises Stop."""
-        parts = self.all_of((part for item in node.items for part in item), scope)
-        kind, inner, seen = t.NEVER, None, set()
+        Raises:
+            UntypedError: A key is no string literal, or stands twice, or the values are not of one type.
+        """
+        parts = self.check_siblings((part for item in node.items for part in item), scope)
+        kind: t.Type = t.NEVER
+        seen = set()
         for key, value in zip(parts[::2], parts[1::2], strict=True):
-            if key.type != t.STRING or key.op != "literal":
-                raise self.wrong(key.node, "a key of a map is a string literal")
+            if key.type != t.STRING or not key.is_literal:
+                raise self.reject(key.node, "a key of a map is a string literal")
             if key.detail in seen:
-                raise self.wrong(key.node, f"the key {key.detail!r} stands twice")
+                raise self.reject(key.node, f"the key {key.detail!r} stands twice")
             seen.add(key.detail)
-            together = t.joined(kind, value.type)
+            together = t.common_type(kind, value.type)
             if together is None or isinstance(value.type, t.OptionalOf):
-                raise self.wrong(
-                    value.node, f"a map to {kind} has no {value.type}", "all must be of one type"
-                )
-            kind, inner = together, value.bound if inner is None else inner.joined(value.bound)
-        return self.made(
-            node,
-            t.MapOf(kind),
-            "map",
-            parts,
-            own=MAP_STEPS,
-            bound=b.many(len(node.items), inner or b.ANY, len(node.items)),
-        )
+                what = f"a map to {kind} has no {value.type}"
+                raise self.reject(value.node, what, "all must be of one type")
+            kind = together
+        count = len(node.items)
+        bound = b.list_bound(count, common_bound(parts[1::2]), count)
+        return self.typed_node(node, t.MapOf(kind), Op.MAP, parts, own=MAP_STEPS, bound=bound)
+
+    def check_call(self, node: s.Call, scope: Scope) -> Typed:
+        """Check a call: a macro, an operator, an optional's method or a function.
+
+        Raises:
+            UntypedError: It has no type.
+        """
+        macro = self.check_macro_call(node, scope)
+        if macro is not None:
+            return macro
+        name = node.function
+        parts = self.check_siblings(node.operands, scope)
+        if name in operators.OPERATORS:
+            return self.check_operator(node, parts)
+        if (
+            node.receiver is not None
+            and name in optionals.METHODS
+            and isinstance(parts[0].type, t.OptionalOf)
+        ):
+            return self.check_optional_method(node, parts, scope)
+        if name == "size" and len(parts) == 1:
+            return self.check_size(node, parts, scope)
+        return self.check_function(node, parts, scope)
 
-    def call(self, node: s.Call, scope: Scope) -> Typed:
-        """Check a call: a macro, an operator, an optional's method or a function; raises Stop."""
+    def check_macro_call(self, node: s.Call, scope: Scope) -> Typed | None:
+        """Check a call whose arguments are not all values, to be checked before it; None for others."""
         name, count = node.function, len(node.arguments)
-        if node.receiver is not None and name in fn.MACROS:
-            return self.macro(node, scope)
-        if node.receiver is None and name == "has" and count == 1:
-            return self.has(node, scope)
-        if node.receiver is None and name == "try" and count == 1:
-            return self.tried(node, scope)
-        if node.receiver is not None and name == "optMap" and count == 2:
-            return self.optional_map(node, scope)
-        if node.receiver == s.Name(node.at, 1, "optional") and name in ("of", "none", "ofNonZeroValue"):
-            return self.optional_of(node, scope)
-        given = (*((node.receiver,) if node.receiver is not None else ()), *node.arguments)
-        parts = self.all_of(given, scope)
-        if name in ("==", "!=", "<", "<=", ">", ">=", "in", "+", "-", "*", "/", "%", "!"):
-            return self.operator(node, parts)
-        if node.receiver is not None and name in OPTIONAL and isinstance(parts[0].type, t.OptionalOf):
-            return self.of_optional(node, parts, scope)
-        if name == "size" and len(parts) == 1:
-            return self.size(node, parts, scope)
-        return self.function(node, parts, scope)
+        if node.receiver is None:
+            if name == "has" and count == 1:
+                return self.check_has(node, scope)
+            if name == "try" and count == 1:
+                return self.check_try(node, scope)
+            return None
+        if name in macros.MACROS:
+            return self.check_macro(node, scope)
+        if name == "optMap" and count == 2:
+            return self.check_optional_map(node, scope)
+        is_optional = node.receiver == s.Name(node.at, 1, macros.OPTIONAL_NAME)
+        if is_optional and name in optionals.CONSTRUCTORS:
+            return self.check_optional_of(node, scope)
+        return None
+
+
+def common_bound(parts: tuple[Typed, ...]) -> b.Bound:
+    """The bound of a value that is any of these; any bound where there are none."""
+    if not parts:
+        return b.ANY
+    bound = parts[0].bound
+    for part in parts[1:]:
+        bound = bound.union(part.bound)
+    return bound
--- a/stoatrouter/expressions/compiler.py
+++ b/stoatrouter/expressions/compiler.py
@@ -1,7 +1,8 @@
-"""From a checked expression to one Python function, by the `ast` module: made once, run for every request.
+"""From a checked expression to one Python function, by the `ast` module, at load.
 
-The function sees the object of inputs, the helpers of runtime.py that it names, and what was made of its
-literals. There are no builtins in its reach, and no text of the expression becomes Python text.
+The function sees the object of inputs, the helpers of runtime.py and conversions.py that it names, and what
+was prepared of its literals. There are no builtins in its reach, and no text of the expression becomes Python
+text.
 """
 
 from __future__ import annotations
@@ -11,13 +12,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stoatrouter.expressions import functions as fn
-from stoatrouter.expressions import runtime
+from stoatrouter.expressions import conversions, runtime
+from stoatrouter.expressions import python_ast as py
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.typed import Checked, Typed
+from stoatrouter.expressions.calls import CallDetail
+from stoatrouter.expressions.functions import Target
+from stoatrouter.expressions.macros import MacroDetail
+from stoatrouter.expressions.operators import DIVISION, ArithmeticDetail
+from stoatrouter.expressions.typed import Checked, Op, Typed
 
-INPUT = "r"  # the one argument; variables of macros get a prefix, so that they never meet it
-COMPARE: dict[str, type[ast.cmpop]] = {
+COMPARISONS: dict[str, type[ast.cmpop]] = {
     "==": ast.Eq,
     "!=": ast.NotEq,
     "<": ast.Lt,
@@ -25,7 +29,7 @@
     ">": ast.Gt,
     ">=": ast.GtE,
 }
-PLAIN: dict[str, type[ast.operator]] = {
+ARITHMETIC: dict[str, type[ast.operator]] = {
     "+": ast.Add,
     "-": ast.Sub,
     "*": ast.Mult,
@@ -33,6 +37,8 @@
     "%": ast.Mod,
 }
 BUILTINS: dict[str, Any] = {"len": len, "any": any, "all": all, "float": float, "str": str}
+TRUTH_HELPERS = {"all": "all", "exists": "any", "exists_one": "exactly_one"}
+EMITTERS = {op: f"emit_{op.name.lower()}" for op in Op}  # names of the methods of Emitter
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,11 +50,12 @@
 
     @property
     def type(self) -> t.Type:
+        """The type of the value."""
         return self.checked.type
 
     @property
     def cost(self) -> int:
-        """Steps in the worst case."""
+        """The steps in the worst case."""
         return self.checked.cost
 
 
@@ -60,264 +67,248 @@
 
 def compile_many(expressions: list[Checked]) -> list[Callable[[Any], Any]]:
     """Compile several expressions as one module of Python, which costs less than one module for each."""
-    made = Maker()
-    body: list[ast.stmt] = []
-    for i, checked in enumerate(expressions):
-        value = made.of(checked.root)
-        body.append(
-            ast.FunctionDef(
-                name=f"f{i}",
-                args=arguments(INPUT),
-                body=[ast.Return(value)],
-                decorator_list=[],
-                returns=None,
-                type_comment=None,
-                type_params=[],
-            )
-        )
+    emitter = Emitter()
+    names = [f"f{i}" for i in range(len(expressions))]
+    body: list[ast.stmt] = [
+        py.function(name, emitter.emit(checked.root))
+        for name, checked in zip(names, expressions, strict=True)
+    ]
     module = ast.fix_missing_locations(ast.Module(body=body, type_ignores=[]))
-    names = {"__builtins__": {}, **made.names}
-    exec(compile(module, "<expressions>", "exec", dont_inherit=True, optimize=0), names)  # noqa: S102
+    scope = {"__builtins__": {}, **emitter.names}
+    exec(compile(module, "<expressions>", "exec", dont_inherit=True, optimize=0), scope)  # noqa: S102
     # taken out of their globals: a function that holds itself would be left to the garbage collector
-    return [names.pop(f"f{i}") for i in range(len(expressions))]
+    return [scope.pop(name) for name in names]
 
 
-def arguments(*names: str) -> ast.arguments:
-    return ast.arguments(
-        posonlyargs=[],
-        args=[ast.arg(name) for name in names],
-        vararg=None,
-        kwonlyargs=[],
-        kw_defaults=[],
-        kwarg=None,
-        defaults=[],
-    )
+def find_function(name: str) -> Any:
+    """A function of runtime.py or conversions.py by its name."""
+    return getattr(conversions, name, None) or getattr(runtime, name)
 
 
-def load(name: str) -> ast.Name:
-    return ast.Name(name, ast.Load())
+class Emitter:
+    """Builds Python's syntax tree of typed nodes, and gathers the names that it refers to.
 
-
-def later(value: ast.expr, *names: str) -> ast.Lambda:
-    """An expression that is evaluated when it is called."""
-    return ast.Lambda(args=arguments(*names), body=value)
-
-
-def method(receiver: ast.expr, name: str, *given: ast.expr) -> ast.Call:
-    return ast.Call(ast.Attribute(receiver, name, ast.Load()), list(given), [])
-
-
-def compared(left: ast.expr, operator: type[ast.cmpop], right: ast.expr) -> ast.Compare:
-    return ast.Compare(left, [operator()], [right])
-
-
-def loop(name: str, items: ast.expr, tests: list[ast.expr]) -> ast.comprehension:
-    return ast.comprehension(target=ast.Name(local(name), ast.Store()), iter=items, ifs=tests, is_async=0)
-
-
-def local(name: str) -> str:
-    """The Python name of a macro's variable: no name that a helper or a constant has."""
-    return f"v_{name}"
-
-
-class Maker:
-    """Makes Python's syntax tree of typed nodes, and gathers the names that it needs."""
+    Each `emit_` method has the Python form of one `Op`.
+    """
 
     def __init__(self) -> None:
+        """Begin without names."""
         self.names: dict[str, Any] = {}
-        self.made: dict[int, str] = {}
 
-    def helper(self, name: str, *given: ast.expr) -> ast.Call:
-        self.names[f"h_{name}"] = BUILTINS[name] if name in BUILTINS else getattr(runtime, name)
-        return ast.Call(load(f"h_{name}"), list(given), [])
+    def emit(self, typed: Typed) -> ast.expr:
+        """The Python form of a node."""
+        method: Callable[[Typed], ast.expr] = getattr(self, EMITTERS[typed.op])
+        return method(typed)
+
+    def emit_parts(self, typed: Typed) -> list[ast.expr]:
+        """The Python forms of the parts of a node."""
+        return [self.emit(part) for part in typed.parts]
+
+    def call_helper(self, name: str, *given: ast.expr) -> ast.Call:
+        """A call of a builtin or of a function of runtime.py or conversions.py."""
+        self.names[f"h_{name}"] = BUILTINS.get(name) or find_function(name)
+        return ast.Call(py.load(f"h_{name}"), list(given), [])
 
     def constant(self, value: Any) -> ast.expr:
         """What Python has no literal for, under a name."""
         name = f"k{len(self.names)}"
         self.names[name] = value
-        return load(name)
-
-    def of(self, typed: Typed) -> ast.expr:
-        maker: Callable[[Typed], ast.expr] = getattr(self, "make_" + MAKERS.get(typed.op, typed.op))
-        return maker(typed)
-
-    def parts(self, typed: Typed) -> list[ast.expr]:
-        return [self.of(part) for part in typed.parts]
+        return py.load(name)
 
     # -- values -------------------------------------------------------------------------------------------
-    def make_literal(self, typed: Typed) -> ast.expr:
+    def emit_literal(self, typed: Typed) -> ast.expr:
+        """A literal; a duration is a constant."""
         if typed.type == t.DURATION:
             return self.constant(typed.detail)
         return ast.Constant(typed.detail)
 
-    def make_variable(self, typed: Typed) -> ast.expr:
-        return ast.Attribute(load(INPUT), typed.detail, ast.Load())
+    def emit_variable(self, typed: Typed) -> ast.expr:
+        """An attribute of the object of inputs."""
+        return ast.Attribute(py.load(py.INPUT), typed.detail, ast.Load())
 
-    def make_local(self, typed: Typed) -> ast.expr:
-        return load(local(typed.detail))
+    def emit_local(self, typed: Typed) -> ast.expr:
+        """The variable of a comprehension or lambda."""
+        return py.load(py.local_name(typed.detail))
 
-    def make_list(self, typed: Typed) -> ast.expr:
-        return ast.List(self.parts(typed), ast.Load())
+    def emit_list(self, typed: Typed) -> ast.expr:
+        """A list display."""
+        return ast.List(self.emit_parts(typed), ast.Load())
 
-    def make_map(self, typed: Typed) -> ast.expr:
-        values = self.parts(typed)
-        if all(part.op == "literal" for part in typed.parts):
-            literal = {
-                key.detail: value.detail
-                for key, value in zip(typed.parts[::2], typed.parts[1::2], strict=True)
-            }
-            return self.constant(literal)
-        return ast.Dict(list(values[::2]), values[1::2])
+    def emit_map(self, typed: Typed) -> ast.expr:
+        """A dict display, or a constant where all is known at load."""
+        parts = self.emit_parts(typed)
+        if all(part.is_literal for part in typed.parts):
+            keys, values = typed.parts[::2], typed.parts[1::2]
+            return self.constant({k.detail: v.detail for k, v in zip(keys, values, strict=True)})
+        return ast.Dict(list(parts[::2]), parts[1::2])
 
-    def make_same(self, typed: Typed) -> ast.expr:
-        return self.of(typed.parts[0])
+    def emit_same(self, typed: Typed) -> ast.expr:
+        """The part itself: an optional that has a value is that value."""
+        return self.emit(typed.parts[0])
 
-    def make_folded(self, typed: Typed) -> ast.expr:
-        return method(self.of(typed.parts[0]), "lower")
+    def emit_folded(self, typed: Typed) -> ast.expr:
+        """`key.lower()`."""
+        return py.call_method(self.emit(typed.parts[0]), "lower")
 
     # -- look-ups -----------------------------------------------------------------------------------------
-    def make_key_sure(self, typed: Typed) -> ast.expr:
-        mapping, key = self.parts(typed)
-        return ast.Subscript(mapping, key, ast.Load())
+    def emit_key_sure(self, typed: Typed) -> ast.expr:
+        """`mapping[key]`, for a key that is known to be there."""
+        container, index = self.emit_parts(typed)
+        return ast.Subscript(container, index, ast.Load())
 
-    make_element_sure = make_key_sure
+    def emit_element_sure(self, typed: Typed) -> ast.expr:
+        """`items[index]`, for an index that is known to lie within."""
+        return self.emit_key_sure(typed)
 
-    def make_key(self, typed: Typed) -> ast.expr:
-        return self.helper("key", *self.parts(typed))
+    def emit_key(self, typed: Typed) -> ast.expr:
+        """A helper that raises EvaluationError for a missing key."""
+        return self.call_helper("key", *self.emit_parts(typed))
 
-    def make_element(self, typed: Typed) -> ast.expr:
-        return self.helper("element", *self.parts(typed))
+    def emit_element(self, typed: Typed) -> ast.expr:
+        """A helper that raises EvaluationError for an index outside."""
+        return self.call_helper("element", *self.emit_parts(typed))
 
-    def make_key_optional(self, typed: Typed) -> ast.expr:
-        mapping, key = self.parts(typed)
-        return method(mapping, "get", key)
+    def emit_key_optional(self, typed: Typed) -> ast.expr:
+        """`mapping.get(key)`."""
+        mapping, key = self.emit_parts(typed)
+        return py.call_method(mapping, "get", key)
 
-    def make_element_optional(self, typed: Typed) -> ast.expr:
-        return self.helper("element_or_none", *self.parts(typed))
+    def emit_element_optional(self, typed: Typed) -> ast.expr:
+        """A helper that yields None for an index outside."""
+        return self.call_helper("element_or_none", *self.emit_parts(typed))
 
     # -- optionals ----------------------------------------------------------------------------------------
-    def make_has_value(self, typed: Typed) -> ast.expr:
+    def emit_has_value(self, typed: Typed) -> ast.expr:
+        """`optional is not None`; for a look-up in a map `key in mapping`."""
         (part,) = typed.parts
-        if part.op == "key?":
-            mapping, key = self.parts(part)
-            return compared(key, ast.In, mapping)
-        return compared(self.of(part), ast.IsNot, ast.Constant(None))
+        if part.op is Op.KEY_OPTIONAL:
+            mapping, key = self.emit_parts(part)
+            return py.compare(key, ast.In, mapping)
+        return py.compare(self.emit(part), ast.IsNot, ast.Constant(None))
 
-    def make_value(self, typed: Typed) -> ast.expr:
-        return self.helper("value", *self.parts(typed))
+    def emit_value(self, typed: Typed) -> ast.expr:
+        """A helper that raises EvaluationError for an empty optional."""
+        return self.call_helper("value", *self.emit_parts(typed))
 
-    def make_or(self, typed: Typed) -> ast.expr:
+    def emit_or(self, typed: Typed) -> ast.expr:
+        """`mapping.get(key, literal)`, or a helper; it is lazy where the alternative may fail."""
         optional, other = typed.parts
-        if optional.op == "key?" and other.op == "literal":
-            mapping, key = self.parts(optional)
-            return method(mapping, "get", key, self.of(other))
+        if optional.op is Op.KEY_OPTIONAL and other.is_literal:
+            mapping, key = self.emit_parts(optional)
+            return py.call_method(mapping, "get", key, self.emit(other))
         if other.faults:
-            return self.helper("or_lazy", self.of(optional), later(self.of(other)))
-        return self.helper("or_value", *self.parts(typed))
+            return self.call_helper("or_lazy", self.emit(optional), py.deferred(self.emit(other)))
+        return self.call_helper("or_value", *self.emit_parts(typed))
 
-    def make_optional_map(self, typed: Typed) -> ast.expr:
-        optional, body = self.parts(typed)
-        return self.helper("optional_map", optional, later(body, local(typed.detail)))
+    def emit_optional_map(self, typed: Typed) -> ast.expr:
+        """A helper that calls the body where there is a value."""
+        optional, body = self.emit_parts(typed)
+        return self.call_helper("optional_map", optional, py.deferred(body, py.local_name(typed.detail)))
 
-    def make_try(self, typed: Typed) -> ast.expr:
-        return self.helper("attempt", later(self.of(typed.parts[0])))
+    def emit_try(self, typed: Typed) -> ast.expr:
+        """A helper that yields None where its part fails."""
+        return self.call_helper("attempt", py.deferred(self.emit(typed.parts[0])))
 
     # -- logic --------------------------------------------------------------------------------------------
-    def make_logic(self, typed: Typed) -> ast.expr:
-        terms = self.parts(typed)
+    def emit_logic(self, typed: Typed) -> ast.expr:
+        """`and` or `or`; a helper where a term may fail, as another one may decide nevertheless."""
+        terms = self.emit_parts(typed)
         if any(part.faults for part in typed.parts):
-            return self.helper(
-                "either_way",
-                ast.Constant(typed.detail == "||"),
-                ast.Tuple([later(term) for term in terms], ast.Load()),
-            )
+            deciding = ast.Constant(typed.detail == "||")
+            deferred = ast.Tuple([py.deferred(term) for term in terms], ast.Load())
+            return self.call_helper("decide_fallible", deciding, deferred)
         return ast.BoolOp(ast.And() if typed.detail == "&&" else ast.Or(), terms)
 
-    def make_not(self, typed: Typed) -> ast.expr:
-        return ast.UnaryOp(ast.Not(), self.of(typed.parts[0]))
+    def emit_not(self, typed: Typed) -> ast.expr:
+        """`not operand`."""
+        return ast.UnaryOp(ast.Not(), self.emit(typed.parts[0]))
 
-    def make_conditional(self, typed: Typed) -> ast.expr:
-        return ast.IfExp(*self.parts(typed))
+    def emit_conditional(self, typed: Typed) -> ast.expr:
+        """`then if condition else other`."""
+        return ast.IfExp(*self.emit_parts(typed))
 
-    def make_compare(self, typed: Typed) -> ast.expr:
-        left, right = self.parts(typed)
-        return compared(left, COMPARE[typed.detail], right)
+    def emit_compare(self, typed: Typed) -> ast.expr:
+        """Python's comparison: both sides are of one type."""
+        left, right = self.emit_parts(typed)
+        return py.compare(left, COMPARISONS[typed.detail], right)
 
-    def make_in_map(self, typed: Typed) -> ast.expr:
-        key, mapping = self.parts(typed)
-        return compared(key, ast.In, mapping)
+    def emit_in_map(self, typed: Typed) -> ast.expr:
+        """`key in mapping`."""
+        key, mapping = self.emit_parts(typed)
+        return py.compare(key, ast.In, mapping)
 
-    def make_in_list(self, typed: Typed) -> ast.expr:
+    def emit_in_list(self, typed: Typed) -> ast.expr:
+        """`item in items`; in a set where all items are literals, by a helper for doubles."""
         item, items = typed.parts
         if item.type == t.DOUBLE:
-            return self.helper("same_double", *self.parts(typed))
-        if items.op == "list" and items.parts and all(part.op == "literal" for part in items.parts):
-            among = self.constant(frozenset(part.detail for part in items.parts))
-            return compared(self.of(item), ast.In, among)
-        return compared(self.of(item), ast.In, self.of(items))
+            return self.call_helper("contains_double", *self.emit_parts(typed))
+        if items.op is Op.LIST and items.parts and all(part.is_literal for part in items.parts):
+            literals = self.constant(frozenset(part.detail for part in items.parts))
+            return py.compare(self.emit(item), ast.In, literals)
+        return py.compare(self.emit(item), ast.In, self.emit(items))
 
     # -- arithmetic ---------------------------------------------------------------------------------------
-    def make_negate(self, typed: Typed) -> ast.expr:
-        value = ast.UnaryOp(ast.USub(), self.of(typed.parts[0]))
-        return value if typed.detail[1] else self.helper("int_checked", value)
-
-    def make_add(self, typed: Typed) -> ast.expr:
-        left, right = self.parts(typed)
+    def emit_negate(self, typed: Typed) -> ast.expr:
+        """`-operand`, by a helper where it may overflow."""
+        detail: ArithmeticDetail = typed.detail
+        value = ast.UnaryOp(ast.USub(), self.emit(typed.parts[0]))
+        return value if detail.unchecked else self.call_helper("int_checked", value)
+
+    def emit_add(self, typed: Typed) -> ast.expr:
+        """A concatenation."""
+        left, right = self.emit_parts(typed)
         return ast.BinOp(left, ast.Add(), right)
 
-    def make_arithmetic(self, typed: Typed) -> ast.expr:
-        left, right = self.parts(typed)
-        operator, simple = typed.detail
+    def emit_arithmetic(self, typed: Typed) -> ast.expr:
+        """Python's operator, by a helper where CEL's differs or it may fail."""
+        left, right = self.emit_parts(typed)
+        detail: ArithmeticDetail = typed.detail
+        operator = detail.operator
         if operator == "/" and typed.type == t.DOUBLE:
-            return self.helper("divide_double", left, right)
-        if operator in "/%" and not simple:
-            return self.helper("divide" if operator == "/" else "remainder", left, right)
-        value = ast.BinOp(left, PLAIN[operator](), right)
-        if simple:
+            return self.call_helper("divide_double", left, right)
+        if operator in DIVISION and not detail.unchecked:
+            return self.call_helper("divide" if operator == "/" else "remainder", left, right)
+        value = ast.BinOp(left, ARITHMETIC[operator](), right)
+        if detail.unchecked:
             return value
-        return self.helper("int_checked" if typed.type == t.INT else "duration_checked", value)
+        return self.call_helper("int_checked" if typed.type == t.INT else "duration_checked", value)
 
     # -- functions and macros -----------------------------------------------------------------------------
-    def make_size(self, typed: Typed) -> ast.expr:
-        return self.helper("len", self.of(typed.parts[0]))
-
-    def make_call(self, typed: Typed) -> ast.expr:
-        function, ready = typed.detail
-        assert isinstance(function, fn.Function)
-        kind, name = function.emit[0], function.emit[1:]
-        if kind == "." and name != "find":
-            receiver, *given = self.parts(typed)
-            return method(receiver, name, *given)
-        if kind == ".":
-            return method(*self.parts(typed)[:1], name, *self.parts(typed)[1:])
-        if name == "contains":
-            text, part = self.parts(typed)
-            return compared(part, ast.In, text)
-        if name == "matches":
-            return ast.Call(self.constant(ready), [self.of(typed.parts[0])], [])
-        if name == "cidr":
-            return self.constant(ready)
-        return self.of(typed.parts[0]) if name == "same" else self.helper(name, *self.parts(typed))
-
-    def make_macro(self, typed: Typed) -> ast.expr:
-        name, variable, tested = typed.detail
-        items, *run = self.parts(typed)
+    def emit_size(self, typed: Typed) -> ast.expr:
+        """`len(operand)`."""
+        return self.call_helper("len", self.emit(typed.parts[0]))
+
+    def emit_call(self, typed: Typed) -> ast.expr:
+        """What the function's target says: a method of str, a helper, an operator, or a constant."""
+        detail: CallDetail = typed.detail
+        target, name = detail.function.emission
+        match target:
+            case Target.CONSTANT:
+                return self.constant(detail.constant)
+            case Target.PREPARED:
+                return ast.Call(self.constant(detail.constant), [self.emit(typed.parts[0])], [])
+            case Target.SAME:
+                return self.emit(typed.parts[0])
+            case Target.CONTAINS:
+                text, part = self.emit_parts(typed)
+                return py.compare(part, ast.In, text)
+            case Target.METHOD:
+                receiver, *given = self.emit_parts(typed)
+                return py.call_method(receiver, name, *given)
+            case Target.HELPER:
+                return self.call_helper(name, *self.emit_parts(typed))
+
+    def emit_macro(self, typed: Typed) -> ast.expr:
+        """A comprehension over the list; `all` and `exists` by a helper where the test may fail."""
+        detail: MacroDetail = typed.detail
+        name, variable = detail.name, detail.variable
+        items, *run = self.emit_parts(typed)
         if name in ("all", "exists") and typed.parts[1].faults:
-            return self.helper("over", ast.Constant(name == "exists"), items, later(run[0], local(variable)))
-        if name in ("all", "exists", "exists_one"):
-            truths = ast.GeneratorExp(run[0], [loop(variable, items, [])])
-            return self.helper({"all": "all", "exists": "any", "exists_one": "exactly_one"}[name], truths)
-        value = run[-1] if name == "map" else load(local(variable))
-        return ast.ListComp(value, [loop(variable, items, [run[0]] if tested else [])])
-
-
-MAKERS = {
-    "key!": "key_sure",
-    "element!": "element_sure",
-    "key?": "key_optional",
-    "element?": "element_optional",
-    "has value": "has_value",
-    "optional map": "optional_map",
-    "in map": "in_map",
-    "in list": "in_list",
-}
+            test = py.deferred(run[0], py.local_name(variable))
+            return self.call_helper("decide_fallible_test", ast.Constant(name == "exists"), items, test)
+        if name in TRUTH_HELPERS:
+            truths = ast.GeneratorExp(run[0], [py.for_each(variable, items, [])])
+            return self.call_helper(TRUTH_HELPERS[name], truths)
+        value = run[-1] if name == "map" else py.load(py.local_name(variable))
+        tests = [run[0]] if detail.has_test else []
+        return ast.ListComp(value, [py.for_each(variable, items, tests)])
--- a/stoatrouter/expressions/environment.py
+++ b/stoatrouter/expressions/environment.py
@@ -1,6 +1,4 @@
-"""What an expression may refer to: inputs by name, with their types and the bounds that are
-enforced on them.
-"""
+"""What an expression may refer to: inputs by name, with their types and the bounds enforced on them."""
 
 from __future__ import annotations
 
@@ -25,26 +23,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What one expression may take."""
+    """What one expression may take.
 
-    steps: int = 20_000  # in the worst case, in cel-go's units
-    result: int = 16_384  # code points, bytes and scalars of its value
-    largest: int = 262_144  # the same, of any value on the way
+    Attributes:
+        steps: The steps in the worst case, in cel-go's units (see `bounds`).
+        result: The code points, bytes and scalars of its value.
+        largest: The same, of any value on the way.
+    """
+
+    steps: int = 20_000
+    result: int = 16_384
+    largest: int = 262_144
 
 
 @dataclass(slots=True, frozen=True)
 class Environment:
-    """The inputs by their dotted names."""
+    """The inputs by their dotted names; `prefixes` are the names that stand above others alone."""
 
     variables: Mapping[str, Variable]
     prefixes: frozenset[str] = field(init=False)
 
     def __post_init__(self) -> None:
+        """Compute the prefixes: `request` of `request.path`."""
         above = {name[:i] for name in self.variables for i, c in enumerate(name) if c == "."}
         object.__setattr__(self, "prefixes", frozenset(above))
 
+    def top_names(self) -> set[str]:
+        """The first parts of all names."""
+        return {name.partition(".")[0] for name in self.variables}
+
     def fields_below(self, prefix: str) -> list[str]:
-        """The names right below a prefix."""
+        """The names right below a prefix, sorted."""
         return sorted(
             {
                 name[len(prefix) + 1 :].partition(".")[0]
--- a/stoatrouter/expressions/errors.py
+++ b/stoatrouter/expressions/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with an expression, said for a person: where, what, and what would be right."""
+"""Errors of expressions, worded for people: where, what, and what would be right."""
 
 from __future__ import annotations
 
@@ -13,25 +13,28 @@
     column: int
 
     def __str__(self) -> str:
+        """The form of compilers' messages, `line:column`."""
         return f"{self.line}:{self.column}"
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Problem:
-    """One thing that is wrong, and the way to mend it where there is one."""
+    """One error, and the way to mend it; the remedy is empty where there is no good guess."""
 
     at: Position
     what: str
     remedy: str = ""
 
     def __str__(self) -> str:
+        """One line: `line:column: what (remedy)`."""
         return f"{self.at}: {self.what}" + (f" ({self.remedy})" if self.remedy else "")
 
 
 class ExpressionError(Exception):
-    """An expression was refused at load; all that is wrong with it, in the order of the source."""
+    """An expression that was rejected at load; every problem once, in the order of the source."""
 
     def __init__(self, *problems: Problem) -> None:
+        """Sort the problems by position and drop duplicates."""
         self.problems = tuple(sorted(set(problems)))
         super().__init__("; ".join(map(str, self.problems)))
 
--- a/stoatrouter/expressions/functions.py
+++ b/stoatrouter/expressions/functions.py
@@ -1,174 +1,296 @@
 """The functions of the language, as data: types, costs, sizes of values, and why they may fail.
 
 Names and meanings are those of cel-spec and of cel-go's ext/strings, the network functions those of
-Kubernetes' CEL library; `hash`, `hex16` and `values` are this project's.
+Kubernetes' CEL library; `hash`, `hex16` and `values` are this project's. Costs are cel-go's (see `bounds`).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from enum import Enum, auto
+from typing import NamedTuple
 
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.bounds import ANY, DIGITS, MOST_DURATION, TRUTH, Bound, many, text, walk, whole
+from stoatrouter.expressions.bounds import (
+    ANY,
+    BOOL_BOUND,
+    INT_DIGITS,
+    MAX_DURATION,
+    Bound,
+    int_bound,
+    list_bound,
+    text_bound,
+    walk_steps,
+)
+
+Bounds = Sequence[Bound]  # of all arguments
+MAX_HASH = (1 << 63) - 1
+MAX_UTF8 = 4  # bytes of a code point
+OUTSIDE = "the range may lie outside"
+
+
+class Target(Enum):
+    """What a call is compiled to."""
 
-Bounds = Sequence[Bound]
+    METHOD = auto()  # a method of its first argument
+    HELPER = auto()  # a builtin, or a function of runtime.py or conversions.py
+    PREPARED = auto()  # a function that was prepared at load, of its first argument
+    CONSTANT = auto()  # a constant that was prepared at load
+    CONTAINS = auto()  # Python's `in`
+    SAME = auto()  # its argument
+
+
+class Emission(NamedTuple):
+    """What a call is compiled to, and the name of the method, helper or preparation."""
+
+    target: Target
+    name: str
 
 
-def first(given: Bounds) -> int:
-    """Goes through its first argument."""
-    return 1 + walk(given[0].length)
+def method(name: str) -> Emission:
+    """A method of the first argument."""
+    return Emission(Target.METHOD, name)
 
 
-def both(given: Bounds) -> int:
-    """Looks for its second argument in its first."""
-    return 1 + walk(given[0].length) * max(1, walk(given[1].length))
+def helper(name: str) -> Emission:
+    """A builtin, or a function of runtime.py or conversions.py."""
+    return Emission(Target.HELPER, name)
 
 
-def plain(given: Bounds) -> int:
+SAME = Emission(Target.SAME, "same")
+CONTAINS = Emission(Target.CONTAINS, "contains")
+MATCHES = Emission(Target.PREPARED, "matches")
+CIDR = Emission(Target.CONSTANT, "cidr")
+
+
+# -- costs --------------------------------------------------------------------------------------------------
+def one_step(given: Bounds) -> int:
+    """The cost of a call that goes through nothing."""
     return 1
 
 
-def like(given: Bounds) -> Bound:
-    """As long as its first argument at most."""
-    return text(given[0].length)
+def walk_first(given: Bounds) -> int:
+    """The cost of going through the first argument."""
+    return 1 + walk_steps(given[0].length)
+
+
+def walk_second(given: Bounds) -> int:
+    """The cost of going through the second argument."""
+    return 1 + walk_steps(given[1].length)
 
 
-def fixed(bound: Bound) -> Callable[[Bounds], Bound]:
+def search_cost(given: Bounds) -> int:
+    """The cost of looking for the second argument in the first."""
+    return 1 + walk_steps(given[0].length) * max(1, walk_steps(given[1].length))
+
+
+def match_cost(given: Bounds) -> int:
+    """cel-go's estimate: a tenth of the text times a quarter of the pattern."""
+    return 1 + walk_steps(given[0].length) * max(1, -(-given[1].length // 4))
+
+
+def join_cost(given: Bounds) -> int:
+    """The cost of writing the joined text."""
+    return 1 + walk_steps(join_bound(given).length)
+
+
+# -- bounds -------------------------------------------------------------------------------------------------
+def always(bound: Bound) -> Callable[[Bounds], Bound]:
+    """The same bound for all arguments."""
     return lambda given: bound
 
 
-@dataclass(slots=True, frozen=True)
-class Function:
-    """One overload. The receiver of a method is its first argument.
+def like_first(given: Bounds) -> Bound:
+    """The bound of the first argument."""
+    return given[0]
 
-    `emit` says what it is compiled to: `.name` a method of its first argument, `=name` a helper of
-    runtime.py, `~name` a helper that gets a constant made at load.
-    """
 
-    name: str
-    arguments: tuple[t.Type, ...]
-    result: t.Type
-    emit: str
-    method: bool = True
-    cost: Callable[[Bounds], int] = plain
-    bound: Callable[[Bounds], Bound] = fixed(ANY)
-    fails: str = ""  # why it may fail; empty where it cannot
-    literal: bool = False  # its last argument must be a literal, from which something is made at load
+def shorter_text(given: Bounds) -> Bound:
+    """The bound of a text as long as the first argument at most."""
+    return text_bound(given[0].length)
 
 
-S, N, B, I = t.STRING, t.INT, t.BOOL, t.IP  # noqa: E741 - a table reads better with short columns
-TEXTS = t.ListOf(S)
+def index_bound(given: Bounds) -> Bound:
+    """The bound of a position in the first argument, or -1."""
+    return int_bound(-1, given[0].length)
 
 
-def pieces(given: Bounds) -> Bound:
-    """Of split: as many pieces as characters and one more; together no longer than the text."""
-    return many(given[0].length + 1, text(given[0].length), cap=given[0].length + 1)
+def split_bound(given: Bounds) -> Bound:
+    """As many pieces as characters and one more; together no longer than the text."""
+    return list_bound(given[0].length + 1, text_bound(given[0].length), cap=given[0].length + 1)
 
 
-def some_pieces(given: Bounds) -> Bound:
+def limited_split_bound(given: Bounds) -> Bound:
+    """The same, and no more pieces than the third argument, unless it may be negative."""
     most = given[0].length + 1
     if given[2].low >= 0:
         most = min(most, max(0, given[2].high))
-    return many(most, text(given[0].length), cap=given[0].length + 1)
+    return list_bound(most, text_bound(given[0].length), cap=given[0].length + 1)
 
 
-def glued(given: Bounds) -> Bound:
+def join_bound(given: Bounds) -> Bound:
+    """As long as all elements, with the separator after each."""
     inner = given[0].inner or ANY
     between = given[1].length if len(given) > 1 else 0
-    return text(given[0].length * (inner.length + between))
+    return text_bound(given[0].length * (inner.length + between))
 
 
-def gluing(given: Bounds) -> int:
-    return 1 + walk(glued(given).length)
+def values_bound(given: Bounds) -> Bound:
+    """As many as there may be fields; together they are what the joined value may be."""
+    inner = given[0].inner or ANY
+    return list_bound(given[0].length, inner, cap=max(given[0].length, inner.length))
 
 
-def listed(given: Bounds) -> Bound:
-    """Of `values`: as many as there may be fields; together they are what the joined value may be."""
-    inner = given[0].inner or ANY
-    return many(given[0].length, inner, cap=max(given[0].length, inner.length))
+def encoded_bound(given: Bounds) -> Bound:
+    """The bound of a text's UTF-8."""
+    return Bound(given[0].length * MAX_UTF8)
 
 
-def matching(given: Bounds) -> int:
-    """cel-go's estimate: a tenth of the text times a quarter of the pattern."""
-    return 1 + walk(given[0].length) * max(1, -(-given[1].length // 4))
+def units_bound(micros: int) -> Callable[[Bounds], Bound]:
+    """The bound of a duration in whole units of so many microseconds."""
+    return always(int_bound(-MAX_DURATION // micros, MAX_DURATION // micros))
 
 
-def in_bytes(given: Bounds) -> Bound:
-    return Bound(given[0].length * 4)
+@dataclass(slots=True, frozen=True)
+class Function:
+    """One overload. The receiver of a method is its first argument.
 
+    Attributes:
+        name: CEL's name of it.
+        arguments: The types of its arguments.
+        result: The type of its value.
+        emission: What a call is compiled to.
+        method: Whether it is called as a method of its first argument.
+        cost: The steps of a call, from the bounds of the arguments.
+        bound: The bound of the value, from the same.
+        fails: Why it may fail; empty where it cannot.
+        literal: Whether its last argument must be a literal, of which something is prepared at load.
+    """
 
-def seconds(micros: int) -> Callable[[Bounds], Bound]:
-    return fixed(whole(-MOST_DURATION // micros, MOST_DURATION // micros))
+    name: str
+    arguments: tuple[t.Type, ...]
+    result: t.Type
+    emission: Emission
+    method: bool = True
+    cost: Callable[[Bounds], int] = one_step
+    bound: Callable[[Bounds], Bound] = always(ANY)
+    fails: str = ""
+    literal: bool = False
 
 
+S, N, B, I = t.STRING, t.INT, t.BOOL, t.IP  # noqa: E741 - a table reads better with short columns
+TEXTS = t.ListOf(S)
 REPEATED = t.MapOf(S, repeated=True)
 FUNCTIONS: tuple[Function, ...] = (
-    Function("startsWith", (S, S), B, ".startswith", cost=lambda g: 1 + walk(g[1].length)),
-    Function("endsWith", (S, S), B, ".endswith", cost=lambda g: 1 + walk(g[1].length)),
-    Function("contains", (S, S), B, "=contains", cost=both),
-    Function("indexOf", (S, S), N, ".find", cost=both, bound=lambda g: whole(-1, g[0].length)),
-    Function("matches", (S, S), B, "~matches", cost=matching, literal=True),
-    Function("matches", (S, S), B, "~matches", method=False, cost=matching, literal=True),
-    Function("lowerAscii", (S,), S, "=lower_ascii", cost=first, bound=like),
-    Function("upperAscii", (S,), S, "=upper_ascii", cost=first, bound=like),
-    Function("trim", (S,), S, "=trim", cost=first, bound=like),
-    Function("split", (S, S), TEXTS, "=split", cost=first, bound=pieces),
-    Function("split", (S, S, N), TEXTS, "=split", cost=first, bound=some_pieces),
-    Function("substring", (S, N), S, "=substring", cost=first, bound=like, fails="the range may lie outside"),
+    Function("startsWith", (S, S), B, method("startswith"), cost=walk_second),
+    Function("endsWith", (S, S), B, method("endswith"), cost=walk_second),
+    Function("contains", (S, S), B, CONTAINS, cost=search_cost),
+    Function("indexOf", (S, S), N, method("find"), cost=search_cost, bound=index_bound),
+    Function("matches", (S, S), B, MATCHES, cost=match_cost, literal=True),
+    Function("matches", (S, S), B, MATCHES, method=False, cost=match_cost, literal=True),
+    Function("lowerAscii", (S,), S, helper("lower_ascii"), cost=walk_first, bound=shorter_text),
+    Function("upperAscii", (S,), S, helper("upper_ascii"), cost=walk_first, bound=shorter_text),
+    Function("trim", (S,), S, helper("trim"), cost=walk_first, bound=shorter_text),
+    Function("split", (S, S), TEXTS, helper("split"), cost=walk_first, bound=split_bound),
+    Function("split", (S, S, N), TEXTS, helper("split"), cost=walk_first, bound=limited_split_bound),
+    Function(
+        "substring",
+        (S, N),
+        S,
+        helper("substring"),
+        cost=walk_first,
+        bound=shorter_text,
+        fails=OUTSIDE,
+    ),
+    Function(
+        "substring",
+        (S, N, N),
+        S,
+        helper("substring"),
+        cost=walk_first,
+        bound=shorter_text,
+        fails=OUTSIDE,
+    ),
+    Function("join", (TEXTS,), S, helper("join"), cost=join_cost, bound=join_bound),
+    Function("join", (TEXTS, S), S, helper("join"), cost=join_cost, bound=join_bound),
+    Function("values", (REPEATED, S), TEXTS, helper("values"), cost=walk_first, bound=values_bound),
+    Function("int", (N,), N, SAME, False, bound=like_first),
+    Function("int", (S,), N, helper("int_of_text"), False, walk_first, fails="the text may be no int"),
+    Function(
+        "int", (t.DOUBLE,), N, helper("int_of_double"), False, fails="the double may be out of an int's range"
+    ),
+    Function("double", (t.DOUBLE,), t.DOUBLE, SAME, False),
+    Function("double", (N,), t.DOUBLE, helper("float"), False),
+    Function(
+        "double",
+        (S,),
+        t.DOUBLE,
+        helper("double_of_text"),
+        False,
+        walk_first,
+        fails="the text may be no double",
+    ),
+    Function("bool", (B,), B, SAME, False, bound=always(BOOL_BOUND)),
     Function(
-        "substring", (S, N, N), S, "=substring", cost=first, bound=like, fails="the range may lie outside"
+        "bool",
+        (S,),
+        B,
+        helper("bool_of_text"),
+        False,
+        walk_first,
+        always(BOOL_BOUND),
+        "the text may be no bool",
+    ),
+    Function("string", (S,), S, SAME, False, bound=like_first),
+    Function("string", (N,), S, helper("str"), False, bound=always(text_bound(INT_DIGITS, 1))),
+    Function("string", (B,), S, helper("text_of_bool"), False, bound=always(text_bound(5, 4))),
+    Function(
+        "string",
+        (t.BYTES,),
+        S,
+        helper("text_of_bytes"),
+        False,
+        walk_first,
+        shorter_text,
+        "the bytes may be no UTF-8",
     ),
-    Function("join", (TEXTS,), S, "=join", cost=gluing, bound=glued),
-    Function("join", (TEXTS, S), S, "=join", cost=gluing, bound=glued),
-    Function("values", (REPEATED, S), TEXTS, "=values", cost=lambda g: 1 + walk(g[0].length), bound=listed),
-    Function("int", (N,), N, "=same", False, bound=lambda g: g[0]),
-    Function("int", (S,), N, "=int_of_text", False, first, fails="the text may be no int"),
-    Function("int", (t.DOUBLE,), N, "=int_of_double", False, fails="the double may be out of an int's range"),
-    Function("double", (t.DOUBLE,), t.DOUBLE, "=same", False),
-    Function("double", (N,), t.DOUBLE, "=float", False),
-    Function("double", (S,), t.DOUBLE, "=double_of_text", False, first, fails="the text may be no double"),
-    Function("bool", (B,), B, "=same", False, bound=fixed(TRUTH)),
-    Function("bool", (S,), B, "=bool_of_text", False, first, fixed(TRUTH), "the text may be no bool"),
-    Function("string", (S,), S, "=same", False, bound=lambda g: g[0]),
-    Function("string", (N,), S, "=str", False, bound=fixed(text(DIGITS, 1))),
-    Function("string", (B,), S, "=text_of_bool", False, bound=fixed(text(5, 4))),
-    Function("string", (t.BYTES,), S, "=text_of_bytes", False, first, like, "the bytes may be no UTF-8"),
-    Function("string", (t.DURATION,), S, "=text_of_duration", False, bound=fixed(text(24, 2))),
-    Function("string", (I,), S, "=str", False, bound=fixed(text(45, 2))),
-    Function("bytes", (t.BYTES,), t.BYTES, "=same", False, bound=lambda g: g[0]),
-    Function("bytes", (S,), t.BYTES, "=encode", False, first, in_bytes),
-    Function("duration", (t.DURATION,), t.DURATION, "=same", False, bound=lambda g: g[0]),
+    Function("string", (t.DURATION,), S, helper("text_of_duration"), False, bound=always(text_bound(24, 2))),
+    Function("string", (I,), S, helper("str"), False, bound=always(text_bound(45, 2))),
+    Function("bytes", (t.BYTES,), t.BYTES, SAME, False, bound=like_first),
+    Function("bytes", (S,), t.BYTES, helper("encode"), False, walk_first, encoded_bound),
+    Function("duration", (t.DURATION,), t.DURATION, SAME, False, bound=like_first),
     Function(
         "duration",
         (S,),
         t.DURATION,
-        "=duration_of_text",
+        helper("duration_of_text"),
         False,
-        first,
-        fixed(whole(-MOST_DURATION, MOST_DURATION)),
+        walk_first,
+        always(int_bound(-MAX_DURATION, MAX_DURATION)),
         "the text may be no duration",
     ),
-    Function("getHours", (t.DURATION,), N, "=hours", bound=seconds(3_600_000_000)),
-    Function("getMinutes", (t.DURATION,), N, "=minutes", bound=seconds(60_000_000)),
-    Function("getSeconds", (t.DURATION,), N, "=seconds", bound=seconds(1_000_000)),
-    Function("getMilliseconds", (t.DURATION,), N, "=milliseconds", bound=seconds(1_000)),
-    Function("ip", (S,), I, "=ip_of_text", False, first, fails="the text may be no IP address"),
-    Function("isIP", (S,), B, "=is_ip", False, first),
-    Function("family", (I,), N, "=family", bound=fixed(whole(4, 6))),
-    Function("cidr", (S,), t.CIDR, "~cidr", False, literal=True),
-    Function("containsIP", (t.CIDR, I), B, "=contains_ip"),
-    Function("containsIP", (t.CIDR, S), B, "=contains_text", fails="the text may be no IP address"),
-    Function("hash", (S,), N, "=stable_hash", False, first, fixed(whole(0, (1 << 63) - 1))),
-    Function("hash", (t.BYTES,), N, "=stable_hash", False, first, fixed(whole(0, (1 << 63) - 1))),
-    Function("hex16", (N,), S, "=hex16", False, bound=fixed(text(16, 16))),
+    Function("getHours", (t.DURATION,), N, helper("hours"), bound=units_bound(3_600_000_000)),
+    Function("getMinutes", (t.DURATION,), N, helper("minutes"), bound=units_bound(60_000_000)),
+    Function("getSeconds", (t.DURATION,), N, helper("seconds"), bound=units_bound(1_000_000)),
+    Function("getMilliseconds", (t.DURATION,), N, helper("milliseconds"), bound=units_bound(1_000)),
+    Function("ip", (S,), I, helper("ip_of_text"), False, walk_first, fails="the text may be no IP address"),
+    Function("isIP", (S,), B, helper("is_ip"), False, walk_first),
+    Function("family", (I,), N, helper("family"), bound=always(int_bound(4, 6))),
+    Function("cidr", (S,), t.CIDR, CIDR, False, literal=True),
+    Function("containsIP", (t.CIDR, I), B, helper("contains_ip")),
+    Function("containsIP", (t.CIDR, S), B, helper("contains_text"), fails="the text may be no IP address"),
+    Function("hash", (S,), N, helper("stable_hash"), False, walk_first, always(int_bound(0, MAX_HASH))),
+    Function("hash", (t.BYTES,), N, helper("stable_hash"), False, walk_first, always(int_bound(0, MAX_HASH))),
+    Function("hex16", (N,), S, helper("hex16"), False, bound=always(text_bound(16, 16))),
 )
 
+# By name, and whether it is a method
 BY_NAME: dict[tuple[str, bool], list[Function]] = {}
 for _function in FUNCTIONS:
     BY_NAME.setdefault((_function.name, _function.method), []).append(_function)
 
-MACROS = ("all", "exists", "exists_one", "filter", "map")
+# Functions of CEL that are left out, and why or what to use in their place
 LEFT_OUT = {
     "timestamp": "a rule must not depend on the time: the same request has the same outcome",
     "uint": "use int",
@@ -185,4 +307,4 @@
     """Whether a value of one type may stand where another is wanted."""
     if isinstance(wanted, t.MapOf) and wanted.repeated:
         return isinstance(given, t.MapOf) and given.repeated
-    return t.joined(wanted, given) == wanted
+    return t.common_type(wanted, given) == wanted
--- a/stoatrouter/expressions/literals.py
+++ b/stoatrouter/expressions/literals.py
@@ -4,99 +4,114 @@
 
 import re
 
-LEAST_INT, MOST_INT = -(1 << 63), (1 << 63) - 1
+MIN_INT = -(1 << 63)
+MAX_INT = (1 << 63) - 1
+MAX_DIGITS = 100  # characters of an int
 
 ESCAPE = re.compile(
     r"""\\(?:([abfnrtv\\?"'`])|[xX]([0-9a-fA-F]{2})|u([0-9a-fA-F]{4})|U([0-9a-fA-F]{8})"""
     r"""|([0-3][0-7]{2})|([\s\S]?))"""
 )
-SHORT = {
-    "a": "\a",
-    "b": "\b",
-    "f": "\f",
-    "n": "\n",
-    "r": "\r",
-    "t": "\t",
-    "v": "\v",
-    "\\": "\\",
-    "?": "?",
-    '"': '"',
-    "'": "'",
-    "`": "`",
-}
-
-
-class BadLiteral(Exception):
+ESCAPED = dict(zip("abfnrtv\\?\"'`", "\a\b\f\n\r\t\v\\?\"'`", strict=True))
+
+
+class LiteralError(Exception):
     """A literal that CEL does not know; the text says why."""
 
 
-def quoted(text: str) -> str:
+def strip_quotes(text: str) -> str:
     """What stands between the quotes, with escapes as they are."""
     return text[3:-3] if text[:3] in ('"""', "'''") else text[1:-1]
 
 
-def string(text: str) -> str:
-    """A quoted string without prefix."""
-    return ESCAPE.sub(code_point, quoted(text)) if "\\" in text else quoted(text)
+def read_string(text: str) -> str:
+    """The value of a quoted string without prefix.
 
+    Raises:
+        LiteralError: An escape that CEL does not know.
+    """
+    inner = strip_quotes(text)
+    return ESCAPE.sub(read_escape, inner) if "\\" in text else inner
 
-def raw(text: str) -> str | bytes:
-    """A raw string, or raw bytes: nothing is an escape."""
+
+def read_raw(text: str) -> str | bytes:
+    """The value of a raw string, or of raw bytes: nothing is an escape."""
     prefix = re.match("[rRbB]+", text)
     assert prefix is not None
-    inner = quoted(text[prefix.end() :])
+    inner = strip_quotes(text[prefix.end() :])
     return inner.encode() if "b" in prefix[0].lower() else inner
 
 
-def byte_string(text: str) -> bytes:
-    """A bytes literal: \\x and octal escapes are bytes, all else is UTF-8."""
-    inner, out, at = quoted(text[1:]), bytearray(), 0
+def read_bytes(text: str) -> bytes:
+    r"""The value of a bytes literal: \x and octal escapes are bytes, all else is UTF-8.
+
+    Raises:
+        LiteralError: An escape that CEL does not know, or has for strings alone.
+    """
+    inner = strip_quotes(text[1:])
+    data = bytearray()
+    end = 0
     for found in ESCAPE.finditer(inner):
-        out += inner[at : found.start()].encode()
-        numeric = found[2] and int(found[2], 16), found[5] and int(found[5], 8)
-        if found[2] or found[5]:
-            out.append(numeric[0] if found[2] else numeric[1])
+        data += inner[end : found.start()].encode()
+        if found[2]:
+            data.append(int(found[2], 16))
+        elif found[5]:
+            data.append(int(found[5], 8))
         elif found[3] or found[4]:
-            raise BadLiteral("bytes have no \\u or \\U escapes")
+            raise LiteralError("bytes have no \\u or \\U escapes")
         else:
-            out += code_point(found).encode()
-        at = found.end()
-    return bytes(out + inner[at:].encode())
+            data += read_escape(found).encode()
+        end = found.end()
+    return bytes(data + inner[end:].encode())
 
 
-def code_point(found: re.Match[str]) -> str:
-    """The character that an escape stands for."""
-    short, hexed, four, eight, octal, other = found.groups()
+def read_escape(found: re.Match[str]) -> str:
+    """The character that an escape stands for.
+
+    Raises:
+        LiteralError: CEL does not know it, or it is no character.
+    """
+    short, two, four, eight, octal, other = found.groups()
     if short:
-        return SHORT[short]
+        return ESCAPED[short]
     if other is not None:
-        raise BadLiteral(f"unknown escape \\{other}")
-    number = int(octal, 8) if octal else int(hexed or four or eight, 16)
+        raise LiteralError(f"unknown escape \\{other}")
+    number = int(octal, 8) if octal else int(two or four or eight, 16)
     # Guards what is encoded later: surrogates are no characters.
     if number > 0x10FFFF or 0xD800 <= number < 0xE000:
-        raise BadLiteral(f"\\{found[0][1:]} is no Unicode character")
+        raise LiteralError(f"\\{found[0][1:]} is no Unicode character")
     return chr(number)
 
 
-def integer(text: str) -> int:
-    """A decimal or hexadecimal int; it may be one more than the most, which a minus makes the least."""
+def read_int(text: str) -> int:
+    """The value of a decimal or hexadecimal int without a sign.
+
+    It may be one more than the greatest int, which a minus makes the least.
+
+    Raises:
+        LiteralError: It is longer than `MAX_DIGITS`, or has more than 64 bits.
+    """
     # Guards against Python's own bound on the digits of a number, and against the time that they take.
-    if len(text) > 100:
-        raise BadLiteral("a number of more than 100 digits")
+    if len(text) > MAX_DIGITS:
+        raise LiteralError(f"a number of more than {MAX_DIGITS} digits")
     number = int(text, 16) if text[:2].lower() == "0x" else int(text)
-    if number > MOST_INT + 1:
-        raise BadLiteral(f"{text} is out of an int's 64 bits")
+    if number > MAX_INT + 1:
+        raise LiteralError(f"{text} is out of an int's 64 bits")
     return number
 
 
 def in_range(number: object) -> bool:
-    """Whether an int has 64 bits at most."""
-    return isinstance(number, int) and LEAST_INT <= number <= MOST_INT
+    """Whether a value is an int of 64 bits at most."""
+    return isinstance(number, int) and MIN_INT <= number <= MAX_INT
+
 
+def read_double(text: str) -> float:
+    """The value of a floating point literal.
 
-def double(text: str) -> float:
-    """A floating point literal."""
+    Raises:
+        LiteralError: It is greater than the greatest double.
+    """
     number = float(text)
     if number in (float("inf"), float("-inf")):
-        raise BadLiteral(f"{text} is out of a double's range")
+        raise LiteralError(f"{text} is out of a double's range")
     return number
--- a/stoatrouter/expressions/lookups.py
+++ b/stoatrouter/expressions/lookups.py
@@ -5,119 +5,111 @@
 from stoatrouter.expressions import bounds as b
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.checks import CheckerBase
+from stoatrouter.expressions.checks import CheckerBase, UntypedError
 from stoatrouter.expressions.errors import Problem
 from stoatrouter.expressions.guards import key_fact
 from stoatrouter.expressions.literals import in_range
 from stoatrouter.expressions.show import show
-from stoatrouter.expressions.typed import Scope, Typed, folded
+from stoatrouter.expressions.typed import Op, Scope, Typed, fold_key
 
 SCALARS = {"bool": t.BOOL, "int": t.INT, "double": t.DOUBLE, "string": t.STRING, "bytes": t.BYTES}
 
 
 class LookupChecks(CheckerBase):
-    """Checks literals, names, fields and elements."""
+    """Checks literals, names, fields and elements; all raise UntypedError for what has no type."""
 
-    def literal(self, node: s.Literal) -> Typed:
-        """Check a literal; raises Stop for an int out of 64 bits."""
-        value, bound = node.value, b.ANY
+    def check_literal(self, node: s.Literal) -> Typed:
+        """Check a literal: an int may have 64 bits at most."""
+        value = node.value
+        bound = b.ANY
         if isinstance(value, str | bytes):
             bound = b.Bound(len(value), len(value))
         elif node.kind == "int":
             if not in_range(value):
-                raise self.wrong(node, f"{value} is out of an int's 64 bits")
-            bound = b.whole(int(value), int(value))
-        return self.made(node, SCALARS[node.kind], "literal", detail=value, bound=bound, own=0)
+                raise self.reject(node, f"{value} is out of an int's 64 bits")
+            bound = b.int_bound(int(value), int(value))
+        return self.typed_node(node, SCALARS[node.kind], Op.LITERAL, detail=value, bound=bound, own=0)
 
-    def named(self, node: s.Name | s.Select, scope: Scope) -> Typed:
-        """Check a name or field: a macro's variable, an input, or a key of a map; raises Stop."""
+    def check_name(self, node: s.Name | s.Select, scope: Scope) -> Typed:
+        """Check a name or field: a macro's variable, an input, or a key of a map."""
+        if isinstance(node, s.Name) and node.name in scope.variables:
+            element = scope.variables[node.name]
+            return self.typed_node(node, element.type, Op.LOCAL, detail=node.name, bound=element.bound)
+        # No variable of a macro hides an input, so that a path means the same everywhere.
         path = s.path_of(node)
-        first = path.partition(".")[0] if path is not None else None
-        if isinstance(node, s.Name) and node.name in scope.locals:
-            return self.made(
-                node,
-                scope.locals[node.name].type,
-                "local",
-                detail=node.name,
-                bound=scope.locals[node.name].bound,
+        if path is not None and (variable := self.environment.variables.get(path)) is not None:
+            return self.typed_node(
+                node, variable.type, Op.VARIABLE, detail=variable.attribute, bound=variable.bound
             )
-        if first not in scope.locals and path is not None:
-            if (found := self.environment.variables.get(path)) is not None:
-                return self.made(node, found.type, "variable", detail=found.attribute, bound=found.bound)
-            if path in self.environment.prefixes:
-                raise self.wrong(
-                    node,
-                    f"{path!r} is no value by itself",
-                    "it has: " + ", ".join(self.environment.fields_below(path)),
-                )
+        if path in self.environment.prefixes:
+            raise self.reject_prefix(node, f"{path!r} is no value by itself", path)
         if isinstance(node, s.Name):
-            raise self.wrong(
-                node,
-                f"there is no {node.name!r}",
-                "there is: "
-                + ", ".join(
-                    sorted(
-                        {name.partition(".")[0] for name in self.environment.variables} | set(scope.locals)
-                    )
-                ),
-            )
+            known = ", ".join(sorted(self.environment.top_names() | set(scope.variables)))
+            raise self.reject(node, f"there is no {node.name!r}", f"there is: {known}")
         above = s.path_of(node.operand)
-        if above in self.environment.prefixes and first not in scope.locals:
-            raise self.wrong(
-                node,
-                f"{above!r} has no field {node.field_name!r}",
-                "it has: " + ", ".join(self.environment.fields_below(above or "")),
-            )
-        operand = self.of(node.operand, scope)
+        if above in self.environment.prefixes:
+            raise self.reject_prefix(node, f"{above!r} has no field {node.field_name!r}", above)
+        operand = self.check_node(node.operand, scope)
         if not isinstance(operand.type, t.MapOf):
-            raise self.wrong(node, f"{operand.type} has no field {node.field_name!r}")
-        key = self.literal(s.Literal(node.at, 1, node.field_name, "string"))
-        return self.keyed(node, operand, key, node.optional, scope)
+            raise self.reject(node, f"{operand.type} has no field {node.field_name!r}")
+        key = self.check_literal(s.Literal(node.at, 1, node.field_name, "string"))
+        return self.check_key(node, operand, key, node.optional, scope)
 
-    def indexed(self, node: s.Index, scope: Scope) -> Typed:
-        """Check an index into a list or map; raises Stop."""
-        operand, index = self.all_of((node.operand, node.index), scope)
+    def reject_prefix(self, node: s.Node, what: str, prefix: str | None) -> UntypedError:
+        """Record a problem with a name of the environment, and which fields it has; as `reject`."""
+        return self.reject(node, what, "it has: " + ", ".join(self.environment.fields_below(prefix or "")))
+
+    def check_index(self, node: s.Index, scope: Scope) -> Typed:
+        """Check an index into a list or map; in a list it may lie outside unless a guard rules it out."""
+        operand, index = self.check_siblings((node.operand, node.index), scope)
         if isinstance(operand.type, t.MapOf):
             if index.type != t.STRING:
-                raise self.wrong(node.index, f"a key is a string, not {index.type}")
-            return self.keyed(node, operand, index, node.optional, scope)
+                raise self.reject(node.index, f"a key is a string, not {index.type}")
+            return self.check_key(node, operand, index, node.optional, scope)
         if not isinstance(operand.type, t.ListOf):
-            raise self.wrong(node, f"{operand.type} has no elements", "only lists and maps have")
+            raise self.reject(node, f"{operand.type} has no elements", "only lists and maps have")
         if index.type != t.INT:
-            raise self.wrong(node.index, f"an index is an int, not {index.type}")
-        kind, bound = operand.type.element, operand.bound.inner or b.ANY
+            raise self.reject(node.index, f"an index is an int, not {index.type}")
+        kind = operand.type.element
+        bound = operand.bound.inner or b.ANY
+        parts = (operand, index)
         if kind == t.NEVER:
-            raise self.wrong(node, "an empty list has no elements")
+            raise self.reject(node, "an empty list has no elements")
         if node.optional:
-            return self.optional(node, kind, "element?", (operand, index), bound=bound)
-        sure = max(operand.bound.least, scope.longest(node.operand))
-        if index.bound.low >= 0 and index.bound.high < sure:
-            return self.made(node, kind, "element!", (operand, index), bound=bound)
-        text = show(node.operand)
-        fault = Problem(
-            node.at,
-            f"{show(node)} may lie outside of the list",
-            f"write {text}[?{show(node.index)}].orValue(...), or guard it: "
-            f"size({text}) > {show(node.index)} && ...",
-        )
-        return self.made(node, kind, "element", (operand, index), bound=bound, faults=(fault,))
+            return self.optional_node(node, kind, Op.ELEMENT_OPTIONAL, parts, bound=bound)
+        least = max(operand.bound.least, scope.least_length(node.operand))
+        if index.bound.low >= 0 and index.bound.high < least:
+            return self.typed_node(node, kind, Op.ELEMENT_SURE, parts, bound=bound)
+        return self.typed_node(node, kind, Op.ELEMENT, parts, bound=bound, faults=(out_of_range(node),))
 
-    def keyed(self, node: s.Node, operand: Typed, key: Typed, optional: bool, scope: Scope) -> Typed:
+    def check_key(self, node: s.Node, operand: Typed, key: Typed, optional: bool, scope: Scope) -> Typed:
         """Check a look-up in a map; it may fail unless a guard has shown that the key is there."""
         assert isinstance(operand.type, t.MapOf)
-        kind, bound = operand.type.value, operand.bound.inner or b.ANY
+        kind = operand.type.value
+        bound = operand.bound.inner or b.ANY
         if operand.type.folded:
-            key = folded(key)
+            key = fold_key(key)
+        parts = (operand, key)
         if optional:
-            return self.optional(node, kind, "key?", (operand, key), bound=bound)
-        written = (
-            operand.op == "map"
-            and key.op == "literal"
-            and key.detail in [part.detail for part in operand.parts[::2] if part.op == "literal"]
-        )
-        if written or key_fact(operand.node, key.node, operand.type.folded) in scope.known:
-            return self.made(node, kind, "key!", (operand, key), bound=bound)
+            return self.optional_node(node, kind, Op.KEY_OPTIONAL, parts, bound=bound)
+        is_shown = key_fact(operand.node, key.node, operand.type.folded) in scope.facts
+        if is_shown or is_literal_key(operand, key):
+            return self.typed_node(node, kind, Op.KEY_SURE, parts, bound=bound)
         text, name = show(operand.node), show(key.node)
         remedy = f"write {text}[?{name}].orValue(...), or guard it: {name} in {text} && ..."
         fault = Problem(node.at, f"{text}[{name}] may be missing", remedy)
-        return self.made(node, kind, "key", (operand, key), bound=bound, faults=(fault,))
+        return self.typed_node(node, kind, Op.KEY, parts, bound=bound, faults=(fault,))
+
+
+def is_literal_key(mapping: Typed, key: Typed) -> bool:
+    """Whether a literal key is one of a map literal."""
+    if mapping.op is not Op.MAP or not key.is_literal:
+        return False
+    return key.detail in [part.detail for part in mapping.parts[::2] if part.is_literal]
+
+
+def out_of_range(node: s.Index) -> Problem:
+    """The fault of an index that may lie outside of its list."""
+    text, index = show(node.operand), show(node.index)
+    remedy = f"write {text}[?{index}].orValue(...), or guard it: size({text}) > {index} && ..."
+    return Problem(node.at, f"{show(node)} may lie outside of the list", remedy)
--- a/stoatrouter/expressions/macros.py
+++ b/stoatrouter/expressions/macros.py
@@ -1,163 +1,134 @@
-"""Checks of optionals, has(), try() and the macros over lists."""
+"""Checks of has(), try() and the macros over lists (cel-spec, doc/langdef.md, "Macros")."""
 
 from __future__ import annotations
 
 from dataclasses import replace
+from typing import NamedTuple
 
 from stoatrouter.expressions import bounds as b
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
 from stoatrouter.expressions.checks import LIST_STEPS
-from stoatrouter.expressions.errors import Problem
-from stoatrouter.expressions.guards import facts, value_fact
+from stoatrouter.expressions.guards import shown_facts
 from stoatrouter.expressions.lookups import LookupChecks
 from stoatrouter.expressions.show import show
-from stoatrouter.expressions.typed import Scope, Typed, folded
+from stoatrouter.expressions.typed import Op, Scope, Typed, fold_key
+
+MACROS = ("all", "exists", "exists_one", "filter", "map")
+OPTIONAL_NAME = "optional"  # the receiver of optional.of(); no variable may have this name
+
+
+class MacroDetail(NamedTuple):
+    """Which macro a node is, its variable, and whether its first run part is a test."""
+
+    name: str
+    variable: str
+    has_test: bool
 
 
 class MacroChecks(LookupChecks):
-    """Checks optionals, has(), try() and the macros over lists."""
-
-    def has(self, node: s.Call, scope: Scope) -> Typed:
-        """Check has(); raises Stop where its argument is no field of a map."""
-        wanted = node.arguments[0]
-        if not isinstance(wanted, s.Select) or wanted.optional:
-            raise self.wrong(
-                node,
-                "has() wants a field of a map, like has(request.headers.host)",
-                "for other keys: 'name' in map",
-            )
-        path = s.path_of(wanted.operand)
+    """Checks has(), try() and the macros over lists; all raise UntypedError for what has no type."""
+
+    def check_has(self, node: s.Call, scope: Scope) -> Typed:
+        """Check has(), whose argument is a field of a map."""
+        field = node.arguments[0]
+        if not isinstance(field, s.Select) or field.optional:
+            what = "has() wants a field of a map, like has(request.headers.host)"
+            raise self.reject(node, what, "for other keys: 'name' in map")
+        path = s.path_of(field.operand)
         if path in self.environment.prefixes:
-            raise self.wrong(
-                node, f"has() wants a field of a map; {path!r} is none", "its fields are always there"
-            )
-        operand = self.of(wanted.operand, scope)
+            what = f"has() wants a field of a map; {path!r} is none"
+            raise self.reject(node, what, "its fields are always there")
+        operand = self.check_node(field.operand, scope)
         if not isinstance(operand.type, t.MapOf):
-            raise self.wrong(node, f"has() wants a field of a map, not of {operand.type}")
-        key = self.literal(s.Literal(wanted.at, 1, wanted.field_name, "string"))
-        key = folded(key) if operand.type.folded else key
-        return self.made(node, t.BOOL, "in map", (key, operand), bound=b.TRUTH)
-
-    def tried(self, node: s.Call, scope: Scope) -> Typed:
-        """Check try(): its part may fail, and then yields an empty optional; raises Stop."""
-        (part,) = self.all_of(node.arguments, scope)
+            raise self.reject(node, f"has() wants a field of a map, not of {operand.type}")
+        key = self.check_literal(s.Literal(field.at, 1, field.field_name, "string"))
+        key = fold_key(key) if operand.type.folded else key
+        return self.typed_node(node, t.BOOL, Op.IN_MAP, (key, operand), bound=b.BOOL_BOUND)
+
+    def check_try(self, node: s.Call, scope: Scope) -> Typed:
+        """Check try(): its part may fail, and then yields an empty optional."""
+        (part,) = self.check_siblings(node.arguments, scope)
         if not part.faults:
-            raise self.wrong(node, f"{show(node.arguments[0])} cannot fail", "leave try() away")
-        return replace(self.optional(node, part.type, "try", (part,), bound=part.bound), faults=())
-
-    def optional_of(self, node: s.Call, scope: Scope) -> Typed:
-        """Check optional.of(); raises Stop for other ways to make an optional."""
-        if node.function != "of" or len(node.arguments) != 1:
-            raise self.wrong(node, f"optional.{node.function} is left out", "use ?: with a value of the type")
-        parts = self.all_of(node.arguments, scope)
-        return self.optional(node, parts[0].type, "same", parts, bound=parts[0].bound)
-
-    def of_optional(self, node: s.Call, parts: tuple[Typed, ...], scope: Scope) -> Typed:
-        """Check hasValue, value, or and orValue; raises Stop."""
-        kind = parts[0].type
-        assert isinstance(kind, t.OptionalOf)
-        name, rest, bound = node.function, parts[1:], parts[0].bound
-        wanted = {"hasValue": (), "value": (), "orValue": (kind.value,), "or": (kind,)}[name]
-        if len(rest) != len(wanted) or any(
-            t.joined(r.type, w) is None for r, w in zip(rest, wanted, strict=True)
-        ):
-            raise self.wrong(
-                node,
-                f"{name} of {kind} wants ({', '.join(map(str, wanted))}), not "
-                f"({', '.join(str(r.type) for r in rest)})",
-            )
-        if name == "hasValue":
-            return self.made(node, t.BOOL, "has value", parts, bound=b.TRUTH)
-        if name == "value":
-            if value_fact(parts[0].node) in scope.known:
-                return self.made(node, kind.value, "same", parts, bound=bound)
-            text = show(parts[0].node)
-            fault = Problem(
-                node.at,
-                f"{text} may have no value",
-                f"write {text}.orValue(...), or guard it: {text}.hasValue() && ...",
-            )
-            return self.made(node, kind.value, "value", parts, bound=bound, faults=(fault,))
-        result = t.joined(kind.value if name == "orValue" else kind, rest[0].type)
-        assert result is not None
-        return self.made(node, result, "or", parts, bound=bound.joined(rest[0].bound))
-
-    def optional_map(self, node: s.Call, scope: Scope) -> Typed:
-        """Check optMap; raises Stop."""
-        assert node.receiver is not None
-        operand = self.of(node.receiver, scope)
-        if not isinstance(operand.type, t.OptionalOf):
-            raise self.wrong(node, f"optMap wants an optional, not {operand.type}")
-        inner = self.with_local(node, replace(operand, type=operand.type.value), scope)
-        body = self.of(node.arguments[1], inner)
-        return self.optional(
-            node, body.type, "optional map", (operand, body), bound=body.bound, detail=self.variable(node)
-        )
+            raise self.reject(node, f"{show(node.arguments[0])} cannot fail", "leave try() away")
+        return replace(self.optional_node(node, part.type, Op.TRY, (part,), bound=part.bound), faults=())
 
-    def variable(self, node: s.Call) -> str:
-        """The name of a macro's variable; raises Stop where there is none."""
+    def variable_name(self, node: s.Call) -> str:
+        """The name of a macro's variable."""
         name = node.arguments[0]
         if not isinstance(name, s.Name):
-            raise self.wrong(name, f"the first argument of {node.function} is the name of a variable")
+            raise self.reject(name, f"the first argument of {node.function} is the name of a variable")
         return name.name
 
-    def with_local(self, node: s.Call, element: Typed, scope: Scope) -> Scope:
-        """The scope within a macro, with its variable; raises Stop where the name is taken."""
-        name = self.variable(node)
-        taken = {v.partition(".")[0] for v in self.environment.variables} | set(scope.locals) | {"optional"}
+    def macro_scope(self, node: s.Call, element: Typed, scope: Scope) -> Scope:
+        """The scope within a macro, with its variable, which must not have a name that is taken."""
+        name = self.variable_name(node)
         # Guards the reader, and what guards have shown: within an expression a name means one thing.
-        if name in taken:
-            raise self.wrong(
-                node.arguments[0], f"{name!r} stands for something else already", "choose another name"
-            )
-        return Scope({**scope.locals, name: element}, scope.known)
-
-    def macro(self, node: s.Call, scope: Scope) -> Typed:
-        """Check a macro over a list, which costs its body once for each element; raises Stop."""
-        assert node.receiver is not None
-        name, count = node.function, len(node.arguments)
-        if count != 2 and not (name == "map" and count == 3):
-            raise self.wrong(node, f"{name} wants a variable and an expression")
-        items = self.of(node.receiver, scope)
-        if not isinstance(items.type, t.ListOf):
-            raise self.wrong(
-                node,
-                f"{name} wants a list, not {items.type}",
-                "macros over maps are left out" if isinstance(items.type, t.MapOf) else "",
-            )
-        most, inner_bound = items.bound.length, items.bound.inner or b.ANY
-        element = replace(items, type=items.type.element, bound=inner_bound)
-        inner = self.with_local(node, element, scope)
-        test = self.of(node.arguments[1], inner) if name != "map" or count == 3 else None
-        if test is not None and test.type != t.BOOL:
-            raise self.wrong(node.arguments[1], f"{name} wants a bool here, not {test.type}")
-        body = (
-            self.of(
-                node.arguments[-1],
-                inner.knowing(facts(node.arguments[1], True, self.environment) if count == 3 else ()),
-            )
-            if name == "map"
-            else None
-        )
-        run = tuple(part for part in (test, body) if part is not None)
-        if body is not None and isinstance(body.type, t.OptionalOf):
-            raise self.wrong(node.arguments[-1], "a list of optionals is left out", "use orValue first")
-        kind: t.Type = t.BOOL
-        bound = b.TRUTH
-        if name == "filter":
-            kind, bound = items.type, b.many(most, inner_bound)
-        elif body is not None:
-            kind = t.ListOf(body.type)
-            bound = b.many(most, body.bound, 0 if test is not None else items.bound.least)
-        makes = LIST_STEPS if name in ("filter", "map") else 0
-        return self.made(
+        if name in self.environment.top_names() | set(scope.variables) | {OPTIONAL_NAME}:
+            what = f"{name!r} stands for something else already"
+            raise self.reject(node.arguments[0], what, "choose another name")
+        return scope.with_variable(name, element)
+
+    def check_macro(self, node: s.Call, scope: Scope) -> Typed:
+        """Check a macro over a list, which costs its test and its body once for each element."""
+        name = node.function
+        items = self.check_macro_items(node, scope)
+        assert isinstance(items.type, t.ListOf)
+        element = replace(items, type=items.type.element, bound=items.bound.inner or b.ANY)
+        inner = self.macro_scope(node, element, scope)
+        has_test = name != "map" or len(node.arguments) == 3
+        run = []
+        if has_test:
+            run.append(self.check_macro_test(node, inner))
+        if name == "map":
+            run.append(self.check_map_body(node, inner, has_test))
+        kind, bound = macro_result(name, items, run[-1], has_test)
+        most = items.bound.length
+        return self.typed_node(
             node,
             kind,
-            "macro",
+            Op.MACRO,
             (items, *run),
-            detail=(name, self.variable(node), test is not None),
+            detail=MacroDetail(name, self.variable_name(node), has_test),
             bound=bound,
-            own=1 + makes + most,
+            own=1 + most + (LIST_STEPS if isinstance(kind, t.ListOf) else 0),
             repeats=(1, *(most for _ in run)),
         )
+
+    def check_macro_items(self, node: s.Call, scope: Scope) -> Typed:
+        """Check the list that a macro goes over, and how many arguments the macro has."""
+        assert node.receiver is not None
+        name = node.function
+        count = len(node.arguments)
+        if count != 2 and not (name == "map" and count == 3):
+            raise self.reject(node, f"{name} wants a variable and an expression")
+        items = self.check_node(node.receiver, scope)
+        if not isinstance(items.type, t.ListOf):
+            remedy = "macros over maps are left out" if isinstance(items.type, t.MapOf) else ""
+            raise self.reject(node, f"{name} wants a list, not {items.type}", remedy)
+        return items
+
+    def check_macro_test(self, node: s.Call, inner: Scope) -> Typed:
+        """Check the test of a macro, which is its second argument."""
+        test = self.check_node(node.arguments[1], inner)
+        if test.type != t.BOOL:
+            raise self.reject(node.arguments[1], f"{node.function} wants a bool here, not {test.type}")
+        return test
+
+    def check_map_body(self, node: s.Call, inner: Scope, has_test: bool) -> Typed:
+        """Check the body of map(), with what its test has shown."""
+        shown = shown_facts(node.arguments[1], True, self.environment) if has_test else ()
+        body = self.check_node(node.arguments[-1], inner.with_facts(shown))
+        if isinstance(body.type, t.OptionalOf):
+            raise self.reject(node.arguments[-1], "a list of optionals is left out", "use orValue first")
+        return body
+
+
+def macro_result(name: str, items: Typed, last: Typed, has_test: bool) -> tuple[t.Type, b.Bound]:
+    """The type and bound of what a macro yields; `last` is its body, or its test where it has none."""
+    most = items.bound.length
+    if name == "filter":
+        return items.type, b.list_bound(most, items.bound.inner or b.ANY)
+    if name == "map":
+        return t.ListOf(last.type), b.list_bound(most, last.bound, 0 if has_test else items.bound.least)
+    return t.BOOL, b.BOOL_BOUND
--- a/stoatrouter/expressions/operators.py
+++ b/stoatrouter/expressions/operators.py
@@ -3,141 +3,155 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from typing import NamedTuple
 
 from stoatrouter.expressions import bounds as b
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.checks import CheckerBase
-from stoatrouter.expressions.errors import Problem
-from stoatrouter.expressions.show import show
-from stoatrouter.expressions.typed import Scope, Typed, folded
+from stoatrouter.expressions.checks import CheckerBase, UntypedError, failure
+from stoatrouter.expressions.typed import Op, Scope, Typed, fold_key
 
-EQUAL, ARITHMETIC = ("==", "!="), ("+", "-", "*", "/", "%")
+EQUALITY = ("==", "!=")
+ORDERING = ("<", "<=", ">", ">=")
+ARITHMETIC = ("+", "-", "*", "/", "%")
+OPERATORS = (*EQUALITY, *ORDERING, "in", *ARITHMETIC, "!")
+DIVISION = ("/", "%")
+# The operators of each type of number; durations cannot be negated
+DEFINED: dict[t.Type, tuple[str, ...]] = {
+    t.INT: ARITHMETIC,
+    t.DOUBLE: ("+", "-", "*", "/"),
+    t.DURATION: ("+", "-"),
+}
+
+
+class ArithmeticDetail(NamedTuple):
+    """An operator, and whether Python's own has the same result: no overflow, no division of negatives."""
+
+    operator: str
+    unchecked: bool
 
 
 class OperatorChecks(CheckerBase):
-    """Checks operators and size()."""
+    """Checks operators and size(); all raise UntypedError for what has no type."""
 
-    def operator(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
-        """Check an operator; raises Stop where it is not defined for these types."""
-        name, kinds = node.function, [part.type for part in parts]
+    def check_operator(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
+        """Check an operator by its symbol."""
+        name = node.function
         if name == "!":
-            if kinds != [t.BOOL]:
-                raise self.wrong(node, f"! wants bool, not {kinds[0]}")
-            return self.made(node, t.BOOL, "not", parts, bound=b.TRUTH)
+            if parts[0].type != t.BOOL:
+                raise self.reject(node, f"! wants bool, not {parts[0].type}")
+            return self.typed_node(node, t.BOOL, Op.NOT, parts, bound=b.BOOL_BOUND)
         if name == "in":
-            return self.contained(node, parts)
+            return self.check_in(node, parts)
         if name in ARITHMETIC:
-            return self.arithmetic(node, parts)
+            return self.check_arithmetic(node, parts)
+        return self.check_comparison(node, parts)
+
+    def check_comparison(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
+        """Check an equality or an order of two values of one type."""
         left, right = parts
-        kind = t.joined(*kinds)
-        fine = kind is not None and (t.equatable(kind) if name in EQUAL else kind in t.COMPARABLE)
-        # Guards the meaning of NaN: lists of doubles would be compared by identity first.
-        if not fine or (
-            isinstance(kind, t.ListOf) and t.DOUBLE in (kind.element, getattr(kind.element, "element", 0))
-        ):
-            raise self.wrong(
-                node,
-                f"{name} is not defined for {kinds[0]} and {kinds[1]}",
-                "convert one of them" if kinds[0] != kinds[1] else "",
-            )
-        return self.made(
-            node,
-            t.BOOL,
-            "compare",
-            parts,
-            detail=name,
-            bound=b.TRUTH,
-            own=b.comparing(left.bound, right.bound),
+        kind = t.common_type(left.type, right.type)
+        if kind is None or not is_comparable(kind, node.function):
+            raise self.reject_operands(node, parts)
+        own = b.comparison_steps(left.bound, right.bound)
+        return self.typed_node(
+            node, t.BOOL, Op.COMPARE, parts, detail=node.function, bound=b.BOOL_BOUND, own=own
         )
 
-    def contained(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
-        """Check `in` over a list or map; raises Stop."""
+    def check_in(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
+        """Check `in` over a list or map."""
         item, items = parts
         if isinstance(items.type, t.MapOf) and item.type == t.STRING:
-            if items.type.folded:
-                item = folded(item)
-            return self.made(
-                node, t.BOOL, "in map", (item, items), bound=b.TRUTH, own=1 + b.walk(item.bound.length)
-            )
-        if (
-            not isinstance(items.type, t.ListOf)
-            or t.joined(items.type.element, item.type) is None
-            or not t.equatable(item.type)
-            or isinstance(item.type, t.ListOf)
-        ):
-            raise self.wrong(node, f"in is not defined for {item.type} and {items.type}")
-        each = b.comparing(item.bound, items.bound.inner or b.ANY)
-        return self.made(node, t.BOOL, "in list", parts, bound=b.TRUTH, own=1 + each * items.bound.length)
+            key = fold_key(item) if items.type.folded else item
+            own = 1 + b.walk_steps(key.bound.length)
+            return self.typed_node(node, t.BOOL, Op.IN_MAP, (key, items), bound=b.BOOL_BOUND, own=own)
+        if not isinstance(items.type, t.ListOf) or not is_element(item.type, items.type):
+            raise self.reject(node, f"in is not defined for {item.type} and {items.type}")
+        each = b.comparison_steps(item.bound, items.bound.inner or b.ANY)
+        own = 1 + each * items.bound.length
+        return self.typed_node(node, t.BOOL, Op.IN_LIST, parts, bound=b.BOOL_BOUND, own=own)
 
-    def arithmetic(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
-        """Check + - * / % and the sign, concatenation included; raises Stop."""
-        name, kinds = node.function, [part.type for part in parts]
+    def check_arithmetic(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
+        """Check + - * / % and the sign, concatenation included."""
         if len(parts) == 1:
-            zero = replace(parts[0], bound=b.whole(0, 0))
-            return self.numbers(node, "-", (zero, parts[0]), parts)
+            zero = replace(parts[0], bound=b.int_bound(0, 0))
+            return self.check_numeric(node, (zero, parts[0]), parts)
         left, right = (part.bound for part in parts)
-        kind = t.joined(*kinds)
-        if name == "+" and kind in (t.STRING, t.BYTES):
+        kind = t.common_type(parts[0].type, parts[1].type)
+        if node.function != "+" or kind is None:
+            return self.check_numeric(node, parts, parts)
+        if isinstance(kind, t.ListOf):
+            inner = [bound.inner for bound in (left, right) if bound.inner is not None and bound.length]
+            element = inner[0].union(inner[-1]) if inner else b.ANY
+            bound = b.list_bound(left.length + right.length, element, left.least + right.least)
+        elif kind in (t.STRING, t.BYTES):
             bound = b.Bound(left.length + right.length, left.least + right.least)
-            return self.made(node, kind, "add", parts, bound=bound, own=1 + b.walk(bound.length))
-        if name == "+" and isinstance(kind, t.ListOf):
-            inner = [x.inner for x in (left, right) if x.inner is not None and x.length]
-            bound = b.many(
-                left.length + right.length,
-                inner[0].joined(inner[-1]) if inner else b.ANY,
-                left.least + right.least,
-            )
-            return self.made(node, kind, "add", parts, bound=bound, own=1 + b.walk(bound.length))
-        return self.numbers(node, name, parts, parts)
-
-    def numbers(
-        self, node: s.Call, name: str, operands: tuple[Typed, ...], parts: tuple[Typed, ...]
-    ) -> Typed:
-        """Check arithmetic of numbers, which may overflow unless their bounds rule it out; raises Stop."""
+        else:
+            return self.check_numeric(node, parts, parts)
+        return self.typed_node(node, kind, Op.ADD, parts, bound=bound, own=1 + b.walk_steps(bound.length))
+
+    def check_numeric(self, node: s.Call, operands: tuple[Typed, ...], parts: tuple[Typed, ...]) -> Typed:
+        """Check arithmetic of numbers, which may overflow unless their bounds rule it out.
+
+        The operands of a sign are a zero and its part.
+        """
+        name = node.function
         kind = parts[0].type
-        allowed = {t.INT: ARITHMETIC, t.DOUBLE: ("+", "-", "*", "/"), t.DURATION: ("+", "-")}
+        negates = len(parts) == 1
         if (
             any(part.type != kind for part in parts)
-            or name not in allowed.get(kind, ())
-            or (len(parts) == 1 and kind == t.DURATION)
+            or name not in DEFINED.get(kind, ())
+            or (negates and kind == t.DURATION)
         ):
-            raise self.wrong(
-                node,
-                f"{name} is not defined for " + " and ".join(str(p.type) for p in parts),
-                "convert one of them" if len({p.type for p in parts}) > 1 else "",
-            )
-        op = "negate" if len(parts) == 1 else "arithmetic"
+            raise self.reject_operands(node, parts)
+        op = Op.NEGATE if negates else Op.ARITHMETIC
         if kind == t.DOUBLE:
-            return self.made(node, kind, op, parts, detail=(name, True))
-        left, right = (o.bound for o in operands)
-        if name in "/%":
-            low, high = b.quotient(name, left, right)
-            faulty = right.low <= 0 <= right.high and "the divisor may be 0"
-            faulty = faulty or (not b.fits(low, high) and "it may overflow")
-        else:
-            low, high = b.arithmetic(name, left, right)
-            faulty = not b.fits(low, high, kind) and "it may overflow"
-        faults = (
-            (
-                Problem(
-                    node.at,
-                    f"{show(node)} may fail: {faulty}",
-                    f"give it a fallback: try({show(node)}).orValue(...)",
-                ),
-            )
-            if faulty
-            else ()
-        )
-        simple = not faulty and (name not in "/%" or (left.low >= 0 and right.low >= 0))
-        return self.made(
-            node, kind, op, parts, detail=(name, simple), bound=b.clipped(low, high, kind), faults=faults
+            return self.typed_node(node, kind, op, parts, detail=ArithmeticDetail(name, True))
+        left, right = (operand.bound for operand in operands)
+        interval = b.division_interval if name in DIVISION else b.arithmetic_interval
+        low, high = interval(name, left, right)
+        why = why_failing(name, right, b.fits_type(low, high, kind))
+        faults = (failure(node, why),) if why else ()
+        truncates = name in DIVISION and (left.low < 0 or right.low < 0)
+        detail = ArithmeticDetail(name, not why and not truncates)
+        bound = b.clip(low, high, kind)
+        return self.typed_node(node, kind, op, parts, detail=detail, bound=bound, faults=faults)
+
+    def reject_operands(self, node: s.Call, parts: tuple[Typed, ...]) -> UntypedError:
+        """Record that an operator is not defined for these types; as `reject`."""
+        kinds = [part.type for part in parts]
+        remedy = "convert one of them" if len(set(kinds)) > 1 else ""
+        return self.reject(
+            node, f"{node.function} is not defined for " + " and ".join(map(str, kinds)), remedy
         )
 
-    def size(self, node: s.Call, parts: tuple[Typed, ...], scope: Scope) -> Typed:
-        """Check size(); raises Stop where the value has none."""
+    def check_size(self, node: s.Call, parts: tuple[Typed, ...], scope: Scope) -> Typed:
+        """Check size() of a text, bytes, a list or a map."""
         (part,) = parts
         if part.type not in (t.STRING, t.BYTES) and not isinstance(part.type, t.ListOf | t.MapOf):
-            raise self.wrong(node, f"{part.type} has no size")
-        least = max(part.bound.least, scope.longest(part.node))
-        return self.made(node, t.INT, "size", parts, bound=b.whole(least, max(least, part.bound.length)))
+            raise self.reject(node, f"{part.type} has no size")
+        least = max(part.bound.least, scope.least_length(part.node))
+        bound = b.int_bound(least, max(least, part.bound.length))
+        return self.typed_node(node, t.INT, Op.SIZE, parts, bound=bound)
+
+
+def is_comparable(kind: t.Type, operator: str) -> bool:
+    """Whether values of a type can be compared by an operator."""
+    # Guards the meaning of NaN: lists of doubles would be compared by identity first.
+    if isinstance(kind, t.ListOf) and t.DOUBLE in (kind.element, getattr(kind.element, "element", None)):
+        return False
+    return t.is_equatable(kind) if operator in EQUALITY else kind in t.COMPARABLE
+
+
+def is_element(kind: t.Type, items: t.ListOf) -> bool:
+    """Whether a list may have an element of a type that can be looked for; lists in lists cannot."""
+    if isinstance(kind, t.ListOf) or not t.is_equatable(kind):
+        return False
+    return t.common_type(items.element, kind) is not None
+
+
+def why_failing(operator: str, divisor: b.Bound, fits: bool) -> str:
+    """Why arithmetic of ints or durations may fail; empty where it cannot."""
+    if operator in DIVISION and divisor.low <= 0 <= divisor.high:
+        return "the divisor may be 0"
+    return "" if fits else "it may overflow"
--- a/stoatrouter/expressions/prepared.py
+++ b/stoatrouter/expressions/prepared.py
@@ -1,22 +1,27 @@
-"""What is made once, at load, of a literal: a regular expression, a network, a duration."""
+"""What is prepared once, at load, of a literal: the matcher of a regular expression, or a network."""
 
 from __future__ import annotations
 
 import ipaddress
 from collections.abc import Callable
-from datetime import timedelta
 
-from stoatrouter.expressions.runtime import Network, duration_of_text
+from stoatrouter.expressions.runtime import Network
 
-MOST_PATTERN_MEMORY = 1 << 20  # bytes that RE2 may take for a pattern and its automata
+MAX_PATTERN_MEMORY = 1 << 20  # bytes that RE2 may take for a pattern and its automata
 
 
-def pattern(text: str) -> Callable[[str], bool]:
-    """Whether an RE2 pattern is found anywhere in a text; linear in the text. ValueError where it is none."""
-    import re2
+def compile_pattern(text: str) -> Callable[[str], bool]:
+    """A function that tells whether an RE2 pattern is found anywhere in a text, in linear time.
+
+    Raises:
+        ValueError: It is no pattern, or takes more than `MAX_PATTERN_MEMORY`.
+    """
+    import re2  # type: ignore[import-untyped]  # google-re2 ships neither stubs nor a marker
 
     options = re2.Options()
-    options.max_mem, options.log_errors, options.never_capture = MOST_PATTERN_MEMORY, False, True
+    options.max_mem = MAX_PATTERN_MEMORY
+    options.log_errors = False
+    options.never_capture = True
     try:
         compiled = re2.compile(text, options)
     except re2.error as error:
@@ -26,19 +31,20 @@
     matcher = compiled._regexp
     unanchored, match = type(matcher).Anchor.UNANCHORED, matcher.Match
 
-    def found(searched: str) -> bool:
+    def is_found(searched: str) -> bool:
         data = searched.encode()
-        return match(unanchored, data, 0, len(data))[0][0] >= 0
+        start: int = match(unanchored, data, 0, len(data))[0][0]
+        return start >= 0
+
+    return is_found
 
-    return found
 
+def parse_network(text: str) -> Network:
+    """A network in CIDR notation.
 
-def network(text: str) -> Network:
-    """A network in CIDR notation; ValueError where it is none, or has bits beyond its prefix."""
+    Raises:
+        ValueError: It is none, or has bits beyond its prefix.
+    """
     if "/" not in text or "%" in text:
         raise ValueError("a network is written like 10.0.0.0/8")
     return ipaddress.ip_network(text)
-
-
-def duration(text: str) -> timedelta:
-    return duration_of_text(text)
--- a/stoatrouter/expressions/show.py
+++ b/stoatrouter/expressions/show.py
@@ -6,54 +6,56 @@
 
 from stoatrouter.expressions import syntax as s
 
-LONGEST = 60
+LONGEST_TEXT = 60  # characters of an expression in a message
+ELLIPSIS = "..."
 
 
 def show(node: s.Node) -> str:
-    """The text of a node, cut where it is long."""
-    text = written(node)
-    return text if len(text) <= LONGEST else text[: LONGEST - 3] + "..."
+    """The text of a node, cut to `LONGEST_TEXT` characters."""
+    text = format_node(node)
+    return text if len(text) <= LONGEST_TEXT else text[: LONGEST_TEXT - len(ELLIPSIS)] + ELLIPSIS
 
 
-def written(node: s.Node) -> str:
+def format_node(node: s.Node) -> str:
     """The whole text of a node, in a form that parses to the same node."""
     match node:
         case s.Literal():
-            return literal(node)
+            return format_literal(node)
         case s.Name():
             return node.name
         case s.Select():
-            return f"{written(node.operand)}.{'?' if node.optional else ''}{node.field_name}"
+            return f"{format_node(node.operand)}.{'?' if node.optional else ''}{node.field_name}"
         case s.Index():
-            return f"{written(node.operand)}[{'?' if node.optional else ''}{written(node.index)}]"
+            mark = "?" if node.optional else ""
+            return f"{format_node(node.operand)}[{mark}{format_node(node.index)}]"
         case s.Logic():
-            return "(" + f" {node.operator} ".join(map(written, node.terms)) + ")"
+            return "(" + f" {node.operator} ".join(map(format_node, node.terms)) + ")"
         case s.Conditional():
-            return f"({written(node.condition)} ? {written(node.then)} : {written(node.other)})"
+            condition, then, other = map(format_node, (node.condition, node.then, node.other))
+            return f"({condition} ? {then} : {other})"
         case s.ListLiteral():
-            return f"[{', '.join(map(written, node.items))}]"
+            return f"[{', '.join(map(format_node, node.items))}]"
         case s.MapLiteral():
-            return "{" + ", ".join(f"{written(k)}: {written(v)}" for k, v in node.items) + "}"
+            return "{" + ", ".join(f"{format_node(k)}: {format_node(v)}" for k, v in node.items) + "}"
         case s.Call():
-            return call(node)
+            return format_call(node)
     raise AssertionError(node)
 
 
-def call(node: s.Call) -> str:
-    arguments = [written(argument) for argument in node.arguments]
-    if not node.function.isidentifier() or node.function == "in":
-        if len(arguments) == 1:
-            return (
-                f"{node.function}({arguments[0]})"
-                if node.function == "-"
-                else f"{node.function}{arguments[0]}"
-            )
-        return f"({arguments[0]} {node.function} {arguments[1]})"
-    receiver = f"{written(node.receiver)}." if node.receiver is not None else ""
-    return f"{receiver}{node.function}({', '.join(arguments)})"
+def format_call(node: s.Call) -> str:
+    """The text of an operator with its operands, in parentheses, or of a call of a function or method."""
+    name = node.function
+    arguments = [format_node(argument) for argument in node.arguments]
+    if name.isidentifier() and name != "in":
+        receiver = f"{format_node(node.receiver)}." if node.receiver is not None else ""
+        return f"{receiver}{name}({', '.join(arguments)})"
+    if len(arguments) > 1:
+        return f"({arguments[0]} {name} {arguments[1]})"
+    return f"{name}({arguments[0]})" if name == "-" else f"{name}{arguments[0]}"
 
 
-def literal(node: s.Literal) -> str:
+def format_literal(node: s.Literal) -> str:
+    """The text of a literal; a string in JSON's form, bytes by their escapes."""
     if isinstance(node.value, bool):
         return "true" if node.value else "false"
     if isinstance(node.value, bytes):
--- a/stoatrouter/expressions/syntax.py
+++ b/stoatrouter/expressions/syntax.py
@@ -1,5 +1,8 @@
-"""The syntax tree. Nodes compare by structure, not by position, so that the checker can tell when a guard and
-a look-up mean the same."""
+"""The syntax tree (cel-spec, doc/langdef.md, "Syntax").
+
+Nodes compare by structure, not by position, so that the checker can tell when a guard and a look-up mean the
+same.
+"""
 
 from __future__ import annotations
 
@@ -7,40 +10,50 @@
 
 from stoatrouter.expressions.errors import Position
 
-DEEPEST = 100  # of nested operations; a deeper expression is refused while it is parsed
+MAX_DEPTH = 100  # of nested operations; a deeper expression is rejected while it is parsed
+
+Value = bool | int | float | str | bytes  # of a literal
 
 
 @dataclass(slots=True, frozen=True)
 class Node:
+    """Any node: where it stands in the source, and how many levels of nodes it has, itself included."""
+
     at: Position = field(compare=False, repr=False)
     depth: int = field(compare=False, repr=False)
 
 
 @dataclass(slots=True, frozen=True)
 class Literal(Node):
-    value: bool | int | float | str | bytes
-    kind: str = "int"  # the name of its type: 1 and 1.0 and true are not the same
+    """A literal; `kind` is the name of its type, as 1 and 1.0 and true are equal in Python."""
+
+    value: Value
+    kind: str = "int"
 
 
 @dataclass(slots=True, frozen=True)
 class Name(Node):
+    """A name by itself: an input, or the variable of a macro."""
+
     name: str
 
 
 @dataclass(slots=True, frozen=True)
 class Select(Node):
-    """`a.b`: a field of the environment, or the value under the key 'b' of a map."""
+    """`a.b`: a field of the environment, or the value under the key 'b' of a map; `a.?b` where optional."""
 
     operand: Node
     field_name: str
-    optional: bool = False  # a.?b
+    optional: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Index(Node):
+    """`a[b]`: an element of a list, or the value under a key of a map; `a[?b]` where optional."""
+
     operand: Node
     index: Node
-    optional: bool = False  # a[?b]
+    optional: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,6 +64,11 @@
     arguments: tuple[Node, ...]
     receiver: Node | None = None
 
+    @property
+    def operands(self) -> tuple[Node, ...]:
+        """The receiver, if there is one, and the arguments."""
+        return self.arguments if self.receiver is None else (self.receiver, *self.arguments)
+
 
 @dataclass(slots=True, frozen=True)
 class Logic(Node):
@@ -62,6 +80,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Conditional(Node):
+    """`condition ? then : other`."""
+
     condition: Node
     then: Node
     other: Node
@@ -69,11 +89,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ListLiteral(Node):
+    """`[a, b]`."""
+
     items: tuple[Node, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class MapLiteral(Node):
+    """`{a: b}`; the items are pairs of a key and a value."""
+
     items: tuple[tuple[Node, Node], ...]
 
 
--- a/stoatrouter/matching/inputs.py
+++ b/stoatrouter/matching/inputs.py
@@ -14,7 +14,7 @@
 from urllib.parse import unquote_to_bytes
 
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.bounds import Bound, many, text, whole
+from stoatrouter.expressions.bounds import Bound, int_bound, list_bound, text_bound
 from stoatrouter.expressions.environment import Environment, Variable
 from stoatrouter.expressions.runtime import Fields
 
@@ -25,26 +25,30 @@
 STRINGS = t.MapOf(t.STRING, repeated=True)
 HTTP = Environment(
     {
-        "request.method": Variable(t.STRING, "method", text(MOST_METHOD, 1)),
-        "request.host": Variable(t.STRING, "host", text(MOST_HOST)),
-        "request.path": Variable(t.STRING, "path", text(MOST_PATH, 1)),
-        "request.segments": Variable(t.ListOf(t.STRING), "segments", many(MOST_SEGMENTS, text(MOST_SEGMENT))),
+        "request.method": Variable(t.STRING, "method", text_bound(MOST_METHOD, 1)),
+        "request.host": Variable(t.STRING, "host", text_bound(MOST_HOST)),
+        "request.path": Variable(t.STRING, "path", text_bound(MOST_PATH, 1)),
+        "request.segments": Variable(
+            t.ListOf(t.STRING), "segments", list_bound(MOST_SEGMENTS, text_bound(MOST_SEGMENT))
+        ),
         "request.headers": Variable(
-            t.MapOf(t.STRING, folded=True, repeated=True), "headers", many(MOST_FIELDS, text(MOST_VALUE))
+            t.MapOf(t.STRING, folded=True, repeated=True),
+            "headers",
+            list_bound(MOST_FIELDS, text_bound(MOST_VALUE)),
         ),
-        "request.query": Variable(STRINGS, "query", many(MOST_PAIRS, text(MOST_QUERY))),
-        "request.cookies": Variable(STRINGS, "cookies", many(MOST_PAIRS, text(MOST_VALUE))),
-        "request.size": Variable(t.INT, "size", whole(-1, MOST_SIZE)),
-        "request.class": Variable(t.STRING, "request_class", text(64)),
+        "request.query": Variable(STRINGS, "query", list_bound(MOST_PAIRS, text_bound(MOST_QUERY))),
+        "request.cookies": Variable(STRINGS, "cookies", list_bound(MOST_PAIRS, text_bound(MOST_VALUE))),
+        "request.size": Variable(t.INT, "size", int_bound(-1, MOST_SIZE)),
+        "request.class": Variable(t.STRING, "request_class", text_bound(64)),
         "source.ip": Variable(t.IP, "ip", Bound()),
     }
 )
 OBJECTS = Environment(
     {
         **HTTP.variables,
-        "object.bucket": Variable(t.STRING, "bucket", text(63)),
-        "object.key": Variable(t.STRING, "key", text(1024)),
-        "object.operation": Variable(t.STRING, "operation", text(32, 1)),
+        "object.bucket": Variable(t.STRING, "bucket", text_bound(63)),
+        "object.key": Variable(t.STRING, "key", text_bound(1024)),
+        "object.operation": Variable(t.STRING, "operation", text_bound(32, 1)),
     }
 )
 
--- a/stoatrouter/matching/values.py
+++ b/stoatrouter/matching/values.py
@@ -7,8 +7,8 @@
 
 from stoatrouter.expressions import Checked, Environment, ExpressionError
 from stoatrouter.expressions import types as t
+from stoatrouter.expressions.conversions import duration_of_text
 from stoatrouter.expressions.errors import EvaluationError
-from stoatrouter.expressions.runtime import duration_of_text
 from stoatrouter.matching.cache import Cache
 from stoatrouter.matching.conjuncts import Condition
 from stoatrouter.matching.flaws import Flaw
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -17,7 +17,7 @@
 
 from stoatrouter import expressions as ex
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.show import written
+from stoatrouter.expressions.show import format_node
 from stoatrouter.matching.inputs import HTTP, read_input
 from tests.reference import Fault, Opt, Reference
 
@@ -204,7 +204,7 @@
 @given(expressions("b", 3))
 def test_what_is_shown_reads_as_it_was(source):
     tree = ex.parse(source)
-    assert ex.parse(written(tree)) == tree
+    assert ex.parse(format_node(tree)) == tree
 
 
 @settings(DETERMINED, max_examples=1500)
--- a/tests/test_matching.py
+++ b/tests/test_matching.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from stoatrouter.expressions import parse
-from stoatrouter.expressions.parser import LONGEST
+from stoatrouter.expressions.parser import MAX_LENGTH
 from stoatrouter.matching import index
 from stoatrouter.matching.conjuncts import condition
 from stoatrouter.matching.coverage import Coverage
@@ -227,7 +227,7 @@
 def test_hostile_sources_in_a_table_are_flaws_with_a_place():
     with pytest.raises(TableError) as refusal:
         table(
-            rule("long", "(" * (LONGEST + 1)),
+            rule("long", "(" * (MAX_LENGTH + 1)),
             rule("open", "((("),
             rule("loop", "request.segments.map(x, x).map("),
         )
