--- a/stoatrouter/expressions/__init__.py
+++ b/stoatrouter/expressions/__init__.py
@@ -1,7 +1,7 @@
 """A named subset of the Common Expression Language: parsed, typed, bounded and compiled once, at load.
 
 It knows nothing of HTTP, sockets or clocks: an `Environment` names the inputs, their types and their bounds.
-What is kept of CEL, what is left out and where it is stricter: docs/expressions.md.
+What is there of CEL, what is left out and where it is stricter: docs/expressions.md.
 """
 
 from stoatrouter.expressions.checker import check
@@ -29,6 +29,13 @@
 def load(source: str, environment: Environment, want: object = None, limits: Limits | None = None) -> Program:
     """Parse, check and compile one expression.
 
-    `want` is the type that it must yield (any, where None). Raises ExpressionError with every problem found.
+    Args:
+        source: The expression.
+        environment: The inputs that it may refer to.
+        want: The type that it must yield; any type where it is None.
+        limits: What it may take; the default limits where it is None.
+
+    Raises:
+        ExpressionError: Every problem that was found.
     """
     return compile_checked(check(parse(source), environment, want, limits or Limits()))
--- a/stoatrouter/expressions/functions.py
+++ b/stoatrouter/expressions/functions.py
@@ -303,8 +303,8 @@
 }
 
 
-def accepts(wanted: t.Type, given: t.Type) -> bool:
-    """Whether a value of one type may stand where another is wanted."""
-    if isinstance(wanted, t.MapOf) and wanted.repeated:
+def accepts(declared: t.Type, given: t.Type) -> bool:
+    """Whether an argument of one type may be given where a function declares another."""
+    if isinstance(declared, t.MapOf) and declared.repeated:
         return isinstance(given, t.MapOf) and given.repeated
-    return t.common_type(wanted, given) == wanted
+    return t.common_type(declared, given) == declared
--- a/stoatrouter/expressions/runtime.py
+++ b/stoatrouter/expressions/runtime.py
@@ -234,9 +234,9 @@
     return sum(truths) == 1
 
 
-def contains_double(wanted: float, items: list[float]) -> bool:
+def contains_double(number: float, items: list[float]) -> bool:
     """`in` by ==, so that NaN is in no list (Python's own asks for identity first)."""
-    return any(wanted == item for item in items)
+    return any(number == item for item in items)
 
 
 def join(items: Iterable[str], between: str = "") -> str:
--- a/stoatrouter/settings/literals.py
+++ b/stoatrouter/settings/literals.py
@@ -35,7 +35,7 @@
         self.remedy = remedy
 
 
-def number(literal: str) -> int | float:
+def read_number(literal: str) -> int | float:
     """The value of a number without a sign, its multiplier (`64Ki`) included.
 
     Raises:
@@ -57,17 +57,17 @@
     return int(digits) * factor
 
 
-def string(literal: str) -> str:
+def read_string(literal: str) -> str:
     """The value of a string in one line, within `"`."""
     return unescape(literal[1:-1])
 
 
-def multiline_string(literal: str) -> str:
+def read_multiline(literal: str) -> str:
     '''The value of a string of several lines, within `"""`.'''
     return unescape(dedent(literal[4:-3]))
 
 
-def raw_string(literal: str) -> str:
+def read_raw(literal: str) -> str:
     r"""The value of a string within `#"` and `"#`, in which only `\#` would be an escape.
 
     Raises:
--- a/stoatrouter/settings/parser.py
+++ b/stoatrouter/settings/parser.py
@@ -163,12 +163,12 @@
 
     def import_(self, parts: Parts) -> s.Import:
         """An import without a name: it has the one after the path's colon, or else its last segment."""
-        path = self.value(parts[0], literals.string)
+        path = self.value(parts[0], literals.read_string)
         return s.Import(path.rpartition("/")[2].rpartition(":")[2], path, self.place(parts[0]))
 
     def import_as(self, parts: Parts) -> s.Import:
         """An import that gives the package a name."""
-        return s.Import(str(parts[0]), self.value(parts[1], literals.string), self.place(parts[0]))
+        return s.Import(str(parts[0]), self.value(parts[1], literals.read_string), self.place(parts[0]))
 
     # -- declarations -------------------------------------------------------------------------------------
     def decls(self, parts: Parts) -> Parts:
@@ -212,7 +212,7 @@
 
     def label_of_string(self, token: Token, mark: Mark) -> Label:
         """A label in quotes."""
-        return Label(self.value(token, literals.string), mark, self.place(token))
+        return Label(self.value(token, literals.read_string), mark, self.place(token))
 
     def regular(self, parts: Parts) -> Label:
         """The label of a field that has a value: `name`."""
@@ -293,23 +293,23 @@
 
     def number(self, parts: Parts) -> s.Node:
         """A number without a sign."""
-        return s.Atom(self.place(parts[0]), self.value(parts[0], literals.number))
+        return s.Atom(self.place(parts[0]), self.value(parts[0], literals.read_number))
 
     def negative(self, parts: Parts) -> s.Node:
         """A number with a minus."""
-        return s.Atom(self.place(parts[0]), -self.value(parts[0], literals.number))
+        return s.Atom(self.place(parts[0]), -self.value(parts[0], literals.read_number))
 
     def string(self, parts: Parts) -> s.Node:
         """A string in one line."""
-        return s.Atom(self.place(parts[0]), self.value(parts[0], literals.string))
+        return s.Atom(self.place(parts[0]), self.value(parts[0], literals.read_string))
 
     def multiline(self, parts: Parts) -> s.Node:
         """A string of several lines."""
-        return s.Atom(self.place(parts[0]), self.value(parts[0], literals.multiline_string))
+        return s.Atom(self.place(parts[0]), self.value(parts[0], literals.read_multiline))
 
     def raw(self, parts: Parts) -> s.Node:
         """A string without escapes, in one line or several."""
-        return s.Atom(self.place(parts[0]), self.value(parts[0], literals.raw_string))
+        return s.Atom(self.place(parts[0]), self.value(parts[0], literals.read_raw))
 
     # -- structs and lists --------------------------------------------------------------------------------
     def struct(self, parts: Parts) -> s.Struct:
