--- a/stoatrouter/policy/dispatch.py
+++ b/stoatrouter/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends what waits at a node by priority, and gives up what cannot be in time. Terms: interface.py."""
+"""Sends what waits at a node by priority, and sheds what cannot be in time. Terms: interface.py."""
 
 from __future__ import annotations
 
@@ -29,18 +29,17 @@
         self.rules = rules
         self.lifecycle = lifecycle
         self.retry_budget = retry_budget
-        self.fair_excess = 0.0  # units beyond the reserve per weight, over the volumes that wait at a node
 
     def dispatch(self, node: Node, now: int) -> None:
-        """Send what the node's window lets through; answer what is given up."""
+        """Send what the node's window lets through, and shed what waits in vain."""
         if not node.pending or not node.accepts(now):
             return
         if node.has_capacity(now):  # else what waits need not be ordered
             self._send_by_priority(node, now)
-        for request in [r for r in node.pending.values() if self.is_given_up(r, node, now)]:
+        for request in [r for r in node.pending.values() if self.should_shed(r, node, now)]:
             self.lifecycle.finish(request, now)
 
-    def is_given_up(self, request: Request, node: Node, now: int) -> bool:
+    def should_shed(self, request: Request, node: Node, now: int) -> bool:
         """Whether a waiting request will not be sent any more, as far as is known.
 
         A token bucket, a warming-up node's part, a pace or whatever else holds it too long: its client hears
@@ -60,8 +59,8 @@
     def _send_by_priority(self, node: Node, now: int) -> None:
         """Send the highest priority first, as long as the node has capacity."""
         waiting = node.pending.values()
-        self.fair_excess = fair_excess(list(waiting))
-        for request in sorted(waiting, key=lambda r: self.priority(r, node, now), reverse=True):
+        fair = excess_per_weight(list(waiting))
+        for request in sorted(waiting, key=lambda r: self.priority(r, node, fair, now), reverse=True):
             if not node.has_capacity(now):
                 break
             if request.wait_until > now or self.rules.blocked_until(request, node, now):
@@ -73,15 +72,15 @@
                 break
             self._send(request, node, now)
 
-    def priority(self, request: Request, node: Node, now: int) -> tuple[int, int]:
+    def priority(self, request: Request, node: Node, fair_excess: float, now: int) -> tuple[int, int]:
         """The order of sending: priority weight per unit still due if sent now, then the nearest objective.
 
         The latency objective stands for the work that a unit of the class is. Weights within a factor of two
-        are as good as equal.
+        are as good as equal. `fair_excess` is that of all that wait at the node.
         """
         request_class = request.request_class
         value = request_class.priority_weight * request.volume.plan.price
-        value *= self._quota_factor(request, now)
+        value *= self._quota_factor(request, fair_excess, now)
         value = value * self.state.tightest_objective / request_class.latency_objective
         if request.is_late(node, now):
             value *= request_class.late_weight_factor
@@ -89,12 +88,12 @@
             value *= CACHED_KEY_BONUS
         return round(math.log2(value + TINY)), -request.objective_at
 
-    def _quota_factor(self, request: Request, now: int) -> float:
+    def _quota_factor(self, request: Request, fair_excess: float, now: int) -> float:
         """The part of the priority weight due: all within the reserve, less within or beyond the quota."""
         volume = request.volume.refill(now)
         if volume.reserve >= request.units / 2:
             return 1.0
-        if volume.excess <= EXCESS_MARGIN * self.fair_excess * volume.plan.weight:
+        if volume.excess <= EXCESS_MARGIN * fair_excess * volume.plan.weight:
             return self.state.settings.quota_weight_factor
         return self.state.settings.excess_weight_factor
 
@@ -103,7 +102,7 @@
         volume = request.volume.refill(now)
         node.pending.pop(request.id)
         if request.attempts:
-            self.retry_budget.retries.append(now)
+            self.retry_budget.note_retry(now)
         if not request.charged:
             volume.charge(request.units)
             request.charged = True
@@ -113,7 +112,7 @@
         self.state.actions.append(api.Send(request.id, node.id, request.deadline - now))
 
 
-def fair_excess(waiting: list[Request]) -> float:
+def excess_per_weight(waiting: list[Request]) -> float:
     """The excess per weight of the requests' volumes, each counted once for each of its requests."""
     excess = sum(request.volume.excess for request in waiting)
     weights = sum(request.volume.plan.weight for request in waiting)
--- a/stoatrouter/policy/handover.py
+++ b/stoatrouter/policy/handover.py
@@ -78,7 +78,7 @@
     return {
         "born": scheduler.state.started_at,
         "vanish": scheduler.observer.loss_rate,
-        "rests": scheduler.key_order.held_until,
+        "rests": scheduler.key_order.hold_down_until,
         "asked": list(requested.times.items()),
         "volumes": volumes,
         "nodes": {name: node_state(node) for name, node in scheduler.nodes.items()},
@@ -147,7 +147,7 @@
     settings = scheduler.settings
     scheduler.state.started_at = int(data["born"])
     scheduler.observer.loss_rate = float(data["vanish"])
-    scheduler.key_order.held_until = {str(key): int(until) for key, until in data["rests"].items()}
+    scheduler.key_order.hold_down_until = {str(key): int(until) for key, until in data["rests"].items()}
     for shard, at in sorted(data.get("asked", ()), key=lambda pair: pair[1]):
         scheduler.slow_start.requested_shards.note(int(shard), int(at))
     for name, state in data["volumes"].items():
--- a/stoatrouter/policy/interface.py
+++ b/stoatrouter/policy/interface.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of the decision module, in the plain terms of the field.
+"""What goes into and comes out of the decision module: settings, events and actions.
 
 All times are whole microseconds. Settings are fixed for the life of a scheduler; events come in, actions
 go out. Nothing in this file decides anything.
@@ -11,9 +11,9 @@
 
 
 class Effect(Enum):
-    """What repeating a request does."""
+    """What a repeat of a request does."""
 
-    SAFE = "safe"  # repeating is harmless
+    SAFE = "safe"  # nothing: a repeat is harmless
     IDEMPOTENT = "keyed"  # by an idempotency key: a group of nodes discards repeats for a while
     UNSAFE = "unsafe"  # a repeat takes effect again
 
@@ -22,15 +22,15 @@
     """Which nodes discard the repeats of a request with an idempotency key."""
 
     ALL = "all"
-    ZONE = "zone"
-    SHARD = "shard"
+    ZONE = "zone"  # those of the zone that has seen it
+    SHARD = "shard"  # those of the shard that has seen it
 
 
 class Phase(Enum):
     """What the endpoint list says of a node."""
 
     ON = "on"
-    DRAINING = "draining"
+    DRAINING = "draining"  # accepts work for a grace only
     GONE = "gone"
 
 
@@ -48,12 +48,12 @@
 
     ERROR = 0
     OK = 1
-    FULL = 2
+    FULL = 2  # the node's queue is full: it never ran
     TIMEOUT = 3
     CONNECT_FAILED = 4
-    RESET = 5
+    RESET = 5  # the connection broke after the request was sent
     CANCELLED = 6
-    MOOT = 7
+    MOOT = 7  # the node does not hold the data or is gone, or the request is over: it never ran
     NOT_BEGUN = 8  # on sockets: with a connection in hand, what had been decided held no longer
 
     @property
@@ -68,15 +68,15 @@
 
     name: str
     priority_weight: float
-    latency_objective: int
-    deadline: int
-    late_weight_factor: float = 0.0
+    latency_objective: int  # microseconds from the arrival
+    deadline: int  # microseconds from the arrival: the longest that a client waits
+    late_weight_factor: float = 0.0  # of the priority weight once the objective is missed
     effect: Effect = Effect.SAFE
     group: Group = Group.ALL
-    repeat_window: int = 0
+    repeat_window: int = 0  # microseconds: how long repeats of an idempotent request are discarded
     writes: bool = False
-    ordered_by_key: bool = False
-    stream: bool = False
+    ordered_by_key: bool = False  # one request of a key at a time, in order of arrival
+    stream: bool = False  # answers are streamed
 
     def __post_init__(self) -> None:
         """Check the class's figures.
@@ -96,12 +96,12 @@
 
     name: str
     usual_rate: float
-    reserve: float = 0.0
+    reserve: float = 0.0  # a rate that is served first
     weight: float = 1.0  # in weighted fair queueing of what goes beyond the reserve
-    price: float = 1.0
-    limit: float = 0.0  # 0: none
-    burst: float = 0.0
-    tolerance: float = 0.0
+    price: float = 1.0  # of a unit; it scales the priority weight
+    limit: float = 0.0  # the highest rate; 0: none
+    burst: float = 0.0  # units: the capacity of the limit's token bucket
+    tolerance: float = 0.0  # units: how far below empty the bucket may sink
 
     def __post_init__(self) -> None:
         """Check the plan's figures.
@@ -115,20 +115,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures of the rules; None where a rule asks for nothing."""
+    """The figures of the rules, times in microseconds; None where a rule asks for nothing."""
 
     answer_slack: int = 0
-    drain_grace: int = 0
-    warm_up_from: float = 1.0
-    warm_up_time: int = 0
+    drain_grace: int = 0  # how long a draining node still accepts work
+    warm_up_from: float = 1.0  # the part of its capacity that a node has at its start
+    warm_up_time: int = 0  # from a node's start until it has its whole capacity
     warm_up_units: float = 0.0  # within overload_window, from all hosts, that a warming-up node always bears
-    overload_window: int = 0
+    overload_window: int = 0  # over which a node's overload is counted
     overload_multiple: float = 1.0  # of what a node can do in overload_window; beyond it, it fails
     poll_within: int | None = None
-    key_hold_down: int | None = None
-    retry_budget_window: int | None = None
-    retry_budget_min: float = 0.0
-    retry_budget_ratio: float = 0.0
+    key_hold_down: int | None = None  # how long a key waits after an attempt of unknown outcome
+    retry_budget_window: int | None = None  # the sliding window of the retry budget
+    retry_budget_min: float = 0.0  # retries that are always allowed within the window
+    retry_budget_ratio: float = 0.0  # retries allowed beyond these, for each arrival within the window
     charged_on_arrival: bool = False  # units are charged to a limit once an attempt arrives at a node
 
     def __post_init__(self) -> None:
@@ -154,29 +154,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a scheduler is told at its start."""
+    """All that a scheduler is given at its start."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     rules: Rules = field(default_factory=Rules)
-    hosts: int = 1
-    host_index: int = 0
+    hosts: int = 1  # that share the nodes
+    host_index: int = 0  # of this host among them, from 0
     zone: int = 0
-    tick: int = 1000
-    max_attempts: int = 1
-    parallel_attempts: bool = False
+    tick: int = 1000  # microseconds: the clock's resolution
+    max_attempts: int = 1  # of one request
+    parallel_attempts: bool = False  # whether requests may be hedged
     may_cancel: bool = False
-    health_checks: bool = False
-    accepts_retry_after: bool = False
-    max_retry_after: int = 0
-    must_subscribe: bool = False
+    health_checks: bool = False  # whether nodes may be asked for load reports
+    accepts_retry_after: bool = False  # whether clients heed a Retry-After
+    max_retry_after: int = 0  # microseconds
+    must_subscribe: bool = False  # whether watch events must be asked for
     quota_weight_factor: float = 1.0  # of the priority weight inside the quota, beyond the reserve
     excess_weight_factor: float = 1.0  # of the priority weight beyond both
-    mean_units: float = 1.0
-    max_units: float = 1.0
-    meter_period: int = 0
-    meters_others: bool = False
-    report_fields: tuple[str, ...] = ()  # what load reports of nodes tell
+    mean_units: float = 1.0  # of a request
+    max_units: float = 1.0  # of a request
+    meter_period: int = 0  # microseconds
+    meters_others: bool = False  # whether answers name the units that other hosts were served
+    report_fields: tuple[str, ...] = ()  # of nodes' load reports
 
     def __post_init__(self) -> None:
         """Check the settings.
@@ -202,7 +202,7 @@
     zone: int = 0
     phase: Phase = Phase.ON
     weight: float = 1.0
-    up_since: int = 0  # 0: long ago
+    up_since: int = 0  # microseconds on the host's clock; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
@@ -211,7 +211,7 @@
 
     kind: ListKind
     entries: tuple[NodeEntry, ...] = ()
-    since: int | None = None  # from when it may have counted as told; None: from now
+    since: int | None = None  # from when its phases may have counted; None: from now
 
 
 @dataclass(slots=True, frozen=True)
@@ -220,15 +220,15 @@
 
     request: str
     volume: str
-    plan: int
-    request_class: int
+    plan: int  # index in the settings
+    request_class: int  # index in the settings
     shard: int  # -1: a new object, any node takes it
-    time_left: int
+    time_left: int  # microseconds until its client leaves
     units: float = 1.0
     hosts: int = 1  # through how many hosts the volume's requests come
     key: str | None = None
-    repeat: bool = False
-    write: bool = False
+    repeat: bool = False  # the client sent it before
+    write: bool = False  # it changes data, though its class does not say so
 
 
 @dataclass(slots=True, frozen=True)
@@ -239,10 +239,10 @@
     attempt: int
     node: str
     outcome: Outcome
-    took: int
-    finished: bool
+    took: int  # microseconds
+    finished: bool  # the request has its final answer by this
     volume_percent: int = 0  # 1 + percent of the plan's usual rate served in a finished period; 0: none
-    units_by_others: float = 0.0
+    units_by_others: float = 0.0  # of the volume, served to other hosts since the last answer
     load: dict[str, float] | None = None
 
 
@@ -261,7 +261,7 @@
 
     node: str
     outcome: Outcome
-    took: int
+    took: int  # microseconds
     load: dict[str, float] | None = None
 
 
@@ -290,7 +290,7 @@
 
     request: str
     node: str
-    timeout: int
+    timeout: int  # microseconds
 
 
 @dataclass(slots=True, frozen=True)
@@ -298,7 +298,7 @@
     """Final answer: rejected before it could take effect twice; a retry is harmless."""
 
     request: str
-    retry_after: int = 0
+    retry_after: int = 0  # microseconds; 0: at once, or not known
 
 
 @dataclass(slots=True, frozen=True)
@@ -320,7 +320,7 @@
 class SetTimer:
     """Ask for a TimerFired with this token."""
 
-    after: int
+    after: int  # microseconds
     token: int
 
 
--- a/stoatrouter/policy/key_order.py
+++ b/stoatrouter/policy/key_order.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         """Start with no request queued and no key held down."""
         self.queues: dict[str, deque[Request]] = {}
-        self.held_until: dict[str, int] = {}  # until when a key is held down, in microseconds
+        self.hold_down_until: dict[str, int] = {}  # until when a key is held down, in microseconds
 
     def enqueue(self, request: Request) -> None:
         """Queue a request behind those of its key, if its class is ordered."""
@@ -29,17 +29,17 @@
         key = request.key
         if not request.request_class.ordered_by_key or key is None:
             return 0
-        held_until = self.held_until.get(key, 0)
+        hold_down_until = self.hold_down_until.get(key, 0)
         is_first = self.queues[key][0] is request
-        if is_first and (request.attempts or now >= held_until):
+        if is_first and (request.attempts or now >= hold_down_until):
             return 0
-        return max(now + READ_EVERY, held_until)
+        return max(now + READ_EVERY, hold_down_until)
 
     def leave(self, request: Request) -> Request | None:
         """Take a finished request out of its key's queue and hold the key down.
 
         Returns:
-            The request whose turn comes at `held_until` of the key, if there is one.
+            The request whose turn comes at `hold_down_until` of the key, if there is one.
         """
         key = request.key
         if not request.request_class.ordered_by_key or key is None:
@@ -48,10 +48,10 @@
         if not queue or request not in queue:
             return None
         queue.remove(request)
-        self.held_until[key] = max(self.held_until.get(key, 0), request.key_held_until)
+        self.hold_down_until[key] = max(self.hold_down_until.get(key, 0), request.key_hold_down_until)
         return queue[0] if queue else None
 
     def forget_old(self, now: int) -> None:
         """Drop empty queues and hold-downs that are over."""
-        self.held_until = {key: until for key, until in self.held_until.items() if until > now}
+        self.hold_down_until = {key: until for key, until in self.hold_down_until.items() if until > now}
         self.queues = {key: queue for key, queue in self.queues.items() if queue}
--- a/stoatrouter/policy/lifecycle.py
+++ b/stoatrouter/policy/lifecycle.py
@@ -73,7 +73,7 @@
         self.state.requests.pop(request.id, None)
         next_in_order = self.key_order.leave(request)
         if next_in_order is not None and request.key is not None:
-            self.wake_at(self.key_order.held_until[request.key], next_in_order, now)
+            self.wake_at(self.key_order.hold_down_until[request.key], next_in_order, now)
 
     def forget_old(self, now: int) -> None:
         """Drop unserved requests whose clients can no longer come back in time."""
--- a/stoatrouter/policy/node_index.py
+++ b/stoatrouter/policy/node_index.py
@@ -60,15 +60,17 @@
 
     def __init__(self, entry: NodeEntry) -> None:
         """Start a node from its entry in the endpoint list, not yet in an index."""
-        self.id, self.shard, self.zone, self._phase = entry.node, entry.shard, entry.zone, entry.phase
+        self.id = entry.node
+        self.shard = entry.shard
+        self.zone = entry.zone
+        self._phase = entry.phase
         self.index: NodeIndex[Any] | None = None
         self.number = -1  # in the order in which nodes came into the index
         self._up_since = entry.up_since
         self._window = 0.0
         self.pending: Tracked[str, Request] = Tracked(self)  # requests that wait here, by id
-        self.in_flight: Tracked[tuple[str, int], int] = Tracked(
-            self
-        )  # when attempts were sent, by request and number
+        # When attempts in flight were sent, by request and number of the attempt.
+        self.in_flight: Tracked[tuple[str, int], int] = Tracked(self)
         self.write_rates: dict[str, float] = {}
         self.throttleable: set[str] = set()
 
@@ -118,7 +120,8 @@
     def __init__(self, warm_up_time: int, load: Callable[[N], float]) -> None:
         """`warm_up_time` is how long a node warms up after its start; `load` is a node's as if warm."""
         super().__init__()
-        self.warm_up_time, self.load = warm_up_time, load
+        self.warm_up_time = warm_up_time
+        self.load = load
         self.next_number = 0
         self.numbered: dict[int, N] = {}
         self.shards: dict[int, dict[int, N]] = {}
@@ -139,7 +142,8 @@
         if name in self:
             del self[name]
         super().__setitem__(name, node)
-        node.index, node.number = self, self.next_number
+        node.index = self
+        node.number = self.next_number
         self.next_number += 1
         self.numbered[node.number] = node
         self.shards.setdefault(node.shard, {})[node.number] = node
@@ -226,7 +230,9 @@
         then the oldest of those warming up, and a higher load needs no look once a lower score is found.
         """
         self._rank_again(now)
-        ranked, best, at = self.ranked, inf, 0
+        ranked = self.ranked
+        best = inf
+        at = 0
         found: list[tuple[int, int]] = []  # from where to where in the order
         while at < len(ranked) and ranked[at][0] < best:
             load = ranked[at][0]
@@ -237,7 +243,8 @@
                     break
                 after = bisect_left(ranked, (load, ranked[at][1], inf), at)
                 found = [(at, after)] if score < best else [*found, (at, after)]
-                best, at = score, after
+                best = score
+                at = after
             at = end
         return self._pick(found, draw)
 
@@ -281,7 +288,8 @@
 
     def __init__(self, span: int) -> None:
         """`span` is in microseconds, and the times given later never go back."""
-        self.span, self.times = span, OrderedDict[Hashable, int]()
+        self.span = span
+        self.times = OrderedDict[Hashable, int]()
 
     def note(self, key: Hashable, now: int) -> None:
         """The key was met."""
--- a/stoatrouter/policy/request.py
+++ b/stoatrouter/policy/request.py
@@ -45,7 +45,7 @@
     protected: bool  # a read of no background class: it is never throttled
     reject_by: int  # a later rejection is of no use to the client, if nothing was written to a node
     wait_until: int = 0
-    key_held_until: int = 0  # until when its key is held down once it is closed
+    key_hold_down_until: int = 0  # until when its key is held down once it is closed
     node: Node | None = None  # where it waits
     attempts: list[Attempt] = field(default_factory=list)
     done: bool = False
--- a/stoatrouter/policy/retry_budget.py
+++ b/stoatrouter/policy/retry_budget.py
@@ -16,6 +16,14 @@
         self.arrivals = deque[int]()  # microseconds
         self.retries = deque[int]()  # microseconds
 
+    def note_arrival(self, now: int) -> None:
+        """Count a client's request that arrived at `now` (microseconds)."""
+        self.arrivals.append(now)
+
+    def note_retry(self, now: int) -> None:
+        """Count a retry sent at `now` (microseconds)."""
+        self.retries.append(now)
+
     def allows_retry(self, now: int) -> bool:
         """Whether the budget takes one more retry at `now` (microseconds)."""
         rules = self.rules
--- a/stoatrouter/policy/scheduler.py
+++ b/stoatrouter/policy/scheduler.py
@@ -137,7 +137,7 @@
             return
         request = self._new_request(event, now)
         self.state.requests[event.request] = request
-        self.retry_budget.arrivals.append(now)
+        self.retry_budget.note_arrival(now)
         if event.shard != ANY_SHARD:
             self.slow_start.requested_shards.note(event.shard, now)
         self.key_order.enqueue(request)
@@ -209,8 +209,8 @@
         self.observer.observe(event, request, node, now)
         self._refund_if_not_arrived(request)
         if event.outcome in UNKNOWN_OUTCOMES:
-            held_until = now + (self.state.rules.key_hold_down or 0)
-            request.key_held_until = max(request.key_held_until, held_until)
+            hold_down_until = now + (self.state.rules.key_hold_down or 0)
+            request.key_hold_down_until = max(request.key_hold_down_until, hold_down_until)
         backoff = self.state.tightest_objective / BACKOFF_DIVISOR * 2 ** len(request.attempts)
         request.wait_until = now + self.state.jitter(backoff)
         if event.finished or request.done:
--- a/stoatrouter/policy/simhost.py
+++ b/stoatrouter/policy/simhost.py
@@ -34,54 +34,17 @@
 
 def read_settings(data: Fields) -> api.Settings:
     """Build the settings from an instance's first message; keys that are not known are skipped."""
-    extra, limits, rules = data.get("Extra", {}), data["Limits"], data["Contract"]
+    extra = data.get("Extra", {})
+    limits = data["Limits"]
+    rules = data["Contract"]
     writes = extra.get("ChangesData") or []
-    classes = tuple(
-        api.RequestClass(
-            name=c["Name"],
-            priority_weight=c["Points"],
-            latency_objective=c["Promise"],
-            deadline=c["HardLimit"],
-            late_weight_factor=c.get("LateWorth") or 0.0,
-            effect=EFFECTS[c["Effect"]],
-            group=GROUPS[c.get("Group") or "all"],
-            repeat_window=c.get("Window") or 0,
-            writes=bool(writes[i]) if i < len(writes) else False,
-            ordered_by_key=bool(c.get("InTurn")),
-            stream=bool(c.get("Stream")),
-        )
-        for i, c in enumerate(data["Classes"])
-    )
-    plans = tuple(
-        api.Plan(
-            name=p["Name"],
-            usual_rate=p.get("UsualRate") or 0.0,
-            reserve=p.get("Guaranteed") or 0.0,
-            weight=p.get("Shares", 1.0),
-            price=p.get("Price", 1.0),
-            limit=p.get("Limit") or 0.0,
-            burst=p.get("Burst") or 0.0,
-            tolerance=p.get("Tolerance") or 0.0,
-        )
-        for p in data["Contracts"]
-    )
     return api.Settings(
-        classes=classes,
-        plans=plans,
-        rules=api.Rules(
-            answer_slack=rules.get("AnswerSlack") or 0,
-            drain_grace=rules.get("DrainGrace") or 0,
-            warm_up_from=rules.get("ColdFrom", 1.0),
-            warm_up_time=rules.get("Cold") or 0,
-            warm_up_units=extra.get("ColdBears") or 0.0,
-            overload_window=rules.get("Fall") or 0,
-            overload_multiple=rules.get("FallMultiple") or 1.0,
-            poll_within=rules.get("AskWithin"),
-            key_hold_down=rules.get("KeyRest"),
-            retry_budget_window=rules.get("CountedOver"),
-            retry_budget_min=rules.get("SpareAttempts") or 0.0,
-            retry_budget_ratio=rules.get("ExtraRatio") or 0.0,
+        classes=tuple(
+            read_class(kind, bool(writes[i]) if i < len(writes) else False)
+            for i, kind in enumerate(data["Classes"])
         ),
+        plans=tuple(read_plan(plan) for plan in data["Contracts"]),
+        rules=read_rules(rules, extra),
         hosts=data["Balancers"],
         host_index=data["Me"],
         zone=data.get("Zone") or 0,
@@ -103,54 +66,103 @@
     )
 
 
-def read_list(e: Fields) -> api.EndpointList:
-    """Read a message of the node list."""
-    return api.EndpointList(
-        LISTS[e["Form"]],
-        tuple(
-            api.NodeEntry(
-                n["Brick"],
-                n["UnitGroup"],
-                n["RegionPart"],
-                PHASES[n["Phase"]],
-                n["Weight"],
-                n.get("UpSince") or 0,
-            )
-            for n in e["NodesList"] or ()
-        ),
+def read_class(data: Fields, writes: bool) -> api.RequestClass:
+    """Read a class of requests; whether it writes stands apart from it on the wire."""
+    return api.RequestClass(
+        name=data["Name"],
+        priority_weight=data["Points"],
+        latency_objective=data["Promise"],
+        deadline=data["HardLimit"],
+        late_weight_factor=data.get("LateWorth") or 0.0,
+        effect=EFFECTS[data["Effect"]],
+        group=GROUPS[data.get("Group") or "all"],
+        repeat_window=data.get("Window") or 0,
+        writes=writes,
+        ordered_by_key=bool(data.get("InTurn")),
+        stream=bool(data.get("Stream")),
+    )
+
+
+def read_plan(data: Fields) -> api.Plan:
+    """Read a plan."""
+    return api.Plan(
+        name=data["Name"],
+        usual_rate=data.get("UsualRate") or 0.0,
+        reserve=data.get("Guaranteed") or 0.0,
+        weight=data.get("Shares", 1.0),
+        price=data.get("Price", 1.0),
+        limit=data.get("Limit") or 0.0,
+        burst=data.get("Burst") or 0.0,
+        tolerance=data.get("Tolerance") or 0.0,
     )
 
 
-def read_request(e: Fields) -> api.RequestArrived:
+def read_rules(data: Fields, extra: Fields) -> api.Rules:
+    """Read the figures of the rules."""
+    return api.Rules(
+        answer_slack=data.get("AnswerSlack") or 0,
+        drain_grace=data.get("DrainGrace") or 0,
+        warm_up_from=data.get("ColdFrom", 1.0),
+        warm_up_time=data.get("Cold") or 0,
+        warm_up_units=extra.get("ColdBears") or 0.0,
+        overload_window=data.get("Fall") or 0,
+        overload_multiple=data.get("FallMultiple") or 1.0,
+        poll_within=data.get("AskWithin"),
+        key_hold_down=data.get("KeyRest"),
+        retry_budget_window=data.get("CountedOver"),
+        retry_budget_min=data.get("SpareAttempts") or 0.0,
+        retry_budget_ratio=data.get("ExtraRatio") or 0.0,
+    )
+
+
+def read_list(message: Fields) -> api.EndpointList:
+    """Read a message of the endpoint list."""
+    kind = LISTS[message["Form"]]
+    return api.EndpointList(kind, tuple(read_entry(entry) for entry in message["NodesList"] or ()))
+
+
+def read_entry(data: Fields) -> api.NodeEntry:
+    """Read one endpoint."""
+    return api.NodeEntry(
+        node=data["Brick"],
+        shard=data["UnitGroup"],
+        zone=data["RegionPart"],
+        phase=PHASES[data["Phase"]],
+        weight=data["Weight"],
+        up_since=data.get("UpSince") or 0,
+    )
+
+
+def read_request(message: Fields) -> api.RequestArrived:
     """Read a client's request."""
-    bits = e["Bitmap"]
+    bits = message["Bitmap"]
     return api.RequestArrived(
-        request=e["MsgId"],
-        volume=e["ShareId"],
-        plan=e["ServiceLevel"],
-        request_class=e["Service"],
-        shard=int(e["Shard"]),
-        time_left=e["Left"],
-        units=e["Weight"],
-        hosts=int(e["Writers"]),
-        key=e["Item"],
+        request=message["MsgId"],
+        volume=message["ShareId"],
+        plan=message["ServiceLevel"],
+        request_class=message["Service"],
+        shard=int(message["Shard"]),
+        time_left=message["Left"],
+        units=message["Weight"],
+        hosts=int(message["Writers"]),
+        key=message["Item"],
         repeat=bool(bits & REPEAT_BIT),
         write=bool(bits & WRITE_BIT),
     )
 
 
-def read_outcome(e: Fields) -> api.AttemptEnded:
+def read_outcome(message: Fields) -> api.AttemptEnded:
     """Read how an attempt ended."""
     return api.AttemptEnded(
-        e["MsgId"],
-        e["SeqNo"],
-        e["Brick"],
-        api.Outcome(e["Status"]),
-        e["TimeTaken"],
-        bool(e["Finished"]),
-        e.get("Used") or 0,
-        e.get("ByOthers") or 0.0,
-        e.get("Load"),
+        request=message["MsgId"],
+        attempt=message["SeqNo"],
+        node=message["Brick"],
+        outcome=api.Outcome(message["Status"]),
+        took=message["TimeTaken"],
+        finished=bool(message["Finished"]),
+        volume_percent=message.get("Used") or 0,
+        units_by_others=message.get("ByOthers") or 0.0,
+        load=message.get("Load"),
     )
 
 
@@ -186,10 +198,15 @@
         self.instances: dict[str, Scheduler] = {}
 
     def batch(self, line: str) -> str:
-        """Answer one batch."""
+        """Answer one batch, a line of JSON, by another.
+
+        Raises:
+            WireError: where the line is no batch, or a message in it is not of the wire's form.
+        """
         try:
             batch = json.loads(line)
-            now, events = batch["Time"], batch["events"]
+            now = batch["Time"]
+            events = batch["events"]
         except (ValueError, KeyError, TypeError) as error:
             raise WireError(f"not a batch: {describe(error)}") from None
         if not isinstance(events, list):
@@ -202,16 +219,19 @@
     def event(self, now: int, event: Fields) -> list[Fields]:
         """Pass one event to its instance and put its actions on the wire."""
         try:
-            name, host = event["cmd"], event["HostId"]
+            name = event["cmd"]
+            host = event["HostId"]
             if name == "ATTACH":
-                settings, seed = read_settings(event["ProfileData"]), event["InitSeed"]
+                settings = read_settings(event["ProfileData"])
+                seed = event["InitSeed"]
             elif name == "HALT":
                 self.instances.pop(host, None)
                 return []
             elif name not in READERS:
                 raise WireError(f"unknown message {name!r}")
             else:
-                parsed, scheduler = READERS[name](event), self.instances[host]
+                parsed = READERS[name](event)
+                scheduler = self.instances[host]
         except (KeyError, ValueError, TypeError, AttributeError) as error:
             label = event.get("cmd") if isinstance(event, dict) else event
             raise WireError(f"bad message {label!r}: {describe(error)}") from None
@@ -226,7 +246,7 @@
 
 
 def describe(error: Exception) -> str:
-    """Name what was wrong in one line."""
+    """Describe the fault in one line."""
     return f"missing {error}" if isinstance(error, KeyError) else " ".join(str(error).split())
 
 
--- a/tests/test_early_refusals.py
+++ b/tests/test_early_refusals.py
@@ -37,7 +37,7 @@
     assert driver.finals("r") == [api.Reject("r", 0)]
 
 
-def test_a_keyed_request_whose_repeat_window_is_over_is_failed_in_the_same_call():
+def test_an_idempotent_request_whose_repeat_window_is_over_is_failed_in_the_same_call():
     keyed = api.RequestClass(
         "k", 3, 400 * MS, 9 * SECOND, 0.2, api.Effect.IDEMPOTENT, api.Group.SHARD, 1 * SECOND
     )
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -35,7 +35,7 @@
     return driver, request, node
 
 
-def test_bars_what_is_done_overdue_or_out_of_attempts():
+def test_blocks_what_is_done_overdue_or_out_of_attempts():
     driver, request, node = waiting(max_attempts=1)
     request.done = True
     assert blocked(driver, request, node)
@@ -46,13 +46,13 @@
     assert blocked(driver, request, node)
 
 
-def test_bars_a_second_attempt_while_one_is_out():
+def test_blocks_a_second_attempt_while_one_is_in_flight():
     driver, request, node = waiting()
     request.attempts.append(Attempt(node, driver.now))
     assert blocked(driver, request, node)
 
 
-def test_bars_a_keyed_repeat_on_another_shard():
+def test_blocks_an_idempotent_retry_on_another_shard():
     keyed = api.RequestClass(
         "k", 3, 400 * MS, 5 * SECOND, 0.2, api.Effect.IDEMPOTENT, api.Group.SHARD, 4 * SECOND
     )
@@ -62,7 +62,7 @@
     assert not blocked(driver, request, node)
 
 
-def test_bars_a_node_that_drains_even_for_what_is_filed_there():
+def test_blocks_a_draining_node_even_for_what_waits_there():
     driver, request, node = waiting()
     node.phase = Phase.DRAINING
     assert blocked(driver, request, node)
@@ -75,7 +75,7 @@
     assert [a.node for _, a in driver.sends()] == ["n2"] * 4
 
 
-def test_a_restarted_node_is_cold_again_and_remembers_what_was_sent_to_it():
+def test_a_restarted_node_warms_up_again_and_remembers_what_was_sent_to_it():
     rules = {
         "warm_up_from": 0.2,
         "warm_up_time": 10 * SECOND,
@@ -125,7 +125,7 @@
     assert driver.scheduler.volumes["a"].reserve < 0
 
 
-def test_a_volume_far_beyond_its_share_goes_after_one_within_it():
+def test_a_volume_far_beyond_its_quota_goes_after_one_within_it():
     driver = held((api.Plan("none", 10),))
     for name in ("greedy", "b", "c", "d"):
         driver.request(name, volume=name)
@@ -141,7 +141,8 @@
     driver.scheduler.requests["same"].objective_at = driver.scheduler.requests["other"].objective_at
     node, requests = driver.scheduler.nodes["n1"], driver.scheduler.requests
     same, other = (
-        driver.scheduler.dispatcher.priority(requests[name], node, driver.now) for name in ("same", "other")
+        driver.scheduler.dispatcher.priority(requests[name], node, 0.0, driver.now)
+        for name in ("same", "other")
     )
     assert same > other
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -73,7 +73,7 @@
     assert node.throttleable == {"a"}
 
 
-def test_background_is_derived_from_worth_and_aim():
+def test_background_is_derived_from_priority_weight_and_latency_objective():
     assert SchedulerDriver().scheduler.background_classes == {"export"}
 
 
@@ -137,7 +137,7 @@
     assert node.window == before / 2
 
 
-def test_a_window_shrinks_once_others_stand_before_a_request_and_long_before_its_aim():
+def test_a_window_shrinks_once_others_stand_before_a_request_and_long_before_its_objective():
     """A few hosts with windows of three each keep a node's queue at half the tightest aim, and none of their
     answers took a quarter of it while it built up: on the second deployment answers took 84 of 150 ms."""
     for took, shrinks in ((30 * MS, False), (45 * MS, True), (60 * MS, True)):
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -157,7 +157,7 @@
     driver.event(api.HealthCheckEnded("gone", Outcome.OK, 1 * MS, {"queue": 80.0}))
 
 
-def test_a_client_that_comes_back_with_what_was_given_up_has_not_got_a_new_aim():
+def test_a_client_that_comes_back_with_what_was_shed_has_not_got_a_new_objective():
     driver = SchedulerDriver(hosts=200)
     node = driver.scheduler.nodes["n1"]
     node.window, node.last_sent_at, node.last_round_trip = 0.1, driver.now, 300.0 * MS
@@ -173,7 +173,7 @@
     assert requests["again"].objective_at == aim and requests["fresh"].objective_at == driver.now + 250 * MS
 
 
-def test_nothing_goes_past_a_late_request_that_is_worth_more():
+def test_nothing_goes_past_a_late_request_of_higher_priority():
     driver = SchedulerDriver(
         plans=(api.Plan("p", 50, reserve=50, price=8.0), api.Plan("q", 50, reserve=50, price=0.2))
     )
@@ -206,7 +206,7 @@
             assert quiet.window == 1.0
 
 
-def test_a_keyed_write_that_may_have_run_goes_on_at_the_shard_it_was_sent_to():
+def test_an_idempotent_write_that_may_have_run_is_retried_at_the_shard_it_was_sent_to():
     kind = api.RequestClass(
         "write",
         priority_weight=3,
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -250,7 +250,7 @@
     assert ask(new, 31 * SECOND, "s", 1.0)
 
 
-def test_a_cold_node_gets_nothing_from_the_old_process():
+def test_a_warming_up_node_gets_nothing_from_the_old_process():
     rules = api.Rules(warm_up_time=18 * SECOND, warm_up_units=34, overload_window=3 * SECOND)
     for handed, sent in (False, True), (True, False):
         old = scheduler(rules=rules)
