--- a/benchmarks/capacity/faults.py
+++ b/benchmarks/capacity/faults.py
@@ -70,14 +70,14 @@
         """Start heads in the same moment; returns when all hollow ones serve or died."""
         await asyncio.gather(
             *(self.fleet.real[name].start(ready=False) for name in real),
-            self.fleet.hollow.start(hollow, at_once=len(self.fleet.hollow.names)),
+            self.fleet.hollow.start(hollow, concurrency=len(self.fleet.hollow.names)),
         )
 
     async def part_regions(self, first: int, second: int) -> None:
         """Nothing passes between two regions; a third hears both."""
         places, real = self.fleet.places, self.fleet.real
         sides = {name: place.region for name, place in places.items()}
-        await self.fleet.hollow.part(sides, ((first, second),))
+        await self.fleet.hollow.partition(sides, ((first, second),))
         for sender, receiver in real.relay.ways:
             if {places[sender].region, places[receiver].region} == {first, second}:
                 real.relay.cut(sender, receiver, both=False)
@@ -86,7 +86,7 @@
         """Everything passes again, delayed as before."""
         self.fleet.real.relay.heal()
         self.fleet.real.delay()
-        await self.fleet.hollow.part({})
+        await self.fleet.hollow.partition({})
 
     async def write_off(self, name: str) -> None:
         """A head is lost with its disk: all it held is charged. The history says how much that was."""
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -27,16 +27,16 @@
 async def measure(run: Run, fleet: CapacityFleet, seconds: float, seed: int) -> None:
     """A calm while: rates of hollow heads and of real ones, processor time and memory."""
     hollow, real = fleet.hollow, fleet.real
-    before, cpu_before = await hollow.tell(), cpu_of(fleet)
+    before, cpu_before = await hollow.report(), cpu_of(fleet)
     real_before = {head.name: await head.told() for head in real.up}
     began = time.monotonic()
     await asyncio.sleep(seconds)
     span = time.monotonic() - began
-    after, cpu_after = await hollow.tell(), cpu_of(fleet)
+    after, cpu_after = await hollow.report(), cpu_of(fleet)
     real_after = {head.name: await head.told() for head in real.up}
-    show(after.tell())
-    lag = max(answer.longest_lag for answer in hollow.answers.values())
-    late = max(answer.lag_share for answer in hollow.answers.values())
+    show(after.summary())
+    lag = max(answer.longest_lag for answer in hollow.replies.values())
+    late = max(answer.late_fraction for answer in hollow.replies.values())
     details: dict[str, float | int | str] = {
         "running": len(after.running),
         "expected": len(hollow.names),
--- a/benchmarks/capacity/likeness.py
+++ b/benchmarks/capacity/likeness.py
@@ -46,16 +46,16 @@
         if self.hollow is None:
             told = {name: await self.real[name].told() for name in self.followers}
             return {name: {kind: count_of(each, kind) for kind in KINDS} for name, each in told.items()}
-        census: Census = await self.hollow.tell()
-        assert not census.died, census.tell()
+        census: Census = await self.hollow.report()
+        assert not census.died, census.summary()
         return {report.name: report.counts for report in census.running}
 
     async def cpu(self) -> float:
         """Processor seconds of all followers."""
         if self.hollow is None:
             return sum(self.real[name].cpu for name in self.followers)  # type: ignore[attr-defined]
-        await self.hollow.tell()
-        return sum(answer.cpu_seconds for answer in self.hollow.answers.values())
+        await self.hollow.report()
+        return sum(answer.cpu_seconds for answer in self.hollow.replies.values())
 
     async def edit_for(self, seconds: float) -> int:
         """Edits in force one after the other; how many."""
--- a/benchmarks/capacity/mixed.py
+++ b/benchmarks/capacity/mixed.py
@@ -130,7 +130,7 @@
         census, *_ = await asyncio.gather(
             self.hollow.start(self.hollow.names), *(real[name].start(ready=False) for name in others)
         )
-        show(census.tell())
+        show(census.summary())
 
     async def steady(self, within: float = STEADY_WITHIN, quiet: bool = False) -> float:
         """Wait until all heads that run are in touch and each sees nearly all others; seconds it took.
@@ -158,9 +158,9 @@
 
     async def look(self) -> Look:
         """How all heads that run stand now, and how many others each sees."""
-        census = await self.hollow.tell()
+        census = await self.hollow.report()
         told = await asyncio.gather(*(head.told() for head in self.real.up))
-        states = [report.state for report in census.running] + [each.get("state", "") for each in told]
+        states = [report.availability for report in census.running] + [each.get("state", "") for each in told]
         seen = [report.seen.get("alive", 0) for report in census.running]
         seen += [list(each.get("seen", {}).values()).count("alive") for each in told]
         up = len(states)
@@ -227,7 +227,7 @@
 
 def cpu_of(fleet: CapacityFleet) -> dict[str, float]:
     """Processor seconds of each worker and each real head; one that has just ended is left out."""
-    used = {f"worker {number}": answer.cpu_seconds for number, answer in fleet.hollow.answers.items()}
+    used = {f"worker {number}": answer.cpu_seconds for number, answer in fleet.hollow.replies.items()}
     for head in fleet.real.up:
         with contextlib.suppress(FileNotFoundError):
             used[head.name] = head.cpu  # type: ignore[attr-defined]
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -29,7 +29,7 @@
     def states(self) -> Counter[str]:
         """Hollow heads by where they stand; those that do not run by their life."""
         return Counter(
-            report.state if report.life == "running" else report.life
+            report.availability if report.lifecycle == "running" else report.lifecycle
             for report in self.census.reports.values()
         )
 
@@ -79,8 +79,8 @@
     async def _run(self) -> None:
         while True:
             began = time.monotonic()
-            census = await self.fleet.hollow.tell()
-            answers = self.fleet.hollow.answers.values()
+            census = await self.fleet.hollow.report()
+            answers = self.fleet.hollow.replies.values()
             lag = max((answer.longest_lag for answer in answers), default=0.0)
             self.samples.append(Sample(began, census, cpu_of(self.fleet), lag))
             await asyncio.sleep(max(0.0, EVERY - (time.monotonic() - began)))
--- a/benchmarks/capacity/scenes.py
+++ b/benchmarks/capacity/scenes.py
@@ -66,9 +66,10 @@
     async def all_follow(self, since: float, but: str) -> float:
         """Seconds until all hollow heads that run are in touch and follow another leader than this one."""
         while time.monotonic() < since + LEADER_WITHIN:
-            census = await self.fleet.hollow.tell()
+            census = await self.fleet.hollow.report()
             if all(
-                report.state == "in touch" and report.leader not in ("", but) for report in census.running
+                report.availability == "in touch" and report.leader not in ("", but)
+                for report in census.running
             ):
                 return time.monotonic() - since
             await asyncio.sleep(0.2)
--- a/stoatrouter/cli/main.py
+++ b/stoatrouter/cli/main.py
@@ -44,9 +44,9 @@
 @click.option("--for", "seconds", type=float, default=None, help="End by itself after so many seconds.")
 def demo(nodes: int, seed: int, seconds: float | None) -> None:
     """A head with stand-in nodes and all fronts on loopback, to try by hand."""
-    from stoatrouter.lab.demo import play
+    from stoatrouter.lab.demo import run_demo
 
-    sys.exit(play(nodes, seed, seconds))
+    sys.exit(run_demo(nodes, seed, seconds))
 
 
 main.add_command(config_group)
--- a/stoatrouter/lab/demo.py
+++ b/stoatrouter/lab/demo.py
@@ -11,6 +11,8 @@
 import sys
 import tempfile
 import time
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
 from importlib import resources
 from pathlib import Path
 
@@ -23,153 +25,208 @@
 from stoatrouter.head import Head
 from stoatrouter.lab.standins import HOST, StandInDiscovery, StandInNode, StandInServers
 
-FILES = resources.files("stoatrouter.lab") / "demo_files"  # a small deployment
+DEPLOYMENT = resources.files("stoatrouter.lab") / "demo_files"  # a small deployment
+RULE_FILES = ("http.cue", "objects.cue", "rules.cue")
+LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+MAX_TARGET_SHOWN = 60  # characters
+EXIT_NOT_STARTED = 2
 
 
-def files(folder: Path, nodes: list[StandInNode], discovery: int) -> Path:
-    """All that the head is told, as files; returns the configuration's."""
-    settings = json.loads((FILES / "settings.json").read_text())
+# -- the deployment ---------------------------------------------------------------------------------------
+def write_files(folder: Path, nodes: list[StandInNode], discovery_port: int) -> Path:
+    """Write the configuration, settings and secrets of a head into a folder.
+
+    Returns:
+        The path of the configuration.
+    """
+    settings = json.loads((DEPLOYMENT / "settings.json").read_text())
     settings["Extra"]["Shards"] = len(nodes)
-    (folder / "config.json").write_text(
-        json.dumps(
-            {
-                "name": "demo",
-                "listen": f"{HOST}:0",
-                "discovery": f"{HOST}:{discovery}",
-                "management": f"{HOST}:0",
-                "seed": secrets.token_hex(8),
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "known": {"generation": 0, "reset": True, "instances": [node.entry() for node in nodes]},
-                "settings": settings,
-            }
-        )
-    )
+    configuration = {
+        "name": "demo",
+        "listen": f"{HOST}:0",
+        "discovery": f"{HOST}:{discovery_port}",
+        "management": f"{HOST}:0",
+        "seed": secrets.token_hex(8),
+        "limits": LIMITS,
+        "known": {"generation": 0, "reset": True, "instances": [node.entry() for node in nodes]},
+        "settings": settings,
+    }
+    (folder / "config.json").write_text(json.dumps(configuration))
     (folder / "objects.secret").write_text(secrets.token_hex(32))
-    for name in ("http.cue", "objects.cue", "rules.cue"):
-        (folder / name).write_text((FILES / name).read_text())
+    for name in RULE_FILES:
+        (folder / name).write_text((DEPLOYMENT / name).read_text())
     return folder / "config.json"
 
 
-class Shown:
-    """Says what becomes of each request of the core, as it ends."""
+def make_head(folder: Path, nodes: list[StandInNode], discovery_port: int) -> Head:
+    """Make a head with all fronts, from files written into a folder; raises ConfigError."""
+    configuration = write_files(folder, nodes, discovery_port)
+    conf = config.read({"NODE_CONFIG": str(configuration)}, {})
+    objects = load_objects(folder / "objects.cue", conf.settings, conf.shards)
+    return Head(conf, objects, load_http(folder / "http.cue"))
+
+
+# -- what is shown ----------------------------------------------------------------------------------------
+class RequestPrinter:
+    """Prints each request of the core as it ends, with its outcome."""
 
     def __init__(self, head: Head) -> None:
-        self.head, self.serve = head, head.engine.serve
-        self.classes = [c.name for c in head.conf.settings.classes]
+        """Stand before a head's engine from now on."""
+        self.serve = head.engine.serve
+        self.classes = [request_class.name for request_class in head.conf.settings.classes]
         self.count = 0
+        head.engine.serve = self.serve_and_print  # type: ignore[method-assign]
 
-    async def __call__(self, request: model.Request) -> model.Answer:
+    async def serve_and_print(self, request: model.Request) -> model.Answer:
+        """Serve a request by the engine, and print its outcome."""
         began = time.perf_counter()
         try:
             answer = await self.serve(request)
         except asyncio.CancelledError:
-            self.say(request, "its client left", began)
+            self._print(request, "its client left", began)
             raise
-        self.say(request, self.became(answer), began)
+        self._print(request, describe_answer(answer), began)
         return answer
 
-    def became(self, answer: model.Answer) -> str:
-        match answer:
-            case model.Served():
-                status = f"{answer.head.status} " if answer.head is not None else ""
-                size = "a large answer" if answer.flow is not None else f"{len(answer.body)} bytes"
-                return f"served: {status}{size} from shard {answer.shard}"
-            case model.Refused():
-                when = answer.retry_after
-                return "refused" + (f", come back in {when.total_seconds():.3f} s" if when else "")
-            case _:
-                return "failed"
-
-    def say(self, request: model.Request, became: str, began: float) -> None:
+    def _print(self, request: model.Request, outcome: str, began: float) -> None:
         self.count += 1
-        took = (time.perf_counter() - began) * 1000
+        milliseconds = (time.perf_counter() - began) * 1000
         print(
-            f"{request.method:4} {request.target[:60]}  {self.classes[request.request_class]}, volume "
-            f"{request.volume}, {request.units:g} units: {became}, {took:.0f} ms",
+            f"{request.method:4} {request.target[:MAX_TARGET_SHOWN]}  "
+            f"{self.classes[request.request_class]}, volume "
+            f"{request.volume}, {request.units:g} units: {outcome}, {milliseconds:.0f} ms",
             flush=True,
         )
 
 
-def ports(head: Head) -> dict[str, int]:
-    """Where each front listens."""
-    assert head.objects is not None and head.http is not None
-    return {
-        "platform": head.platform.port,
-        "objects": head.objects.port,
-        "http": head.http.port,
-        "management": head.management.port,
-    }
-
-
-def lines(at: dict[str, int]) -> list[str]:
-    """A call for each front that works as it stands."""
-    platform = (
-        f"curl -si -X PUT http://{HOST}:{at['platform']}/event-write/00000000f0a70001/0000000000000007 "
-        "-H \"Req-Id: demo-$RANDOM$RANDOM\" -H 'X-Plan: premium' -H 'Req-Deadline-Ms: 2000' "
-        "-H 'X-IO: units=1,shard=-1,hosts=1' -H \"Idempotency-Key: $RANDOM\" -d 'a goal'"
-    )
+def describe_answer(answer: model.Answer) -> str:
+    """Say how a request ended."""
+    match answer:
+        case model.Served():
+            status = f"{answer.head.status} " if answer.head is not None else ""
+            size = "a large answer" if answer.flow is not None else f"{len(answer.body)} bytes"
+            return f"served: {status}{size} from shard {answer.shard}"
+        case model.Refused():
+            delay = answer.retry_after
+            return f"rejected, retry after {delay.total_seconds():.3f} s" if delay else "rejected"
+        case _:
+            return "failed"
+
+
+@dataclass(slots=True, frozen=True)
+class FrontPorts:
+    """The ports on which a head's fronts listen."""
+
+    platform: int
+    objects: int
+    http: int
+    management: int
+
+    @classmethod
+    def of(cls, head: Head) -> FrontPorts:
+        """Read the ports of a head that has started with all fronts."""
+        assert head.objects is not None and head.http is not None
+        return cls(head.platform.port, head.objects.port, head.http.port, head.management.port)
+
+
+def example_calls(ports: FrontPorts) -> list[str]:
+    """Return lines with a call for each front that works as it stands."""
+    platform = f"http://{HOST}:{ports.platform}"
+    objects = f"http://{HOST}:{ports.objects}"
+    http = f"http://{HOST}:{ports.http}"
+    management = f"http://{HOST}:{ports.management}"
     return [
-        f"platform    http://{HOST}:{at['platform']}",
-        f"  {platform}",
-        f"objects     http://{HOST}:{at['objects']}",
-        f"  curl -si -T README.md http://{HOST}:{at['objects']}/match-footage/readme",
-        f"  curl -si -r 0-99 http://{HOST}:{at['objects']}/match-footage/readme",
-        f"http        http://{HOST}:{at['http']}",
-        f"  curl -si -X PUT -d '1:0' http://{HOST}:{at['http']}/feed/matches/7",
-        f"  curl -si http://{HOST}:{at['http']}/feed/matches/7",
-        f"  curl -si -H 'X-Client: partner-0007' http://{HOST}:{at['http']}/archive/2025",
-        f"management  http://{HOST}:{at['management']}",
-        f"  curl -s http://{HOST}:{at['management']}/control/counters",
+        f"platform    {platform}",
+        f"  curl -si -X PUT {platform}/event-write/00000000f0a70001/0000000000000007 "
+        "-H \"Req-Id: demo-$RANDOM$RANDOM\" -H 'X-Plan: premium' -H 'Req-Deadline-Ms: 2000' "
+        "-H 'X-IO: units=1,shard=-1,hosts=1' -H \"Idempotency-Key: $RANDOM\" -d 'a goal'",
+        f"objects     {objects}",
+        f"  curl -si -T README.md {objects}/match-footage/readme",
+        f"  curl -si -r 0-99 {objects}/match-footage/readme",
+        f"http        {http}",
+        f"  curl -si -X PUT -d '1:0' {http}/feed/matches/7",
+        f"  curl -si {http}/feed/matches/7",
+        f"  curl -si -H 'X-Client: partner-0007' {http}/archive/2025",
+        f"management  {management}",
+        f"  curl -s {management}/control/counters",
     ]
 
 
-async def demo(count: int, seed: int, seconds: float | None) -> None:
-    """Serve until asked to stop."""
-    listening = StandInServers()
-    nodes = [StandInNode(f"node-{i}", i, seed) for i in range(count)]
-    for node in nodes:
-        node.port = await listening.serve(node.handle)
-    discovery = await listening.serve(StandInDiscovery(nodes).handle)
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        conf = config.read({"NODE_CONFIG": str(files(folder, nodes, discovery))}, {})
-        head = Head(
-            conf,
-            load_objects(folder / "objects.cue", conf.settings, conf.shards),
-            load_http(folder / "http.cue"),
-        )
-        shown = Shown(head)
-        head.engine.serve = shown  # type: ignore[method-assign]
-        stop = asyncio.Event()
-        loop = asyncio.get_running_loop()
-        for sign in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(sign, stop.set)
-        loop.add_signal_handler(signal.SIGHUP, lambda: [service.reload() for service in head.tables])
-        await head.start()
-        try:
-            say_start(nodes, folder, ports(head))
-            with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(stop.wait(), seconds)
-        finally:
-            print("\nstopping: what was taken is answered first; a second Ctrl-C is not needed", flush=True)
-            await head.stop()
-            await listening.close()
-    print(
-        f"{shown.count} requests of the core, by node: "
-        + ", ".join(f"{node.name} {node.served}" for node in nodes),
-        flush=True,
-    )
-
-
-def say_start(nodes: list[StandInNode], folder: Path, at: dict[str, int]) -> None:
+def print_start(nodes: list[StandInNode], folder: Path, ports: FrontPorts) -> None:
+    """Print what runs, where its files are, and calls to try."""
     print(f"a head with {len(nodes)} stand-in nodes, all on loopback; Ctrl-C ends it")
     print(f"its files: {folder} (change rules.cue, then: kill -HUP {os.getpid()})\n")
-    print("\n".join(lines(at)))
+    print("\n".join(example_calls(ports)))
     print("\nwhat becomes of requests:", flush=True)
 
 
-def play(count: int, seed: int, seconds: float | None) -> int:
-    """The exit code."""
+# -- the run ----------------------------------------------------------------------------------------------
+@contextlib.asynccontextmanager
+async def stand_ins(count: int, seed: int) -> AsyncIterator[tuple[list[StandInNode], int]]:
+    """Run stand-in nodes and discovery; yields the nodes and discovery's port."""
+    servers = StandInServers()
+    nodes = [StandInNode(f"node-{i}", i, seed) for i in range(count)]
+    try:
+        for node in nodes:
+            node.port = await servers.serve(node.handle)
+        yield nodes, await servers.serve(StandInDiscovery(nodes).handle)
+    finally:
+        await servers.close()
+
+
+def stop_on_signals(head: Head) -> asyncio.Event:
+    """Reload the rules on SIGHUP, and return an event that SIGTERM and SIGINT set."""
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+
+    def reload() -> None:
+        for service in head.tables:
+            service.reload()
+
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    loop.add_signal_handler(signal.SIGHUP, reload)
+    return stop
+
+
+async def demo(count: int, seed: int, seconds: float | None) -> None:
+    """Serve until a signal, or for a time.
+
+    Args:
+        count: How many stand-in nodes there are.
+        seed: Of the nodes' service times.
+        seconds: How long to serve; None: until a signal.
+
+    Raises:
+        ConfigError: The files of the deployment do not fit.
+        OSError: A port cannot be opened.
+    """
+    async with stand_ins(count, seed) as (nodes, discovery_port):
+        with tempfile.TemporaryDirectory() as name:
+            folder = Path(name)
+            head = make_head(folder, nodes, discovery_port)
+            printer = RequestPrinter(head)
+            stop = stop_on_signals(head)
+            await head.start()
+            try:
+                print_start(nodes, folder, FrontPorts.of(head))
+                with contextlib.suppress(TimeoutError):
+                    await asyncio.wait_for(stop.wait(), seconds)
+            finally:
+                print("\nstopping: requests in flight are answered first; wait for it", flush=True)
+                await head.stop()
+    served = ", ".join(f"{node.name} {node.served}" for node in nodes)
+    print(f"{printer.count} requests of the core, by node: {served}", flush=True)
+
+
+def run_demo(count: int, seed: int, seconds: float | None) -> int:
+    """Run the demo as a command; returns its exit code, 2 where it cannot start.
+
+    Args:
+        count: How many stand-in nodes there are.
+        seed: Of the nodes' service times.
+        seconds: How long to serve; None: until a signal.
+    """
     logger.remove()
     logger.add(
         sys.stderr,
@@ -182,5 +239,5 @@
         asyncio.run(demo(count, seed, seconds))
     except (config.ConfigError, OSError) as error:
         print(f"the demo cannot start: {error}", file=sys.stderr)
-        return 2
+        return EXIT_NOT_STARTED
     return 0
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -25,7 +25,7 @@
 from stoatrouter.credit.gate import Gate
 from stoatrouter.fronts.http.settings import HttpSettings
 from stoatrouter.fronts.wiring import http_tables
-from stoatrouter.lab.hollow.logs import LABEL
+from stoatrouter.lab.hollow.logs import HEAD_FIELD
 from stoatrouter.lab.hollow.network import Network
 from stoatrouter.lab.hollow.tables import HollowTables, SharedTables
 from stoatrouter.net.clock import Clock
@@ -35,19 +35,19 @@
 from stoatrouter.policy import Scheduler
 
 
-class Life(Enum):
-    """How a hollow head is at the moment."""
+class Lifecycle(Enum):
+    """The state of a hollow head."""
 
     NEW = "new"
     STARTING = "starting"
     RUNNING = "running"
-    DOWN = "down"  # ended because it was asked to
+    DOWN = "down"  # ended on command
     DIED = "died"  # ended by itself
 
 
 @dataclass(slots=True)
 class HollowReducer:
-    """Of the core's reducer: what credit reads and sets."""
+    """The part of the core's reducer that credit reads and sets."""
 
     scheduler: Scheduler
     gate: Gate | None = None
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class HollowEngine:
-    """Of the engine: what credit reads and sets."""
+    """The part of the engine that credit reads and sets."""
 
     reducer: HollowReducer
     clock: Clock = field(default_factory=Clock)
@@ -63,51 +63,81 @@
 
 
 class Surroundings:
-    """What all hollow heads of one process share: the deployment's settings, compiled tables, the network."""
+    """The deployment's settings, compiled tables and the network, shared by all hollow heads of a process."""
 
     def __init__(
         self, conf: Config, http: HttpSettings | None, network: Network, watches: bool = True
     ) -> None:
-        self.conf, self.http, self.network, self.watches = conf, http, network, watches
+        """Compile the deployment's tables.
+
+        Args:
+            conf: The configuration of every head.
+            http: The settings of the HTTP front, whose rules the heads agree on; None: no rules.
+            network: Delays and partitions between the heads.
+            watches: Whether heads follow discovery.
+        """
+        self.conf = conf
+        self.http = http
+        self.network = network
+        self.watches = watches
         self.scheduler = Scheduler(conf.settings, seed=conf.seed)
         self.tables = None if http is None else SharedTables(http_tables(conf, http))
 
 
 class HollowHead:
-    """One hollow head. `start` and `close` as a real one; `crash` ends it as a killed process ends."""
+    """One hollow head: `start` and `close` as of a real one; `crash` ends it as a killed process ends."""
 
     def __init__(self, name: str, settings: HeadsSettings, surroundings: Surroundings) -> None:
-        self.name, self.settings, self.surroundings = name, settings, surroundings
-        self.life, self.why = Life.NEW, ""
+        """Prepare a head; nothing runs before `start`."""
+        self.name = name
+        self.settings = settings
+        self.surroundings = surroundings
+        self.lifecycle = Lifecycle.NEW
+        self.death_reason = ""
         self.heads: Heads | None = None
         self.watch: Watch | None = None
-        self.listed = 0  # nodes in the list that this head holds
-        self.served = self.refused = 0  # requests of `spend`
+        self.listed_nodes = 0  # in the largest list that discovery sent
+        self.served = 0  # requests of `spend`
+        self.rejected = 0
         self.watching: asyncio.Task[None] | None = None
         self.ready: asyncio.Task[None] | None = None
-        # what `Heads` reads of a head
+        # The interface of a head that `Heads` uses.
         self.conf = surroundings.conf
         self.engine = HollowEngine(HollowReducer(surroundings.scheduler))
         self.http_tables = None if surroundings.tables is None else HollowTables(surroundings.tables)
 
+    def is_running(self) -> bool:
+        """Whether the head has started and has not ended."""
+        return self.lifecycle is Lifecycle.RUNNING
+
+    def is_active(self) -> bool:
+        """Whether the head runs or is starting."""
+        return self.lifecycle in (Lifecycle.STARTING, Lifecycle.RUNNING)
+
     @property
     def counts(self) -> Counter[str]:
         """Messages by kind since the last start, as a real head counts them."""
         return Counter() if self.heads is None else Counter(self.heads.fleet.counters.by_name)
 
-    # -- life ---------------------------------------------------------------------------------------------
+    # -- lifecycle ---------------------------------------------------------------------------------------
     async def start(self) -> None:
-        """Begin, or begin again with the same folder; returns once a real head would be ready."""
-        assert self.life not in (Life.STARTING, Life.RUNNING), f"{self.name} runs already"
-        self.life, self.why = Life.STARTING, ""
-        with logger.contextualize(**{LABEL: self.name}):
+        """Start, or start again with the same folder; returns once a real head would be ready.
+
+        Raises:
+            OSError: A socket or file cannot be opened.
+            ConfigError: The settings do not fit.
+        """
+        assert not self.is_active(), f"{self.name} runs already"
+        self.lifecycle = Lifecycle.STARTING
+        self.death_reason = ""
+        with logger.contextualize(**{HEAD_FIELD: self.name}):
             try:
                 await self._start()
             except (OSError, ConfigError) as error:
                 self.die(f"it did not start: {error}")
                 raise
-        if self.life is Life.STARTING:
-            self.life = Life.RUNNING
+        if self.lifecycle is Lifecycle.STARTING:
+            self.lifecycle = Lifecycle.RUNNING
 
     async def _start(self) -> None:
         started_with, _ = persisted_version(self.settings, self.surroundings.http)
@@ -122,7 +152,7 @@
             network.attach_datagrams(self.name, fleet.datagrams)
         await ready
         for task in (*fleet.tasks, *heads.tasks):
-            task.add_done_callback(self._ended)
+            task.add_done_callback(self._on_task_end)
 
     def _begin_watch(self) -> None:
         """Follow the node list as a real head does, where there is discovery."""
@@ -133,50 +163,53 @@
         self.watch = Watch(
             conf.discovery,
             {},
-            self._told_nodes,
+            self._on_node_list,
             lambda _: None,
             pushed,
             list_times(pushed, conf.drain_grace),
             conf.zones,
         )
         self.watching = asyncio.get_running_loop().create_task(self.watch.run())
-        self.watching.add_done_callback(self._ended)
+        self.watching.add_done_callback(self._on_task_end)
 
-    def _told_nodes(self, kind: object, nodes: tuple[object, ...], age: timedelta | None) -> None:
+    def _on_node_list(self, kind: object, nodes: tuple[object, ...], age: timedelta | None) -> None:
         if nodes and self.watch is not None:
-            self.listed = max(self.listed, len(nodes))
+            self.listed_nodes = max(self.listed_nodes, len(nodes))
+
+    def _on_task_end(self, task: asyncio.Task[None]) -> None:
+        """Notice that a task of the control part has ended.
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        """A task of the control part has ended. Its loops never do, but by an error or a cancellation; the
-        founding returns when it is done.
+        Its loops never do, but by an error or a cancellation; the founding returns when it is done.
         """
-        if self.life not in (Life.STARTING, Life.RUNNING):
+        if not self.is_active():
             return
         error = "it was cancelled" if task.cancelled() else task.exception()
         if error is not None:
-            self.die(f"{task.get_coro().__qualname__} ended: {error!r}")
+            coroutine = getattr(task.get_coro(), "__qualname__", "a task")
+            self.die(f"{coroutine} ended: {error!r}")
 
-    def die(self, why: str) -> None:
+    def die(self, reason: str) -> None:
         """Count this head as dead; it is named with the reason in every report from now on."""
-        self.life, self.why = Life.DIED, why
-        with logger.contextualize(**{LABEL: self.name}):
-            logger.error("hollow: {name} died: {why}", event="hollow.died", name=self.name, why=why)
+        self.lifecycle = Lifecycle.DIED
+        self.death_reason = reason
+        with logger.contextualize(**{HEAD_FIELD: self.name}):
+            logger.error("hollow: {name} died: {why}", event="hollow.died", name=self.name, why=reason)
 
     async def close(self) -> None:
-        """End as a head that is asked to stop: it says that it leaves, and settles."""
-        if self.life not in (Life.STARTING, Life.RUNNING):
+        """Shut down gracefully: the head announces that it leaves, and settles its credit."""
+        if not self.is_active():
             return
-        self.life = Life.DOWN
-        with logger.contextualize(**{LABEL: self.name}):
+        self.lifecycle = Lifecycle.DOWN
+        with logger.contextualize(**{HEAD_FIELD: self.name}):
             await self._end_watch()
             if self.heads is not None:
                 await self.heads.close()
 
     async def crash(self) -> None:
-        """End as a killed process: nothing is said to anybody, and files stay as they are."""
-        if self.life not in (Life.STARTING, Life.RUNNING):
+        """End as a killed process: nothing is sent to anybody, and files stay as they are."""
+        if not self.is_active():
             return
-        self.life = Life.DOWN
+        self.lifecycle = Lifecycle.DOWN
         await self._end_watch()
         heads = self.heads
         if heads is None:
@@ -202,27 +235,30 @@
 
     # -- credit -------------------------------------------------------------------------------------------
     async def spend(self, id: str, volume: str, units: float = 1.0) -> bool:
-        """One request of a customer as far as credit sees it: whether it was taken. It counts as served."""
+        """Make one request of a customer, as far as credit sees it; returns whether it was served.
+
+        A request that credit admits counts as served.
+        """
         request = model.Request(id, 0, 0, volume, "", 0, units, 1, timedelta(seconds=2), False)
         engine = self.engine
-        if self.life is not Life.RUNNING or engine.prepare is None or engine.reducer.gate is None:
+        if not self.is_running() or engine.prepare is None or engine.reducer.gate is None:
             return False
         with contextlib.suppress(TimeoutError):
             await engine.prepare(request)
-        if self.life is not Life.RUNNING:
+        if not self.is_running():
             return False
         if engine.reducer.gate.take(request, engine.clock.now()) is not None:
-            self.refused += 1
+            self.rejected += 1
             return False
         engine.reducer.gate.end(request.id, True)
         self.served += 1
         return True
 
 
-def settings_of(
+def settings_of_head(
     common: HeadsSettings, name: str, address: str | None, peers: tuple[str, ...]
 ) -> HeadsSettings:
-    """One head's settings from those of the fleet's file: its name, folder and datagrams are its own."""
+    """Return one head's settings from those of the fleet's file, with its own name, folder and datagrams."""
     return msgspec.structs.replace(
         common,
         name=name,
--- a/stoatrouter/lab/hollow/launcher.py
+++ b/stoatrouter/lab/hollow/launcher.py
@@ -1,9 +1,9 @@
-"""Hollow heads in worker processes: started, told and ended by one object.
+"""Hollow heads in worker processes, started, commanded and ended by one object.
 
 fleet = HollowFleet(folder, spec, workers=8)
 async with fleet:
     await fleet.start(fleet.names)
-    census = await fleet.tell()
+    census = await fleet.report()
 """
 
 from __future__ import annotations
@@ -22,22 +22,25 @@
 
 from stoatrouter.lab.hollow.census import Census
 from stoatrouter.lab.hollow.messages import (
-    Answer,
+    MAX_LINE,
     Close,
     Command,
     Crash,
-    Ordered,
-    Part,
+    NumberedCommand,
+    Reply,
+    Report,
+    SetPartition,
     Spend,
     Start,
-    Tell,
     WorkerSpec,
 )
 
 ROOT = Path(__file__).parent.parent.parent.parent
-LONGEST_LINE = 64 * 1024 * 1024  # bytes of one answer
-ENDS_WITHIN = 8.0  # seconds that a worker has to end by itself; then it is killed
-LAST_WORDS = 400  # characters
+SHUTDOWN_TIMEOUT = 8.0  # seconds that a worker has to end by itself; then it is killed
+COMMAND_TIMEOUT = 30.0  # seconds
+CRASH_TIMEOUT = 60.0  # seconds
+START_TIMEOUT = 240.0  # seconds
+LOG_TAIL = 400  # characters of a dead worker's log that an error shows
 FIRST_HOST = 64  # 127.64.W.1 is the address of worker W: no connection that goes out takes a port of it
 
 
@@ -47,63 +50,87 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSpec:
-    """What all workers are told."""
+    """The part of the specification that all workers share."""
 
     heads_file: Path
     config_file: Path
     http_file: Path | None
     names: tuple[str, ...]  # of all hollow heads
     addresses: dict[str, str]  # of the datagrams of real heads, as hollow heads reach them
-    places: dict[str, tuple[int, int, int]]
+    places: dict[str, tuple[int, int, int]]  # region, zone and rack of all heads
     watches: bool = True
 
+    def for_worker(self, names: tuple[str, ...], hollow_addresses: dict[str, str], log: Path) -> WorkerSpec:
+        """Return the specification of the worker that runs these heads."""
+        return WorkerSpec(
+            heads_file=str(self.heads_file),
+            config_file=str(self.config_file),
+            http_file=None if self.http_file is None else str(self.http_file),
+            log_file=str(log),
+            names=names,
+            addresses=self.addresses | hollow_addresses,
+            places=self.places,
+            real=tuple(self.addresses),
+            watches=self.watches,
+        )
+
 
 @dataclass(slots=True)
 class WorkerProcess:
-    """One worker and what it was asked."""
+    """One worker process and the commands that it has not answered yet."""
 
     number: int
     names: tuple[str, ...]
     process: asyncio.subprocess.Process
     log: Path
-    asked: dict[int, asyncio.Future[Answer]] = field(default_factory=dict)
+    pending: dict[int, asyncio.Future[Reply]] = field(default_factory=dict)  # by the number of the command
     reading: asyncio.Task[None] | None = None
     numbers: itertools.count[int] = field(default_factory=itertools.count)
 
-    async def read(self) -> None:
-        """Hand on each answer to whoever waits for it."""
+    async def read_replies(self) -> None:
+        """Hand each reply to whoever waits for it, until the process ends."""
         assert self.process.stdout is not None
         while line := await self.process.stdout.readline():
-            answer = msgspec.json.decode(line, type=Answer)
-            if (waiting := self.asked.pop(answer.number, None)) is not None and not waiting.done():
-                waiting.set_result(answer)
+            reply = msgspec.json.decode(line, type=Reply)
+            waiting = self.pending.pop(reply.number, None)
+            if waiting is not None and not waiting.done():
+                waiting.set_result(reply)
         await self.process.wait()
-        lost = WorkerLost(self.last_words())
-        for waiting in self.asked.values():
+        lost = WorkerLost(self.describe_end())
+        for waiting in self.pending.values():
             if not waiting.done():
                 waiting.set_exception(lost)
-        self.asked.clear()
+        self.pending.clear()
+
+    async def request(self, command: Command, timeout: float) -> Reply:
+        """Give a command and wait for its reply.
 
-    async def ask(self, command: Command, within: float) -> Answer:
-        """Give a command; raises WorkerLost where no answer comes."""
+        Args:
+            command: What the worker is to do.
+            timeout: Seconds.
+
+        Raises:
+            WorkerLost: The process has ended, no reply came in time, or the command failed.
+        """
         if self.process.returncode is not None or self.process.stdin is None:
-            raise WorkerLost(self.last_words())
+            raise WorkerLost(self.describe_end())
         number = next(self.numbers)
-        waiting = self.asked[number] = asyncio.get_running_loop().create_future()
+        reply_future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+        self.pending[number] = reply_future
         try:
-            self.process.stdin.write(msgspec.json.encode(Ordered(number, command)) + b"\n")
-            async with asyncio.timeout(within):
-                answer = await waiting
+            self.process.stdin.write(msgspec.json.encode(NumberedCommand(number, command)) + b"\n")
+            async with asyncio.timeout(timeout):
+                reply = await reply_future
         except (OSError, TimeoutError) as error:
             raise WorkerLost(f"worker {self.number} gave no answer: {error!r}") from None
-        if answer.error:
-            raise WorkerLost(f"worker {self.number}: {answer.error}")
-        return answer
+        if reply.error:
+            raise WorkerLost(f"worker {self.number}: {reply.error}")
+        return reply
 
-    def last_words(self) -> str:
-        """How the process ended, with the end of what it wrote."""
-        words = self.log.read_text(errors="replace").strip()[-LAST_WORDS:]
-        return f"worker {self.number} ended with {self.process.returncode}: {words}"
+    def describe_end(self) -> str:
+        """Say how the process ended, with the end of what it wrote."""
+        tail = self.log.read_text(errors="replace").strip()[-LOG_TAIL:]
+        return f"worker {self.number} ended with {self.process.returncode}: {tail}"
 
     async def end(self) -> None:
         """End the process: by the end of its input, and by a kill where that does not help."""
@@ -111,7 +138,7 @@
             assert self.process.stdin is not None
             self.process.stdin.close()
             try:
-                async with asyncio.timeout(ENDS_WITHIN):
+                async with asyncio.timeout(SHUTDOWN_TIMEOUT):
                     await self.process.wait()
             except TimeoutError:
                 self.process.kill()
@@ -122,24 +149,35 @@
 
 
 class HollowFleet:
-    """All hollow heads of a run."""
+    """All hollow heads of a run; an asynchronous context manager that ends the worker processes."""
 
     def __init__(self, folder: Path, spec: FleetSpec, workers: int) -> None:
-        self.folder, self.spec, self.names = folder, spec, spec.names
-        self.shares = [spec.names[number::workers] for number in range(min(workers, len(spec.names)))]
-        self.hollow_addresses = choose_addresses(self.shares)
+        """Spread the heads over workers, and choose their addresses; no process runs yet.
+
+        Args:
+            folder: Where the files and logs of the workers go.
+            spec: The heads, and the files that all of them read.
+            workers: How many processes there are; no more than heads.
+        """
+        self.folder = folder
+        self.spec = spec
+        self.names = spec.names
+        count = min(workers, len(spec.names))
+        self.assignments = [spec.names[number::workers] for number in range(count)]
+        self.hollow_addresses = choose_addresses(self.assignments)
         self.workers: list[WorkerProcess] = []
-        self.answers: dict[int, Answer] = {}  # the last of each worker
+        self.replies: dict[int, Reply] = {}  # the last of each worker
 
     @property
     def logs(self) -> list[Path]:
-        """Where the events of all hollow heads are."""
-        return [self.folder / f"worker-{number}.events" for number in range(len(self.shares))]
+        """The files with the events of all hollow heads, by worker."""
+        return [self.folder / f"worker-{number}.events" for number in range(len(self.assignments))]
 
     async def __aenter__(self) -> HollowFleet:
+        """Start all worker processes; their heads are not started yet."""
         self.folder.mkdir(parents=True, exist_ok=True)
         try:
-            for number, names in enumerate(self.shares):
+            for number, names in enumerate(self.assignments):
                 self.workers.append(await self._open(number, names))
         except BaseException:
             await self.close()
@@ -147,112 +185,114 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """End all worker processes."""
         await self.close()
 
     async def close(self) -> None:
-        """End all workers."""
+        """End all worker processes."""
         await asyncio.gather(*(worker.end() for worker in self.workers))
 
     async def _open(self, number: int, names: tuple[str, ...]) -> WorkerProcess:
-        spec = self.spec
-        told = WorkerSpec(
-            str(spec.heads_file),
-            str(spec.config_file),
-            None if spec.http_file is None else str(spec.http_file),
-            str(self.logs[number]),
-            names,
-            spec.addresses | self.hollow_addresses,
-            spec.places,
-            tuple(spec.addresses),
-            spec.watches,
-        )
+        """Start a worker process, and read its replies from now on."""
+        spec = self.spec.for_worker(names, self.hollow_addresses, self.logs[number])
         file = self.folder / f"worker-{number}.json"
-        file.write_bytes(msgspec.json.encode(told))
-        written = self.folder / f"worker-{number}.log"
-        with written.open("wb") as log:
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-O",
-                "-B",
-                "-m",
-                "stoatrouter.lab.hollow.worker",
-                str(file),
-                env=os.environ | {"PYTHONPATH": str(ROOT)},
-                stdin=asyncio.subprocess.PIPE,
-                stdout=asyncio.subprocess.PIPE,
-                stderr=log,
-                limit=LONGEST_LINE,
-                start_new_session=True,
-            )
-        worker = WorkerProcess(number, names, process, written)
-        worker.reading = asyncio.get_running_loop().create_task(worker.read())
+        file.write_bytes(msgspec.json.encode(spec))
+        log_file = self.folder / f"worker-{number}.log"
+        process = await open_process(file, log_file)
+        worker = WorkerProcess(number, names, process, log_file)
+        worker.reading = asyncio.get_running_loop().create_task(worker.read_replies())
         return worker
 
     # -- commands -----------------------------------------------------------------------------------------
-    async def start(self, names: Iterable[str], within: float = 240.0, at_once: int = 16) -> Census:
+    async def start(
+        self, names: Iterable[str], timeout: float = START_TIMEOUT, concurrency: int = 16
+    ) -> Census:
         """Start heads, so many at a time in each worker; returns when all run or died."""
-        return await self._ask_each(lambda share: Start(share, at_once), names, within)
+        return await self._request_each(lambda own: Start(own, concurrency), names, timeout)
 
-    async def crash(self, names: Iterable[str], within: float = 60.0) -> Census:
+    async def crash(self, names: Iterable[str], timeout: float = CRASH_TIMEOUT) -> Census:
         """End heads as killed processes end."""
-        return await self._ask_each(Crash, names, within)
+        return await self._request_each(Crash, names, timeout)
 
-    async def stop(self, names: Iterable[str], within: float = 60.0) -> Census:
-        """End heads as processes that are asked to: each says that it leaves."""
-        return await self._ask_each(Close, names, within)
+    async def stop(self, names: Iterable[str], timeout: float = CRASH_TIMEOUT) -> Census:
+        """Shut heads down gracefully: each announces that it leaves."""
+        return await self._request_each(Close, names, timeout)
 
-    async def part(self, sides: dict[str, int], apart: tuple[tuple[int, int], ...] = ()) -> Census:
-        """Put a partition between heads on different sides, or these pairs of sides alone; none heals it."""
-        return await self._ask_all(Part(sides, apart), 30.0)
+    async def partition(self, sides: dict[str, int], cut_pairs: tuple[tuple[int, int], ...] = ()) -> Census:
+        """Cut heads on different sides off from each other, or these pairs of sides alone; no sides: heal."""
+        return await self._request_all(SetPartition(sides, cut_pairs), COMMAND_TIMEOUT)
 
     async def spend(self, volumes: tuple[str, ...], rate: float, seed: int) -> Census:
         """Let each head have requests of customers at a rate a second; 0: no more."""
-        return await self._ask_all(Spend(volumes, rate, seed), 30.0)
+        return await self._request_all(Spend(volumes, rate, seed), COMMAND_TIMEOUT)
 
-    async def tell(self, within: float = 30.0) -> Census:
-        """A round of reports: every head by name, whatever became of it."""
-        return await self._ask_all(Tell(), within)
+    async def report(self, timeout: float = COMMAND_TIMEOUT) -> Census:
+        """Make a round of reports, in which every head is named, whatever became of it."""
+        return await self._request_all(Report(), timeout)
 
-    async def _ask_each(
-        self, make: Callable[[tuple[str, ...]], Command], names: Iterable[str], within: float
+    async def _request_each(
+        self, make_command: Callable[[tuple[str, ...]], Command], names: Iterable[str], timeout: float
     ) -> Census:
+        """Give each worker a command for those of the heads that are its own."""
         wanted = set(names)
-        shares = {
-            worker.number: tuple(name for name in worker.names if name in wanted) for worker in self.workers
-        }
-        commands = {number: make(share) for number, share in shares.items() if share}
-        return await self._gather(commands, within)
-
-    async def _ask_all(self, command: Command, within: float) -> Census:
-        return await self._gather({worker.number: command for worker in self.workers}, within)
-
-    async def _gather(self, commands: dict[int, Command], within: float) -> Census:
-        """Give commands to workers and make a census; workers that are not asked report too."""
+        commands = {}
+        for worker in self.workers:
+            own = tuple(name for name in worker.names if name in wanted)
+            if own:
+                commands[worker.number] = make_command(own)
+        return await self._gather(commands, timeout)
+
+    async def _request_all(self, command: Command, timeout: float) -> Census:
+        return await self._gather({worker.number: command for worker in self.workers}, timeout)
+
+    async def _gather(self, commands: dict[int, Command], timeout: float) -> Census:
+        """Give commands to workers and make a census; workers without a command report too."""
         census = Census(self.names)
 
-        async def ask(worker: WorkerProcess) -> None:
+        async def request(worker: WorkerProcess) -> None:
             try:
-                answer = await worker.ask(commands.get(worker.number, Tell()), within)
+                reply = await worker.request(commands.get(worker.number, Report()), timeout)
             except WorkerLost as lost:
-                census.lost_process(worker.names, str(lost))
+                census.add_lost_process(worker.names, str(lost))
                 return
-            self.answers[worker.number] = answer
-            census.add(answer.heads)
+            self.replies[worker.number] = reply
+            census.add(reply.heads)
 
-        await asyncio.gather(*(ask(worker) for worker in self.workers))
+        await asyncio.gather(*(request(worker) for worker in self.workers))
         return census
 
 
-def choose_addresses(shares: list[tuple[str, ...]]) -> dict[str, str]:
-    """An address for the datagrams of each hollow head. Each worker has a loopback address of its own, where
-    ports are held together and then let go: nobody else takes them meanwhile.
+async def open_process(spec_file: Path, log_file: Path) -> asyncio.subprocess.Process:
+    """Start a worker process in a session of its own, so that Ctrl-C reaches the launcher alone."""
+    with log_file.open("wb") as log:
+        return await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-O",
+            "-B",
+            "-m",
+            "stoatrouter.lab.hollow.worker",
+            str(spec_file),
+            env=os.environ | {"PYTHONPATH": str(ROOT)},
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=log,
+            limit=MAX_LINE,
+            start_new_session=True,
+        )
+
+
+def choose_addresses(assignments: list[tuple[str, ...]]) -> dict[str, str]:
+    """Choose an address for the datagrams of each hollow head.
+
+    Each worker has a loopback address of its own, where all ports are bound at once and then released: nobody
+    else takes them meanwhile.
     """
-    found: dict[str, str] = {}
-    for number, names in enumerate(shares):
+    addresses: dict[str, str] = {}
+    for number, names in enumerate(assignments):
         host = f"127.{FIRST_HOST + os.getpid() % 128}.{number}.1"
-        with contextlib.ExitStack() as held:
+        with contextlib.ExitStack() as sockets:
             for name in names:
-                made = held.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
-                made.bind((host, 0))
-                found[name] = f"{host}:{made.getsockname()[1]}"
-    return found
+                bound = sockets.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
+                bound.bind((host, 0))
+                addresses[name] = f"{host}:{bound.getsockname()[1]}"
+    return addresses
--- a/stoatrouter/lab/hollow/places.py
+++ b/stoatrouter/lab/hollow/places.py
@@ -1,4 +1,4 @@
-"""Where heads stand: regions, zones and racks, and how long a message takes between two places. No I/O."""
+"""Regions, zones and racks of heads, and how long a message takes between two places. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """One rack, with the zone and the region that it stands in."""
+    """A rack, with its zone and region."""
 
     region: int
     zone: int
@@ -20,13 +20,13 @@
 
 
 def place_of_rack(rack: int) -> Place:
-    """The place of a rack; racks are spread over zones, and zones over regions, in order."""
+    """Return the place of a rack; racks are spread over zones, and zones over regions, in order."""
     zone = rack * ZONES // RACKS
     return Place(zone * REGIONS // ZONES, zone, rack)
 
 
 def spread(names: Iterable[str]) -> dict[str, Place]:
-    """Give each head a rack in turn, so that each rack holds a thirtieth of them."""
+    """Give each head a rack in turn, so that each rack has a thirtieth of them."""
     return {name: place_of_rack(index % RACKS) for index, name in enumerate(names)}
 
 
@@ -40,7 +40,7 @@
 
 
 def one_way_seconds(sender: Place, receiver: Place) -> float:
-    """How long a message takes from one place to another."""
+    """Return how long a message takes from one place to another."""
     if sender.region != receiver.region:
         low, high = sorted((sender.region, receiver.region))
         return REGION_SECONDS[low, high]
--- a/stoatrouter/lab/hollow/tables.py
+++ b/stoatrouter/lab/hollow/tables.py
@@ -1,8 +1,8 @@
 """Rule tables of hollow heads: each set of files is compiled once for each process, not once for each head.
 
 A real head compiles each set beside its requests. A hundred hollow heads in one process would compile the
-same set a hundred times over one interpreter lock, so they share the result. What an edit costs one head in
-compiling is therefore to be measured at real heads.
+same set a hundred times over one interpreter lock, so they share the result. What one head spends on
+compiling an edit is therefore to be measured at real heads.
 """
 
 from __future__ import annotations
@@ -13,26 +13,27 @@
 
 from stoatrouter.net.tables import Made, TableService
 
-MOST_KEPT = 8  # compiled sets; beyond, the oldest is forgotten and compiled again when it is asked for
+MAX_CACHED = 8  # compiled sets; beyond, the oldest is evicted and compiled again when it is needed
 
 
 class SharedTables:
-    """What all hollow heads of one process compile."""
+    """The cache of compiled tables of all hollow heads in one process."""
 
     def __init__(self, service: TableService) -> None:
+        """Compile by a service that a real head would have for itself."""
         self.service = service
-        self.compiled = 0
-        self.made: dict[str, asyncio.Task[Made]] = {}
+        self.compiled = 0  # sets of files, for reports
+        self.compilations: dict[str, asyncio.Task[Made]] = {}  # by digest
 
     async def compile(self, path: Path) -> Made:
-        """The table of a set of files, whose folder is named by its digest; raises SettingsError."""
+        """Compile a set of files, whose folder is named by its digest; raises SettingsError."""
         digest = path.parent.name
-        if digest not in self.made:
-            if len(self.made) >= MOST_KEPT:
-                del self.made[next(iter(self.made))]
+        if digest not in self.compilations:
+            if len(self.compilations) >= MAX_CACHED:
+                del self.compilations[next(iter(self.compilations))]
             self.compiled += 1
-            self.made[digest] = asyncio.get_running_loop().create_task(self.service.compile(path))
-        return await asyncio.shield(self.made[digest])
+            self.compilations[digest] = asyncio.get_running_loop().create_task(self.service.compile(path))
+        return await asyncio.shield(self.compilations[digest])
 
 
 @dataclass(slots=True)
@@ -44,9 +45,9 @@
     in_force: Made | None = field(default=None, repr=False)
 
     async def compile(self, path: Path) -> Made:
-        """A table of other files, put nowhere yet; raises SettingsError."""
+        """Compile a table of other files without putting it in force; raises SettingsError."""
         return await self.shared.compile(path)
 
     def put(self, made: Made) -> None:
-        """Put a table in force that was made before."""
+        """Put a compiled table in force."""
         self.in_force = made
--- a/stoatrouter/lab/standins.py
+++ b/stoatrouter/lab/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for tests and the demo: storage nodes in memory, and discovery."""
+"""Stand-ins on loopback for tests, benchmarks and the demo: storage nodes in memory, and discovery."""
 
 from __future__ import annotations
 
@@ -6,16 +6,23 @@
 import json
 import random
 import re
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass, field
 from datetime import timedelta
+from typing import Protocol
 
 from aiohttp import web
 
 HOST = "127.0.0.1"
+ANY_PORT = 0
 PIECE = re.compile(r"/[^/]+/([0-9a-fA-F]{16}/[0-9a-fA-F]{16})")
-LARGEST = 40 * 1024 * 1024  # bytes of one body
-MOST_KEPT = 256 * 1024 * 1024  # bytes in all; beyond, a write is told that the node is full
-HELD = timedelta(seconds=60)
+MAX_BODY = 40 * 1024 * 1024  # bytes
+MAX_STORED = 256 * 1024 * 1024  # bytes in all; beyond, a write is rejected as a full node rejects it
+MAX_HOLD = timedelta(seconds=60)
+SERVICE_SECONDS = (0.004, 0.02)  # of a request, at least and at most
+CLOSE_TIMEOUT = 0.1  # seconds that connections have to end
+
+RequestHandler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 @dataclass(slots=True)
@@ -27,16 +34,18 @@
     seed: int
     slots: int = 4
     queue: int = 16
-    kept: dict[str, bytes] = field(default_factory=dict)
-    waiting: int = 0
-    size: int = 0
+    stored: dict[str, bytes] = field(default_factory=dict)  # bodies by path, or by piece
+    waiting: int = 0  # requests in a slot or in the queue
+    size: int = 0  # bytes stored
     served: int = 0
     port: int = 0
     free_slots: asyncio.Semaphore = field(init=False)
-    times: random.Random = field(init=False)
+    rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        self.free_slots, self.times = asyncio.Semaphore(self.slots), random.Random(f"{self.seed}/{self.name}")
+        """Free all slots, and seed the service times by the node's name."""
+        self.free_slots = asyncio.Semaphore(self.slots)
+        self.rng = random.Random(f"{self.seed}/{self.name}")
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request of the nodes' protocol, or a load probe."""
@@ -45,12 +54,12 @@
         if "Req-Id" not in request.headers:
             return web.Response(status=404)
         body = await read_body(request)
-        if self.waiting >= self.slots + self.queue or self.size + len(body) > MOST_KEPT:
+        if self.waiting >= self.slots + self.queue or self.size + len(body) > MAX_STORED:
             return web.Response(status=503, headers={"Srv-Declined": "1"})
         self.waiting += 1
         try:
             async with self.free_slots:
-                await asyncio.sleep(self.times.uniform(0.004, 0.02))
+                await asyncio.sleep(self.rng.uniform(*SERVICE_SECONDS))
                 return self.answer(request, body)
         finally:
             self.waiting -= 1
@@ -59,24 +68,24 @@
         """Store or return a body; where nothing is stored, 404, or an empty body for pieces of objects."""
         path = request.raw_path.partition("?")[0]
         piece = PIECE.fullmatch(path)
-        place = piece[1] if piece is not None else path
+        key = piece[1] if piece is not None else path
         self.served += 1
         headers = {"Srv-Load": self.load()}
         if request.method in ("PUT", "POST"):
-            self.size += len(body) - len(self.kept.get(place, b""))
-            self.kept[place] = body
+            self.size += len(body) - len(self.stored.get(key, b""))
+            self.stored[key] = body
             return web.Response(body=b"", headers=headers)
-        found = self.kept.get(place)
+        found = self.stored.get(key)
         if found is None and piece is None:
             return web.Response(status=404, text="nothing is kept here\n", headers=headers)
         return web.Response(body=found or b"", headers=headers)
 
     def load(self) -> str:
-        """The load report, as nodes send it in Srv-Load."""
+        """Return the load report, as nodes send it in Srv-Load."""
         return f"util={min(1.0, self.waiting / self.slots):.2f},inflight={self.waiting}"
 
     def entry(self) -> dict[str, object]:
-        """The node's entry in discovery's list."""
+        """Return the node's entry in discovery's list."""
         return {
             "instanceId": self.name,
             "hostPort": f"{HOST}:{self.port}",
@@ -89,15 +98,25 @@
         }
 
 
+class Listed(Protocol):
+    """A node that discovery lists."""
+
+    def entry(self) -> dict[str, object]:
+        """Return the node's entry in the list."""
+        ...
+
+
 class StandInDiscovery:
-    """Discovery: the whole list, and watches that are held until it changes."""
+    """Discovery: the full list, and watches that are held until it changes."""
 
-    def __init__(self, nodes: list[StandInNode]) -> None:
-        self.nodes, self.generation = nodes, 1
+    def __init__(self, nodes: Sequence[Listed]) -> None:
+        """List these nodes, as generation 1."""
+        self.nodes = nodes
+        self.generation = 1
         self.changed = asyncio.Event()
 
     def full_list(self) -> dict[str, object]:
-        """The whole list as discovery's message."""
+        """Return the full list as discovery's message."""
         return {
             "generation": self.generation,
             "reset": True,
@@ -105,9 +124,9 @@
         }
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a call with the whole list; a watch is held until the list changes or its time is over."""
+        """Answer a call with the full list; a watch is held until the list changes or its time is over."""
         if "from" in request.query and request.query["from"] == str(self.generation):
-            hold = min(HELD, timedelta(milliseconds=int(request.query.get("hold_ms", "0"))))
+            hold = min(MAX_HOLD, timedelta(milliseconds=int(request.query.get("hold_ms", "0"))))
             try:
                 await asyncio.wait_for(self.changed.wait(), hold.total_seconds())
             except TimeoutError:
@@ -117,30 +136,35 @@
 
 
 async def read_body(request: web.BaseRequest) -> bytes:
-    """Read a body of at most LARGEST bytes; a larger one breaks the connection."""
+    """Read a body.
+
+    Raises:
+        RequestPayloadError: It is larger than MAX_BODY; aiohttp closes the connection then.
+    """
     body = bytearray()
-    async for piece in request.content.iter_any():
-        body += piece
-        if len(body) > LARGEST:
+    async for chunk in request.content.iter_any():
+        body += chunk
+        if len(body) > MAX_BODY:
             raise web.RequestPayloadError("a body over the bound")
     return bytes(body)
 
 
 class StandInServers:
-    """Runs stand-ins on free ports of loopback."""
+    """Servers of stand-ins on free ports of loopback."""
 
     def __init__(self) -> None:
-        self.open: list[tuple[asyncio.Server, web.Server]] = []
+        """Begin without a server."""
+        self.servers: list[tuple[asyncio.Server, web.Server]] = []
 
-    async def serve(self, handler: object) -> int:
+    async def serve(self, handler: RequestHandler) -> int:
         """Serve a handler on a free port of loopback; returns the port."""
-        server = web.Server(handler, access_log=None)  # type: ignore[arg-type]
-        listener = await asyncio.get_running_loop().create_server(server, HOST, 0)
-        self.open.append((listener, server))
+        server = web.Server(handler, access_log=None)
+        listener = await asyncio.get_running_loop().create_server(server, HOST, ANY_PORT)
+        self.servers.append((listener, server))
         return int(listener.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
         """Close all listening sockets and connections."""
-        for listener, server in self.open:
+        for listener, server in self.servers:
             listener.close()
-            await server.shutdown(0.1)
+            await server.shutdown(CLOSE_TIMEOUT)
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -31,7 +31,7 @@
 from stoatrouter.lab.histories.history import Request
 from stoatrouter.lab.histories.judge import judge
 from stoatrouter.lab.hollow.census import Census, Incomplete
-from stoatrouter.lab.hollow.head import HollowHead, Life, Surroundings, settings_of
+from stoatrouter.lab.hollow.head import HollowHead, Lifecycle, Surroundings, settings_of_head
 from stoatrouter.lab.hollow.launcher import choose_addresses
 from stoatrouter.lab.hollow.network import Network
 from stoatrouter.peering.counters import MessageCounters
@@ -84,7 +84,8 @@
     surroundings = Surroundings(conf, load_http(folder / "http.cue"), network, watches=False)
     peers = tuple(addresses.values())
     heads = [
-        HollowHead(name, settings_of(common, name, addresses[name], peers), surroundings) for name in names
+        HollowHead(name, settings_of_head(common, name, addresses[name], peers), surroundings)
+        for name in names
     ]
     try:
         await asyncio.gather(*(asyncio.create_task(head.start()) for head in heads))
@@ -154,12 +155,12 @@
         async with hollow_only(tmp_path, 4) as heads:
             victim = heads[3]
             victim.heads.fleet.tasks[0].cancel()
-            await until(lambda: victim.life is Life.DIED, "it is found dead")
-            assert "run_for_ever" in victim.why and "cancelled" in victim.why
-            assert [head.life for head in heads[:3]] == [Life.RUNNING] * 3
+            await until(lambda: victim.lifecycle is Lifecycle.DIED, "it is found dead")
+            assert "run_for_ever" in victim.death_reason and "cancelled" in victim.death_reason
+            assert [head.lifecycle for head in heads[:3]] == [Lifecycle.RUNNING] * 3
             for task in (*victim.heads.tasks, *victim.heads.fleet.tasks):
                 task.cancel()
-            victim.life = Life.RUNNING  # so that it is closed with the others
+            victim.lifecycle = Lifecycle.RUNNING  # so that it is closed with the others
 
     run(story(), LIMIT)
 
@@ -178,7 +179,7 @@
             ]
             assert not left
             await victim.start()
-            assert victim.heads.fleet.me == identity and victim.life is Life.RUNNING
+            assert victim.heads.fleet.me == identity and victim.lifecycle is Lifecycle.RUNNING
 
     run(story(), LIMIT)
 
@@ -236,8 +237,8 @@
 async def counts_of(fleet: CapacityFleet) -> tuple[dict[str, int], dict[str, dict[str, int]]]:
     """What the real follower and the hollow ones have counted."""
     real = next(head for head in fleet.real if head.name not in fleet.real.voters)
-    census = await fleet.hollow.tell()
-    assert not census.died, census.tell()
+    census = await fleet.hollow.report()
+    assert not census.died, census.summary()
     return (await real.told())["counts"], {report.name: report.counts for report in census.running}
 
 
@@ -284,7 +285,7 @@
             await faults.heal()
             await fleet.steady(quiet=True)
             async with asyncio.timeout(LIMIT / 3):  # whatever the faults were, each draws credit again
-                while not all(report.served for report in (await fleet.hollow.tell()).running):
+                while not all(report.served for report in (await fleet.hollow.report()).running):
                     await asyncio.sleep(0.2)
             await asking.finish()
             history, broken = asking.judged()
@@ -306,14 +307,14 @@
 def test_the_heads_of_a_worker_that_dies_are_named_and_in_no_mean(tmp_path):
     async def story():
         async with fleet_up(tmp_path, SMALL, seed=3) as fleet:
-            before = await fleet.hollow.tell()
+            before = await fleet.hollow.report()
             worker = fleet.hollow.workers[0]
             worker.process.kill()
             await worker.process.wait()
-            after = await fleet.hollow.tell()
+            after = await fleet.hollow.report()
             assert set(after.died) == set(worker.names) and "worker 0" in after.died[worker.names[0]]
-            assert after.lives["died"] == len(worker.names) and len(after.running) == 2
-            assert all(name in after.tell() for name in worker.names)
+            assert after.lifecycles["died"] == len(worker.names) and len(after.running) == 2
+            assert all(name in after.summary() for name in worker.names)
             with pytest.raises(Incomplete, match=worker.names[0]):
                 after.mean_rates(before, 1.0)
 
@@ -322,7 +323,7 @@
 
 def test_a_head_without_a_report_counts_as_dead():
     census = Census(("a", "b"))
-    assert set(census.died) == {"a", "b"} and census.lives["died"] == 2
+    assert set(census.died) == {"a", "b"} and census.lifecycles["died"] == 2
 
 
 # -- sizes and ends -----------------------------------------------------------------------------------------
