--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -89,7 +89,7 @@
         try:
             rule_input = read_request(request)
             if self.recorder is not None:
-                self.recorder.take(rule_input, request.raw_path, request.raw_headers)
+                self.recorder.record(rule_input, request.raw_path, request.raw_headers)
             key = read_idempotency_key(request)
             decision = self.matcher.decide(rule_input, self.engine.clock.now(), key)
             if isinstance(decision, Refusal):
@@ -117,9 +117,9 @@
         if not isinstance(answer, model.Served):
             return self.drain.mark(answer_response(answer))
         head = answer.head or model.Head(200, ())
-        if answer.flow is not None:
+        if answer.stream is not None:
             response = web.StreamResponse(status=head.status, headers=without_length(head))
-            return await self.stream_answer(request, translated.id, answer.flow, response)
+            return await self.stream_answer(request, translated.id, answer.stream, response)
         return self.drain.mark(complete_response(request, head, answer.body))
 
     def refuse(self, request: web.BaseRequest, refusal: Refusal) -> web.StreamResponse:
--- a/stoatrouter/lab/hollow/network.py
+++ b/stoatrouter/lab/hollow/network.py
@@ -10,7 +10,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Mapping
+from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass, field
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
@@ -21,10 +21,9 @@
 from stoatrouter.peering.streams import CONNECT_TIMEOUT, REQUEST_TIMEOUT
 
 if TYPE_CHECKING:
-    from stoatrouter.agreement.records import Voter
     from stoatrouter.peering.counters import MessageCounters
     from stoatrouter.peering.datagrams import Datagrams
-    from stoatrouter.peering.streams import Streams
+    from stoatrouter.peering.streams import Reply, Streams
 
 Address = tuple[str, int]
 KIND_BITS = 0x0F  # of a datagram's first byte
@@ -114,7 +113,7 @@
     """The requests of one head to its peers, delayed on the way there and back."""
 
     def __init__(
-        self, send: Callable[..., Any], network: Network, name: str, counters: MessageCounters
+        self, send: Callable[..., Awaitable[Reply]], network: Network, name: str, counters: MessageCounters
     ) -> None:
         """Delay what `send`, the `request` of a head's streams, sends and returns."""
         self.send = send
@@ -122,9 +121,7 @@
         self.name = name
         self.counters = counters
 
-    async def request(
-        self, name: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT
-    ) -> tuple[Voter, bytes]:
+    async def request(self, name: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT) -> Reply:
         """Ask a peer, as `Streams.request` does, and count the request by kind and peer.
 
         Raises:
@@ -133,29 +130,27 @@
         self.counters.add(f"hollow.asked.{kind}")
         self.counters.add(f"hollow.asked_of.{name}")
         try:
-            voter, answer = await self._request_delayed(name, kind, body, within)
+            reply = await self._request_delayed(name, kind, body, within)
         except PeerUnreachable as error:
             self.counters.add(f"hollow.unanswered.{kind}.{reason_of(error)}")
             raise
-        self.counters.add("hollow.answered_bytes", len(answer))
-        return voter, answer
+        self.counters.add("hollow.answered_bytes", len(reply.body))
+        return reply
 
-    async def _request_delayed(
-        self, name: str, kind: str, body: bytes, within: timedelta
-    ) -> tuple[Voter, bytes]:
+    async def _request_delayed(self, name: str, kind: str, body: bytes, within: timedelta) -> Reply:
         there = self.network.one_way(self.name, name)
         if there is None:
             await asyncio.sleep(min(within, CONNECT_TIMEOUT).total_seconds())
             raise PeerUnreachable(f"{name}: cut off by the partition")
         if there:
             await asyncio.sleep(there)
-        voter, answer = await self.send(name, kind, body, within)
+        reply = await self.send(name, kind, body, within)
         back = self.network.one_way(name, self.name)
         if back is None:
             raise PeerUnreachable(f"{name}: cut off by the partition")
         if back:
             await asyncio.sleep(back)
-        return voter, answer
+        return reply
 
 
 class DelayedTransport:
--- a/stoatrouter/lab/hollow/tables.py
+++ b/stoatrouter/lab/hollow/tables.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from stoatrouter.net.tables import Made, TableService
+from stoatrouter.net.tables import CompiledTable, TableService
 
 MAX_CACHED = 8  # compiled sets; beyond, the oldest is evicted and compiled again when it is needed
 
@@ -23,9 +23,9 @@
         """Compile by a service that a real head would have for itself."""
         self.service = service
         self.compiled = 0  # sets of files, for reports
-        self.compilations: dict[str, asyncio.Task[Made]] = {}  # by digest
+        self.compilations: dict[str, asyncio.Task[CompiledTable]] = {}  # by digest
 
-    async def compile(self, path: Path) -> Made:
+    async def compile(self, path: Path) -> CompiledTable:
         """Compile a set of files, whose folder is named by its digest; raises SettingsError."""
         digest = path.parent.name
         if digest not in self.compilations:
@@ -42,12 +42,12 @@
 
     shared: SharedTables
     managed: bool = False
-    in_force: Made | None = field(default=None, repr=False)
+    in_force: CompiledTable | None = field(default=None, repr=False)
 
-    async def compile(self, path: Path) -> Made:
+    async def compile(self, path: Path) -> CompiledTable:
         """Compile a table of other files without putting it in force; raises SettingsError."""
         return await self.shared.compile(path)
 
-    def put(self, made: Made) -> None:
+    def put(self, compiled: CompiledTable) -> None:
         """Put a compiled table in force."""
-        self.in_force = made
+        self.in_force = compiled
--- a/stoatrouter/lab/hollow/worker.py
+++ b/stoatrouter/lab/hollow/worker.py
@@ -218,16 +218,16 @@
     lifecycle = head.lifecycle.value
     if head.heads is None or not head.is_active():
         return HeadReport(head.name, lifecycle, head.death_reason, served=head.served, rejected=head.rejected)
-    status = HeadCalls(head.heads.fleet).told()  # as an operator sees it
+    status = HeadCalls(head.heads.fleet).status()  # as an operator sees it
     rules = head.heads.rules
-    statuses = list(status["seen"].values())
+    statuses = list(status.seen.values())
     return HeadReport(
         name=head.name,
         lifecycle=lifecycle,
         reason=head.death_reason,
-        availability=status["state"],
-        leader=status["leader"] or "",
-        applied=status["applied"],
+        availability=status.state,
+        leader=status.leader or "",
+        applied=status.applied,
         version=0 if rules is None else rules.active_version,
         nodes=head.listed_nodes,
         served=head.served,
--- a/stoatrouter/peering/rule_compiler.py
+++ b/stoatrouter/peering/rule_compiler.py
@@ -11,7 +11,7 @@
 from stoatrouter.config import ConfigError
 from stoatrouter.history.records import Version
 from stoatrouter.history.rule_history import RuleHistory
-from stoatrouter.net.tables import Made, TableService, in_thread
+from stoatrouter.net.tables import CompiledTable, TableService, in_thread
 from stoatrouter.peering.rule_store import RuleStore
 from stoatrouter.settings import SettingsError
 
@@ -30,7 +30,7 @@
             history: Holds the rule sets.
         """
         self.tables, self.store, self.history = tables, store, history
-        self.compiled: dict[str, Made] = {}
+        self.compiled: dict[str, CompiledTable] = {}
         self.errors: dict[str, str] = {}
         self._task: asyncio.Task[None] | None = None
 
