--- a/benchmarks/capacity/simulated_peers.py
+++ b/benchmarks/capacity/simulated_peers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from stoatrouter.membership.datagram import Datagram, Kind, decode, encode
-from stoatrouter.membership.detector import Timing
+from stoatrouter.membership.detector_records import Timing
 from stoatrouter.membership.roster import MemberUpdate, Status
 
 HOST = "127.0.0.1"
--- a/benchmarks/heads_detector.py
+++ b/benchmarks/heads_detector.py
@@ -18,7 +18,7 @@
 
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
-from stoatrouter.membership.detector import Timing
+from stoatrouter.membership.detector_records import Timing
 from stoatrouter.membership.roster import Status
 
 SECOND = timedelta(seconds=1)
--- a/stoatrouter/lab/fleet/detectors.py
+++ b/stoatrouter/lab/fleet/detectors.py
@@ -10,7 +10,16 @@
 
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.datagram import decode, encode
-from stoatrouter.membership.detector import Changed, Detector, Event, Heard, Leaving, SendTo, Tick, Timing
+from stoatrouter.membership.detector import Detector
+from stoatrouter.membership.detector_records import (
+    DatagramReceived,
+    Event,
+    Leaving,
+    SendTo,
+    StatusChanged,
+    Tick,
+    Timing,
+)
 from stoatrouter.membership.roster import Status
 
 TICK = timedelta(milliseconds=50)
@@ -61,11 +70,11 @@
                         name,
                         effect.address,
                         lambda a=effect.address, d=data: self.put(
-                            a, Heard(self.world.clock(a), name, decode(d, SECRET, "fleet"))
+                            a, DatagramReceived(self.world.clock(a), name, decode(d, SECRET, "fleet"))
                         ),
                         len(data),
                     )
-                case Changed():
+                case StatusChanged():
                     so = effect.name in self.down_since
                     self.changes.append((self.world.now, name, effect.name, effect.status, so))
 
--- a/stoatrouter/membership/recovery.py
+++ b/stoatrouter/membership/backoff.py
@@ -26,7 +26,7 @@
 
     def bound(self, failures: int) -> timedelta:
         """The longest wait after `failures` failures in a row (from 0): `first` doubled, up to `most`."""
-        return min(self.most, self.first * 2 ** min(failures, MOST_DOUBLED))
+        return min(self.most, self.first * (1 << min(failures, MOST_DOUBLED)))
 
     def wait(self, seed: int, failures: int) -> timedelta:
         """The wait after `failures` failures; equal for equal seeds and counts, spread evenly over seeds."""
--- a/stoatrouter/membership/datagram.py
+++ b/stoatrouter/membership/datagram.py
@@ -20,20 +20,30 @@
 import hashlib
 import hmac
 import struct
+from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import IntEnum
 
+from stoatrouter.membership.errors import (
+    DatagramTooLong,
+    DatagramTooShort,
+    ForeignDatagram,
+    UnreadableField,
+    UnsupportedVersion,
+)
 from stoatrouter.membership.roster import MemberUpdate, Status
 
-LARGEST, MAC = 256, 16  # bytes
+LARGEST_DATAGRAM = 256  # bytes
+MAC_BYTES = 16
 LONGEST_NAME = 24  # bytes
-FIXED = struct.Struct(">BI")  # version and kind, sequence number
+HEADER = struct.Struct(">BI")  # version and kind, sequence number
 VERSION = 0x10
 INCARNATION_BYTES = 6
 LENGTH_BYTES = 1  # before each string
 SEQUENCE_MASK = 0xFFFFFFFF
-KIND_MASK, VERSION_MASK = 0x0F, 0xF0
-SMALLEST = FIXED.size + INCARNATION_BYTES + 2 * LENGTH_BYTES + MAC
+KIND_MASK = 0x0F
+VERSION_MASK = 0xF0
+SMALLEST_DATAGRAM = HEADER.size + INCARNATION_BYTES + 2 * LENGTH_BYTES + MAC_BYTES
 
 
 class Kind(IntEnum):
@@ -44,52 +54,6 @@
     ACK = 2
 
 
-class Malformed(Exception):
-    """Bytes that are not a datagram of this fleet.
-
-    `str()` of it is the reason under which it is counted (peering/datagrams.py): operators see these
-    labels, so they do not change. Each subclass names one reason; `detail` says what was wrong and what
-    would be right.
-    """
-
-    reason = "malformed"
-
-    def __init__(self, detail: str = "") -> None:
-        """Record what was wrong; `detail` is for logs and tests, not for the count's label."""
-        super().__init__(self.reason)
-        self.detail = detail
-
-
-class TooLong(Malformed):
-    """More bytes than a datagram may have (LARGEST)."""
-
-    reason = "too_long"
-
-
-class TooShort(Malformed):
-    """Fewer bytes than the smallest datagram has (SMALLEST)."""
-
-    reason = "too_short"
-
-
-class Foreign(Malformed):
-    """The MAC fails: another fleet, another key, or bytes changed on the way."""
-
-    reason = "foreign"
-
-
-class BadField(Malformed):
-    """A field inside a sealed datagram cannot be read: a string too long, not UTF-8, or cut short."""
-
-    reason = "malformed"
-
-
-class OtherVersion(Malformed):
-    """A version this head does not speak, or a datagram without a sender's name."""
-
-    reason = "other_version"
-
-
 @dataclass(slots=True, frozen=True)
 class Datagram:
     """One message of the detector.
@@ -112,7 +76,7 @@
 
     def update_capacity(self) -> int:
         """How many bytes are left for piggybacked updates."""
-        return LARGEST - SMALLEST - len(self.sender.encode()) - len(self.target.encode())
+        return LARGEST_DATAGRAM - SMALLEST_DATAGRAM - len(self.sender.encode()) - len(self.target.encode())
 
 
 def seal(data: bytes, secret: bytes, fleet: str) -> bytes:
@@ -121,26 +85,26 @@
     The fleet's name is hashed into the personalisation, so that a key used twice joins no two fleets.
     """
     person = hashlib.blake2b(fleet.encode(), digest_size=16).digest()
-    return hashlib.blake2b(data, key=secret[:64], person=person, digest_size=MAC).digest()
+    return hashlib.blake2b(data, key=secret[:64], person=person, digest_size=MAC_BYTES).digest()
 
 
 def encode(message: Datagram, secret: bytes, fleet: str) -> bytes:
     """The bytes of a message with its MAC; `updates` must fit into Datagram.update_capacity()."""
-    data = FIXED.pack(VERSION | message.kind, message.number & SEQUENCE_MASK)
+    data = HEADER.pack(VERSION | message.kind, message.number & SEQUENCE_MASK)
     data += message.incarnation.to_bytes(INCARNATION_BYTES, "big")
     data += encode_text(message.sender) + encode_text(message.target)
     for update in message.updates:
         data += encode_text(update.name) + update.incarnation.to_bytes(INCARNATION_BYTES, "big")
         data += bytes((update.status,))
     data += seal(data, secret, fleet)
-    assert len(data) <= LARGEST, "a datagram over its bound"
+    assert len(data) <= LARGEST_DATAGRAM, "a datagram over its bound"
     return data
 
 
 def encode_text(value: str) -> bytes:
     """A string as UTF-8 with its length in one byte before it; at most LONGEST_NAME bytes."""
     data = value.encode()
-    assert len(data) <= LONGEST_NAME
+    assert len(data) <= LONGEST_NAME, "a name over its bound"
     return bytes((len(data),)) + data
 
 
@@ -148,65 +112,82 @@
     """Read a datagram; the MAC is checked before anything inside is used.
 
     Raises:
-        Malformed: The bytes are not a datagram of this fleet; one of its subclasses names the reason.
+        MalformedDatagram: The bytes are not a datagram of this fleet; one of its subclasses names the reason.
     """
-    if len(data) > LARGEST:
-        raise TooLong(f"{len(data)} bytes; at most {LARGEST}")
-    if len(data) < SMALLEST:
-        raise TooShort(f"{len(data)} bytes; at least {SMALLEST}")
-    body, mac = data[:-MAC], data[-MAC:]
-    if not hmac.compare_digest(mac, seal(body, secret, fleet)):
-        raise Foreign(f"the MAC does not match fleet {fleet!r} and this key")
-    first, number = FIXED.unpack_from(body)
-    reader = Reader(body, FIXED.size)
+    body = unseal(data, secret, fleet)
+    first_byte, number = HEADER.unpack_from(body)
+    reader = FieldReader(body, HEADER.size)
     try:
-        kind = Kind(first & KIND_MASK)
-        incarnation, sender, target = reader.number(), reader.text(), reader.text()
-        updates = []
-        while reader.at < len(body):
-            updates.append(MemberUpdate(reader.text(), reader.number(), Status(reader.byte())))
+        kind = Kind(first_byte & KIND_MASK)
+        incarnation = reader.read_incarnation()
+        sender = reader.read_text()
+        target = reader.read_text()
+        updates = tuple(reader.read_updates())
     except (ValueError, IndexError) as error:
-        raise BadField(
-            f"a field at or after offset {reader.at} cannot be read ({type(error).__name__})"
-        ) from None
-    if first & VERSION_MASK != VERSION or not sender:
-        raise OtherVersion(
-            f"version byte {first:#04x} and sender {sender!r}; version {VERSION:#04x} expected"
+        raise UnreadableField(f"a field at or after offset {reader.offset}: {error}") from None
+    if first_byte & VERSION_MASK != VERSION or not sender:
+        raise UnsupportedVersion(
+            f"version byte {first_byte:#04x} and sender {sender!r}; version {VERSION:#04x} expected"
         )
-    return Datagram(kind, number, sender, incarnation, target, tuple(updates))
+    return Datagram(kind, number, sender, incarnation, target, updates)
+
+
+def unseal(data: bytes, secret: bytes, fleet: str) -> bytes:
+    """A datagram without its MAC, once size and MAC are checked.
+
+    Raises:
+        DatagramTooLong: There are more bytes than a datagram may have.
+        DatagramTooShort: There are fewer bytes than any datagram has.
+        ForeignDatagram: The MAC is not that of this fleet and key.
+    """
+    if len(data) > LARGEST_DATAGRAM:
+        raise DatagramTooLong(f"{len(data)} bytes; at most {LARGEST_DATAGRAM}")
+    if len(data) < SMALLEST_DATAGRAM:
+        raise DatagramTooShort(f"{len(data)} bytes; at least {SMALLEST_DATAGRAM}")
+    body = data[:-MAC_BYTES]
+    if not hmac.compare_digest(data[-MAC_BYTES:], seal(body, secret, fleet)):
+        raise ForeignDatagram(f"the MAC does not match fleet {fleet!r} and this key")
+    return body
 
 
 @dataclass(slots=True)
-class Reader:
-    """Reads the fields of a datagram one after the other; raises IndexError where the data ends early.
+class FieldReader:
+    """Reads the fields of a datagram one after the other.
+
+    Its methods raise IndexError where the data ends early and ValueError where a field cannot be read.
 
     Attributes:
         data: The datagram without its MAC.
-        at: The offset of the next field, in bytes.
+        offset: Where the next field begins, in bytes.
     """
 
     data: bytes
-    at: int
+    offset: int
 
-    def take(self, count: int) -> bytes:
+    def read_bytes(self, count: int) -> bytes:
         """The next `count` bytes."""
-        piece = self.data[self.at : self.at + count]
-        if len(piece) < count:
-            raise IndexError
-        self.at += count
-        return piece
+        field_bytes = self.data[self.offset : self.offset + count]
+        if len(field_bytes) < count:
+            raise IndexError(f"{count} bytes expected, {len(field_bytes)} left")
+        self.offset += count
+        return field_bytes
 
-    def byte(self) -> int:
+    def read_byte(self) -> int:
         """The next byte as a number."""
-        return self.take(1)[0]
+        return self.read_bytes(1)[0]
 
-    def number(self) -> int:
-        """The next 6 bytes as a big-endian number: an incarnation."""
-        return int.from_bytes(self.take(INCARNATION_BYTES), "big")
+    def read_incarnation(self) -> int:
+        """The next 6 bytes as a big-endian number."""
+        return int.from_bytes(self.read_bytes(INCARNATION_BYTES), "big")
 
-    def text(self) -> str:
-        """The next string; raises ValueError where it is too long or not UTF-8."""
-        count = self.byte()
+    def read_text(self) -> str:
+        """The next string."""
+        count = self.read_byte()
         if count > LONGEST_NAME:
-            raise ValueError
-        return self.take(count).decode()
+            raise ValueError(f"a string of {count} bytes; at most {LONGEST_NAME}")
+        return self.read_bytes(count).decode()
+
+    def read_updates(self) -> Iterator[MemberUpdate]:
+        """The membership updates, to the end of the data."""
+        while self.offset < len(self.data):
+            yield MemberUpdate(self.read_text(), self.read_incarnation(), Status(self.read_byte()))
--- a/stoatrouter/membership/follower.py
+++ b/stoatrouter/membership/follower.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from stoatrouter.membership.recovery import Backoff
+from stoatrouter.membership.backoff import Backoff
 
 MOST_FRAGMENT = 100_000  # changes of one revision that are buffered until the rest of them has come
 
--- a/stoatrouter/membership/roster.py
+++ b/stoatrouter/membership/roster.py
@@ -23,7 +23,7 @@
     ALIVE = 0
     SUSPECT = 1
     FAILED = 2  # SWIM's "faulty", Lifeguard's "dead"
-    LEFT = 3  # it said so itself: it is not taken for failed
+    LEFT = 3  # announced by itself (graceful shutdown): it is not taken for failed
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,7 +33,7 @@
     Attributes:
         name: The member's name, UTF-8, 1 to 24 bytes.
         incarnation: Raised only by the member itself, to refute a suspicion; 0 to 2**48 - 1.
-        status: What is said of the member at that incarnation.
+        status: The member's status at that incarnation.
     """
 
     name: str
@@ -45,34 +45,46 @@
         return (self.incarnation, self.status) > (other.incarnation, other.status)
 
 
+@dataclass(slots=True)
+class QueuedUpdate:
+    """An update to piggyback, and how many times it has been."""
+
+    update: MemberUpdate
+    transmits: int = 0
+
+
 @dataclass(slots=True)
 class GossipQueue:
     """Updates to piggyback, each a bounded number of times; the least transmitted goes first.
 
     Attributes:
-        transmits: By member name, the latest update and how many times it has been piggybacked.
+        queued: By member name, the latest update.
     """
 
-    transmits: dict[str, tuple[MemberUpdate, int]] = field(default_factory=dict)
+    queued: dict[str, QueuedUpdate] = field(default_factory=dict)
 
     def add(self, update: MemberUpdate) -> None:
         """Gossip `update` from now on; it replaces an older update of the same member."""
-        self.transmits[update.name] = (update, 0)
-
-    def take(self, capacity: int, most_transmits: int) -> tuple[MemberUpdate, ...]:
-        """Updates for one datagram: at most `capacity` bytes, each sent at most `most_transmits` times."""
-        taken: list[MemberUpdate] = []
-        for name, (update, times) in sorted(self.transmits.items(), key=lambda item: (item[1][1], item[0])):
-            cost = wire_size(update)
-            if cost > capacity:
+        self.queued[update.name] = QueuedUpdate(update)
+
+    def select(self, capacity: int, most_transmits: int) -> tuple[MemberUpdate, ...]:
+        """Select updates for one datagram, and count them as transmitted.
+
+        Args:
+            capacity: How many bytes the datagram has left for updates.
+            most_transmits: How many times each update is transmitted in all.
+        """
+        selected: list[MemberUpdate] = []
+        for name, queued in sorted(self.queued.items(), key=lambda item: (item[1].transmits, item[0])):
+            size = wire_size(queued.update)
+            if size > capacity:
                 continue
-            capacity -= cost
-            taken.append(update)
-            if times + 1 >= most_transmits:
-                del self.transmits[name]
-            else:
-                self.transmits[name] = (update, times + 1)
-        return tuple(taken)
+            capacity -= size
+            selected.append(queued.update)
+            queued.transmits += 1
+            if queued.transmits >= most_transmits:
+                del self.queued[name]
+        return tuple(selected)
 
 
 def wire_size(update: MemberUpdate) -> int:
@@ -100,9 +112,9 @@
         self.members[update.name] = update
         return True
 
-    def met(self, name: str, address: str) -> None:
+    def record_address(self, name: str, address: str) -> None:
         """Record the address that a member sent from; it replaces another name at that address."""
-        for other in [n for n, a in self.addresses.items() if a == address and n != name]:
+        for other in [known for known, at in self.addresses.items() if at == address and known != name]:
             del self.addresses[other]
         self.addresses[name] = address
 
@@ -114,15 +126,19 @@
     def participants(self, *but: str) -> list[str]:
         """The names of alive or suspected members whose address is known, without those in `but`, sorted."""
         return sorted(
-            n
-            for n, update in self.members.items()
-            if update.status <= Status.SUSPECT and n in self.addresses and n not in but
+            name
+            for name, update in self.members.items()
+            if update.status <= Status.SUSPECT and name in self.addresses and name not in but
         )
 
     def count(self) -> int:
         """How many members take part (alive or suspected), this head included; at least 1."""
         return max(1, sum(update.status <= Status.SUSPECT for update in self.members.values()))
 
+    def name_at(self, address: str) -> str:
+        """The name of the member that sends from an address; "" where none is known."""
+        return next((name for name, at in self.addresses.items() if at == address), "")
+
     def unknown_addresses(self, addresses: Iterable[str]) -> list[str]:
         """Those of `addresses` at which no participating member is known."""
         known = {self.addresses[name] for name in self.participants()}
--- a/stoatrouter/peering/datagrams.py
+++ b/stoatrouter/peering/datagrams.py
@@ -8,18 +8,19 @@
 
 from loguru import logger
 
-from stoatrouter.membership.datagram import Malformed, decode, encode
-from stoatrouter.membership.detector import (
-    Changed,
-    Detector,
-    Dropped,
+from stoatrouter.membership.datagram import decode, encode
+from stoatrouter.membership.detector import Detector
+from stoatrouter.membership.detector_records import (
+    DatagramDropped,
+    DatagramReceived,
     Effect,
     Event,
-    Heard,
     Leaving,
     SendTo,
+    StatusChanged,
     Tick,
 )
+from stoatrouter.membership.errors import MalformedDatagram
 from stoatrouter.membership.roster import Status
 from stoatrouter.peering.counts import Counts
 
@@ -67,9 +68,9 @@
             return self.counts.drop("datagram", "not_a_peer", where)
         try:
             message = decode(data, self.secret, self.fleet)
-        except Malformed as error:
+        except MalformedDatagram as error:
             return self.counts.drop("datagram", str(error), where)
-        self.put(Heard(self.now(), where, message), where)
+        self.put(DatagramReceived(self.now(), where, message), where)
 
     def error_received(self, exc: Exception) -> None:
         """A datagram could not be sent; the detector finds out by itself."""
@@ -90,7 +91,7 @@
                 host, _, port = effect.address.rpartition(":")
                 if self.transport is not None and not self.transport.is_closing():
                     self.transport.sendto(data, (host, int(port)))
-            case Changed():
+            case StatusChanged():
                 logger.info(
                     "heads: {head} is {status}, as seen from here",
                     event="heads.seen",
@@ -98,8 +99,8 @@
                     status=effect.status.name.lower(),
                 )
                 self.changed(effect.name, effect.status)
-            case Dropped():
-                self.counts.drop("datagram", effect.why, where)
+            case DatagramDropped():
+                self.counts.drop("datagram", effect.reason, where)
 
     async def run_for_ever(self) -> None:
         """Let time pass for the detector."""
--- a/stoatrouter/peering/settings.py
+++ b/stoatrouter/peering/settings.py
@@ -10,7 +10,7 @@
 
 from stoatrouter.agreement.state import Timing as AgreementTiming
 from stoatrouter.config import Config, ConfigError, address
-from stoatrouter.membership.detector import Timing as DetectorTiming
+from stoatrouter.membership.detector_records import Timing as DetectorTiming
 from stoatrouter.peering.envelope import read_secret
 from stoatrouter.settings import SettingsError, load
 
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -23,7 +23,8 @@
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.datagram import Datagram, Kind, encode
-from stoatrouter.membership.detector import Detector, Effect, Timing
+from stoatrouter.membership.detector import Detector
+from stoatrouter.membership.detector_records import Effect, Timing
 from stoatrouter.membership.roster import GossipQueue, MemberUpdate, Status
 from stoatrouter.peering import calls, streams
 from stoatrouter.peering.agreed import COMPACT_ENTRIES
--- a/tests/heads/test_detector.py
+++ b/tests/heads/test_detector.py
@@ -13,22 +13,17 @@
 from stoatrouter.lab.fleet import faults
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
-from stoatrouter.membership.datagram import (
-    LARGEST,
-    MAC,
-    BadField,
-    Datagram,
-    Foreign,
-    Kind,
-    Malformed,
-    OtherVersion,
-    TooLong,
-    TooShort,
-    decode,
-    encode,
-    seal,
+from stoatrouter.membership.datagram import LARGEST_DATAGRAM, MAC_BYTES, Datagram, Kind, decode, encode, seal
+from stoatrouter.membership.detector import Detector
+from stoatrouter.membership.detector_records import DatagramReceived, SendTo
+from stoatrouter.membership.errors import (
+    DatagramTooLong,
+    DatagramTooShort,
+    ForeignDatagram,
+    MalformedDatagram,
+    UnreadableField,
+    UnsupportedVersion,
 )
-from stoatrouter.membership.detector import Detector, Heard, SendTo
 from stoatrouter.membership.roster import MemberUpdate, Status
 
 SECOND = timedelta(seconds=1)
@@ -58,7 +53,7 @@
     made.kill("h001")
     assert settle(made, 30)
     assert {of for _, _, of, _, _ in made.changes} == {"h001"}
-    assert made.largest <= LARGEST
+    assert made.largest <= LARGEST_DATAGRAM
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
@@ -152,13 +147,13 @@
 
     __slots__ = ()
 
-    def _heard(self, event):
+    def _receive(self, event):
         known = self.roster.members.get(event.message.sender)
         if known is not None and event.message.incarnation < known.incarnation:
             self.roster.members[known.name] = MemberUpdate(
                 known.name, event.message.incarnation, Status.ALIVE
             )
-        return super()._heard(event)
+        return super()._receive(event)
 
 
 def test_mutant_without_refutation_is_caught():
@@ -180,9 +175,9 @@
     """An old process said LEFT; the new one is there; the old datagram comes again."""
     here = make("a", 1, ("b",), 1)
     old = Datagram(Kind.ACK, 0, "b", 5, updates=(MemberUpdate("b", 5, Status.LEFT),))
-    here.reduce(Heard(SECOND, "b", old))
-    here.reduce(Heard(2 * SECOND, "b", Datagram(Kind.PING, 1, "b", 9)))
-    here.reduce(Heard(3 * SECOND, "b", old))
+    here.reduce(DatagramReceived(SECOND, "b", old))
+    here.reduce(DatagramReceived(2 * SECOND, "b", Datagram(Kind.PING, 1, "b", 9)))
+    here.reduce(DatagramReceived(3 * SECOND, "b", old))
     return here.roster.status("b")
 
 
@@ -210,13 +205,13 @@
 @settings(max_examples=200, deadline=None)
 def test_what_is_written_is_read(message):
     data = encode(message, KEY, "f")
-    assert len(data) <= LARGEST and decode(data, KEY, "f") == message
+    assert len(data) <= LARGEST_DATAGRAM and decode(data, KEY, "f") == message
 
 
 @given(st.binary(max_size=300))
 @settings(max_examples=200, deadline=None)
 def test_bytes_from_anybody_are_refused(data):
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedDatagram):
         decode(data, KEY, "f")
 
 
@@ -241,21 +236,23 @@
 
 def test_each_reason_for_refusing_bytes_keeps_its_counted_label():
     good = encode(Datagram(Kind.PING, 1, "a", 1), KEY, "f")
-    body = bytes((0x1F,)) + good[1:-MAC]  # an unknown kind, sealed
-    cut = good[:-MAC][:-1]  # the sender's name cut short, sealed
-    old = bytes((0x20,)) + good[1:-MAC]  # another version, sealed
+    body = bytes((0x1F,)) + good[1:-MAC_BYTES]  # an unknown kind, sealed
+    cut = good[:-MAC_BYTES][:-1]  # the sender's name cut short, sealed
+    old = bytes((0x20,)) + good[1:-MAC_BYTES]  # another version, sealed
     cases = [
-        (b"x" * 300, TooLong, "too_long"),
-        (b"x" * 5, TooShort, "too_short"),
-        (good[:-1] + bytes((good[-1] ^ 1,)), Foreign, "foreign"),
-        (body + seal(body, KEY, "f"), BadField, "malformed"),
-        (cut + seal(cut, KEY, "f"), BadField, "malformed"),
-        (old + seal(old, KEY, "f"), OtherVersion, "other_version"),
+        (b"x" * 300, DatagramTooLong, "too_long"),
+        (b"x" * 5, DatagramTooShort, "too_short"),
+        (good[:-1] + bytes((good[-1] ^ 1,)), ForeignDatagram, "foreign"),
+        (body + seal(body, KEY, "f"), UnreadableField, "malformed"),
+        (cut + seal(cut, KEY, "f"), UnreadableField, "malformed"),
+        (old + seal(old, KEY, "f"), UnsupportedVersion, "other_version"),
     ]
     for data, kind, label in cases:
         with pytest.raises(kind) as raised:
             decode(data, KEY, "f")
-        assert isinstance(raised.value, Malformed) and str(raised.value) == label and raised.value.detail
+        assert (
+            isinstance(raised.value, MalformedDatagram) and str(raised.value) == label and raised.value.detail
+        )
 
 
 def test_each_flipped_bit_another_key_and_another_fleet_are_refused():
@@ -263,10 +260,10 @@
     for at in range(len(data) * 8):
         flipped = bytearray(data)
         flipped[at // 8] ^= 1 << at % 8
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedDatagram):
             decode(bytes(flipped), KEY, "f")
     for key, name in ((b"x" * 64, "f"), (KEY, "g")):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedDatagram):
             decode(data, key, name)
 
 
@@ -274,14 +271,16 @@
     here = Detector("n" * 24, 2**48 - 1, ("p",), 1)
     for i in range(50):
         here._apply_update(MemberUpdate(f"{i:024d}", 2**47, Status.ALIVE), SECOND)
-    here.roster.met("9" * 24, "p")
-    for effect in here.reduce(Heard(SECOND, "p", Datagram(Kind.PING_FOR, 1, "8" * 24, 1, "9" * 24))):
+    here.roster.record_address("9" * 24, "p")
+    for effect in here.reduce(
+        DatagramReceived(SECOND, "p", Datagram(Kind.PING_FOR, 1, "8" * 24, 1, "9" * 24))
+    ):
         if isinstance(effect, SendTo):
-            assert len(encode(effect.message, KEY, "f")) <= LARGEST
+            assert len(encode(effect.message, KEY, "f")) <= LARGEST_DATAGRAM
 
 
 def test_a_flood_of_names_is_bounded():
     here, draws = Detector("a", 1, ("p",), 1), random.Random(1)
     for i in range(3000):
-        here.reduce(Heard(SECOND, "p", Datagram(Kind.PING, i, f"x{draws.randrange(10**9)}", 1)))
+        here.reduce(DatagramReceived(SECOND, "p", Datagram(Kind.PING, i, f"x{draws.randrange(10**9)}", 1)))
     assert len(here.roster.members) <= 1024
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -7,7 +7,7 @@
 import pytest
 
 from stoatrouter.membership import follower as f
-from stoatrouter.membership.recovery import Backoff
+from stoatrouter.membership.backoff import Backoff
 from tests.registry_model import Wrong, search
 
 DEPTH = 14  # in CI; `python -m benchmarks.follower_search` goes deeper
