--- a/tests/registry_model.py
+++ b/tests/registry_model.py
@@ -7,7 +7,7 @@
 import copy
 from datetime import timedelta
 
-from stoatrouter.membership import follower as f
+from stoatrouter.membership import follower_records as f
 
 # What happens in the registry, in turn: transactions of keys and values (None: removed). In the second a node
 # goes, in the third it comes back, in the fourth it drains together with another: one transaction of two keys.
@@ -37,14 +37,14 @@
         self.stale = None  # an event of a call that was ended, still on its way
         self.told = {}  # what the core knows: key -> (revision, value)
         self.breaks = self.compactions = self.stales = 0
-        self.run(self.follower.step(f.Started(self.now)))
+        self.run(self.follower.reduce(f.Started(self.now)))
 
     def clone(self):
         other = copy.copy(self)
         other.follower = copy.copy(self.follower)
-        for name in ("notified", "older"):
+        for name in ("notified", "older_revisions"):
             setattr(other.follower, name, dict(getattr(self.follower, name)))
-        other.follower.fragments = list(self.follower.fragments)
+        other.follower.buffered = list(self.follower.buffered)
         other.applied, other.told = list(self.applied), dict(self.told)
         return other
 
@@ -60,11 +60,11 @@
         return (
             fol.phase,
             fol.revision,
-            fol.resync,
+            fol.must_reread,
             fol.endpoint,
             tuple(sorted(fol.notified.items(), key=str)),
-            tuple(fol.fragments),
-            tuple(sorted(fol.older.items())),
+            tuple(fol.buffered),
+            tuple(sorted(fol.older_revisions.items())),
             self.done,
             tuple(self.applied),
             self.floor,
@@ -91,11 +91,11 @@
     def run(self, effects):
         for effect in effects:
             match effect:
-                case f.ReadAll():
+                case f.ReadList():
                     self.call = ("read", effect.call, effect.endpoint, 0, 0)
                 case f.Watch():
                     self.call = ("watch", effect.call, effect.endpoint, effect.after - FIRST + 1, 0)
-                case f.End():
+                case f.CancelCall():
                     if self.call is not None and self.call[1] == effect.call:
                         if self.stales < 1 and (left := self.next_event()) is not None:
                             self.stale = left
@@ -127,16 +127,16 @@
         kind, call, endpoint, at, part = self.call
         known = self.applied[endpoint]
         if kind == "read":
-            return f.Read(self.now, call, FIRST + known - 1, self.state(known))
+            return f.ListRead(self.now, call, FIRST + known - 1, self.state(known))
         if at < self.floor:
-            return f.Compacted(self.now, call)
+            return f.RevisionCompacted(self.now, call)
         if at >= known:
             return None
         transaction = TRANSACTIONS[at]
         changes = tuple(f.Change(key, FIRST + at, value) for key, value in transaction)
         if len(changes) > 1:  # in two fragments
-            return f.Changed(self.now, call, FIRST + at, changes[part : part + 1], complete=part == 1)
-        return f.Changed(self.now, call, FIRST + at, changes)
+            return f.ChangesReceived(self.now, call, FIRST + at, changes[part : part + 1], complete=part == 1)
+        return f.ChangesReceived(self.now, call, FIRST + at, changes)
 
     def actions(self, faults=True):
         """Everything that may happen now."""
@@ -166,32 +166,32 @@
         fol = self.follower
         if action == "deliver":
             event = self.next_event()
-            if isinstance(event, f.Changed):
+            if isinstance(event, f.ChangesReceived):
                 kind, call, endpoint, at, part = self.call
                 self.call = (
                     (kind, call, endpoint, at + 1, 0) if event.complete else (kind, call, endpoint, at, 1)
                 )
-            self.run(fol.step(event))
+            self.run(fol.reduce(event))
         elif action in ("wait", "silence"):
             self.breaks += action == "silence"
-            self.now = max(self.now, fol.due)
-            self.run(fol.step(f.Tick(self.now)))
+            self.now = max(self.now, fol.deadline)
+            self.run(fol.reduce(f.Tick(self.now)))
         elif action == "change":
             self.done += 1
             self.applied[0] = max(self.applied[0], self.done)  # the first member leads, the other lags
         elif action == "break":
             self.breaks += 1
-            self.run(fol.step(f.Broken(self.now, self.call[1])))
+            self.run(fol.reduce(f.CallFailed(self.now, self.call[1])))
         elif action == "progress":
             kind, call, endpoint, at, part = self.call
-            self.run(fol.step(f.Progress(self.now, call, FIRST + at + (0 if part else -1))))
+            self.run(fol.reduce(f.ProgressReceived(self.now, call, FIRST + at + (0 if part else -1))))
         elif action == "compact":
             self.compactions += 1
             self.floor = self.applied[0]  # the leader's; a member that lags knows even less
         elif action == "stale":
             event, self.stale = self.stale, None
             self.stales += 1
-            self.run(fol.step(event))
+            self.run(fol.reduce(event))
         else:
             self.applied[int(action[-1])] += 1
         return self
