--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -21,7 +21,7 @@
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.records import Book, Grants, PutCustomer, Turn, Turns
+from stoatrouter.credit.records import BookEntry, CreditReport, CustomerReport, Grants, PutCustomer
 from stoatrouter.history.records import Content, pack
 from stoatrouter.net.discovery import read_node
 from stoatrouter.peering.book import SpentBook
@@ -83,15 +83,15 @@
     for number in range(customers):
         name = f"c{number}"
         ledger.apply(0, msgspec.msgpack.encode(PutCustomer(name, (f"volume-{number}",))))
-        booked = Book(f"top-up-{number}", name, 10**15, "top-up", "bench", "", "")
+        booked = BookEntry(f"top-up-{number}", name, 10**15, "top-up", "bench", "", "")
         ledger.apply(0, msgspec.msgpack.encode(booked))
     return ledger
 
 
 def draw(ledger: Ledger, head: int, number: int, customer: str, holds: tuple[str, ...] = ()) -> Grants:
     """One head's word: it wants more of one customer."""
-    turn = Turn(customer, holds, (), 1000, 1)
-    body = msgspec.msgpack.encode(Turns(f"h{head}", f"i{head}", number, (turn,)))
+    turn = CustomerReport(customer, holds, (), 1000, 1)
+    body = msgspec.msgpack.encode(CreditReport(f"h{head}", f"i{head}", number, (turn,)))
     return msgspec.msgpack.decode(ledger.apply(number * 100_000 + head, body), type=Grants)
 
 
@@ -171,16 +171,16 @@
             for customer in range(customers):
                 if draws.random() < REQUESTS_A_SECOND * STEP.total_seconds():
                     request = f"r{step}.{customer}"
-                    holder.take(request, f"c{customer}", 1000, 2, now)
-                    holder.end(request, True)
-            turns = holder.turns(now)
+                    holder.reserve(request, f"c{customer}", 1000, 2, now)
+                    holder.settle(request, True)
+            turns = holder.due_reports(now)
             if turns:
                 number += 1
                 words, turns_said = words + 1, turns_said + len(turns)
-                body = msgspec.msgpack.encode(Turns("h0", "i0", number, tuple(turns)))
+                body = msgspec.msgpack.encode(CreditReport("h0", "i0", number, tuple(turns)))
                 grants = msgspec.msgpack.decode(ledger.apply(number, body), type=Grants)
                 for turn, grant in zip(turns, grants.grants, strict=True):
-                    holder.granted(turn, grant, now, now)
+                    holder.apply_grant(turn, grant, now, now)
             step += 1
     seconds = TURNS_SPAN.total_seconds()
     run.add(Measurement("commands of a head, by customers that it serves", customers, words / seconds, "1/s"))
--- a/benchmarks/capacity/times_processes.py
+++ b/benchmarks/capacity/times_processes.py
@@ -22,7 +22,7 @@
 from benchmarks.capacity.spread import add_times
 from benchmarks.capacity.voter_load import CREDIT_ON, RULES_ON, Sender, sender_to
 from benchmarks.heads_rules import text_of
-from stoatrouter.credit.records import Book
+from stoatrouter.credit.records import BookEntry
 from tests.heads.processes import HeadProcess, Processes
 from tests.heads.test_rules_processes import edit
 
@@ -102,7 +102,7 @@
     number = 0
     while True:
         sender.number += 1
-        book = Book(f"t{sender.number}", "acme", 1, "top-up", "bench", "", "")
+        book = BookEntry(f"t{sender.number}", "acme", 1, "top-up", "bench", "", "")
         body = msgspec.msgpack.encode(book)
         sender.leader = others[number % len(others)]
         number += 1
--- a/benchmarks/capacity/voter_load.py
+++ b/benchmarks/capacity/voter_load.py
@@ -25,7 +25,7 @@
 from benchmarks.heads_rules import text_of
 from stoatrouter.agreement.machine import Command
 from stoatrouter.agreement.records import Voter
-from stoatrouter.credit.records import Book, PutCustomer
+from stoatrouter.credit.records import BookEntry, PutCustomer
 from stoatrouter.peering import calls
 from stoatrouter.peering.counts import Counts
 from stoatrouter.peering.credit import PART as CREDIT
@@ -75,7 +75,7 @@
     async def top_up(self) -> None:
         self.number += 1
         id = f"t{self.number}"
-        book = Book(id, "acme", 1, "top-up", "bench", "", "")
+        book = BookEntry(id, "acme", 1, "top-up", "bench", "", "")
         await self.send(msgspec.msgpack.encode(book), id)
 
     async def pace(self, rate: float, seconds: float) -> None:
--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -32,16 +32,16 @@
     with tempfile.TemporaryDirectory() as folder:
         holder, times = HeadEscrow(5 * SECOND, SpentBook(Path(folder) / "book")), []
         for i in range(customers):
-            holder.want(f"c{i}", 1, SECOND)
-        for turn in holder.turns(SECOND, customers):
-            holder.granted(
+            holder.request_allotment(f"c{i}", 1, SECOND)
+        for turn in holder.due_reports(SECOND, customers):
+            holder.apply_grant(
                 turn, Grant(turn.customer, f"{turn.customer}.0", 10**12, 10**12, 0), SECOND, SECOND
             )
         for i in range(rounds):
             customer, now = f"c{i % customers}", SECOND + timedelta(microseconds=i)
             began = time.perf_counter_ns()
-            turned = holder.take("r", customer, 2000, 2, now)
-            holder.end("r", True)
+            turned = holder.reserve("r", customer, 2000, 2, now)
+            holder.settle("r", True)
             times.append(time.perf_counter_ns() - began)
             assert turned is None
         times.sort()
@@ -140,7 +140,7 @@
         world.at(span * i / 16, lambda c=f"c{i % 2}", a=amount: fleet.pay(c, a))
     for account in fleet.ledger.accounts.values():
         account.low_water = 0  # none of the baselines narrows
-        account.returned = kind is not CreditFleet
+        account.refund_expired = kind is not CreditFleet
     world.run(span)
     paid, true = sum(fleet.paid.values()), fleet.true
     over = sum(max(0, true[c] - fleet.paid[c]) for c in true)
--- a/stoatrouter/credit/accounts.py
+++ b/stoatrouter/credit/accounts.py
@@ -10,15 +10,20 @@
 
 
 class Allotment(msgspec.Struct, array_like=True):
-    """What one head may spend."""
+    """What one head may spend of a customer's credit."""
 
     customer: str
     head: str
     identity: str
     amount: int
-    spent: int = 0  # as far as its head said
+    spent: int = 0  # as far as its head has reported
     expired: bool = False
 
+    @property
+    def unreported(self) -> int:
+        """What its head may still spend, or may have spent and not reported."""
+        return self.amount - self.spent
+
 
 class Account(msgspec.Struct, array_like=True):
     """One customer's account."""
@@ -27,19 +32,23 @@
     volumes: list[str]
     overdraft: int = 0
     low_water: int = 0
-    returned: bool = False
+    refund_expired: bool = False  # an expired allotment counts as unspent, not as spent
     open: bool = True
     paid: int = 0
     charged: int = 0
-    out: dict[str, Allotment] = msgspec.field(default_factory=dict)
+    outstanding: dict[str, Allotment] = msgspec.field(default_factory=dict)  # by id
 
     def in_flight(self) -> int:
-        """What heads may still spend, or may have spent and not said."""
-        return sum(a.amount - a.spent for a in self.out.values() if not (a.expired and self.returned))
+        """What heads may still spend, or may have spent and not reported."""
+        return sum(
+            allotment.unreported
+            for allotment in self.outstanding.values()
+            if not (allotment.expired and self.refund_expired)
+        )
 
     @property
     def free(self) -> int:
-        """What may be handed out."""
+        """What may be granted to heads."""
         return self.paid + self.overdraft - self.charged - self.in_flight()
 
     @property
@@ -49,7 +58,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One line of the account's book."""
+    """An operator's entry: a top-up, correction or refund."""
 
     index: int
     id: str
@@ -61,15 +70,22 @@
     when: str
 
 
+class HeadRegistration(msgspec.Struct, frozen=True, array_like=True):
+    """The identity under which a head's reports are taken, and the number of its latest one."""
+
+    identity: str
+    number: int
+
+
 class LedgerSnapshot(msgspec.Struct, array_like=True):
     """The ledger's state, as a snapshot has it."""
 
     accounts: list[Account]
     entries: list[Entry]
-    heads: dict[str, tuple[str, int]]
+    heads: dict[str, HeadRegistration]  # by name
 
 
-def size(account: Account, head: str, want: int, least: int) -> int:
+def allotment_size(account: Account, head: str, wanted: int, least: int) -> int:
     """Size the allotment that one head is given.
 
     The head gets what it wants while the account is rich, less the nearer the account is to nothing and
@@ -79,15 +95,16 @@
     Args:
         account: The customer's account.
         head: The name of the head that asks.
-        want: What the head asks for, in millionths of a credit unit.
+        wanted: What the head asks for, in millionths of a credit unit.
         least: The smallest amount of use to it (its largest waiting charge), in millionths.
 
     Returns:
         The amount to grant, in millionths of a credit unit; 0 for none.
     """
-    others = {a.head for a in account.out.values() if not a.expired} | {head}
+    serving = {allotment.head for allotment in account.outstanding.values() if not allotment.expired}
+    serving.add(head)
     free = max(0, account.free)
-    amount = min(want, free // (2 * len(others)))
-    if amount < least:
-        amount = least if least <= free else 0
-    return amount
+    amount = min(wanted, free // (2 * len(serving)))
+    if amount >= least:
+        return amount
+    return least if least <= free else 0
--- a/stoatrouter/credit/escrow.py
+++ b/stoatrouter/credit/escrow.py
@@ -1,18 +1,18 @@
-"""What one head holds of its customers' credit, and what becomes of each request's charge. No I/O, no clock.
+"""The escrow of one head: reserves each request's charge, and draws and settles allotments. No I/O, no clock.
 
 | outcome of a request | charged | why |
 | --- | --- | --- |
-| served, whole or passed on as it came | yes | the work was done |
-| refused or failed, no attempt was ever sent | no | nothing was asked of a node |
-| refused or failed, each attempt ended as never run (not connected, rejected, moot) | no | the same |
-| refused or failed, some attempt reset, timed out, ended in an error, or still out | yes | it may have run |
+| served, complete or forwarded as it came | yes | the work was done |
+| rejected or failed, no attempt was ever sent | no | nothing was asked of a node |
+| rejected or failed, each attempt ended as never run (not connected, rejected, moot) | no | the same |
+| rejected or failed, some attempt reset, timed out, ended in an error, or still out | yes | it may have run |
 | client gone, no attempt sent or all never run | no | nothing was done |
 | client gone, an attempt out or ended otherwise | yes | it may have run |
-| refused by this package | no | it never was taken |
+| rejected by this package | no | it was never admitted |
 
 Once, however many attempts there were. A head spends an allotment until it expires, on its own monotonic
-clock and counted from its asking, which is before the voters count from. What was reserved before that is
-charged to the allotment all the same: its last word waits for its reservations.
+clock and counted from when it was asked for, which is before the voters count from. What was reserved before
+that is charged to the allotment all the same: its final settlement waits for its reservations.
 """
 
 from __future__ import annotations
@@ -22,18 +22,22 @@
 from datetime import timedelta
 from typing import Protocol
 
-from stoatrouter.credit.purse import LocalAllotment, Purse, Rejection, RejectionReason, Reservation
-from stoatrouter.credit.records import Grant, Settle, Turn
-
-ASK_AGAIN = timedelta(milliseconds=250)  # after being told that nothing is left
-ASK_SOON = timedelta(milliseconds=100)  # how long an answer to an ask takes, about
-LOW_EVERY = timedelta(milliseconds=500)  # under the low-water mark the balance is looked at so often
-USE_OVER = timedelta(seconds=2)  # the span over which recent use is averaged
-MOST_ADVICE = timedelta(seconds=5)
-MOST_TURNS = 256  # customers in one message to the account
-IDLE_PURSE_AFTER = 4 * USE_OVER  # a purse with nothing out and nothing waiting is dropped after so long idle
-LEAST_REQUEST_RATE = 0.01  # requests a second, so that a wait advised to a rare class stays finite
-LOW_STOCK_LEASES = 0.5  # more is asked for once what is left would last less than so many leases
+from stoatrouter.credit.local_account import (
+    USE_OVER,
+    LocalAccount,
+    LocalAllotment,
+    Rejection,
+    RejectionReason,
+    Reservation,
+)
+from stoatrouter.credit.records import CustomerReport, Grant, Settlement
+
+RETRY_EXHAUSTED_AFTER = timedelta(milliseconds=250)  # before more is asked of an account that had nothing
+GRANT_EXPECTED_IN = timedelta(milliseconds=100)  # how long an answer to a report takes, about
+REPORT_LOW_EVERY = timedelta(milliseconds=500)  # spending is reported so often under the low-water mark
+MOST_REPORTS = 256  # customers in one report to the account
+IDLE_ACCOUNT_AFTER = 4 * USE_OVER  # an idle local account without allotments is dropped after this
+LOW_STOCK_LEASES = 0.5  # more is asked for once what is available would last less than so many leases
 REFILL_LEASES = 1.5  # and then enough to last so many leases of recent use
 
 
@@ -41,15 +45,15 @@
     """What survives this process: the spent figure of each allotment."""
 
     def begin(self, allotment: str) -> bool:
-        """Whether there is room for it; what cannot be recorded is not spent from."""
+        """Whether there is capacity for it; what cannot be recorded is not spent from."""
         ...
 
     def set(self, allotment: str, spent: int) -> None:
-        """Keep what was spent of it in all."""
+        """Record what was spent of it in all."""
         ...
 
     def end(self, allotment: str) -> None:
-        """Its last word was heard: forget it."""
+        """Forget it: its final settlement is booked."""
         ...
 
 
@@ -59,35 +63,46 @@
 
     lease: timedelta
     record: Record
-    purses: dict[str, Purse] = field(default_factory=dict)
-    reservations: dict[str, Reservation] = field(default_factory=dict)
+    accounts: dict[str, LocalAccount] = field(default_factory=dict)  # by customer
+    reservations: dict[str, Reservation] = field(default_factory=dict)  # by request
     reachable: bool = True  # the account answers, as far as this head knows
     charged: int = 0  # since the start, for figures
-    refused: int = 0
+    rejected: int = 0
 
     # -- requests -----------------------------------------------------------------------------------------
-    def take(self, request: str, customer: str, charge: int, rank: int, now: timedelta) -> Rejection | None:
-        """Reserve a request's charge; None where it is taken."""
+    def reserve(
+        self, request: str, customer: str, charge: int, rank: int, now: timedelta
+    ) -> Rejection | None:
+        """Reserve a request's charge.
+
+        Args:
+            request: The request's id.
+            customer: Whose credit is charged.
+            charge: What the request costs, in millionths of a credit unit; nothing is reserved for 0.
+            rank: The rank of its class (`Rank`).
+            now: The time on this head's monotonic clock.
+
+        Returns:
+            None where the charge is reserved; else why not, and when a retry may help.
+        """
         if charge <= 0:
             return None
-        purse = self.purses.get(customer)
-        if purse is None:
-            purse = self.purses[customer] = Purse(customer)
-        self._count_request(purse, charge, rank, now)
-        allotment = self._find(purse, charge, now)
+        account = self._account_of(customer)
+        account.count_request(charge, rank, now)
+        allotment = self._find(account, charge, now)
         if allotment is None:
-            self.refused += 1
-            purse.least = max(purse.least, charge)
-            return self._reject_for_lack(purse)
-        if (rejection := self._pace_rank(purse, rank)) is not None:
-            self.refused += 1
+            self.rejected += 1
+            account.largest_unmet = max(account.largest_unmet, charge)
+            return self._reject_for_lack(account)
+        if (rejection := account.pace(rank)) is not None:
+            self.rejected += 1
             return rejection
         allotment.reserved += charge
-        self.reservations[request] = Reservation(purse, allotment, charge)
+        self.reservations[request] = Reservation(allotment, charge)
         return None
 
-    def end(self, request: str, charged: bool) -> None:
-        """The one final answer: charge what was reserved, or give it back."""
+    def settle(self, request: str, charged: bool) -> None:
+        """Charge a request's reservation at its one final answer, or release it."""
         reservation = self.reservations.pop(request, None)
         if reservation is None:
             return
@@ -98,175 +113,183 @@
             self.charged += reservation.charge
             self.record.set(allotment.id, allotment.spent)
 
+    def _account_of(self, customer: str) -> LocalAccount:
+        account = self.accounts.get(customer)
+        if account is None:
+            account = self.accounts[customer] = LocalAccount(customer)
+        return account
+
     @staticmethod
-    def _find(purse: Purse, charge: int, now: timedelta) -> LocalAllotment | None:
-        """The allotment to take from: the one that expires first."""
-        for allotment in purse.allotments:
+    def _find(account: LocalAccount, charge: int, now: timedelta) -> LocalAllotment | None:
+        """The allotment to reserve from: the one that expires first."""
+        for allotment in account.allotments:
             # Guards the sum: what has expired here may be counted otherwise by the account from now on.
-            if allotment.expires > now and allotment.left >= charge:
+            if allotment.expires_at > now and allotment.available >= charge:
                 return allotment
         return None
 
-    @staticmethod
-    def _count_request(purse: Purse, charge: int, rank: int, now: timedelta) -> None:
-        """Count a request that came, taken or not: allotments follow what is asked for."""
-        passed = (now - purse.used_at) / USE_OVER
-        fade = math.exp(-max(0.0, passed))
-        over = USE_OVER.total_seconds()
-        purse.use = purse.use * fade + charge / over
-        purse.gaps = [rate * fade for rate in purse.gaps]
-        purse.gaps[rank] += 1 / over
-        purse.used_at = now
-
-    def _reject_for_lack(self, purse: Purse) -> Rejection:
+    def _reject_for_lack(self, account: LocalAccount) -> Rejection:
         if not self.reachable:
             return Rejection(None, RejectionReason.CUT_OFF)
-        if not purse.known:
+        if not account.known:
             return Rejection(None, RejectionReason.UNKNOWN_CUSTOMER)
-        if purse.empty_since is not None and not purse.asking:
+        if account.exhausted_at is not None and not account.report_pending:
             return Rejection(None, RejectionReason.EXHAUSTED)  # when more is paid in, nobody here knows
-        return Rejection(ASK_SOON, RejectionReason.ALLOTMENT_REQUESTED)
+        return Rejection(GRANT_EXPECTED_IN, RejectionReason.ALLOTMENT_REQUESTED)
 
-    @staticmethod
-    def _pace_rank(purse: Purse, rank: int) -> Rejection | None:
-        quota = purse.quota(rank)
-        if quota >= 1.0:
-            return None
-        if quota <= 0.0:
-            return Rejection(None, RejectionReason.LOWER_PRIORITY_SHED)
-        purse.credit[rank] += quota
-        if purse.credit[rank] >= 1.0:
-            purse.credit[rank] -= 1.0
-            return None
-        missing = (1.0 - purse.credit[rank]) / quota  # requests until the next passes
-        wait = timedelta(seconds=missing / max(purse.gaps[rank], LEAST_REQUEST_RATE))
-        return Rejection(min(wait, MOST_ADVICE), RejectionReason.PACED)
-
-    def lacks(self, customer: str, charge: int, now: timedelta) -> bool:
-        """Whether a request would find no allotment, though more may be given: it may wait a moment."""
-        purse = self.purses.get(customer)
-        if purse is None:
+    # -- requests that wait for an allotment --------------------------------------------------------------
+    def may_wait(self, customer: str, charge: int, now: timedelta) -> bool:
+        """Whether a request would find no allotment now, and one may be granted soon."""
+        account = self.accounts.get(customer)
+        if account is None:
             return self.reachable
-        if not self.reachable or self._find(purse, charge, now) is not None:
+        if not self.reachable or self._find(account, charge, now) is not None:
             return False
-        return purse.known and (purse.empty_since is None or now >= purse.empty_since + ASK_AGAIN)
+        return account.known and not self._recently_exhausted(account, now)
 
-    def want(self, customer: str, charge: int, now: timedelta) -> None:
-        """A request waits for an allotment that is large enough for it."""
-        purse = self.purses.setdefault(customer, Purse(customer))
-        purse.least = max(purse.least, charge)
-        purse.used_at = max(purse.used_at, now)
+    def request_allotment(self, customer: str, charge: int, now: timedelta) -> None:
+        """Ask, with the next report, for an allotment that is large enough for a charge."""
+        account = self._account_of(customer)
+        account.largest_unmet = max(account.largest_unmet, charge)
+        account.used_at = max(account.used_at, now)
 
-    def begin_wait(self, customer: str, charge: int) -> None:
+    def add_waiting(self, customer: str, charge: int) -> None:
         """A request begins to wait: what is asked for is enough for all that wait."""
-        self.purses.setdefault(customer, Purse(customer)).waiting += charge
-
-    def end_wait(self, customer: str, charge: int) -> None:
-        """It waits no more, whether an allotment came or not."""
-        self.purses[customer].waiting -= charge
-
-    # -- the account --------------------------------------------------------------------------------------
-    def turns(self, now: timedelta, most: int = MOST_TURNS) -> list[Turn]:
-        """What is to be said to the account now, and what more is wanted."""
-        turns: list[Turn] = []
-        for customer, purse in list(self.purses.items()):
-            if purse.asking:
+        self._account_of(customer).waiting += charge
+
+    def remove_waiting(self, customer: str, charge: int) -> None:
+        """A request waits no more, whether an allotment was granted or not."""
+        self.accounts[customer].waiting -= charge
+
+    # -- reports to the account ---------------------------------------------------------------------------
+    def due_reports(self, now: timedelta, most: int = MOST_REPORTS) -> list[CustomerReport]:
+        """The reports that are due, at most `most`; they count as pending until answered or forgotten."""
+        reports: list[CustomerReport] = []
+        for customer, account in list(self.accounts.items()):
+            if account.report_pending:
                 continue
-            turn = self._turn(purse, now)
-            if turn is not None:
-                purse.asking = True
-                turns.append(turn)
-                if len(turns) >= most:
+            report = self._report(account, now)
+            if report is not None:
+                account.report_pending = True
+                reports.append(report)
+                if len(reports) >= most:
                     break
-            elif not purse.allotments and not purse.waiting and now - purse.used_at > IDLE_PURSE_AFTER:
-                del self.purses[customer]  # idle, and all is settled
-        return turns
-
-    def _turn(self, purse: Purse, now: timedelta) -> Turn | None:
-        idle = now - purse.used_at > self.lease / 2
-        settles = []
-        for allotment in purse.allotments:
-            used_up = allotment.left <= 0 and allotment.spent + allotment.reserved >= allotment.amount
-            if allotment.expires <= now or used_up or (idle and not allotment.reserved):
-                allotment.closing = True
-            if allotment.closing and not allotment.reserved:
-                settles.append(Settle(allotment.id, allotment.spent, True))
-        want = 0 if idle or not purse.known and purse.answered_at is not None else self._wanted(purse, now)
-        if want and purse.empty_since is not None and now < purse.empty_since + ASK_AGAIN:
-            want = 0
-        every = LOW_EVERY if purse.fraction() < 1 else self.lease / 2
-        due = purse.answered_at is None or now - purse.answered_at >= every
-        unreported = [
-            allotment
-            for allotment in purse.allotments
-            if allotment.spent > allotment.notified_spent and not allotment.closing
-        ]
-        if not settles and not want and not (due and unreported):
+            elif self._may_be_dropped(account, now):
+                del self.accounts[customer]
+        return reports
+
+    @staticmethod
+    def _may_be_dropped(account: LocalAccount, now: timedelta) -> bool:
+        """Whether a customer is idle here, and all is settled."""
+        idle = now - account.used_at > IDLE_ACCOUNT_AFTER
+        return idle and not account.allotments and not account.waiting
+
+    def _report(self, account: LocalAccount, now: timedelta) -> CustomerReport | None:
+        """The report on one customer; None where there is nothing to report yet."""
+        idle = now - account.used_at > self.lease / 2
+        settlements = account.close_allotments(now, idle)
+        wanted = 0 if idle else self._wanted(account, now)
+        unreported = account.unreported_spending()
+        if not settlements and not wanted and not (unreported and self._report_is_due(account, now)):
             return None
-        settles += [Settle(allotment.id, allotment.spent, False) for allotment in unreported]
-        return Turn(
-            purse.customer,
-            tuple(h.id for h in purse.allotments),
-            tuple(settles),
-            want,
-            purse.least if want else 0,
+        return CustomerReport(
+            account.customer,
+            account.allotment_ids(),
+            (*settlements, *unreported),
+            wanted,
+            account.largest_unmet if wanted else 0,
         )
 
-    def _wanted(self, purse: Purse, now: timedelta) -> int:
-        """How much more: enough for the recent use over a lease and a half, asked for before it runs out."""
-        # a charge is taken from one allotment: what is left of smaller ones helps nobody who found nothing
-        good = sum(
-            h.left for h in purse.allotments if h.expires > now + self.lease / 3 and h.left >= purse.least
+    def _report_is_due(self, account: LocalAccount, now: timedelta) -> bool:
+        """Whether spending alone is to be reported now."""
+        every = REPORT_LOW_EVERY if account.funded_fraction() < 1 else self.lease / 2
+        return account.answered_at is None or now - account.answered_at >= every
+
+    @staticmethod
+    def _recently_exhausted(account: LocalAccount, now: timedelta) -> bool:
+        """Whether the account had nothing to grant a moment ago."""
+        if account.exhausted_at is None:
+            return False
+        return now < account.exhausted_at + RETRY_EXHAUSTED_AFTER
+
+    def _wanted(self, account: LocalAccount, now: timedelta) -> int:
+        """How much more to ask for, in millionths; 0 for nothing.
+
+        Enough for the recent use over REFILL_LEASES, asked for before what is available runs out.
+        """
+        unknown = not account.known and account.answered_at is not None
+        if unknown or self._recently_exhausted(account, now):
+            return 0
+        # a charge is taken from one allotment: small remainders are of no use to one that found none
+        usable = sum(
+            allotment.available
+            for allotment in account.allotments
+            if allotment.expires_at > now + self.lease / 3 and allotment.available >= account.largest_unmet
         )
-        lease, at_once = self.lease.total_seconds(), max(purse.least, purse.waiting)
-        needed = max(at_once, math.ceil(purse.use * lease * LOW_STOCK_LEASES))
-        if good >= needed or needed <= 0:
+        at_once = max(account.largest_unmet, account.waiting)
+        lease = self.lease.total_seconds()
+        needed = max(at_once, math.ceil(account.use_per_second * lease * LOW_STOCK_LEASES))
+        if usable >= needed or needed <= 0:
             return 0
-        return max(at_once, math.ceil(purse.use * lease * REFILL_LEASES)) - good
+        return max(at_once, math.ceil(account.use_per_second * lease * REFILL_LEASES)) - usable
 
-    def granted(self, turn: Turn, grant: Grant, asked_at: timedelta, now: timedelta) -> None:
-        """The account's answer to one turn."""
-        purse = self.purses.get(turn.customer)
-        if purse is None:
+    # -- the account's answers ----------------------------------------------------------------------------
+    def apply_grant(self, report: CustomerReport, grant: Grant, asked_at: timedelta, now: timedelta) -> None:
+        """Take in the account's answer to a report that was asked for at `asked_at`."""
+        account = self.accounts.get(report.customer)
+        if account is None:
             return
-        purse.asking = False
-        purse.balance, purse.low_water, purse.known = grant.balance, grant.low_water, grant.known
-        purse.answered_at = now
-        for settle in turn.settles:
-            for allotment in [h for h in purse.allotments if h.id == settle.allotment]:
-                allotment.notified_spent = settle.spent
-                if settle.final:
-                    purse.allotments.remove(allotment)
-                    self.record.end(allotment.id)
+        account.report_pending = False
+        account.balance = grant.balance
+        account.low_water = grant.low_water
+        account.known = grant.known
+        account.answered_at = now
+        for settlement in report.settlements:
+            self._confirm_settlement(account, settlement)
         if grant.allotment:
-            purse.empty_since, purse.least = None, 0
-            # Guards the sum: a grant that no record could be kept of is dropped by the next turn.
-            if not self.record.begin(grant.allotment):
-                return
-            purse.allotments.append(LocalAllotment(grant.allotment, grant.amount, asked_at + self.lease))
-            purse.allotments.sort(key=lambda h: h.expires)
-        elif turn.want:
-            purse.empty_since, purse.least = now, 0
+            account.exhausted_at = None
+            account.largest_unmet = 0
+            self._add_allotment(account, grant, asked_at + self.lease)
+        elif report.wanted:
+            account.exhausted_at = now
+            account.largest_unmet = 0
+
+    def _confirm_settlement(self, account: LocalAccount, settlement: Settlement) -> None:
+        for allotment in [known for known in account.allotments if known.id == settlement.allotment]:
+            allotment.notified_spent = settlement.spent
+            if settlement.final:
+                account.allotments.remove(allotment)
+                self.record.end(allotment.id)
+
+    def _add_allotment(self, account: LocalAccount, grant: Grant, expires_at: timedelta) -> None:
+        # Guards the sum: a grant that cannot be recorded is closed by the next report.
+        if not self.record.begin(grant.allotment):
+            return
+        account.allotments.append(LocalAllotment(grant.allotment, grant.amount, expires_at))
+        account.allotments.sort(key=lambda allotment: allotment.expires_at)
 
-    def unanswered(self, turn: Turn) -> None:
-        """Note that the answer to a turn is lost for good.
+    def forget_report(self, report: CustomerReport) -> None:
+        """Note that the answer to a report is lost for good.
 
-        What that answer granted, if anything, is dropped by the account on the next turn, as unknown here.
+        What that answer granted, if anything, is closed by the account on the next report, as unknown here.
 
         Args:
-            turn: The turn that was sent to the account.
+            report: The report that was sent to the account.
         """
-        purse = self.purses.get(turn.customer)
-        if purse is not None:
-            purse.asking = False
-
-    def closing(self) -> list[Turn]:
-        """The last word of a head that ends, on all that has no reservation."""
-        turns = []
-        for purse in self.purses.values():
-            for allotment in purse.allotments:
+        account = self.accounts.get(report.customer)
+        if account is not None:
+            account.report_pending = False
+
+    def final_reports(self) -> list[CustomerReport]:
+        """The reports of a head that shuts down; settlements are final where nothing is reserved."""
+        reports = []
+        for account in self.accounts.values():
+            for allotment in account.allotments:
                 allotment.closing = True
-            settles = [Settle(h.id, h.spent, not h.reserved) for h in purse.allotments]
-            if settles:
-                turns.append(Turn(purse.customer, tuple(h.id for h in purse.allotments), tuple(settles)))
-        return turns
+            settlements = tuple(
+                Settlement(allotment.id, allotment.spent, final=not allotment.reserved)
+                for allotment in account.allotments
+            )
+            if settlements:
+                reports.append(CustomerReport(account.customer, account.allotment_ids(), settlements))
+        return reports
--- a/stoatrouter/credit/ledger.py
+++ b/stoatrouter/credit/ledger.py
@@ -1,15 +1,15 @@
-"""The account of each customer, the same at every head: what was paid in, charged, and handed out to heads.
+"""The account of each customer, the same at every head: what was paid in, charged, and granted to heads.
 
-One sentence for each promise. What is handed out, charged and free is together what was paid in plus the
-overdraft, always. An allotment is handed out only from what is free, so the sum of what heads charge never
+One sentence for each promise. What is granted, charged and free is together what was paid in plus the
+overdraft, always. An allotment is granted only from what is free, so the sum of what heads charge never
 passes what was paid in plus the overdraft: not by a unit, as long as no disk forgets (docs/design/heads.md
-has what a lost machine adds, and what `returned` does). An entry of one id is booked once. A head's last word
-on an allotment is booked once, however late.
+has what a lost machine adds, and what `refund_expired` does). An entry of one id is booked once. A head's
+final settlement of an allotment is booked once, however late.
 
-An allotment that has expired without a last word counts as spent: nobody else can know. Its head, when it is
-back, says what was spent, and the rest goes back; if that head's disk forgot, all of it is charged, and an
-operator may refund it. Where a customer is marked `returned`, it counts as unspent from its expiry on
-instead; then the sum may be passed by what failed heads had spent and not said.
+An allotment that has expired without a final settlement counts as spent: nobody else can know. Its head, when
+it is back, reports what was spent, and the rest goes back; if that head's disk lost it, all of it is charged,
+and an operator may refund it. Where a customer is marked `refund_expired`, it counts as unspent from its
+expiry on instead; then the sum may be passed by what failed heads had spent and not reported.
 """
 
 from __future__ import annotations
@@ -19,25 +19,34 @@
 
 import msgspec
 
-from stoatrouter.credit.accounts import Account, Allotment, Entry, LedgerSnapshot, size
+from stoatrouter.credit.accounts import (
+    Account,
+    Allotment,
+    Entry,
+    HeadRegistration,
+    LedgerSnapshot,
+    allotment_size,
+)
+from stoatrouter.credit.errors import UnknownAllotment
 from stoatrouter.credit.records import (
-    Begin,
-    Book,
-    Booked,
+    BookEntry,
     Command,
+    CommandResult,
+    CreditReport,
+    CustomerReport,
     DropCustomer,
     Expired,
     Grant,
     Grants,
     PutCustomer,
-    Settle,
-    Turn,
-    Turns,
+    RegisterHead,
+    Settlement,
 )
 
-MOST_ENTRIES = 50_000  # ids of entries that are known; the oldest go first
+MOST_ENTRIES = 50_000  # entries whose ids are known; beyond, the oldest are dropped
 MOST_CUSTOMERS = 20_000
 CORRECTION = "correction"  # the kind of entry that may be negative (or 0)
+COMMAND_DECODER: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
 
 
 @dataclass(slots=True)
@@ -46,38 +55,48 @@
 
     accounts: dict[str, Account] = field(default_factory=dict)
     entries: OrderedDict[str, Entry] = field(default_factory=OrderedDict)
-    customers: dict[str, str] = field(default_factory=dict)  # by volume
-    places: dict[str, str] = field(default_factory=dict)  # customers, by allotment
-    # by head: the identity under which it is heard, and the number of its last word
-    heads: dict[str, tuple[str, int]] = field(default_factory=dict)
-    read: msgspec.msgpack.Decoder = field(default_factory=lambda: msgspec.msgpack.Decoder(Command))
+    customer_by_volume: dict[str, str] = field(default_factory=dict)
+    customer_by_allotment: dict[str, str] = field(default_factory=dict)  # of those outstanding
+    heads: dict[str, HeadRegistration] = field(default_factory=dict)
 
-    def customers_of(self, volume: str) -> str | None:
+    def customer_of(self, volume: str) -> str | None:
         """Whose volume it is; None: nobody's."""
-        return self.customers.get(volume)
+        return self.customer_by_volume.get(volume)
 
     def allotment(self, id: str) -> Allotment:
-        """An allotment that is out; raises KeyError where there is none."""
-        return self.accounts[self.places[id]].out[id]
+        """An outstanding allotment; raises UnknownAllotment where there is none."""
+        account = self._account_of_allotment(id)
+        if account is None:
+            raise UnknownAllotment(id)
+        return account.outstanding[id]
+
+    def registered_identity(self, head: str) -> str:
+        """The identity under which a head is registered; "" for none."""
+        registration = self.heads.get(head)
+        return "" if registration is None else registration.identity
+
+    def _account_of_allotment(self, id: str) -> Account | None:
+        return self.accounts.get(self.customer_by_allotment.get(id, ""))
 
     # -- a part of what the heads agree on ----------------------------------------------------------------
     def apply(self, index: int, body: bytes) -> bytes:
-        """Apply one command; its answer."""
-        command = self.read.decode(body)
+        """Apply one command; returns its answer, encoded."""
+        return msgspec.msgpack.encode(self._apply_command(index, COMMAND_DECODER.decode(body)))
+
+    def _apply_command(self, index: int, command: Command) -> CommandResult | Grants:
         match command:
             case PutCustomer():
-                answer = self.put(command)
+                return self.put_customer(command)
             case DropCustomer():
-                answer = self.drop(command)
-            case Book():
-                answer = self.book(index, command)
-            case Turns():
-                answer = self.turns(index, command)
+                return self.drop_customer(command)
+            case BookEntry():
+                return self.book_entry(index, command)
+            case CreditReport():
+                return self.apply_report(index, command)
             case Expired():
-                answer = self.expired(command)
-            case Begin():
-                answer = self.begin(command)
-        return msgspec.msgpack.encode(answer)
+                return self.mark_expired(command)
+            case RegisterHead():
+                return self.register_head(command)
 
     def state(self) -> bytes:
         """All accounts, for a snapshot."""
@@ -87,66 +106,71 @@
 
     def restore(self, state: bytes) -> None:
         """Replace everything by a snapshot's state; b"" is that of a fleet just founded."""
-        snapshot = msgspec.msgpack.decode(state, type=LedgerSnapshot) if state else LedgerSnapshot([], [], {})
+        snapshot = LedgerSnapshot([], [], {})
+        if state:
+            snapshot = msgspec.msgpack.decode(state, type=LedgerSnapshot)
         self.heads = snapshot.heads
         self.accounts = {account.name: account for account in snapshot.accounts}
         self.entries = OrderedDict((entry.id, entry) for entry in snapshot.entries)
-        self.customers = {v: a.name for a in snapshot.accounts for v in a.volumes}
-        self.places = {id: a.name for a in snapshot.accounts for id in a.out}
+        self.customer_by_volume = {
+            volume: account.name for account in snapshot.accounts for volume in account.volumes
+        }
+        self.customer_by_allotment = {
+            id: account.name for account in snapshot.accounts for id in account.outstanding
+        }
 
     # -- operators ----------------------------------------------------------------------------------------
-    def put(self, command: PutCustomer) -> Booked:
-        """Make a customer, or change what is said of it."""
+    def put_customer(self, command: PutCustomer) -> CommandResult:
+        """Create a customer, or change its settings."""
         if command.overdraft < 0 or command.low_water < 0:
-            return Booked(False, "overdraft and low_water are 0 or more")
+            return CommandResult(False, "overdraft and low_water are 0 or more")
         account = self.accounts.get(command.name)
         if account is None:
             if len(self.accounts) >= MOST_CUSTOMERS:
-                return Booked(False, f"there are {MOST_CUSTOMERS} customers already")
+                return CommandResult(False, f"there are {MOST_CUSTOMERS} customers already")
             account = self.accounts[command.name] = Account(command.name, [])
+        self._assign_volumes(account, sorted(set(command.volumes)))
+        account.overdraft = command.overdraft
+        account.low_water = command.low_water
+        account.refund_expired = command.refund_expired
+        account.open = True
+        return CommandResult(True, balance=account.balance)
+
+    def _assign_volumes(self, account: Account, volumes: list[str]) -> None:
+        """Give a customer these volumes and no others; each is taken from whoever had it."""
         for volume in account.volumes:
-            del self.customers[volume]
-        account.volumes = sorted(set(command.volumes))
-        for volume in account.volumes:
-            if (before := self.customers.get(volume)) is not None:
+            del self.customer_by_volume[volume]
+        account.volumes = volumes
+        for volume in volumes:
+            if (before := self.customer_by_volume.get(volume)) is not None:
                 self.accounts[before].volumes.remove(volume)
-            self.customers[volume] = command.name
-        account.overdraft, account.low_water = command.overdraft, command.low_water
-        account.returned, account.open = command.returned, True
-        return Booked(True, balance=account.balance)
+            self.customer_by_volume[volume] = account.name
 
-    def drop(self, command: DropCustomer) -> Booked:
-        """Close a customer's account."""
+    def drop_customer(self, command: DropCustomer) -> CommandResult:
+        """Close a customer's account; it stays until nothing is outstanding."""
         account = self.accounts.get(command.name)
         if account is None:
-            return Booked(False, f"there is no customer {command.name!r}")
-        for volume in account.volumes:
-            del self.customers[volume]
-        account.volumes, account.open = [], False
-        self._forget(account)
-        return Booked(True, balance=account.balance)
-
-    def _forget(self, account: Account) -> None:
-        """A customer that was dropped goes once nothing of it is out."""
-        if not account.open and not account.out:
+            return CommandResult(False, f"there is no customer {command.name!r}")
+        self._assign_volumes(account, [])
+        account.open = False
+        self._remove_if_settled(account)
+        return CommandResult(True, balance=account.balance)
+
+    def _remove_if_settled(self, account: Account) -> None:
+        """Remove a closed account once nothing of it is outstanding."""
+        if not account.open and not account.outstanding:
             self.accounts.pop(account.name, None)
 
-    def book(self, index: int, command: Book) -> Booked:
-        """Book an entry, once under its id."""
-        before = self.entries.get(command.id)
+    def book_entry(self, index: int, command: BookEntry) -> CommandResult:
+        """Book an entry, once under its id; `index` is the command's in the log."""
+        booked = self.entries.get(command.id)
+        if booked is not None:
+            return self._answer_repeated(booked, command)
         account = self.accounts.get(command.customer)
-        if before is not None:
-            same = (before.customer, before.amount, before.kind) == (
-                command.customer,
-                command.amount,
-                command.kind,
-            )
-            balance = account.balance if account is not None else 0
-            return Booked(same, "" if same else f"{command.id!r} was booked otherwise", balance, again=True)
         if account is None or not account.open:
-            return Booked(False, f"there is no customer {command.customer!r}")
+            return CommandResult(False, f"there is no customer {command.customer!r}")
         if command.kind != CORRECTION and command.amount <= 0:
-            return Booked(False, f"a {command.kind} is more than 0")
+            return CommandResult(False, f"a {command.kind} is more than 0")
         account.paid += command.amount
         self.entries[command.id] = Entry(
             index,
@@ -160,80 +184,111 @@
         )
         if len(self.entries) > MOST_ENTRIES:
             self.entries.popitem(last=False)
-        return Booked(True, balance=account.balance)
+        return CommandResult(True, balance=account.balance)
+
+    def _answer_repeated(self, booked: Entry, command: BookEntry) -> CommandResult:
+        """The answer to an entry whose id is booked already: it must be the same entry."""
+        account = self.accounts.get(command.customer)
+        balance = account.balance if account is not None else 0
+        same = (
+            booked.customer == command.customer
+            and booked.amount == command.amount
+            and booked.kind == command.kind
+        )
+        reason = "" if same else f"{command.id!r} was booked otherwise"
+        return CommandResult(same, reason, balance, repeated=True)
 
     # -- heads --------------------------------------------------------------------------------------------
-    def turns(self, index: int, command: Turns) -> Grants:
-        """Take in what a head says of its customers, and hand out what it wants."""
-        # Guards the sum: what a head said before its last word is no news, in whatever order it comes.
-        if not self._heard(command.head, command.identity, command.number):
+    def apply_report(self, index: int, command: CreditReport) -> Grants:
+        """Settle what a head reports of its customers, and grant what it wants, as far as there is credit.
+
+        Args:
+            index: The command's in the log; new allotments are named by it.
+            command: The report.
+
+        Returns:
+            One grant for each customer; none where the report is ignored, as repeated, late or under another
+            identity than the registered one.
+        """
+        # Guards the sum: an older report than the latest one is ignored, in whatever order they come.
+        if not self._accept_report(command.head, command.identity, command.number):
             return Grants(())
         grants = []
-        for number, turn in enumerate(command.turns):
-            for settle in turn.settles:
-                self.settle(command.identity, settle)
-            self.drop_unknown(command.identity, turn.customer, turn.holds)
-            grants.append(self.grant(f"{index}.{number}", command, turn))
+        for position, report in enumerate(command.reports):
+            for settlement in report.settlements:
+                self.settle(command.identity, settlement)
+            self.close_unknown(command.identity, report.customer, report.allotments)
+            grants.append(self.grant(f"{index}.{position}", command, report))
         return Grants(tuple(grants))
 
-    def _heard(self, head: str, identity: str, number: int) -> bool:
-        """Whether this is a word of the identity that stands, later than its last one."""
-        stands, last = self.heads.get(head, (identity, -1))
-        if identity != stands or number <= last:
+    def _accept_report(self, head: str, identity: str, number: int) -> bool:
+        """Whether this is a report of the registered identity, later than its latest one; records it."""
+        registration = self.heads.get(head, HeadRegistration(identity, -1))
+        if identity != registration.identity or number <= registration.number:
             return False
-        self.heads[head] = (identity, number)
+        self.heads[head] = HeadRegistration(identity, number)
         return True
 
-    def settle(self, identity: str, settle: Settle) -> None:
-        """Book what a head says of an allotment. What is not out any more was booked before."""
-        account = self.accounts.get(self.places.get(settle.allotment, ""))
-        allotment = account.out.get(settle.allotment) if account is not None else None
-        if account is None or allotment is None or allotment.identity != identity:
+    def settle(self, identity: str, settlement: Settlement) -> None:
+        """Charge what a head reports as spent. An allotment that is not outstanding was settled before."""
+        account = self._account_of_allotment(settlement.allotment)
+        if account is None:
             return
-        # Guards the sum: a head spends no more than it was given, whatever it says, and never takes back.
-        spent = max(allotment.spent, min(settle.spent, allotment.amount))
+        allotment = account.outstanding.get(settlement.allotment)
+        if allotment is None or allotment.identity != identity:
+            return
+        # Guards the sum: a head spends no more than it was granted, whatever it reports, and takes none back.
+        spent = max(allotment.spent, min(settlement.spent, allotment.amount))
         account.charged += spent - allotment.spent
         allotment.spent = spent
-        if settle.final:
-            self._close(account, settle.allotment)
+        if settlement.final:
+            self._close(account, settlement.allotment)
 
-    def drop_unknown(self, identity: str, customer: str, holds: tuple[str, ...]) -> None:
-        """An allotment whose grant its head never heard of was never spent from."""
+    def close_unknown(self, identity: str, customer: str, known: tuple[str, ...]) -> None:
+        """Close allotments that their head does not know of: their grants were lost, so nothing was spent."""
         account = self.accounts.get(customer)
-        if account is not None:
-            for id in [i for i, a in account.out.items() if a.identity == identity and i not in holds]:
-                self._close(account, id)
+        if account is None:
+            return
+        unknown = [
+            id
+            for id, allotment in account.outstanding.items()
+            if allotment.identity == identity and id not in known
+        ]
+        for id in unknown:
+            self._close(account, id)
 
     def _close(self, account: Account, allotment: str) -> None:
-        del account.out[allotment], self.places[allotment]
-        self._forget(account)
+        del account.outstanding[allotment]
+        del self.customer_by_allotment[allotment]
+        self._remove_if_settled(account)
 
-    def grant(self, id: str, command: Turns, turn: Turn) -> Grant:
-        """Hand out an allotment, as far as there is something."""
-        account = self.accounts.get(turn.customer)
+    def grant(self, id: str, command: CreditReport, report: CustomerReport) -> Grant:
+        """Grant an allotment under this id, as far as there is free credit."""
+        account = self.accounts.get(report.customer)
         if account is None:
-            return Grant(turn.customer, "", 0, 0, 0, known=False)
-        amount = size(account, command.head, turn.want, turn.least) if account.open and turn.want > 0 else 0
+            return Grant(report.customer, "", 0, 0, 0, known=False)
+        amount = 0
+        if account.open and report.wanted > 0:
+            amount = allotment_size(account, command.head, report.wanted, report.least)
         if amount > 0:
-            account.out[id] = Allotment(account.name, command.head, command.identity, amount)
-            self.places[id] = account.name
-        return Grant(
-            account.name, id if amount > 0 else "", amount, account.balance, account.low_water, account.open
-        )
+            account.outstanding[id] = Allotment(account.name, command.head, command.identity, amount)
+            self.customer_by_allotment[id] = account.name
+        allotment = id if amount > 0 else ""
+        return Grant(account.name, allotment, amount, account.balance, account.low_water, account.open)
 
-    def expired(self, command: Expired) -> Booked:
-        """Note that the time of allotments is over."""
+    def mark_expired(self, command: Expired) -> CommandResult:
+        """Note that allotments have expired."""
         for id in command.allotments:
-            account = self.accounts.get(self.places.get(id, ""))
+            account = self._account_of_allotment(id)
             if account is not None:
-                account.out[id].expired = True
-        return Booked(True)
+                account.outstanding[id].expired = True
+        return CommandResult(True)
 
-    def begin(self, command: Begin) -> Booked:
-        """Take in that a head began, perhaps with a new disk (a new identity).
+    def register_head(self, command: RegisterHead) -> CommandResult:
+        """Register a head that started, perhaps with a new disk (a new identity).
 
-        What an earlier disk of the head had reserved, nobody can tell any more: it is charged (or returned,
-        for a customer marked `returned` once it has expired). What this disk never heard of was never
+        What an earlier disk of the head had reserved is unknown from now on: it is charged (or refunded, for
+        a customer marked `refund_expired` once it has expired). What this disk does not know of was never
         spent from, and is closed.
 
         Args:
@@ -241,21 +296,28 @@
                 its disk knows of.
 
         Returns:
-            `Booked(True)`; or `Booked(False, identity)` with the identity that stands, where the command's
-            identity is neither that one nor takes over from it (the first word of an earlier disk, late).
+            `CommandResult(True)`; or `CommandResult(False, identity)` with the registered identity, where the
+            command's is neither that one nor takes over from it (a late command of an earlier disk).
         """
-        stands, last = self.heads.get(command.head, ("", -1))
-        # Guards a head against its own past: the first word of an earlier disk may come late.
-        if command.identity and command.identity != stands and command.over != stands:
-            return Booked(False, stands)
-        if command.identity and command.identity == stands and command.number <= last:
-            return Booked(True)
-        self.heads[command.head] = (command.identity, command.number if command.identity else -1)
+        registration = self.heads.get(command.head, HeadRegistration("", -1))
+        if command.identity:
+            # Guards a head against its own past: the registration of an earlier disk may come late.
+            if registration.identity not in (command.identity, command.predecessor):
+                return CommandResult(False, registration.identity)
+            if command.identity == registration.identity and command.number <= registration.number:
+                return CommandResult(True)
+        number = command.number if command.identity else -1
+        self.heads[command.head] = HeadRegistration(command.identity, number)
         for account in list(self.accounts.values()):
-            for id, allotment in list(account.out.items()):
-                if allotment.head != command.head or id in command.holds:
-                    continue
-                if allotment.identity != command.identity and not (account.returned and allotment.expired):
-                    account.charged += allotment.amount - allotment.spent
-                self._close(account, id)
-        return Booked(True)
+            self._close_lost(account, command)
+        return CommandResult(True)
+
+    def _close_lost(self, account: Account, command: RegisterHead) -> None:
+        """Close a customer's allotments that the head has lost; those of an earlier disk are charged."""
+        for id, allotment in list(account.outstanding.items()):
+            if allotment.head != command.head or id in command.allotments:
+                continue
+            refunded = account.refund_expired and allotment.expired
+            if allotment.identity != command.identity and not refunded:
+                account.charged += allotment.unreported
+            self._close(account, id)
--- a/stoatrouter/credit/records.py
+++ b/stoatrouter/credit/records.py
@@ -1,4 +1,4 @@
-"""What heads ask of an account, and what the account answers. Amounts are whole millionths of a credit unit.
+"""The commands that heads send to the accounts, and the answers. Amounts: whole millionths of a credit unit.
 
 The commands go between heads and into the agreed log on disk, the answers back to the head that asked.
 All are msgpack arrays (`array_like`): fields are encoded by position, never by name, and commands by
@@ -13,20 +13,20 @@
 
 
 class PutCustomer(msgspec.Struct, frozen=True, array_like=True, tag="customer"):
-    """Make a customer, or change what is said of it. Volumes move from whoever had them."""
+    """Create a customer, or change its settings. Its volumes are taken from whoever had them."""
 
     name: str
     volumes: tuple[str, ...]
     overdraft: int = 0
-    low_water: int = 0  # under this the pace narrows
-    returned: bool = False  # what a failed head held counts as unspent once it has expired, not as spent
+    low_water: int = 0  # under this requests are paced
+    refund_expired: bool = False  # an allotment of a failed head counts as unspent once it has expired
     by: str = ""
     why: str = ""
     when: str = ""
 
 
 class DropCustomer(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """No more is drawn; what is out is still settled, and the account stays until it is."""
+    """Close a customer's account: nothing more is granted; outstanding allotments are still settled."""
 
     name: str
     by: str = ""
@@ -34,128 +34,135 @@
     when: str = ""
 
 
-class Book(msgspec.Struct, frozen=True, array_like=True, tag="book"):
-    """A top-up, correction or refund; under one id it is booked once."""
+class BookEntry(msgspec.Struct, frozen=True, array_like=True, tag="book"):
+    """A top-up, correction or refund; its id is an idempotency key."""
 
     id: str
     customer: str
-    amount: int  # a correction may be negative
+    amount: int  # more than 0, except in a correction
     kind: str
     by: str
     why: str
     when: str
 
 
-class Settle(msgspec.Struct, frozen=True, array_like=True):
+class Settlement(msgspec.Struct, frozen=True, array_like=True):
     """What was spent of one allotment.
 
     Attributes:
         allotment: The id of the allotment, as the grant gave it.
         spent: What was spent of it in all, in millionths of a credit unit.
-        final: Whether this is the head's last word on it: nothing more is spent, what is left goes back.
+        final: Whether nothing more will be spent of it: the account takes the rest back.
     """
 
     allotment: str
-    spent: int  # in all, from it
-    final: bool  # nothing more will be: what is left goes back
+    spent: int
+    final: bool
 
 
-class Turn(msgspec.Struct, frozen=True, array_like=True):
-    """One customer at one head: what was spent, and how much more is wanted.
+class CustomerReport(msgspec.Struct, frozen=True, array_like=True):
+    """What one head reports of one customer: what was spent, and how much more is wanted.
 
     Attributes:
         customer: The customer's name.
-        holds: The ids of all its allotments at this head; the account closes, unspent, any other one
+        allotments: The ids of all its allotments at this head; the account closes, unspent, any other one
             that it granted to this head's identity (its grant never reached the head).
-        settles: What was spent of some of them.
-        want: How much more the head asks for, in millionths of a credit unit; 0 for nothing.
+        settlements: What was spent of some of them.
+        wanted: How much more the head asks for, in millionths of a credit unit; 0 for nothing.
         least: The smallest grant of use to the head (its largest waiting charge), in millionths.
     """
 
     customer: str
-    holds: tuple[str, ...] = ()  # all of its allotments here: another one never came to be known
-    settles: tuple[Settle, ...] = ()
-    want: int = 0
-    least: int = 0  # less is of no use: a request waits for so much
+    allotments: tuple[str, ...] = ()
+    settlements: tuple[Settlement, ...] = ()
+    wanted: int = 0
+    least: int = 0
 
 
-class Turns(msgspec.Struct, frozen=True, array_like=True, tag="turns"):
-    """What one head has to say of all its customers, in one command.
+class CreditReport(msgspec.Struct, frozen=True, array_like=True, tag="turns"):
+    """What one head reports of its customers, in one command.
 
     Attributes:
         head: The name of the head.
         identity: The identity of its disk.
-        number: Grows with each command of this identity; one that comes again, or late, does nothing.
-        turns: One for each customer it speaks of.
+        number: Grows with each command of this identity; a repeated or late one does nothing.
+        reports: One for each customer with something to report.
     """
 
     head: str
-    identity: str  # of its disk
-    number: int  # goes up with each; one that comes again, or late, does nothing
-    turns: tuple[Turn, ...]
+    identity: str
+    number: int
+    reports: tuple[CustomerReport, ...]
 
 
 class Expired(msgspec.Struct, frozen=True, array_like=True, tag="expired"):
-    """The leader saw that these allotments' time is over."""
+    """The leader reports that these allotments have expired."""
 
     allotments: tuple[str, ...]
 
 
-class Begin(msgspec.Struct, frozen=True, array_like=True, tag="begin"):
-    """A head began. What it had reserved under an earlier disk nobody can tell any more.
+class RegisterHead(msgspec.Struct, frozen=True, array_like=True, tag="begin"):
+    """A head started. What it had reserved under an earlier disk is unknown from now on.
 
     Attributes:
         head: The name of the head.
         identity: The identity of its disk; "" for none.
-        over: The identity that it takes over from, as far as it knows; "" for none.
-        number: The number of this command, as in `Turns`.
-        holds: The ids of the allotments that its disk knows of.
+        predecessor: The identity that it takes over from, as far as it knows; "" for none.
+        number: The number of this command, as in `CreditReport`.
+        allotments: The ids of the allotments that its disk knows of.
     """
 
     head: str
     identity: str
-    over: str  # the identity that it takes over from, as far as it knows: "" none
+    predecessor: str
     number: int
-    holds: tuple[str, ...]  # what its disk knows of
+    allotments: tuple[str, ...]
 
 
-Command = PutCustomer | DropCustomer | Book | Turns | Expired | Begin
+Command = PutCustomer | DropCustomer | BookEntry | CreditReport | Expired | RegisterHead
 
 
 # -- answers ----------------------------------------------------------------------------------------------
 class Grant(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to one turn: a new allotment, perhaps, and how the account stands.
+    """The answer to one customer's report: a new allotment, perhaps, and the state of the account.
 
     Attributes:
         customer: The customer's name.
         allotment: The id of the new allotment; "" for none.
         amount: Its size, in millionths of a credit unit.
-        balance: What is not charged yet, the overdraft and allotments that are out counted in, in millionths.
-        low_water: The customer's low-water mark, in millionths: under it, the pace of requests narrows.
+        balance: What is not charged yet, the overdraft and outstanding allotments counted in, in millionths.
+        low_water: The customer's low-water mark, in millionths: under it, requests are paced.
         known: Whether the account is open; False where there is no such customer.
     """
 
     customer: str
-    allotment: str  # "": none
+    allotment: str
     amount: int
-    balance: int  # what is not charged yet, allotments that are out counted in
+    balance: int
     low_water: int
     known: bool = True
 
 
 class Grants(msgspec.Struct, frozen=True, array_like=True):
-    """To all turns of one word, in their order; none where the word was not heard."""
+    """The answer to a CreditReport: one grant for each customer, in order; none where it was ignored."""
 
     grants: tuple[Grant, ...]
 
 
-class Booked(msgspec.Struct, frozen=True, array_like=True):
-    """To an operator's entry."""
+class CommandResult(msgspec.Struct, frozen=True, array_like=True):
+    """The answer to any other command.
+
+    Attributes:
+        ok: Whether the command was applied.
+        reason: Why not; to RegisterHead, the identity that is registered instead.
+        balance: The balance of the customer's account, in millionths of a credit unit.
+        repeated: Whether the entry had been booked before.
+    """
 
     ok: bool
-    why: str = ""  # to Begin: the identity that stands
+    reason: str = ""
     balance: int = 0
-    again: bool = False  # it had been booked before
+    repeated: bool = False
 
 
 def charge_of(units: float, price: int) -> int:
--- a/stoatrouter/lab/fleet/credit.py
+++ b/stoatrouter/lab/fleet/credit.py
@@ -16,16 +16,16 @@
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
-    Begin,
-    Book,
-    Booked,
+    BookEntry,
     Command,
+    CommandResult,
+    CreditReport,
+    CustomerReport,
     Expired,
     Grants,
     PutCustomer,
-    Settle,
-    Turn,
-    Turns,
+    RegisterHead,
+    Settlement,
 )
 from stoatrouter.lab.fleet.voters import Broken
 from stoatrouter.lab.fleet.world import World
@@ -102,7 +102,7 @@
         for i in range(self.customers):
             name = f"c{i}"
             self.true[name] = self.paid[name] = 0
-            self.apply(PutCustomer(name, (f"v{i}",), low_water=200, returned=self.returned), f"put{i}")
+            self.apply(PutCustomer(name, (f"v{i}",), low_water=200, refund_expired=self.returned), f"put{i}")
         for name in self.names:
             self.boot(name, f"{name}/0", Disk())
         self.world.at(LEASE / 4, self.expire)
@@ -123,7 +123,7 @@
     def expire(self) -> None:
         """At the account: note which allotments' time is over."""
         now = self.world.clock(ACCOUNT)
-        self.seen = {id: self.seen.get(id, now) for id in self.ledger.places}
+        self.seen = {id: self.seen.get(id, now) for id in self.ledger.customer_by_allotment}
         over = tuple(
             id
             for id, since in self.seen.items()
@@ -142,7 +142,7 @@
         call = f"{id}/{self.count if self.world.draws.random() < 0.5 else 0}"  # the same call, or a new one
 
         def arrive() -> None:
-            self.apply(Book(id, customer, amount, "top-up", "x", "y", "z"), call)
+            self.apply(BookEntry(id, customer, amount, "top-up", "x", "y", "z"), call)
             self.world.send(ACCOUNT, via, lambda: self.acknowledged.add(id))
 
         self.world.send(via, ACCOUNT, arrive)
@@ -186,15 +186,15 @@
             if not here.begun:
                 self.say(
                     name,
-                    Begin(name, here.identity, here.over, self.next(here), tuple(here.disk.spent)),
+                    RegisterHead(name, here.identity, here.over, self.next(here), tuple(here.disk.spent)),
                     lambda answer: self.begun(name, answer),
                 )
             else:
-                turns = here.holder.turns(now)
+                turns = here.holder.due_reports(now)
                 if turns:
                     self.say(
                         name,
-                        Turns(name, here.identity, self.next(here), tuple(turns)),
+                        CreditReport(name, here.identity, self.next(here), tuple(turns)),
                         lambda answer: self.granted(name, turns, answer, now),
                     )
         self.world.on(name, timedelta(milliseconds=50), lambda: self.tick(name))
@@ -209,23 +209,23 @@
         """The account has heard a head's first word: settle what the process before had spent."""
         here = self.heads[name]
         before = here.before
-        booked = msgspec.msgpack.decode(answer, type=Booked)
+        booked = msgspec.msgpack.decode(answer, type=CommandResult)
         if not booked.ok:
-            here.over = booked.why  # said again with the next tick
+            here.over = booked.reason  # said again with the next tick
             return
         if not before:
             here.begun = True
             return
-        turn = Turn("", (), tuple(Settle(id, spent, True) for id, spent in before.items()))
+        turn = CustomerReport("", (), tuple(Settlement(id, spent, True) for id, spent in before.items()))
 
         def settled(_: bytes) -> None:
             for id in before:
                 here.disk.end(id)
             here.begun, here.before = True, {}
 
-        self.say(name, Turns(name, here.identity, self.next(here), (turn,)), settled)
+        self.say(name, CreditReport(name, here.identity, self.next(here), (turn,)), settled)
 
-    def say(self, name: str, command: Turns | Begin, answered: Callable[[bytes], None]) -> None:
+    def say(self, name: str, command: CreditReport | RegisterHead, answered: Callable[[bytes], None]) -> None:
         """One word, again and again under its number, until it is answered."""
         here = self.heads[name]
         here.saying = command.number
@@ -251,15 +251,15 @@
 
         send()
 
-    def granted(self, name: str, turns: list[Turn], answer: bytes, asked_at: timedelta) -> None:
+    def granted(self, name: str, turns: list[CustomerReport], answer: bytes, asked_at: timedelta) -> None:
         """The account has answered a head's turns."""
         here, now = self.heads[name], self.world.clock(name)
         grants = msgspec.msgpack.decode(answer, type=Grants).grants
         for turn, grant in zip(turns, grants, strict=False):
-            here.holder.granted(turn, grant, asked_at, now)
+            here.holder.apply_grant(turn, grant, asked_at, now)
             here.asked_at[grant.allotment] = asked_at
         for turn in turns[len(grants) :]:
-            here.holder.unanswered(turn)
+            here.holder.forget_report(turn)
             here.begun, here.over = False, here.identity
 
     # -- requests -----------------------------------------------------------------------------------------
@@ -271,7 +271,7 @@
             return
         self.count += 1
         id, now = f"r{self.count}", world.clock(name)
-        if here.holder.take(id, customer, charge, rank, now) is not None:
+        if here.holder.reserve(id, customer, charge, rank, now) is not None:
             self.turned += 1
             return
         self.taken += 1
@@ -289,7 +289,7 @@
     def end(self, name: str, here: Here, id: str, customer: str, charge: int, sent: bool) -> None:
         """A request ends; what was charged is held against what should be."""
         before = here.holder.charged
-        here.holder.end(id, sent or self.charged_if_unsent)
+        here.holder.settle(id, sent or self.charged_if_unsent)
         charged = here.holder.charged - before
         # Promise: once a request, and only where an attempt may have run.
         if charged != (charge if sent else 0):
@@ -329,8 +329,8 @@
         too.
         """
         for name, account in self.ledger.accounts.items():
-            if account.out:
-                raise Broken(f"{name} still has allotments out: {account.out}")
+            if account.outstanding:
+                raise Broken(f"{name} still has allotments out: {account.outstanding}")
             if account.paid != self.paid[name]:
                 raise Broken(f"{name}: {account.paid} booked of {self.paid[name]} paid in")
             lost = account.charged - self.true[name]
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -19,7 +19,16 @@
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.records import Begin, Booked, Command, Expired, Grants, Settle, Turn, Turns
+from stoatrouter.credit.records import (
+    Command,
+    CommandResult,
+    CreditReport,
+    CustomerReport,
+    Expired,
+    Grants,
+    RegisterHead,
+    Settlement,
+)
 from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.book import SpentBook
 from stoatrouter.peering.fleet import Fleet
@@ -54,7 +63,7 @@
         self.book = SpentBook(path)
         self.before = self.book.read()  # of an earlier process
         self.holder = HeadEscrow(settings.lease, self.book)
-        self.gate = Gate(self.holder, ledger.customers_of, settings.prices, ranks(classes, background))
+        self.gate = Gate(self.holder, ledger.customer_of, settings.prices, ranks(classes, background))
         self.number = fleet.found.boot << 32  # of this head's words to the account
         self.begun = False
         self.kick, self.told = asyncio.Event(), asyncio.Event()
@@ -72,12 +81,12 @@
     async def prepare(self, request: model.Request) -> bool:
         """Wait a moment where a customer's allotment is on its way here; whether it did."""
         holder, now = self.holder, self.now
-        if not self.gate.lacks(request, now()):
+        if not self.gate.may_wait(request, now()):
             return False
         deadline = now() + min(self.settings.wait, request.time_left / 4)
         with self.gate.waiting(request):
-            while (left := deadline - now()) > timedelta(0) and self.gate.lacks(request, now()):
-                self.gate.want(request, now())
+            while (left := deadline - now()) > timedelta(0) and self.gate.may_wait(request, now()):
+                self.gate.request_allotment(request, now())
                 self.kick.set()
                 told = self.told
                 with contextlib.suppress(TimeoutError):
@@ -102,28 +111,28 @@
         if not self.begun:
             await self.begin()
         asked_at = self.now()
-        turns = self.holder.turns(asked_at)
+        turns = self.holder.due_reports(asked_at)
         if turns:
             grants = await self.say(turns)
             # the account does not hear this head (it was written off), or an answer is lost for good
             self.begun = len(grants.grants) == len(turns)
             self.hear(turns, grants, asked_at)
 
-    def hear(self, turns: list[Turn], grants: Grants, asked_at: timedelta) -> None:
+    def hear(self, turns: list[CustomerReport], grants: Grants, asked_at: timedelta) -> None:
         """Take in the account's answer, and wake the requests that wait for it."""
         now = self.now()
         for turn, grant in zip(turns, grants.grants, strict=False):
-            self.holder.granted(turn, grant, asked_at, now)
+            self.holder.apply_grant(turn, grant, asked_at, now)
         for turn in turns[len(grants.grants) :]:
-            self.holder.unanswered(turn)
+            self.holder.forget_report(turn)
         self.told.set()
         self.told = asyncio.Event()
 
-    async def say(self, turns: list[Turn]) -> Grants:
+    async def say(self, turns: list[CustomerReport]) -> Grants:
         """One word to the account, said under one number until it is answered."""
         self.number += 1
         body = msgspec.msgpack.encode(
-            Turns(self.fleet.settings.name, self.fleet.me.identity, self.number, tuple(turns))
+            CreditReport(self.fleet.settings.name, self.fleet.me.identity, self.number, tuple(turns))
         )
         answer = await self.until_answered(body)
         return msgspec.msgpack.decode(answer, type=Grants) if answer else Grants(())
@@ -141,19 +150,19 @@
     async def begin(self) -> None:
         """The first word: what this disk knows of, and what was spent of it by the process before."""
         name, me = self.fleet.settings.name, self.fleet.me
-        held = {h.id for purse in self.holder.purses.values() for h in purse.allotments}
-        over, booked = self.ledger.heads.get(name, ("", 0))[0], Booked(False)
+        held = {h.id for purse in self.holder.accounts.values() for h in purse.allotments}
+        over, booked = self.ledger.registered_identity(name), CommandResult(False)
         while not booked.ok and not self.closing:
             self.number += 1
             body = msgspec.msgpack.encode(
-                Begin(name, me.identity, over, self.number, (*self.before, *sorted(held)))
+                RegisterHead(name, me.identity, over, self.number, (*self.before, *sorted(held)))
             )
             answer = await self.until_answered(body)
-            booked = msgspec.msgpack.decode(answer, type=Booked) if answer else booked
-            over = booked.why
+            booked = msgspec.msgpack.decode(answer, type=CommandResult) if answer else booked
+            over = booked.reason
         if self.before:
-            settles = tuple(Settle(id, spent, True) for id, spent in self.before.items())
-            await self.say([Turn("", (), settles)])
+            settles = tuple(Settlement(id, spent, True) for id, spent in self.before.items())
+            await self.say([CustomerReport("", (), settles)])
             logger.info(
                 "credit: settled {count} allotments of the process before",
                 event="credit.settled",
@@ -169,8 +178,11 @@
         them.
         """
         now = self.fleet.now()
-        if len(self.seen) != len(self.ledger.places) or self.seen.keys() != self.ledger.places.keys():
-            self.seen = {id: self.seen.get(id, now) for id in self.ledger.places}
+        if (
+            len(self.seen) != len(self.ledger.customer_by_allotment)
+            or self.seen.keys() != self.ledger.customer_by_allotment.keys()
+        ):
+            self.seen = {id: self.seen.get(id, now) for id in self.ledger.customer_by_allotment}
         if not self.fleet.agreed.raft.settled:
             return
         lease = self.settings.lease * DRIFT + MARGIN
@@ -188,13 +200,13 @@
     async def close(self) -> None:
         """The last word: what is unspent goes back at once."""
         self.closing = True
-        turns = self.holder.closing()
+        turns = self.holder.final_reports()
         if turns and self.begun and self.fleet.availability.draws:
             try:
                 async with asyncio.timeout(LAST_WORD.total_seconds()):
                     await self.say(turns)
                 for turn in turns:
-                    for settle in turn.settles:
+                    for settle in turn.settlements:
                         if settle.final:
                             self.book.end(settle.allotment)
             except TimeoutError:
@@ -205,7 +217,7 @@
         self.book.close()
 
     # -- for operators ------------------------------------------------------------------------------------
-    async def command(self, command: Command, id: str, within: timedelta) -> Booked:
+    async def command(self, command: Command, id: str, within: timedelta) -> CommandResult:
         """Bring an operator's entry through; raises NotAgreed."""
         body = msgspec.msgpack.encode(command)
-        return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, within), type=Booked)
+        return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, within), type=CommandResult)
--- a/stoatrouter/peering/creditcalls.py
+++ b/stoatrouter/peering/creditcalls.py
@@ -20,7 +20,7 @@
 import msgspec
 from aiohttp import web
 
-from stoatrouter.credit.records import Begin, Book, Booked, DropCustomer, PutCustomer
+from stoatrouter.credit.records import BookEntry, CommandResult, DropCustomer, PutCustomer, RegisterHead
 from stoatrouter.peering.agreed import NotAgreed
 from stoatrouter.peering.bounds import (
     LARGEST_AMOUNT,
@@ -117,18 +117,18 @@
         holder, service = self.service.holder, self.service
         purses = {
             name: {
-                "left": sum(h.left for h in purse.allotments),
+                "left": sum(h.available for h in purse.allotments),
                 "allotments": len(purse.allotments),
                 "balance_told": purse.balance,
-                "narrowed_to": round(purse.fraction(), 3),
+                "narrowed_to": round(purse.funded_fraction(), 3),
             }
-            for name, purse in sorted(holder.purses.items())
+            for name, purse in sorted(holder.accounts.items())
         }
         return {
             "state": service.fleet.availability.state.value,
             "draws": holder.reachable,
             "charged": holder.charged,
-            "refused": holder.refused,
+            "refused": holder.rejected,
             "reservations": len(holder.reservations),
             "customers": purses,
         }
@@ -152,10 +152,10 @@
                 "free": account.free,
                 "overdraft": account.overdraft,
                 "low_water": account.low_water,
-                "unsettled": "unspent" if account.returned else "spent",
+                "unsettled": "unspent" if account.refund_expired else "spent",
                 "out": {
                     id: {"head": a.head, "amount": a.amount, "spent": a.spent, "expired": a.expired}
-                    for id, a in account.out.items()
+                    for id, a in account.outstanding.items()
                 },
             },
         )
@@ -200,16 +200,16 @@
         # the id within the agreement holds the content too: another entry under it is refused, not answered
         # like the first
         return await self.book(
-            Book(call.id, name, call.amount, call.kind, call.by, call.why, now()),
+            BookEntry(call.id, name, call.amount, call.kind, call.by, call.why, now()),
             f"entry/{call.id}/{name}/{call.kind}/{call.amount}",
         )
 
     async def book(self, command: Any, id: str) -> web.Response:
         """Bring a command through; 409 where the account refuses it."""
-        booked: Booked = await self.service.command(command, id, WITHIN)
+        booked: CommandResult = await self.service.command(command, id, WITHIN)
         if not booked.ok:
-            return answer(409, {"error": booked.why})
-        return answer(200, {"balance": booked.balance, "booked_before": booked.again})
+            return answer(409, {"error": booked.reason})
+        return answer(200, {"balance": booked.balance, "booked_before": booked.repeated})
 
     async def entry_told(self, id: str) -> web.Response:
         """Whether, and how, an entry was booked."""
@@ -228,7 +228,7 @@
     async def write_off(self, name: str) -> web.Response:
         """Only for a head that will not come back with its disk: what it held is charged, to the last."""
         check_head("head", name)
-        return await self.book(Begin(name, "", "", 0, ()), secrets.token_hex(8))
+        return await self.book(RegisterHead(name, "", "", 0, ()), secrets.token_hex(8))
 
 
 def check_customer(name: str) -> None:
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from stoatrouter.credit.records import Booked
+from stoatrouter.credit.records import CommandResult
 from stoatrouter.history.records import Answer
 from stoatrouter.peering.creditcalls import CreditCalls
 from stoatrouter.peering.operators import Operators
@@ -47,7 +47,7 @@
 
     async def command(self, command, id, within=None):
         self.commands.append(command)
-        return Booked(True) if within is not None else Answer(True, 1)
+        return CommandResult(True) if within is not None else Answer(True, 1)
 
 
 def call(method: str, path: str, data: object = None) -> tuple[int, str, list[object]]:
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -19,7 +19,7 @@
 from stoatrouter.agreement.records import Voter
 from stoatrouter.agreement.state import Timing as AgreementTiming
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.records import Book, PutCustomer
+from stoatrouter.credit.records import BookEntry, PutCustomer
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.datagram import Datagram, Kind, encode
@@ -160,7 +160,10 @@
             for count in (10, 100, COMPACT_ENTRIES + 100):  # the last is past a snapshot
                 tops = range(done, count)
                 await asyncio.gather(
-                    *(bring(fleet, Book(f"t{i}", "acme", 1, "top-up", "", "", ""), f"t{i}") for i in tops)
+                    *(
+                        bring(fleet, BookEntry(f"t{i}", "acme", 1, "top-up", "", "", ""), f"t{i}")
+                        for i in tops
+                    )
                 )
                 done = count
                 sizes.append(await answer_with_nothing_new(fleet))
--- a/tests/heads/test_credit.py
+++ b/tests/heads/test_credit.py
@@ -4,13 +4,14 @@
 
 from datetime import timedelta
 
+import msgspec
 import pytest
 
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
-    Settle,
-    Turn,
+    CustomerReport,
+    Settlement,
 )
 from stoatrouter.lab.fleet import stories
 from stoatrouter.lab.fleet.credit import Disk
@@ -44,11 +45,12 @@
     __slots__ = ()
 
     @staticmethod
-    def _find(purse, charge, now):
-        return next((h for h in purse.allotments if h.left >= charge), None)
+    def _find(account, charge, now):
+        return next((a for a in account.allotments if a.available >= charge), None)
 
-    def _turn(self, purse, now):
-        return super()._turn(purse, min(now, min((h.expires for h in purse.allotments), default=now) - MS))
+    def _report(self, account, now):
+        first = min((a.expires_at for a in account.allotments), default=now)
+        return super()._report(account, min(now, first - MS))
 
 
 class ChargesTwice(HeadEscrow):
@@ -56,12 +58,12 @@
 
     __slots__ = ()
 
-    def end(self, request, charged):
+    def settle(self, request, charged):
         reservation = self.reservations.get(request)
         if reservation is not None and charged:
             reservation.allotment.spent += reservation.charge
             self.charged += reservation.charge
-        super().end(request, charged)
+        super().settle(request, charged)
 
 
 class ForgetsOnKill(HeadEscrow):
@@ -69,96 +71,96 @@
 
     __slots__ = ()
 
-    def end(self, request, charged):
+    def settle(self, request, charged):
         record, self.record = self.record, Disk()
-        super().end(request, charged)
+        super().settle(request, charged)
         self.record = record
 
 
-class LastWordTooEarly(HeadEscrow):
-    """The last word on an allotment does not wait for its reservations."""
+class FinalSettlementTooEarly(HeadEscrow):
+    """The final settlement of an allotment does not wait for its reservations."""
 
     __slots__ = ()
 
-    def _turn(self, purse, now):
-        turn = super()._turn(purse, now)
-        late = tuple(Settle(h.id, h.spent, True) for h in purse.allotments if h.closing and h.reserved)
-        if not late:
-            return turn
-        turn = turn or Turn(purse.customer, tuple(h.id for h in purse.allotments))
-        return Turn(turn.customer, turn.holds, (*turn.settles, *late), turn.want, turn.least)
+    def _report(self, account, now):
+        report = super()._report(account, now)
+        early = tuple(Settlement(a.id, a.spent, True) for a in account.allotments if a.closing and a.reserved)
+        if not early:
+            return report
+        report = report or CustomerReport(account.customer, account.allotment_ids())
+        return msgspec.structs.replace(report, settlements=(*report.settlements, *early))
 
 
-class GivesWhatIsOut(Ledger):
-    """What is handed out is not counted against what may be handed out."""
+class GrantsWhatIsOutstanding(Ledger):
+    """Outstanding allotments are not counted against what may be granted."""
 
     __slots__ = ()
 
-    def grant(self, id, command, turn):
-        account = self.accounts.get(turn.customer)
+    def grant(self, id, command, report):
+        account = self.accounts.get(report.customer)
         if account is not None:
             account.overdraft = account.in_flight()
         try:
-            return super().grant(id, command, turn)
+            return super().grant(id, command, report)
         finally:
             if account is not None:
                 account.overdraft = 0
 
 
-class GivesBackOnExpiry(Ledger):
-    """What expired without a last word counts as unspent, whatever the customer's setting."""
+class RefundsOnExpiry(Ledger):
+    """What expired without a final settlement counts as unspent, whatever the customer's setting."""
 
     __slots__ = ()
 
-    def expired(self, command):
+    def mark_expired(self, command):
         for account in self.accounts.values():
-            account.returned = True
-        return super().expired(command)
+            account.refund_expired = True
+        return super().mark_expired(command)
 
 
-class BooksLateWordsAgain(Ledger):
-    """A word that comes again is booked again."""
+class BooksRepeatedReports(Ledger):
+    """A report that comes again is booked again."""
 
     __slots__ = ()
 
-    def turns(self, index, command):
+    def apply_report(self, index, command):
         self.heads.pop(command.head, None)
-        return super().turns(index, command)
+        return super().apply_report(index, command)
 
 
-class BooksTopUpsAgain(Ledger):
+class BooksRepeatedTopUps(Ledger):
     """A top-up is not known by its id."""
 
     __slots__ = ()
 
-    def book(self, index, command):
+    def book_entry(self, index, command):
         self.entries.pop(command.id, None)
-        return super().book(index, command)
+        return super().book_entry(index, command)
 
 
-class TakesTheLostForUnspent(Ledger):
+class RefundsLostAllotments(Ledger):
     """What a lost disk held goes back."""
 
     __slots__ = ()
 
-    def begin(self, command):
+    def register_head(self, command):
         for account in self.accounts.values():
-            for held in account.out.values():
-                if held.head == command.head and held.identity != command.identity:
-                    held.amount = held.spent
-        return super().begin(command)
+            for allotment in account.outstanding.values():
+                if allotment.head == command.head and allotment.identity != command.identity:
+                    allotment.amount = allotment.spent
+        return super().register_head(command)
 
 
 MUTANTS = [
     ({"make": NoExpiry}, "had expired"),
     ({"make": ChargesTwice}, "was charged"),
     ({"make": ForgetsOnKill}, "charged"),
-    ({"make": LastWordTooEarly}, "charged"),
-    ({"make_ledger": GivesWhatIsOut}, "paid in"),
-    ({"make_ledger": GivesBackOnExpiry}, "charged"),
-    ({"make_ledger": BooksLateWordsAgain}, "charged"),
-    ({"make_ledger": BooksTopUpsAgain}, "booked of"),
-    ({"make_ledger": TakesTheLostForUnspent}, "charged"),
+    ({"make": FinalSettlementTooEarly}, "charged"),
+    ({"make_ledger": GrantsWhatIsOutstanding}, "paid in"),
+    ({"make_ledger": RefundsOnExpiry}, "charged"),
+    ({"make_ledger": BooksRepeatedReports}, "charged"),
+    ({"make_ledger": BooksRepeatedTopUps}, "booked of"),
+    ({"make_ledger": RefundsLostAllotments}, "charged"),
     ({"charged_if_unsent": True}, "was charged"),
 ]
 
--- a/tests/heads/test_credit_escrow.py
+++ b/tests/heads/test_credit_escrow.py
@@ -12,10 +12,10 @@
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
-from stoatrouter.credit.purse import Purse
+from stoatrouter.credit.local_account import LocalAccount
 from stoatrouter.credit.records import (
     Grant,
-    Settle,
+    Settlement,
     charge_of,
 )
 from stoatrouter.lab.fleet.credit import Disk
@@ -27,19 +27,19 @@
 MS = timedelta(milliseconds=1)
 
 
-def held(amount: int = 100, balance: int = 100, low_water: int = 0) -> HeadEscrow:
-    holder = HeadEscrow(5 * SECOND, Disk())
-    holder.want("x", 1, SECOND)
-    (asked,) = holder.turns(SECOND)
-    holder.granted(asked, Grant("x", "1.0", amount, balance, low_water), SECOND, SECOND)
-    return holder
+def escrow_with_an_allotment(amount: int = 100, balance: int = 100, low_water: int = 0) -> HeadEscrow:
+    escrow = HeadEscrow(5 * SECOND, Disk())
+    escrow.request_allotment("x", 1, SECOND)
+    (report,) = escrow.due_reports(SECOND)
+    escrow.apply_grant(report, Grant("x", "1.0", amount, balance, low_water), SECOND, SECOND)
+    return escrow
 
 
-def test_the_pace_narrows_smoothly_what_can_wait_first_and_protected_reads_last():
+def test_requests_are_paced_smoothly_deferrable_work_first_and_protected_reads_last():
     def passed(balance: int) -> list[int]:
-        holder = held(10**9, balance, 1000)
+        escrow = escrow_with_an_allotment(10**9, balance, 1000)
         return [
-            sum(holder.take(f"{rank}.{i}", "x", 1, rank, SECOND + i * MS) is None for i in range(300))
+            sum(escrow.reserve(f"{rank}.{i}", "x", 1, rank, SECOND + i * MS) is None for i in range(300))
             for rank in range(3)
         ]
 
@@ -54,46 +54,46 @@
     assert passed(500)[0] == 0 and passed(500)[2] == 300
 
 
-def test_at_nothing_all_is_refused_at_once_with_advice_only_where_it_is_known():
-    holder = held(10)
-    assert holder.take("a", "x", 10, 2, SECOND) is None
-    turned = holder.take("b", "x", 1, 2, SECOND)
-    assert turned is not None and turned.retry_in is not None  # more is asked for
-    holder.end("a", True)
-    (asked,) = holder.turns(SECOND)
-    holder.granted(asked, Grant("x", "", 0, 0, 0), SECOND, SECOND)
-    turned = holder.take("c", "x", 1, 2, SECOND)
-    assert turned is not None and turned.retry_in is None and "nothing is left" in turned.why
-    holder.reachable = False
-    assert "cut off" in holder.take("d", "x", 1, 2, SECOND).why
-
-
-def test_what_expired_is_not_taken_from_and_is_settled_after_its_last_reservation():
-    holder = held()
-    assert holder.take("a", "x", 7, 2, 5 * SECOND) is None
-    assert holder.take("b", "x", 7, 2, 7 * SECOND) is not None  # asked at 1 s, for 5 s
-    (asked,) = holder.turns(7 * SECOND)
-    assert not any(s.final for s in asked.settles)
-    holder.granted(asked, Grant("x", "", 0, 100, 0), 7 * SECOND, 7 * SECOND)
-    holder.end("a", True)
-    (asked,) = holder.turns(8 * SECOND)
-    assert Settle("1.0", 7, True) in asked.settles
-
-
-def test_a_purse_that_was_idle_gives_back_and_is_forgotten():
-    holder = held()
-    (asked,) = holder.turns(9 * SECOND)
-    assert asked.settles == (Settle("1.0", 0, True),) and asked.want == 0
-    holder.granted(asked, Grant("x", "", 0, 100, 0), 9 * SECOND, 9 * SECOND)
-    holder.turns(60 * SECOND)
-    assert not holder.purses
-
-
-def test_the_shares_of_ranks_are_whole_above_the_mark():
-    purse = Purse("x", balance=100, low_water=100, answered_at=SECOND)
-    assert [purse.quota(rank) for rank in range(3)] == [1, 1, 1]
-    purse.balance = 50
-    assert [round(purse.quota(rank), 2) for rank in range(3)] == [0, 0.5, 1]
+def test_an_exhausted_account_rejects_at_once_with_a_retry_time_only_where_it_is_known():
+    escrow = escrow_with_an_allotment(10)
+    assert escrow.reserve("a", "x", 10, 2, SECOND) is None
+    rejection = escrow.reserve("b", "x", 1, 2, SECOND)
+    assert rejection is not None and rejection.retry_in is not None  # more is asked for
+    escrow.settle("a", True)
+    (report,) = escrow.due_reports(SECOND)
+    escrow.apply_grant(report, Grant("x", "", 0, 0, 0), SECOND, SECOND)
+    rejection = escrow.reserve("c", "x", 1, 2, SECOND)
+    assert rejection is not None and rejection.retry_in is None and "nothing is left" in rejection.reason
+    escrow.reachable = False
+    assert "cut off" in escrow.reserve("d", "x", 1, 2, SECOND).reason
+
+
+def test_an_expired_allotment_is_not_reserved_from_and_is_settled_after_its_last_reservation():
+    escrow = escrow_with_an_allotment()
+    assert escrow.reserve("a", "x", 7, 2, 5 * SECOND) is None
+    assert escrow.reserve("b", "x", 7, 2, 7 * SECOND) is not None  # asked at 1 s, for 5 s
+    (report,) = escrow.due_reports(7 * SECOND)
+    assert not any(s.final for s in report.settlements)
+    escrow.apply_grant(report, Grant("x", "", 0, 100, 0), 7 * SECOND, 7 * SECOND)
+    escrow.settle("a", True)
+    (report,) = escrow.due_reports(8 * SECOND)
+    assert Settlement("1.0", 7, True) in report.settlements
+
+
+def test_the_account_of_an_idle_customer_gives_back_and_is_dropped():
+    escrow = escrow_with_an_allotment()
+    (report,) = escrow.due_reports(9 * SECOND)
+    assert report.settlements == (Settlement("1.0", 0, True),) and report.wanted == 0
+    escrow.apply_grant(report, Grant("x", "", 0, 100, 0), 9 * SECOND, 9 * SECOND)
+    escrow.due_reports(60 * SECOND)
+    assert not escrow.accounts
+
+
+def test_all_requests_are_admitted_above_the_low_water_mark_and_ranks_narrow_below_it():
+    account = LocalAccount("x", balance=100, low_water=100, answered_at=SECOND)
+    assert [account.quota(rank) for rank in range(3)] == [1, 1, 1]
+    account.balance = 50
+    assert [round(account.quota(rank), 2) for rank in range(3)] == [0, 0.5, 1]
 
 
 @given(st.floats(0.001, 1e4), st.integers(0, 10**9))
@@ -109,10 +109,10 @@
     reducer = Reducer(conf.settings, 1)
     nodes = tuple(model.NodeInfo(n, f"127.0.0.1:{9 + i}", 0, api.Phase.ON) for i, n in enumerate("ab"))
     reducer.reduce(model.EndpointListReceived(SECOND, api.ListKind.RESTORED, nodes))
-    holder = held(1000, 1000)
+    escrow = escrow_with_an_allotment(1000, 1000)
     classes = conf.settings.classes
     reducer.gate = Gate(
-        holder,
+        escrow,
         lambda volume: "x" if volume == "v" else None,
         (10, 20, 30),
         ranks(classes, reducer.scheduler.background),
@@ -132,7 +132,7 @@
         if outcome is not None:
             sent += reducer.reduce(model.AttemptEnded(now, "r", number, outcome, b"x"))
     sent += reducer.reduce(model.ClientLeft(now + MS, "r"))
-    return holder, sent
+    return escrow, sent
 
 
 O = api.Outcome  # noqa: E741
@@ -156,16 +156,16 @@
     ],
 )
 def test_a_request_is_charged_once_by_what_may_have_run(outcomes, charged):
-    holder, sent = core(*outcomes)
+    escrow, sent = core(*outcomes)
     assert any(isinstance(e, model.SendAttempt) for e in sent)
-    assert holder.charged == charged and not holder.reservations
+    assert escrow.charged == charged and not escrow.reservations
 
 
 def test_a_volume_of_nobody_is_free_and_another_customer_loses_nothing():
     conf = head_config(Node("a", 0))
     reducer = Reducer(conf.settings, 1)
-    holder = held(10, 10)
-    reducer.gate = Gate(holder, {"v": "x"}.get, (10, 20, 30), (2, 1, 0))
+    escrow = escrow_with_an_allotment(10, 10)
+    reducer.gate = Gate(escrow, {"v": "x"}.get, (10, 20, 30), (2, 1, 0))
     for i, volume in enumerate("vvww"):
         request = model.Request(f"r{i}", 0, 1, volume, "k", 0, 1.0, 1, 2 * SECOND, False)
         effects = reducer.reduce(model.Arrived(SECOND, request))
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -12,8 +12,16 @@
 from stoatrouter.core import model
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.purse import LocalAllotment, Purse
-from stoatrouter.credit.records import Begin, Book, Booked, Grants, PutCustomer, Turns, charge_of
+from stoatrouter.credit.local_account import LocalAccount, LocalAllotment
+from stoatrouter.credit.records import (
+    BookEntry,
+    CommandResult,
+    CreditReport,
+    Grants,
+    PutCustomer,
+    RegisterHead,
+    charge_of,
+)
 from stoatrouter.lab.fleet.credit import Disk
 from stoatrouter.peering.credit import CreditService
 from stoatrouter.peering.settings import CreditSettings
@@ -31,8 +39,8 @@
 
     def __init__(self, tmp_path, paid: int) -> None:
         self.ledger, self.asked, self.answers = Ledger(), [], asyncio.Semaphore(0)
-        self.ledger.put(PutCustomer("acme", ("v",)))
-        self.ledger.book(1, Book("t", "acme", paid, "top-up", "x", "y", "z"))
+        self.ledger.put_customer(PutCustomer("acme", ("v",)))
+        self.ledger.book_entry(1, BookEntry("t", "acme", paid, "top-up", "x", "y", "z"))
         agreed = SimpleNamespace(restored=[], raft=SimpleNamespace(settled=False))
         fleet = SimpleNamespace(
             settings=SimpleNamespace(folder=tmp_path, name="h0"),
@@ -54,8 +62,8 @@
 
     async def command(self, part, body, id, within) -> bytes:
         """The account's answer, once it may be given."""
-        command = msgspec.msgpack.decode(body, type=Begin | Turns)
-        if isinstance(command, Turns):
+        command = msgspec.msgpack.decode(body, type=RegisterHead | CreditReport)
+        if isinstance(command, CreditReport):
             self.asked.append(command)
             await self.answers.acquire()
         return self.ledger.apply(len(self.asked) + 1, body)
@@ -87,7 +95,7 @@
         speaking.cancel()
         assert len(head.asked) == 1, f"{sum(r.done() for r in requests)} of {count} after one answer"
         assert all([await r for r in requests])
-        assert head.service.holder.purses["acme"].waiting == 0
+        assert head.service.holder.accounts["acme"].waiting == 0
 
     run(story())
 
@@ -97,11 +105,11 @@
         head = OneHead(tmp_path, paid=1_000 * CHARGE)
         requests = [asyncio.create_task(head.request(i)) for i in range(FEW)]
         await settle()
-        assert head.service.holder.purses["acme"].waiting == FEW * CHARGE
+        assert head.service.holder.accounts["acme"].waiting == FEW * CHARGE
         for request in requests[1:]:
             request.cancel()
         await asyncio.gather(*requests[1:], return_exceptions=True)
-        assert head.service.holder.purses["acme"].waiting == CHARGE
+        assert head.service.holder.accounts["acme"].waiting == CHARGE
         requests[0].cancel()
 
     run(story())
@@ -111,26 +119,26 @@
     """Two allotments with 1,500 each are enough for one charge of 2,000 by their sum, and not by either."""
     holder = HeadEscrow(LEASE, Disk())
     held = [LocalAllotment(f"{number}.0", 1_500, SECOND + LEASE) for number in (1, 2)]
-    holder.purses["acme"] = Purse("acme", held, answered_at=SECOND)
-    assert holder.take("r2", "acme", 2_000, 2, SECOND) is not None
-    (turn,) = holder.turns(SECOND)
-    assert turn.least == 2_000 and turn.want >= 2_000
+    holder.accounts["acme"] = LocalAccount("acme", held, answered_at=SECOND)
+    assert holder.reserve("r2", "acme", 2_000, 2, SECOND) is not None
+    (report,) = holder.due_reports(SECOND)
+    assert report.least == 2_000 and report.wanted >= 2_000
 
 
 def test_an_answer_to_all_that_wait_is_bounded_by_the_account(tmp_path):
     """The account gives a head half of what is free at most: the others wait for the next word."""
     ledger = Ledger()
-    ledger.put(PutCustomer("acme", ("v",)))
-    ledger.book(1, Book("t", "acme", 10 * CHARGE, "top-up", "x", "y", "z"))
+    ledger.put_customer(PutCustomer("acme", ("v",)))
+    ledger.book_entry(1, BookEntry("t", "acme", 10 * CHARGE, "top-up", "x", "y", "z"))
     holder = HeadEscrow(LEASE, Disk())
     for _ in range(MANY):
-        holder.begin_wait("acme", CHARGE)
-        holder.want("acme", CHARGE, SECOND)
-    turns = tuple(holder.turns(SECOND))
-    assert turns[0].want == MANY * CHARGE and turns[0].least == CHARGE
+        holder.add_waiting("acme", CHARGE)
+        holder.request_allotment("acme", CHARGE, SECOND)
+    reports = tuple(holder.due_reports(SECOND))
+    assert reports[0].wanted == MANY * CHARGE and reports[0].least == CHARGE
     assert msgspec.msgpack.decode(
-        ledger.apply(2, msgspec.msgpack.encode(Begin("h0", "h0/0", "", 0, ()))), type=Booked
+        ledger.apply(2, msgspec.msgpack.encode(RegisterHead("h0", "h0/0", "", 0, ()))), type=CommandResult
     ).ok
-    answer = ledger.apply(3, msgspec.msgpack.encode(Turns("h0", "h0/0", 1, turns)))
+    answer = ledger.apply(3, msgspec.msgpack.encode(CreditReport("h0", "h0/0", 1, reports)))
     (grant,) = msgspec.msgpack.decode(answer, type=Grants).grants
     assert grant.amount == 5 * CHARGE
--- a/tests/heads/test_ledger.py
+++ b/tests/heads/test_ledger.py
@@ -8,18 +8,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatrouter.credit.accounts import size
+from stoatrouter.credit.accounts import HeadRegistration, allotment_size
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
-    Begin,
-    Book,
-    Booked,
+    BookEntry,
+    CommandResult,
+    CreditReport,
+    CustomerReport,
     DropCustomer,
     Expired,
     PutCustomer,
-    Settle,
-    Turn,
-    Turns,
+    RegisterHead,
+    Settlement,
 )
 
 SECOND = timedelta(seconds=1)
@@ -30,10 +30,10 @@
 customers = st.sampled_from(["x", "y"])
 allotments = st.builds("{}.0".format, st.integers(1, 40))
 turn = st.builds(
-    Turn,
+    CustomerReport,
     customers,
     st.lists(allotments, max_size=3).map(tuple),
-    st.lists(st.builds(Settle, allotments, st.integers(-5, 500), st.booleans()), max_size=2).map(tuple),
+    st.lists(st.builds(Settlement, allotments, st.integers(-5, 500), st.booleans()), max_size=2).map(tuple),
     st.integers(0, 300),
     st.integers(0, 20),
 )
@@ -48,7 +48,7 @@
     ),
     st.builds(DropCustomer, customers),
     st.builds(
-        Book,
+        BookEntry,
         st.sampled_from("pqrst"),
         customers,
         st.integers(-100, 900),
@@ -58,11 +58,14 @@
         st.just("t"),
     ),
     st.builds(
-        lambda h, n, t: Turns(h, h + "/0", n, tuple(t)), heads, st.integers(0, 60), st.lists(turn, max_size=2)
+        lambda h, n, t: CreditReport(h, h + "/0", n, tuple(t)),
+        heads,
+        st.integers(0, 60),
+        st.lists(turn, max_size=2),
     ),
     st.builds(lambda i: Expired((i,)), allotments),
     st.builds(
-        lambda h, n, i, o: Begin(h, h + i if i else "", h + o if o else "", n, ()),
+        lambda h, n, i, o: RegisterHead(h, h + i if i else "", h + o if o else "", n, ()),
         heads,
         st.integers(0, 60),
         st.sampled_from(["", "/0", "/1"]),
@@ -73,7 +76,7 @@
 
 @given(st.lists(command, max_size=60))
 @settings(max_examples=300, deadline=None)
-def test_whatever_is_commanded_what_is_handed_out_and_charged_is_never_more_than_there_is(commands):
+def test_no_sequence_of_commands_grants_or_charges_more_than_there_is(commands):
     ledger, twin = Ledger(), Ledger()
     charged: dict[str, int] = {}
     for index, each in enumerate(commands, 1):
@@ -85,38 +88,40 @@
         for name, account in ledger.accounts.items():
             assert account.charged >= charged.get(name, 0) or name not in free
             charged[name] = account.charged
-            assert all(0 <= a.spent <= a.amount for a in account.out.values())
-            handed = isinstance(each, Turns) and name in free and not account.returned
+            assert all(0 <= a.spent <= a.amount for a in account.outstanding.values())
+            handed = isinstance(each, CreditReport) and name in free and not account.refund_expired
             if handed and account.free < 0:
                 assert account.free >= free[name]  # no turn hands out what is not there
-        assert set(ledger.places) == {i for a in ledger.accounts.values() for i in a.out}
-        assert len(ledger.customers) == sum(len(a.volumes) for a in ledger.accounts.values())
+        assert set(ledger.customer_by_allotment) == {
+            i for a in ledger.accounts.values() for i in a.outstanding
+        }
+        assert len(ledger.customer_by_volume) == sum(len(a.volumes) for a in ledger.accounts.values())
 
 
-def test_allotments_shrink_near_nothing_and_with_the_heads_that_serve():
+def test_allotments_shrink_near_exhaustion_and_with_the_number_of_heads():
     ledger = Ledger()
-    ledger.put(PutCustomer("x", ("v",)))
-    ledger.book(1, Book("1", "x", 1000, "top-up", "", "", ""))
+    ledger.put_customer(PutCustomer("x", ("v",)))
+    ledger.book_entry(1, BookEntry("1", "x", 1000, "top-up", "", "", ""))
     account = ledger.accounts["x"]
-    assert size(account, "a", 10_000, 1) == 500 and size(account, "a", 100, 1) == 100
-    ledger.turns(2, Turns("a", "a/0", 1, (Turn("x", want=10_000),)))
-    assert size(account, "b", 10_000, 1) == 125
+    assert allotment_size(account, "a", 10_000, 1) == 500 and allotment_size(account, "a", 100, 1) == 100
+    ledger.apply_report(2, CreditReport("a", "a/0", 1, (CustomerReport("x", wanted=10_000),)))
+    assert allotment_size(account, "b", 10_000, 1) == 125
     account.charged = 495
-    assert size(account, "b", 10_000, 5) == 5 and size(account, "b", 10_000, 6) == 0
+    assert allotment_size(account, "b", 10_000, 5) == 5 and allotment_size(account, "b", 10_000, 6) == 0
 
 
-def test_an_entry_is_booked_once_and_another_under_its_id_is_refused():
+def test_an_entry_is_booked_once_and_another_under_its_id_is_rejected():
     ledger = Ledger()
-    ledger.put(PutCustomer("x", ()))
-    entry = Book("1", "x", 50, "top-up", "me", "why", "now")
-    assert ledger.book(1, entry) == Booked(True, balance=50)
-    assert ledger.book(2, entry) == Booked(True, balance=50, again=True)
-    assert not ledger.book(3, Book("1", "x", 60, "top-up", "me", "why", "now")).ok
-    assert not ledger.book(4, Book("2", "x", -1, "refund", "me", "why", "now")).ok
-    assert ledger.book(5, Book("3", "x", -1, "correction", "me", "why", "now")).balance == 49
+    ledger.put_customer(PutCustomer("x", ()))
+    entry = BookEntry("1", "x", 50, "top-up", "me", "why", "now")
+    assert ledger.book_entry(1, entry) == CommandResult(True, balance=50)
+    assert ledger.book_entry(2, entry) == CommandResult(True, balance=50, repeated=True)
+    assert not ledger.book_entry(3, BookEntry("1", "x", 60, "top-up", "me", "why", "now")).ok
+    assert not ledger.book_entry(4, BookEntry("2", "x", -1, "refund", "me", "why", "now")).ok
+    assert ledger.book_entry(5, BookEntry("3", "x", -1, "correction", "me", "why", "now")).balance == 49
 
 
-# Bytes made by the code of b966509, before `holder` became `head` in Turns, Begin and Allotment: the
+# Bytes made by the code of b966509 (classes `Turns`, `Begin`), before `holder` became `head` in them: the
 # commands go on the wire and into the agreed log, the snapshot onto disk, so the old bytes must still read.
 OLD_TURNS = bytes.fromhex(
     "95a57475726e73a6686561642d61a66469736b2d31079195a461636d6591a3332e309193a3332e30cd01f4c2cd07d064"
@@ -129,10 +134,14 @@
 
 
 def test_commands_written_before_the_rename_of_holder_to_head_still_decode():
-    turn = Turn("acme", ("3.0",), (Settle("3.0", 500, False),), 2000, 100)
-    assert msgspec.msgpack.decode(OLD_TURNS, type=Turns) == Turns("head-a", "disk-1", 7, (turn,))
-    assert msgspec.msgpack.decode(OLD_BEGIN, type=Begin) == Begin("head-a", "disk-2", "disk-1", 8, ("3.0",))
-    assert msgspec.msgpack.encode(Turns("head-a", "disk-1", 7, (turn,))) == OLD_TURNS
+    turn = CustomerReport("acme", ("3.0",), (Settlement("3.0", 500, False),), 2000, 100)
+    assert msgspec.msgpack.decode(OLD_TURNS, type=CreditReport) == CreditReport(
+        "head-a", "disk-1", 7, (turn,)
+    )
+    assert msgspec.msgpack.decode(OLD_BEGIN, type=RegisterHead) == RegisterHead(
+        "head-a", "disk-2", "disk-1", 8, ("3.0",)
+    )
+    assert msgspec.msgpack.encode(CreditReport("head-a", "disk-1", 7, (turn,))) == OLD_TURNS
 
 
 def test_a_snapshot_written_before_the_rename_of_holder_to_head_still_restores():
@@ -145,6 +154,6 @@
         "disk-1",
         2000,
     )
-    assert ledger.heads == {"head-a": ("disk-1", 7)}
-    assert ledger.accounts["acme"].paid == 5_000_000 and ledger.customers_of("v1") == "acme"
+    assert ledger.heads == {"head-a": HeadRegistration("disk-1", 7)}
+    assert ledger.accounts["acme"].paid == 5_000_000 and ledger.customer_of("v1") == "acme"
     assert ledger.state() == OLD_SNAPSHOT
