--- a/stoatrouter/agreement/errors.py
+++ b/stoatrouter/agreement/errors.py
@@ -21,7 +21,7 @@
         )
 
 
-class EntryNotHeld(AgreementError):
+class EntryMissing(AgreementError):
     """An index is asked for that the log does not hold."""
 
     def __init__(self, index: int, first: int, last: int) -> None:
--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -140,7 +140,7 @@
         """Commit what a majority has on disk. Only entries of the own term count (3.6.2)."""
         if not self.leads:
             return []
-        index = self._held_by_majority(
+        index = self._reached_by_majority(
             [
                 self.durable_index if voter == self.me else self.peers[voter.identity].match_index
                 for voter in self.voters
@@ -155,7 +155,7 @@
         return effects + self._broadcast()
 
     @staticmethod
-    def _held_by_majority(values: list[int]) -> int:
+    def _reached_by_majority(values: list[int]) -> int:
         """The largest value that a majority of the voters has reached; one value for each voter."""
         return sorted(values, reverse=True)[len(values) // 2]
 
@@ -178,7 +178,7 @@
 
     def _confirmed_round(self) -> int:
         """The latest round that a majority has answered, this head counted."""
-        return self._held_by_majority(
+        return self._reached_by_majority(
             [self.round if voter == self.me else self.peers[voter.identity].round for voter in self.voters]
         )
 
--- a/stoatrouter/agreement/log.py
+++ b/stoatrouter/agreement/log.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stoatrouter.agreement.errors import EntryNotHeld
+from stoatrouter.agreement.errors import EntryMissing
 from stoatrouter.agreement.records import VOTERS, Entry, Snapshot, Voter
 
 MOST_IN_MESSAGE = 256  # entries in one message
@@ -63,10 +63,10 @@
         return None
 
     def require_term_at(self, index: int) -> int:
-        """The term of an entry; raises EntryNotHeld where the log does not hold it."""
+        """The term of an entry; raises EntryMissing where the log does not hold it."""
         term = self.term_at(index)
         if term is None:
-            raise EntryNotHeld(index, self.first, self.last)
+            raise EntryMissing(index, self.first, self.last)
         return term
 
     def entries_from(self, index: int, until: int | None = None) -> tuple[Entry, ...]:
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -41,15 +41,15 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_promises_hold_under_drawn_faults(seed):
-    told = stories.agreement(seed)
-    assert told.acknowledged and told.reads
+    outcome = stories.agreement(seed)
+    assert outcome.acknowledged and outcome.reads
 
 
 def test_a_seed_replays_byte_for_byte():
     assert stories.agreement(7) == stories.agreement(7)
 
 
-def test_a_large_fleet_follows_its_voters():
+def test_heads_without_a_vote_follow_the_voters():
     assert stories.agreement(3, heads=20, span=6 * stories.SECOND).acknowledged
 
 
@@ -122,7 +122,7 @@
         return super()._answer_vote_request(sender, ask)
 
 
-class ReadsAlone(Raft):
+class AnswersReadsUnconfirmed(Raft):
     """A leader answers reads without asking whether it still leads."""
 
     __slots__ = ()
@@ -132,7 +132,7 @@
         return [ReadConfirmed(read.id, read.index) for read in done]
 
 
-class AnyChange(Raft):
+class AcceptsAnyVoterChange(Raft):
     """Voters change while another change is under way, and before the leader is settled."""
 
     __slots__ = ()
@@ -141,7 +141,7 @@
         return None
 
 
-class NoMatch(Raft):
+class SkipsLogMatching(Raft):
     """Entries are taken in without asking whether the one before them is the same."""
 
     __slots__ = ()
@@ -156,9 +156,9 @@
     (AcknowledgesAtOnce, 34),
     (VotesForAnybody, 0),
     (VotesTwice, 96),
-    (ReadsAlone, 21),
-    (AnyChange, 12),
-    (NoMatch, 246),
+    (AnswersReadsUnconfirmed, 21),
+    (AcceptsAnyVoterChange, 12),
+    (SkipsLogMatching, 246),
 ]
 
 
@@ -175,7 +175,7 @@
 
 # -- all orders of small cases ---------------------------------------------------------------------------
 @pytest.mark.parametrize(("voters", "depth", "least"), [(2, 9, 2_000), (3, 5, 1_000)])
-def test_all_orders_of_a_few_events(voters, depth, least):
+def test_promises_hold_in_all_orders_of_a_few_events(voters, depth, least):
     states, done = search(voters, depth)
     print(f"{voters} voters, depth {done}: {states} states")
     assert done == depth and states > least
@@ -225,7 +225,7 @@
     assert durable.then == (Send(voter(1), RequestVoteReply(1, True, False)),)
 
 
-def a_leader_of_an_older_term_changes_nothing_that_was_learnt(make):
+def a_leader_of_an_older_term_changes_nothing_committed(make):
     """It counts this head as a voter, in a change that nobody else took (seed 1101 of the story)."""
     raft = make(voter(3), PersistentState(1, None, GENESIS.snapshot), 1)
     raft.reduce(CommittedReceived(MS, 1, 0, (Entry(2, 2, "n"), Entry(3, 2, "c", b"kept")), 3))
@@ -233,19 +233,19 @@
     assert raft.log.term_at(2) == 2 and raft.commit_index == 3
 
 
-SINGLE = [
+RARE_MOMENTS = [
     an_entry_of_an_older_term_is_not_committed_by_counting,
     a_vote_waits_for_the_disk,
-    a_leader_of_an_older_term_changes_nothing_that_was_learnt,
+    a_leader_of_an_older_term_changes_nothing_committed,
 ]
 
 
-@pytest.mark.parametrize("check", SINGLE, ids=lambda c: c.__name__)
-def test_single_rules(check):
+@pytest.mark.parametrize("check", RARE_MOMENTS, ids=lambda c: c.__name__)
+def test_rules_of_rare_moments_hold(check):
     check(Raft)
 
 
-class LearnsNoTerm(Raft):
+class LearnsNoTermFromCommitted(Raft):
     """What was agreed on says nothing of the terms that have begun."""
 
     __slots__ = ()
@@ -260,7 +260,11 @@
 # what no seed of 2,400 showed: their moments are too rare, so each has a check of its own
 @pytest.mark.parametrize(
     ("mutant", "check"),
-    [(CountsOlderTerms, SINGLE[0]), (VoteNotDurable, SINGLE[1]), (LearnsNoTerm, SINGLE[2])],
+    [
+        (CountsOlderTerms, RARE_MOMENTS[0]),
+        (VoteNotDurable, RARE_MOMENTS[1]),
+        (LearnsNoTermFromCommitted, RARE_MOMENTS[2]),
+    ],
 )
 def test_a_mutant_of_a_rare_moment_is_caught(mutant, check):
     with pytest.raises(AssertionError):
@@ -274,20 +278,20 @@
     assert not raft.reduce(Received(2 * MS, voter(2), RequestVote(9, 99, 9, False)))
 
 
-def test_two_changes_of_voters_at_once_are_refused():
+def test_two_changes_of_voters_at_once_are_rejected():
     raft = elected(Raft(voter(0), GENESIS, 1))
     body = encode_voters(THREE[:2])
-    (refused,) = [e for e in raft.reduce(Propose(raft.now, "a", body, "v")) if isinstance(e, Rejected)]
-    assert "not settled" in refused.reason
+    (rejected,) = [e for e in raft.reduce(Propose(raft.now, "a", body, "v")) if isinstance(e, Rejected)]
+    assert "not settled" in rejected.reason
     raft.reduce(WriteCompleted(raft.now, raft.last_write_number))
     raft.reduce(Received(raft.now, voter(1), AppendEntriesReply(raft.term, True, raft.log.last, raft.round)))
     assert any(isinstance(e, Accepted) for e in raft.reduce(Propose(raft.now, "a", body, "v")))
-    (refused,) = [
+    (rejected,) = [
         e
         for e in raft.reduce(Propose(raft.now, "b", encode_voters(THREE[1:]), "v"))
         if isinstance(e, Rejected)
     ]
-    assert "under way" in refused.reason
+    assert "under way" in rejected.reason
 
 
 # -- founding --------------------------------------------------------------------------------------------
@@ -327,7 +331,7 @@
         (Facts(True, False, None, False, False, True), 9, HeadState.CUT_OFF, "serves ready"),
     ],
 )
-def test_the_table_of_availability(facts, waited, state, may):
+def test_availability_follows_from_the_facts(facts, waited, state, may):
     availability = availability_of(facts, 3000 * MS, 1000 * waited * MS, 3000 * MS)
     flags = ("serves", "changes", "draws", "votes", "ready")
     assert availability.state is state
--- a/tests/heads/test_contact.py
+++ b/tests/heads/test_contact.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_nobody_counts_as_in_touch_for_longer_than_the_span_after_the_last_majority(seed):
+def test_no_head_counts_as_connected_beyond_the_span_after_the_last_majority(seed):
     majority_lost(seed)
 
 
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("how", LOSSES)
 @pytest.mark.parametrize("mutant", [CountsFromTheAnswer, ForgetsTheAge])
-def test_a_contact_that_becomes_younger_on_its_way_is_caught(mutant, how):
+def test_a_mutant_whose_contact_becomes_younger_is_caught(mutant, how):
     seeds = [seed for seed in range(80) if LOSSES[seed // 4 % len(LOSSES)] == how]
     for seed in seeds:
         try:
@@ -62,7 +62,7 @@
             majority_lost(seed)
 
 
-def test_an_age_that_was_told_counts_from_the_asking_and_never_goes_back():
+def test_a_reported_age_counts_from_the_question_and_never_moves_back():
     contact = MajorityContact()
     assert contact.age(9 * MS) is None
     contact.record_report(asked_at=1000 * MS, wait_at_answerer=0 * MS, age=300 * MS)
@@ -75,7 +75,7 @@
     assert contact.latest == 1300 * MS
 
 
-def test_rounds_close_together_count_from_the_first_of_them_and_few_are_kept():
+def test_rounds_close_together_count_from_the_first_and_their_number_is_bounded():
     starts = RoundStarts()
     assert starts.start_of(3) is None
     for number in range(1, 40):
--- a/tests/heads/test_credit.py
+++ b/tests/heads/test_credit.py
@@ -27,13 +27,13 @@
     assert fleet.taken and fleet.turned
 
 
-def test_a_customer_marked_unspent_gets_back_what_a_failed_head_held_and_may_be_overspent_by_that_alone():
+def test_refund_expired_overspends_by_no_more_than_failed_heads_held():
     for seed in range(6):
         fleet = stories.credit(seed, wipes=False, returned=True)
         assert fleet.overspent <= 2000
 
 
-def test_many_customers_mostly_idle():
+def test_promises_hold_with_many_customers_mostly_idle():
     fleet = stories.credit(3, heads=20, span=8 * SECOND, customers=1000)
     assert fleet.taken
 
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("count", [1, FEW, MANY])
-def test_all_requests_that_wait_when_a_head_asks_are_taken_after_one_answer(tmp_path, count):
+def test_all_waiting_requests_are_admitted_after_one_answer(tmp_path, count):
     async def story():
         head = OneHead(tmp_path, paid=1_000 * CHARGE)
         requests = [asyncio.create_task(head.request(i)) for i in range(count)]
@@ -100,7 +100,7 @@
     run(story())
 
 
-def test_a_request_that_gives_up_waiting_is_asked_for_no_more(tmp_path):
+def test_no_allotment_is_asked_for_a_request_that_gave_up_waiting(tmp_path):
     async def story():
         head = OneHead(tmp_path, paid=1_000 * CHARGE)
         requests = [asyncio.create_task(head.request(i)) for i in range(FEW)]
@@ -115,7 +115,7 @@
     run(story())
 
 
-def test_what_is_left_of_small_allotments_does_not_keep_a_head_from_asking():
+def test_remainders_of_small_allotments_do_not_keep_a_head_from_asking():
     """Two allotments with 1,500 each are enough for one charge of 2,000 by their sum, and not by either."""
     holder = HeadEscrow(LEASE, Disk())
     held = [LocalAllotment(f"{number}.0", 1_500, SECOND + LEASE) for number in (1, 2)]
@@ -125,7 +125,7 @@
     assert report.least == 2_000 and report.wanted >= 2_000
 
 
-def test_an_answer_to_all_that_wait_is_bounded_by_the_account(tmp_path):
+def test_a_grant_for_all_that_wait_is_bounded_by_the_account(tmp_path):
     """The account gives a head half of what is free at most: the others wait for the next word."""
     ledger = Ledger()
     ledger.put_customer(PutCustomer("acme", ("v",)))
--- a/tests/heads/test_detector.py
+++ b/tests/heads/test_detector.py
@@ -30,102 +30,102 @@
 KEY = b"k" * 64
 
 
-def fleet(seed: int, count: int, loss: float = 0.0, make=Detector) -> DetectorFleet:
-    made = DetectorFleet(World(seed, [f"h{i:03d}" for i in range(count)]), make)
-    for link in made.world.links.values():
+def calm_fleet(seed: int, count: int, loss: float = 0.0, make=Detector) -> DetectorFleet:
+    fleet = DetectorFleet(World(seed, [f"h{i:03d}" for i in range(count)]), make)
+    for link in fleet.world.links.values():
         link.loss = loss
-    made.world.run(15 * SECOND)
-    return made
+    fleet.world.run(15 * SECOND)
+    return fleet
 
 
-def settle(made: DetectorFleet, within: int) -> bool:
-    until = made.world.now + within * SECOND
-    while made.world.now < until and not made.complete():
-        made.world.run(made.world.now + SECOND / 4)
-    return made.complete()
+def settle(fleet: DetectorFleet, within: int) -> bool:
+    until = fleet.world.now + within * SECOND
+    while fleet.world.now < until and not fleet.complete():
+        fleet.world.run(fleet.world.now + SECOND / 4)
+    return fleet.complete()
 
 
 @pytest.mark.parametrize("count", [3, 20, 60])
-def test_a_killed_head_is_found_out_and_nobody_else_is_suspected(count):
-    made = fleet(1, count)
-    assert made.complete()
-    made.changes.clear()
-    made.kill("h001")
-    assert settle(made, 30)
-    assert {of for _, _, of, _, _ in made.changes} == {"h001"}
-    assert made.largest <= LARGEST_DATAGRAM
+def test_a_killed_head_is_detected_and_nobody_else_is_suspected(count):
+    fleet = calm_fleet(1, count)
+    assert fleet.complete()
+    fleet.changes.clear()
+    fleet.kill("h001")
+    assert settle(fleet, 30)
+    assert {of for _, _, of, _, _ in fleet.changes} == {"h001"}
+    assert fleet.largest <= LARGEST_DATAGRAM
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
 def test_loss_alone_takes_nobody_for_failed(loss):
-    made = fleet(2, 12, loss)
-    made.changes.clear()
-    made.world.run(made.world.now + 40 * SECOND)
-    assert made.false_failures() == 0
+    fleet = calm_fleet(2, 12, loss)
+    fleet.changes.clear()
+    fleet.world.run(fleet.world.now + 40 * SECOND)
+    assert fleet.false_failures() == 0
 
 
 def test_load_for_each_head_does_not_grow_with_the_fleet():
     def load(count: int) -> float:
-        made = fleet(3, count)
-        made.world.sent.clear()
-        made.world.run(made.world.now + 20 * SECOND)
-        return sum(made.world.sent.values()) / count / 20
+        fleet = calm_fleet(3, count)
+        fleet.world.sent.clear()
+        fleet.world.run(fleet.world.now + 20 * SECOND)
+        return sum(fleet.world.sent.values()) / count / 20
 
     assert load(80) < 1.4 * load(8)
 
 
 def test_a_head_that_leaves_is_not_taken_for_failed_and_comes_back():
-    made = fleet(4, 8)
-    made.leave("h003")
-    made.world.run(made.world.now + 12 * SECOND)
-    assert made.views("h003") == {Status.LEFT}
-    made.start("h003")
-    assert settle(made, 20)
+    fleet = calm_fleet(4, 8)
+    fleet.leave("h003")
+    fleet.world.run(fleet.world.now + 12 * SECOND)
+    assert fleet.views("h003") == {Status.LEFT}
+    fleet.start("h003")
+    assert settle(fleet, 20)
 
 
-def test_a_paused_head_refutes_what_was_said_of_it():
-    made = fleet(5, 8)
-    made.world.pause("h002", 2 * SECOND)
-    made.world.run(made.world.now + 2 * SECOND)
-    assert Status.SUSPECT in made.views("h002")
-    assert settle(made, 15)
-    assert made.false_failures() == 0
-    assert made.detectors["h002"].incarnation > 1
+def test_a_paused_head_refutes_its_suspicion():
+    fleet = calm_fleet(5, 8)
+    fleet.world.pause("h002", 2 * SECOND)
+    fleet.world.run(fleet.world.now + 2 * SECOND)
+    assert Status.SUSPECT in fleet.views("h002")
+    assert settle(fleet, 15)
+    assert fleet.false_failures() == 0
+    assert fleet.detectors["h002"].incarnation > 1
 
 
-def test_one_way_is_not_failure_while_others_can_ask():
+def test_a_link_cut_one_way_is_not_failure_while_others_relay_pings():
     """A hears B and B does not hear A: asked in its place, others vouch for both."""
-    made = fleet(6, 8)
-    made.world.links["h000", "h001"].cut = True
-    made.changes.clear()
-    made.world.run(made.world.now + 40 * SECOND)
-    assert made.false_failures() == 0
+    fleet = calm_fleet(6, 8)
+    fleet.world.links["h000", "h001"].cut = True
+    fleet.changes.clear()
+    fleet.world.run(fleet.world.now + 40 * SECOND)
+    assert fleet.false_failures() == 0
 
 
 def test_two_halves_of_a_split_find_each_other_again():
-    made = fleet(7, 10)
-    names = made.world.names
-    made.world.split(names[:4], names[4:])
-    made.world.run(made.world.now + 25 * SECOND)
-    assert made.detectors["h000"].roster.status("h009") is Status.FAILED
-    made.world.heal()
-    assert settle(made, 30)
+    fleet = calm_fleet(7, 10)
+    names = fleet.world.names
+    fleet.world.split(names[:4], names[4:])
+    fleet.world.run(fleet.world.now + 25 * SECOND)
+    assert fleet.detectors["h000"].roster.status("h009") is Status.FAILED
+    fleet.world.heal()
+    assert settle(fleet, 30)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_after_drawn_faults_each_is_seen_as_it_is(seed):
-    made = fleet(100 + seed, 9)
-    until = made.world.now + 25 * SECOND
-    script = [f for f in faults.draw(seed, made.world.names, until) if f.at > made.world.now]
-    faults.play(made.world, script, made.kill, made.start)
-    made.world.run(until)
-    made.world.heal()
-    assert settle(made, 60), {n: made.views(n) for n in made.world.names}
+def test_after_drawn_faults_each_status_is_true(seed):
+    fleet = calm_fleet(100 + seed, 9)
+    until = fleet.world.now + 25 * SECOND
+    script = [f for f in faults.draw(seed, fleet.world.names, until) if f.at > fleet.world.now]
+    faults.play(fleet.world, script, fleet.kill, fleet.start)
+    fleet.world.run(until)
+    fleet.world.heal()
+    assert settle(fleet, 60), {n: fleet.views(n) for n in fleet.world.names}
 
 
 # -- mutants ---------------------------------------------------------------------------------------------
 class NeverRefutes(Detector):
-    """A suspected head does not speak up."""
+    """A suspected head does not refute."""
 
     __slots__ = ()
 
@@ -133,8 +133,8 @@
         return []
 
 
-class NoOthers(Detector):
-    """Nobody is asked in this head's place."""
+class SendsNoPingReqs(Detector):
+    """No ping-req is sent."""
 
     __slots__ = ()
 
@@ -142,8 +142,8 @@
         return []
 
 
-class BelievesAnyIncarnation(Detector):
-    """What an earlier process of a head said counts as what it says now."""
+class AcceptsOlderIncarnations(Detector):
+    """Updates of an earlier process of a head count as those of the present one."""
 
     __slots__ = ()
 
@@ -157,21 +157,21 @@
 
 
 def test_mutant_without_refutation_is_caught():
-    made = fleet(5, 8, make=NeverRefutes)
-    made.world.pause("h002", 2 * SECOND)
-    made.world.run(made.world.now + 2 * SECOND)
-    assert not settle(made, 15)
+    fleet = calm_fleet(5, 8, make=NeverRefutes)
+    fleet.world.pause("h002", 2 * SECOND)
+    fleet.world.run(fleet.world.now + 2 * SECOND)
+    assert not settle(fleet, 15)
 
 
-def test_mutant_without_others_is_caught():
-    made = fleet(6, 8, make=NoOthers)
-    made.world.links["h000", "h001"].cut = True
-    made.changes.clear()
-    made.world.run(made.world.now + 40 * SECOND)
-    assert made.suspicions()
+def test_mutant_without_ping_reqs_is_caught():
+    fleet = calm_fleet(6, 8, make=SendsNoPingReqs)
+    fleet.world.links["h000", "h001"].cut = True
+    fleet.changes.clear()
+    fleet.world.run(fleet.world.now + 40 * SECOND)
+    assert fleet.suspicions()
 
 
-def replayed(make) -> Status | None:
+def status_after_replay(make) -> Status | None:
     """An old process said LEFT; the new one is there; the old datagram comes again."""
     here = make("a", 1, ("b",), 1)
     old = Datagram(Kind.ACK, 0, "b", 5, updates=(MemberUpdate("b", 5, Status.LEFT),))
@@ -181,9 +181,9 @@
     return here.roster.status("b")
 
 
-def test_what_an_earlier_process_said_is_not_believed_and_the_mutant_is_caught():
-    assert replayed(Detector) is Status.ALIVE
-    assert replayed(BelievesAnyIncarnation) is Status.LEFT
+def test_datagrams_of_an_earlier_process_are_dropped_and_the_mutant_is_caught():
+    assert status_after_replay(Detector) is Status.ALIVE
+    assert status_after_replay(AcceptsOlderIncarnations) is Status.LEFT
 
 
 # -- datagrams -------------------------------------------------------------------------------------------
@@ -203,14 +203,14 @@
     )
 )
 @settings(max_examples=200, deadline=None)
-def test_what_is_written_is_read(message):
+def test_a_datagram_decodes_to_what_was_encoded(message):
     data = encode(message, KEY, "f")
     assert len(data) <= LARGEST_DATAGRAM and decode(data, KEY, "f") == message
 
 
 @given(st.binary(max_size=300))
 @settings(max_examples=200, deadline=None)
-def test_bytes_from_anybody_are_refused(data):
+def test_arbitrary_bytes_are_rejected(data):
     with pytest.raises(MalformedDatagram):
         decode(data, KEY, "f")
 
@@ -234,7 +234,7 @@
     assert encode(message, b"secret", "fleet") == OLD_PING_REQ
 
 
-def test_each_reason_for_refusing_bytes_keeps_its_counted_label():
+def test_each_reason_for_rejecting_bytes_keeps_its_counted_label():
     good = encode(Datagram(Kind.PING, 1, "a", 1), KEY, "f")
     body = bytes((0x1F,)) + good[1:-MAC_BYTES]  # an unknown kind, sealed
     cut = good[:-MAC_BYTES][:-1]  # the sender's name cut short, sealed
@@ -255,7 +255,7 @@
         )
 
 
-def test_each_flipped_bit_another_key_and_another_fleet_are_refused():
+def test_each_flipped_bit_another_key_and_another_fleet_are_rejected():
     data = encode(Datagram(Kind.PING, 1, "a", 1), KEY, "f")
     for at in range(len(data) * 8):
         flipped = bytearray(data)
@@ -279,7 +279,7 @@
             assert len(encode(effect.message, KEY, "f")) <= LARGEST_DATAGRAM
 
 
-def test_a_flood_of_names_is_bounded():
+def test_a_flood_of_names_leaves_the_roster_bounded():
     here, draws = Detector("a", 1, ("p",), 1), random.Random(1)
     for i in range(3000):
         here.reduce(DatagramReceived(SECOND, "p", Datagram(Kind.PING, i, f"x{draws.randrange(10**9)}", 1)))
--- a/tests/registry_model.py
+++ b/tests/registry_model.py
@@ -1,6 +1,6 @@
 """A model of a registry and of the line to it, for checking the follower: every order of changes, breaks, lag,
 compaction and resumption up to a depth. It knows nothing of sockets, and nothing of the follower's own mind: it
-judges by what the follower tells."""
+judges by what the follower notifies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 FIRST = 10  # the revision of the first one
 
 
-class Wrong(Exception):
+class RuleBroken(Exception):
     """A rule was broken."""
 
 
@@ -35,7 +35,7 @@
         self.now = timedelta(0)
         self.call = None  # the call at hand: what it is, its endpoint, how far it has come
         self.stale = None  # an event of a call that was ended, still on its way
-        self.told = {}  # what the core knows: key -> (revision, value)
+        self.notified_to_core = {}  # what the core knows: key -> (revision, value)
         self.breaks = self.compactions = self.stales = 0
         self.run(self.follower.reduce(f.Started(self.now)))
 
@@ -45,12 +45,12 @@
         for name in ("notified", "older_revisions"):
             setattr(other.follower, name, dict(getattr(self.follower, name)))
         other.follower.buffered = list(self.follower.buffered)
-        other.applied, other.told = list(self.applied), dict(self.told)
+        other.applied, other.notified_to_core = list(self.applied), dict(self.notified_to_core)
         return other
 
     def key(self):
         """What makes two worlds the same: times and numbers of calls do not."""
-        fol = self.follower
+        follower = self.follower
         call = None if self.call is None else (self.call[0], *self.call[2:])
         stale = (
             None
@@ -58,19 +58,19 @@
             else type(self.stale).__name__ + str(getattr(self.stale, "revision", 0))
         )
         return (
-            fol.phase,
-            fol.revision,
-            fol.must_reread,
-            fol.endpoint,
-            tuple(sorted(fol.notified.items(), key=str)),
-            tuple(fol.buffered),
-            tuple(sorted(fol.older_revisions.items())),
+            follower.phase,
+            follower.revision,
+            follower.must_reread,
+            follower.endpoint,
+            tuple(sorted(follower.notified.items(), key=str)),
+            tuple(follower.buffered),
+            tuple(sorted(follower.older_revisions.items())),
             self.done,
             tuple(self.applied),
             self.floor,
             call,
             stale,
-            tuple(sorted(self.told.items())),
+            tuple(sorted(self.notified_to_core.items())),
             self.breaks,
             self.compactions,
             self.stales,
@@ -78,14 +78,14 @@
 
     # -- the registry -------------------------------------------------------------------------------------
     def state(self, count):
-        """What is kept after so many transactions."""
-        kept = {}
+        """What is stored after so many transactions."""
+        stored = {}
         for i, transaction in enumerate(TRANSACTIONS[:count]):
             for key, value in transaction:
-                kept.pop(key, None)
+                stored.pop(key, None)
                 if value is not None:
-                    kept[key] = f.Entry(FIRST + i, value)
-        return kept
+                    stored[key] = f.Entry(FIRST + i, value)
+        return stored
 
     # -- effects ------------------------------------------------------------------------------------------
     def run(self, effects):
@@ -101,25 +101,25 @@
                             self.stale = left
                         self.call = None
                 case f.Notify():
-                    self.hear(effect)
+                    self.check_notification(effect)
 
-    def hear(self, tell):
-        """The rules, of what is told alone."""
+    def check_notification(self, notification):
+        """The rules, of the notifications alone."""
         by_revision = {}
-        for change in tell.changes:
-            before = self.told.get(change.key)
+        for change in notification.changes:
+            before = self.notified_to_core.get(change.key)
             if before is not None and change.revision < before[0]:
-                raise Wrong(f"{change.key} of {change.revision} after {before[0]}")
+                raise RuleBroken(f"{change.key} of {change.revision} after {before[0]}")
             if before is not None and change.value == before[1] and change.revision == before[0]:
-                raise Wrong(f"{change.key} of {change.revision} was told twice")
+                raise RuleBroken(f"{change.key} of {change.revision} was notified twice")
             if before is not None and before[1] == b"drain" and change.value == b"up":
-                raise Wrong("a drain was undone")
-            self.told[change.key] = (change.revision, change.value)
+                raise RuleBroken("a drain was undone")
+            self.notified_to_core[change.key] = (change.revision, change.value)
             by_revision.setdefault(change.revision, set()).add(change.key)
         for revision, keys in by_revision.items():
-            whole = {key for key, _ in TRANSACTIONS[revision - FIRST]}
-            if not tell.resynchronised and keys != whole:
-                raise Wrong(f"{keys} of a transaction of {whole}")
+            complete = {key for key, _ in TRANSACTIONS[revision - FIRST]}
+            if not notification.resynchronised and keys != complete:
+                raise RuleBroken(f"{keys} of a transaction of {complete}")
 
     # -- what may happen ----------------------------------------------------------------------------------
     def next_event(self):
@@ -140,30 +140,30 @@
 
     def actions(self, faults=True):
         """Everything that may happen now."""
-        made = []
+        possible = []
         if self.call is not None and self.next_event() is not None:
-            made.append("deliver")
+            possible.append("deliver")
         if self.follower.phase is f.Phase.WAITING:
-            made.append("wait")
-        made += [f"apply{i}" for i in (0, 1) if self.applied[i] < self.done]
+            possible.append("wait")
+        possible += [f"apply{i}" for i in (0, 1) if self.applied[i] < self.done]
         if not faults:
-            return made
+            return possible
         if self.done < len(TRANSACTIONS):
-            made.append("change")
+            possible.append("change")
         if self.call is not None and self.breaks < 2:
-            made.append("break")
+            possible.append("break")
         if self.call is not None and self.call[0] == "watch" and self.breaks < 2:
-            made.append("silence")
+            possible.append("silence")
         if self.call is not None and self.call[0] == "watch":
-            made.append("progress")
+            possible.append("progress")
         if self.floor < self.applied[0] and self.compactions < 2:
-            made.append("compact")
+            possible.append("compact")
         if self.stale is not None:
-            made.append("stale")
-        return made
+            possible.append("stale")
+        return possible
 
     def act(self, action):
-        fol = self.follower
+        follower = self.follower
         if action == "deliver":
             event = self.next_event()
             if isinstance(event, f.ChangesReceived):
@@ -171,27 +171,27 @@
                 self.call = (
                     (kind, call, endpoint, at + 1, 0) if event.complete else (kind, call, endpoint, at, 1)
                 )
-            self.run(fol.reduce(event))
+            self.run(follower.reduce(event))
         elif action in ("wait", "silence"):
             self.breaks += action == "silence"
-            self.now = max(self.now, fol.deadline)
-            self.run(fol.reduce(f.Tick(self.now)))
+            self.now = max(self.now, follower.deadline)
+            self.run(follower.reduce(f.Tick(self.now)))
         elif action == "change":
             self.done += 1
             self.applied[0] = max(self.applied[0], self.done)  # the first member leads, the other lags
         elif action == "break":
             self.breaks += 1
-            self.run(fol.reduce(f.CallFailed(self.now, self.call[1])))
+            self.run(follower.reduce(f.CallFailed(self.now, self.call[1])))
         elif action == "progress":
             kind, call, endpoint, at, part = self.call
-            self.run(fol.reduce(f.ProgressReceived(self.now, call, FIRST + at + (0 if part else -1))))
+            self.run(follower.reduce(f.ProgressReceived(self.now, call, FIRST + at + (0 if part else -1))))
         elif action == "compact":
             self.compactions += 1
             self.floor = self.applied[0]  # the leader's; a member that lags knows even less
         elif action == "stale":
             event, self.stale = self.stale, None
             self.stales += 1
-            self.run(fol.reduce(event))
+            self.run(follower.reduce(event))
         else:
             self.applied[int(action[-1])] += 1
         return self
@@ -204,26 +204,26 @@
                 break
             self.act(next((a for a in acts if a.startswith("apply")), acts[0]))
         wanted = {key: entry.value for key, entry in self.state(self.done).items()}
-        known = {key: value for key, (_, value) in self.told.items() if value is not None}
+        known = {key: value for key, (_, value) in self.notified_to_core.items() if value is not None}
         if known != wanted:
-            raise Wrong(f"the core knows {known}, the registry has {wanted}")
+            raise RuleBroken(f"the core knows {known}, the registry has {wanted}")
 
 
 def search(make, depth):
-    """All worlds up to a depth; their number. Raises Wrong with the way that led there."""
+    """All worlds up to a depth; their number. Raises RuleBroken with the path that led there."""
     seen, waiting = {}, [(World(make), ())]
     while waiting:
-        world, way = waiting.pop()
-        key, left = world.key(), depth - len(way)
+        world, path = waiting.pop()
+        key, left = world.key(), depth - len(path)
         if seen.get(key, -1) >= left:
             continue  # it has been here, with as many steps to go
         new, seen[key] = key not in seen, left
         try:
             if new:
                 world.clone().settle()
-            if len(way) < depth:
+            if len(path) < depth:
                 for action in world.actions():
-                    waiting.append((world.clone().act(action), (*way, action)))
-        except Wrong as error:
-            raise Wrong(f"{error}; by {' '.join(way)}") from None
+                    waiting.append((world.clone().act(action), (*path, action)))
+        except RuleBroken as error:
+            raise RuleBroken(f"{error}; by {' '.join(path)}") from None
     return len(seen)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -10,20 +10,20 @@
 from stoatrouter.membership import follower_records as f
 from stoatrouter.membership.backoff import Backoff
 from stoatrouter.membership.follower import MOST_BUFFERED, Follower
-from tests.registry_model import Wrong, search
+from tests.registry_model import RuleBroken, search
 
 DEPTH = 14  # in CI; `python -m benchmarks.follower_search` goes deeper
 
 
-def test_once_faults_end_the_list_is_the_registrys_and_nothing_newer_was_undone():
+def test_after_faults_the_list_equals_the_registry_and_nothing_newer_was_undone():
     states = search(Follower, DEPTH)
     print("states visited:", states)
     assert states > 10_000
 
 
 # -- faults of our own, each of which the search must find --------------------------------------------------
-class TellsFragments(Follower):
-    """Takes a part of a transaction for the whole."""
+class NotifiesIncompleteRevisions(Follower):
+    """Takes a part of a transaction for all of it."""
 
     def _receive_changes(self, event):
         return super()._receive_changes(
@@ -31,7 +31,7 @@
         )
 
 
-class SkipsOne(Follower):
+class SkipsARevision(Follower):
     """Resumes behind the next revision."""
 
     def _start_call(self, at):
@@ -41,8 +41,8 @@
         ]
 
 
-class WatchesOn(Follower):
-    """Takes a compaction for a break, and watches from where the registry is now."""
+class IgnoresCompaction(Follower):
+    """Takes a compaction for a broken call, and watches from where the registry is now."""
 
     def reduce(self, event):
         if isinstance(event, f.RevisionCompacted) and event.call == self.call:
@@ -51,16 +51,16 @@
         return super().reduce(event)
 
 
-class TakesOlder(Follower):
-    """Believes a member that lags."""
+class AcceptsOlderList(Follower):
+    """Accepts the list of a member that lags."""
 
     def _receive_list(self, event):
         self.revision = None
         return super()._receive_list(event)
 
 
-class HearsTheDead(Follower):
-    """Takes what a call says that it gave up."""
+class TakesEventsOfEndedCalls(Follower):
+    """Takes events of calls that were given up."""
 
     def reduce(self, event):
         if hasattr(event, "call"):
@@ -69,14 +69,14 @@
 
 
 class ForgetsRemovals(Follower):
-    """Tells of a list read anew only what is in it."""
+    """Notifies of a list read again only what is in it."""
 
     def _difference(self, event):
         return [change for change in super()._difference(event) if change.value is not None]
 
 
-class BelievesProgress(Follower):
-    """Counts a revision that came in part as told."""
+class CountsIncompleteRevisions(Follower):
+    """Counts a revision that came in part as notified."""
 
     def _receive_progress(self, event):
         self.buffered.clear()
@@ -85,10 +85,18 @@
 
 @pytest.mark.parametrize(
     "mutant",
-    [TellsFragments, SkipsOne, WatchesOn, TakesOlder, HearsTheDead, ForgetsRemovals, BelievesProgress],
+    [
+        NotifiesIncompleteRevisions,
+        SkipsARevision,
+        IgnoresCompaction,
+        AcceptsOlderList,
+        TakesEventsOfEndedCalls,
+        ForgetsRemovals,
+        CountsIncompleteRevisions,
+    ],
 )
-def test_the_search_finds_each_fault(mutant):
-    with pytest.raises(Wrong):
+def test_the_search_finds_each_mutant(mutant):
+    with pytest.raises(RuleBroken):
         search(mutant, DEPTH)
 
 
@@ -97,51 +105,53 @@
 
 
 def watching(endpoints=2, **entries):
-    made = Follower(f.Limits(endpoints=endpoints), 0)
-    made.reduce(f.Started(T))
-    made.reduce(f.ListRead(T, made.call, 10, {k: f.Entry(10, v) for k, v in entries.items()}))
-    return made
+    follower = Follower(f.Limits(endpoints=endpoints), 0)
+    follower.reduce(f.Started(T))
+    follower.reduce(f.ListRead(T, follower.call, 10, {k: f.Entry(10, v) for k, v in entries.items()}))
+    return follower
 
 
-def test_silence_is_left_for_the_other_endpoint_within_its_bound():
-    made = watching(a=b"up")
-    assert made.reduce(f.Tick(timedelta(seconds=4.9))) == []
-    effects = made.reduce(f.Tick(timedelta(seconds=5)))
+def test_a_silent_watch_resumes_at_the_other_endpoint_within_its_bound():
+    follower = watching(a=b"up")
+    assert follower.reduce(f.Tick(timedelta(seconds=4.9))) == []
+    effects = follower.reduce(f.Tick(timedelta(seconds=5)))
     assert isinstance(effects[0], f.CancelCall) and effects[1].at - timedelta(seconds=5) <= timedelta(
         milliseconds=200
     )
-    resumed = made.reduce(f.Tick(effects[1].at))[0]
+    resumed = follower.reduce(f.Tick(effects[1].at))[0]
     assert (resumed.endpoint, resumed.after) == (1, 10)
 
 
-def test_refused_credentials_are_read_again_and_an_endless_revision_is_read_whole():
-    made = watching(a=b"up")
-    assert made.reduce(f.CredentialsRejected(T, made.call))[0] == f.RereadCredentials()
-    made = watching(a=b"up")
+def test_rejected_credentials_are_read_again_and_an_endless_revision_is_read_as_a_list():
+    follower = watching(a=b"up")
+    assert follower.reduce(f.CredentialsRejected(T, follower.call))[0] == f.RereadCredentials()
+    follower = watching(a=b"up")
     many = tuple(f.Change(f"k{i}", 11, b"up") for i in range(MOST_BUFFERED + 1))
     assert (
-        isinstance(made.reduce(f.ChangesReceived(T, made.call, 11, many, False))[1], f.ReadList)
-        and not made.buffered
+        isinstance(follower.reduce(f.ChangesReceived(T, follower.call, 11, many, False))[1], f.ReadList)
+        and not follower.buffered
     )
 
 
-def test_a_registry_restored_from_an_older_copy_changes_nothing_until_it_is_accepted():
-    made = watching(a=b"drain", b=b"up")
-    made.must_reread = True
-    made.reduce(f.CallFailed(T, made.call))
-    said = []
+def test_an_older_copy_of_the_registry_changes_nothing_until_it_is_accepted():
+    follower = watching(a=b"drain", b=b"up")
+    follower.must_reread = True
+    follower.reduce(f.CallFailed(T, follower.call))
+    effects = []
     for i in range(4):
         at = timedelta(seconds=20 * (i + 1))
-        made.reduce(f.Tick(at))
-        said += made.reduce(f.ListRead(at, made.call, 4, {"a": f.Entry(3, b"up")}))
-    assert [e for e in said if isinstance(e, f.OlderRevisionOffered)] == [f.OlderRevisionOffered(10, 4)] * 2
-    assert not [e for e in said if isinstance(e, f.Notify)] and made.notified["a"].value == b"drain"
-    made.accept_older_revision(at)
-    told = made.reduce(f.ListRead(at, made.call, 4, {"a": f.Entry(3, b"up")}))[0]
-    assert {(c.key, c.value) for c in told.changes} == {("a", b"up"), ("b", None)}
-
-
-def test_waits_grow_to_a_bound_and_are_spread_over_heads():
+        follower.reduce(f.Tick(at))
+        effects += follower.reduce(f.ListRead(at, follower.call, 4, {"a": f.Entry(3, b"up")}))
+    assert [e for e in effects if isinstance(e, f.OlderRevisionOffered)] == [
+        f.OlderRevisionOffered(10, 4)
+    ] * 2
+    assert not [e for e in effects if isinstance(e, f.Notify)] and follower.notified["a"].value == b"drain"
+    follower.accept_older_revision(at)
+    notification = follower.reduce(f.ListRead(at, follower.call, 4, {"a": f.Entry(3, b"up")}))[0]
+    assert {(c.key, c.value) for c in notification.changes} == {("a", b"up"), ("b", None)}
+
+
+def test_backoff_grows_to_a_bound_and_is_spread_over_heads():
     backoff = Backoff()
     for failures in range(40):
         waits = [backoff.wait(seed, failures) for seed in range(1000)]
