--- a/stoatrouter/agreement/contact.py
+++ b/stoatrouter/agreement/contact.py
@@ -16,7 +16,7 @@
 NO_TIME = timedelta(0)
 CLOCK_DRIFT = 1.05  # clocks of two heads run apart by no more
 ROUND_SPACING = timedelta(milliseconds=10)  # rounds closer than this count from the first of them
-MOST_ROUNDS = 1_024  # beginnings that are kept; the oldest go first, and a late answer then proves nothing
+MOST_ROUNDS = 1_024  # remembered; beyond, the oldest are dropped, and a late answer to one proves nothing
 
 
 @dataclass(slots=True)
--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -5,13 +5,7 @@
 from stoatrouter.agreement.contact import RoundStarts
 from stoatrouter.agreement.log import decode_voters
 from stoatrouter.agreement.records import (
-    LEADER_NOT_SETTLED,
-    NO_LONGER_VOTER,
     NOOP,
-    NOT_LEADER,
-    TOO_MANY_UNCOMMITTED,
-    VOTER_CHANGE_NOT_SINGLE,
-    VOTER_CHANGE_UNDER_WAY,
     VOTERS,
     Accepted,
     AppendEntries,
@@ -22,6 +16,7 @@
     Propose,
     ReadConfirmed,
     Rejected,
+    RejectReason,
     Send,
     Voter,
     Write,
@@ -47,28 +42,28 @@
     # -- proposals ----------------------------------------------------------------------------------------
     def _propose(self, event: Propose) -> list[Effect]:
         if not self.leads:
-            return [Rejected(event.id, NOT_LEADER)]
+            return [Rejected(event.id, RejectReason.NOT_LEADER)]
         # Guards memory while no majority answers.
         if self.log.last - self.commit_index >= MOST_UNCOMMITTED:
-            return [Rejected(event.id, TOO_MANY_UNCOMMITTED)]
+            return [Rejected(event.id, RejectReason.TOO_MANY_UNCOMMITTED)]
         if event.kind == VOTERS and (reason := self._voter_change_fault(event.body)):
             return [Rejected(event.id, reason)]
         effects = self._append_entry(event.kind, event.body)
         return [Accepted(event.id, self.log.last, self.term), *effects]
 
-    def _voter_change_fault(self, body: bytes) -> str | None:
+    def _voter_change_fault(self, body: bytes) -> RejectReason | None:
         """Why the voters cannot be changed so, now; None where they can (thesis 4.1)."""
         current = self.log.voter_set()
         proposed = decode_voters(body)
         if current.set_at > self.commit_index:
-            return VOTER_CHANGE_UNDER_WAY
+            return RejectReason.VOTER_CHANGE_UNDER_WAY
         # Guards two majorities of different sets: the correction of 2015 to Raft's single changes.
         if not self.settled:
-            return LEADER_NOT_SETTLED
+            return RejectReason.LEADER_NOT_SETTLED
         single = len(set(current.voters) ^ set(proposed)) == 1
         unique = len({voter.name for voter in proposed}) == len(proposed)
         if not single or not unique or not proposed:
-            return VOTER_CHANGE_NOT_SINGLE
+            return RejectReason.VOTER_CHANGE_NOT_SINGLE
         return None
 
     def _append_entry(self, kind: str, body: bytes) -> list[Effect]:
@@ -151,7 +146,7 @@
         effects = self._commit_up_to(index)
         if self.me not in self.voters and self.log.voter_set().set_at <= self.commit_index:
             self._become_follower(None)  # it led until its own removal was committed
-            return effects + self._reject_pending_reads(NO_LONGER_VOTER)
+            return effects + self._reject_pending_reads(RejectReason.NO_LONGER_VOTER)
         return effects + self._broadcast()
 
     @staticmethod
@@ -162,7 +157,7 @@
     # -- reads (thesis 6.4) -------------------------------------------------------------------------------
     def _request_read(self, id: str) -> list[Effect]:
         if not self.settled:
-            return [Rejected(id, LEADER_NOT_SETTLED if self.leads else NOT_LEADER)]
+            return [Rejected(id, RejectReason.LEADER_NOT_SETTLED if self.leads else RejectReason.NOT_LEADER)]
         effects = self._broadcast()
         self.pending_reads.append(PendingRead(id, self.commit_index, self.round))
         return effects + self._confirm_reads()
--- a/stoatrouter/agreement/machine.py
+++ b/stoatrouter/agreement/machine.py
@@ -2,9 +2,9 @@
 
 Its state is made of parts, one per concern, and the latest answer of each command (thesis 6.3).
 
-A caller that does not know what became of its command sends it again under the same id: the answer of the
-first time is given, and nothing is done twice. Answers are kept for the latest commands only; parts that
-promise more (credit's entries) know their own ids for as long as they say.
+A command's id is an idempotency key: a caller that does not know whether its command was applied sends it
+again under the same id, and is given the first answer. Answers are retained for the latest commands only;
+parts that promise more (credit's entries) retain ids of their own.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
-    """What a caller asks of one part; under one id it acts once."""
+    """A caller's command to one part; its id is an idempotency key."""
 
     id: str  # the caller's
     part: str
     body: bytes
-    by: str = ""  # the head that took it
+    by: str = ""  # the head that accepted it
 
 
 class MachineState(msgspec.Struct, array_like=True):
--- a/stoatrouter/agreement/raft.py
+++ b/stoatrouter/agreement/raft.py
@@ -12,8 +12,6 @@
 from __future__ import annotations
 
 from stoatrouter.agreement.records import (
-    DISK_FAILED,
-    MAJORITY_LOST,
     AnyMessage,
     AppendEntries,
     AppendEntriesReply,
@@ -27,6 +25,7 @@
     Propose,
     Read,
     Received,
+    RejectReason,
     RequestVote,
     RequestVoteReply,
     Snapshot,
@@ -104,7 +103,7 @@
     def _tick_as_leader(self) -> list[Effect]:
         if not self.majority_heard(self.now):
             self._become_follower(None)
-            return self._reject_pending_reads(MAJORITY_LOST)
+            return self._reject_pending_reads(RejectReason.MAJORITY_LOST)
         return self._broadcast() if self.now >= self.heartbeat_at else []
 
     # -- the disk -----------------------------------------------------------------------------------------
@@ -129,7 +128,7 @@
 
     def _abstain(self) -> list[Effect]:
         """Neither vote nor acknowledge any more; a leader steps down."""
-        rejected = self._reject_pending_reads(DISK_FAILED) if self.leads else []
+        rejected = self._reject_pending_reads(RejectReason.DISK_FAILED) if self.leads else []
         self.abstains = True
         self._become_follower(None)
         return rejected
--- a/stoatrouter/agreement/records.py
+++ b/stoatrouter/agreement/records.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from datetime import timedelta
+from enum import StrEnum
 
 import msgspec
 
@@ -223,23 +224,25 @@
     term: int
 
 
-# Why a proposal or read is rejected (`Rejected.reason`). The texts reach callers as they are, so they stay.
-NOT_LEADER = "not the leader"
-TOO_MANY_UNCOMMITTED = "too much is not agreed on yet"
-VOTER_CHANGE_UNDER_WAY = "another change of voters is under way"
-LEADER_NOT_SETTLED = "the leader is not settled yet"
-VOTER_CHANGE_NOT_SINGLE = "voters change one at a time, each name once"
-NO_LONGER_VOTER = "this head votes no more"
-MAJORITY_LOST = "the leader lost its majority"
-TERM_ENDED = "another term began"
-DISK_FAILED = "the disk failed"
+class RejectReason(StrEnum):
+    """Why a proposal or read is rejected. The texts reach callers as they are, so they stay."""
+
+    NOT_LEADER = "not the leader"
+    TOO_MANY_UNCOMMITTED = "too much is not agreed on yet"
+    VOTER_CHANGE_UNDER_WAY = "another change of voters is under way"
+    LEADER_NOT_SETTLED = "the leader is not settled yet"
+    VOTER_CHANGE_NOT_SINGLE = "voters change one at a time, each name once"
+    NO_LONGER_VOTER = "this head votes no more"
+    MAJORITY_LOST = "the leader lost its majority"
+    TERM_ENDED = "another term began"
+    DISK_FAILED = "the disk failed"
 
 
 class Rejected(msgspec.Struct, frozen=True):
     """A proposal or read that this head cannot take, and why."""
 
     id: str
-    reason: str
+    reason: RejectReason
 
 
 class ReadConfirmed(msgspec.Struct, frozen=True):
--- a/stoatrouter/agreement/replication.py
+++ b/stoatrouter/agreement/replication.py
@@ -104,7 +104,9 @@
         if self.log.term_at(prev_index) != prev_term:
             return Match(False, min(self.log.last, prev_index - 1))
         index = entries[-1].index if entries else prev_index
-        first_new = next((e.index for e in entries if self.log.term_at(e.index) != e.term), None)
+        first_new = next(
+            (entry.index for entry in entries if self.log.term_at(entry.index) != entry.term), None
+        )
         if first_new is None:
             return Match(True, index)
         cut_from = first_new if first_new <= self.log.last else None
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -16,6 +16,7 @@
     Persist,
     PersistentState,
     Rejected,
+    RejectReason,
     Send,
     Voter,
     Write,
@@ -162,7 +163,7 @@
         self.peers.clear()
         self._reset_election_timer()
 
-    def _reject_pending_reads(self, reason: str) -> list[Effect]:
+    def _reject_pending_reads(self, reason: RejectReason) -> list[Effect]:
         rejected: list[Effect] = [Rejected(read.id, reason) for read in self.pending_reads]
         self.pending_reads.clear()
         return rejected
--- a/stoatrouter/agreement/voting.py
+++ b/stoatrouter/agreement/voting.py
@@ -4,8 +4,8 @@
 
 from stoatrouter.agreement.leading import Leading
 from stoatrouter.agreement.records import (
-    TERM_ENDED,
     Effect,
+    RejectReason,
     RequestVote,
     RequestVoteReply,
     Send,
@@ -98,7 +98,7 @@
     # -- terms --------------------------------------------------------------------------------------------
     def _enter_term(self, term: int) -> list[Effect]:
         """Enter a later term: no vote is given in it yet, and no leader is known."""
-        rejected = self._reject_pending_reads(TERM_ENDED) if self.leads else []
+        rejected = self._reject_pending_reads(RejectReason.TERM_ENDED) if self.leads else []
         self.term = term
         self.voted_for = None
         self._become_follower(None)
