--- a/stoatrouter/lab/fleet/credit.py
+++ b/stoatrouter/lab/fleet/credit.py
@@ -64,7 +64,7 @@
             name = f"c{i}"
             self.charged[name] = 0
             self.paid[name] = 0
-            customer = PutCustomer(name, (f"v{i}",), low_water=LOW_WATER, returned=self.returned)
+            customer = PutCustomer(name, (f"v{i}",), low_water=LOW_WATER, refund_expired=self.returned)
             self.account.apply(customer, f"put{i}")
         for name in self.names:
             self.boot(name, f"{name}/0", CreditDisk())
@@ -138,7 +138,7 @@
             return
         id = f"r{next(self.account.numbers)}"
         now = world.clock(name)
-        if head.escrow.take(id, customer, charge, rank, now) is not None:
+        if head.escrow.reserve(id, customer, charge, rank, now) is not None:
             self.rejected += 1
             return
         self.admitted += 1
@@ -149,7 +149,7 @@
 
     def _end_request(self, head: CreditHead, request: Reserved) -> None:
         charged_before = head.escrow.charged
-        head.escrow.end(request.id, request.is_sent or self.charged_if_unsent)
+        head.escrow.settle(request.id, request.is_sent or self.charged_if_unsent)
         charged = head.escrow.charged - charged_before
         self._check_charge(request, charged)
         self.charged[request.customer] += charged
@@ -190,8 +190,8 @@
             InvariantViolated: An account has allotments out or figures that differ from the truth.
         """
         for name, account in self.account.ledger.accounts.items():
-            if account.out:
-                raise InvariantViolated(f"{name} still has allotments out: {account.out}")
+            if account.outstanding:
+                raise InvariantViolated(f"{name} still has allotments out: {account.outstanding}")
             if account.paid != self.paid[name]:
                 raise InvariantViolated(f"{name}: {account.paid} booked of {self.paid[name]} paid in")
             charged = self.charged[name]
--- a/stoatrouter/lab/fleet/credit_account.py
+++ b/stoatrouter/lab/fleet/credit_account.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.records import Book, Command, Expired
+from stoatrouter.credit.records import BookEntry, Command, Expired
 from stoatrouter.lab.fleet.world import World
 
 ACCOUNT = "account"  # the machine; all others are heads
@@ -55,7 +55,7 @@
     def expire_allotments(self) -> None:
         """Expire the allotments whose lease is over, now and again later."""
         now = self.world.clock(ACCOUNT)
-        self.first_seen = {id: self.first_seen.get(id, now) for id in self.ledger.places}
+        self.first_seen = {id: self.first_seen.get(id, now) for id in self.ledger.customer_by_allotment}
         expired = tuple(
             id
             for id, since in self.first_seen.items()
@@ -75,7 +75,7 @@
         call = f"{id}/{number if is_new_call else 0}"
 
         def arrive() -> None:
-            self.apply(Book(id, customer, amount, "top-up", "x", "y", "z"), call)
+            self.apply(BookEntry(id, customer, amount, "top-up", "x", "y", "z"), call)
             self.world.send(ACCOUNT, head, lambda: self.acknowledged.add(id))
 
         self.world.send(head, ACCOUNT, arrive)
--- a/stoatrouter/lab/fleet/detectors.py
+++ b/stoatrouter/lab/fleet/detectors.py
@@ -9,7 +9,16 @@
 
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.datagram import decode, encode
-from stoatrouter.membership.detector import Changed, Detector, Event, Heard, Leaving, SendTo, Tick, Timing
+from stoatrouter.membership.detector import Detector
+from stoatrouter.membership.detector_records import (
+    DatagramReceived,
+    Event,
+    Leaving,
+    SendTo,
+    StatusChanged,
+    Tick,
+    Timing,
+)
 from stoatrouter.membership.roster import Status
 
 TICK = timedelta(milliseconds=50)
@@ -68,7 +77,7 @@
             match effect:
                 case SendTo():
                     self._send(name, effect)
-                case Changed():
+                case StatusChanged():
                     was_down = effect.name in self.down_since
                     change = StatusChange(self.world.now, name, effect.name, effect.status, was_down)
                     self.changes.append(change)
@@ -80,7 +89,9 @@
         self.world.record(f"{sender}>{receiver} {len(data)}")
 
         def deliver() -> None:
-            self.reduce(receiver, Heard(self.world.clock(receiver), sender, decode(data, SECRET, FLEET)))
+            self.reduce(
+                receiver, DatagramReceived(self.world.clock(receiver), sender, decode(data, SECRET, FLEET))
+            )
 
         self.world.send(sender, receiver, deliver, len(data))
 
--- a/stoatrouter/peering/credit_calls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from stoatrouter.credit.records import Begin, Book, Command, DropCustomer, PutCustomer
+from stoatrouter.credit.records import BookEntry, Command, DropCustomer, PutCustomer, RegisterHead
 from stoatrouter.peering.bounds import (
     MAX_AMOUNT,
     MAX_PERSON_LENGTH,
@@ -183,18 +183,18 @@
         escrow = self.service.escrow
         customers = {
             name: HeldCustomer(
-                left=sum(allotment.left for allotment in purse.allotments),
+                left=sum(allotment.available for allotment in purse.allotments),
                 allotments=len(purse.allotments),
                 balance=purse.balance,
-                quota=round(purse.fraction(), 3),
+                quota=round(purse.funded_fraction(), 3),
             )
-            for name, purse in sorted(escrow.purses.items())
+            for name, purse in sorted(escrow.accounts.items())
         }
         return HeldCredit(
             state=self.service.fleet.availability.state.value,
             draws=escrow.reachable,
             charged=escrow.charged,
-            refused=escrow.refused,
+            refused=escrow.rejected,
             reservations=len(escrow.reservations),
             customers=customers,
         )
@@ -216,10 +216,10 @@
             free=account.free,
             overdraft=account.overdraft,
             low_water=account.low_water,
-            unsettled=UnsettledPolicy.UNSPENT if account.returned else UnsettledPolicy.SPENT,
+            unsettled=UnsettledPolicy.UNSPENT if account.refund_expired else UnsettledPolicy.SPENT,
             out={
                 id: AllotmentAnswer(allotment.head, allotment.amount, allotment.spent, allotment.expired)
-                for id, allotment in account.out.items()
+                for id, allotment in account.outstanding.items()
             },
         )
 
@@ -257,7 +257,7 @@
         check_signature(request)
         check_number("amount", request.amount, MAX_AMOUNT, -MAX_AMOUNT)
         check_choice("kind", request.kind, EntryKind)
-        command = Book(
+        command = BookEntry(
             request.id, name, request.amount, request.kind, request.by, request.why, utc_timestamp()
         )
         # the command's id holds the content too: another entry under the caller's id is rejected, not
@@ -278,7 +278,7 @@
     async def write_off(self, name: str) -> BookedAnswer:
         """Charge all that a head holds; only for one that will not come back with its disk."""
         check_head("head", name)
-        return await self._submit(Begin(name, "", "", 0, ()), secrets.token_hex(COMMAND_ID_SIZE))
+        return await self._submit(RegisterHead(name, "", "", 0, ()), secrets.token_hex(COMMAND_ID_SIZE))
 
     async def _submit(self, command: Command, id: str) -> BookedAnswer:
         """Submit a command to the account.
@@ -289,8 +289,8 @@
         """
         booked = await self.service.submit_command(command, id, TIMEOUT)
         if not booked.ok:
-            raise ConflictError(booked.why)
-        return BookedAnswer(booked.balance, booked.again)
+            raise ConflictError(booked.reason)
+        return BookedAnswer(booked.balance, booked.repeated)
 
 
 def check_signature(request: CustomerRequest | EntryRequest | DropRequest) -> None:
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from stoatrouter.credit.records import Booked
+from stoatrouter.credit.records import CommandResult
 from stoatrouter.history.records import CommandResult
 from stoatrouter.peering.credit_calls import CreditCalls
 from stoatrouter.peering.head_calls import HeadCalls
@@ -48,7 +48,7 @@
 
     async def submit_command(self, command, id, timeout=None):
         self.commands.append(command)
-        return Booked(True) if timeout is not None else CommandResult(True, 1)
+        return CommandResult(True) if timeout is not None else CommandResult(True, 1)
 
 
 def call(method: str, path: str, data: object = None) -> tuple[int, str, list[object]]:
