--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from stoatrouter.credit.records import CommandResult
-from stoatrouter.history.records import CommandResult
+from stoatrouter.credit import records as credit_records
+from stoatrouter.history import records as history_records
 from stoatrouter.peering.credit_calls import CreditCalls
 from stoatrouter.peering.head_calls import HeadCalls
 from stoatrouter.peering.rule_calls import RuleCalls
@@ -48,7 +48,9 @@
 
     async def submit_command(self, command, id, timeout=None):
         self.commands.append(command)
-        return CommandResult(True) if timeout is not None else CommandResult(True, 1)
+        if timeout is not None:
+            return credit_records.CommandResult(True)
+        return history_records.CommandResult(True, 1)
 
 
 def call(method: str, path: str, data: object = None) -> tuple[int, str, list[object]]:
