--- a/benchmarks/matching.py
+++ b/benchmarks/matching.py
@@ -73,7 +73,7 @@
 
 def plainly(table: Table, given: Input) -> int | None:
     """The baseline: all rules in their order, each with its scope's host and path."""
-    for home in table.compartments.values():
+    for home in table.scopes.values():
         if given.host in home.scope.hosts and given.path.startswith(home.scope.paths[0]):
             for i, made in enumerate(home.rules):
                 if made.when(given):
@@ -84,7 +84,7 @@
 
 def in_one_list(table: Table, given: Input) -> int | None:
     """The plainest way: one list of all rules, each tried in turn."""
-    for home in table.compartments.values():
+    for home in table.scopes.values():
         inside = given.host in home.scope.hosts and given.path.startswith(home.scope.paths[0])
         for i, made in enumerate(home.rules):
             if made.when(given) and inside:
--- a/stoatrouter/cli/check.py
+++ b/stoatrouter/cli/check.py
@@ -90,12 +90,12 @@
     if made.record.rules is None:
         return []
     table, sources, _, _ = table_of(file.parent / made.record.rules, conf, file)
-    return [sources.fault(flaw) for flaw in table.warnings]
+    return [sources.locate(warning) for warning in table.warnings]
 
 
 def check_rules(file: Path, conf: Path | None) -> list[Fault]:
     table, sources, _, _ = table_of(file, conf)
-    return [sources.fault(flaw) for flaw in table.warnings]
+    return [sources.locate(warning) for warning in table.warnings]
 
 
 def check_team(file: Path, conf: Path | None) -> list[Fault]:
--- a/stoatrouter/cli/rules.py
+++ b/stoatrouter/cli/rules.py
@@ -23,10 +23,10 @@
 )
 from stoatrouter.matching.conjuncts import PATH, PREFIX, Condition
 from stoatrouter.matching.decisions import Refusal
-from stoatrouter.matching.explain import Explanation, decision_data, differences, explain
+from stoatrouter.matching.explain import Explanation, decision_data, explain, find_differences
 from stoatrouter.matching.inputs import Input, Unreadable, read_input
 from stoatrouter.matching.samples import read_sample, read_samples
-from stoatrouter.matching.table import Compartment, Table
+from stoatrouter.matching.table import CompiledScope, Table
 from stoatrouter.settings import SettingsError
 
 
@@ -46,11 +46,11 @@
         table, sources, _, known = table_of(file, conf, objects)
     except SettingsError as error:
         sys.exit(refused(error, as_json))
-    warnings = [sources.fault(flaw) for flaw in table.warnings]
+    warnings = [sources.locate(warning) for warning in table.warnings]
     if as_json:
         scopes = {
-            n: {"rules": len(c.rules), "steps": c.worst, "most": c.scope.steps}
-            for n, c in table.compartments.items()
+            n: {"rules": len(c.rules), "steps": c.max_steps, "most": c.scope.steps}
+            for n, c in table.scopes.items()
         }
         click.echo(
             json.dumps(
@@ -66,9 +66,9 @@
         return
     for warning in warnings:
         click.echo(f"warning: {warning}", err=True)
-    for name, home in table.compartments.items():
+    for name, home in table.scopes.items():
         click.echo(
-            f"{name}: {len(home.rules)} rules, at most {home.worst} of {home.scope.steps} steps a request"
+            f"{name}: {len(home.rules)} rules, at most {home.max_steps} of {home.scope.steps} steps a request"
         )
     note_words(known, as_json)
     click.echo(f"{file}: fine, table {table.epoch}")
@@ -169,14 +169,14 @@
 def explained_data(made: Explanation, table: Table) -> dict[str, object]:
     looked = [
         {"rule": each.rule, "matched": each.failed is None, "failed": each.failed, "steps": each.steps}
-        for each in made.looked
+        for each in made.tried
     ]
     return {
         "scope": made.scope,
         "rules": made.rules,
         "looked": looked,
         "steps": made.steps,
-        "decided": decision_data(made.decided, table),
+        "decided": decision_data(made.decision, table),
     }
 
 
@@ -184,12 +184,12 @@
     if made.scope is None:
         click.echo("no scope claims this host and path")
     else:
-        click.echo(f"scope {made.scope}: {made.rules} rules, {len(made.looked)} looked at")
-    for each in made.looked:
+        click.echo(f"scope {made.scope}: {made.rules} rules, {len(made.tried)} looked at")
+    for each in made.tried:
         result = "matched" if each.failed is None else f"no: {each.failed}"
         click.echo(f"  {each.rule}: {result} ({each.steps} steps at most)")
-    data = decision_data(made.decided, table)
-    if isinstance(made.decided, Refusal):
+    data = decision_data(made.decision, table)
+    if isinstance(made.decision, Refusal):
         click.echo(f"refused: {data['refused']} {data['reason']}")
     else:
         for name in ("class", "volume", "plan", "key", "shard", "units", "hosts", "repeat", "deadline_ms"):
@@ -210,7 +210,7 @@
     except SettingsError as error:
         sys.exit(refused(error, as_json) + 1)
     with log.open(encoding="utf-8", errors="replace") as file:
-        found, counts = differences(before, after, read_samples(file))
+        found, counts = find_differences(before, after, read_samples(file))
     if as_json:
         click.echo(
             json.dumps(
@@ -273,7 +273,7 @@
         with log.open(encoding="utf-8", errors="replace") as lines:
             requests = [given for _, given in read_samples(lines) if isinstance(given, Input)]
     else:
-        requests = [made for home in table.compartments.values() for made in made_for(home)]
+        requests = [made for home in table.scopes.values() for made in made_for(home)]
     if not requests:
         raise Cannot("there are no requests to time")
     figures = sorted(timed(table, requests, rounds))
@@ -283,7 +283,7 @@
         "load_s": round(loaded, 3),
         "median_us": round(statistics.median(figures), 2),
         "p99_us": round(figures[max(0, int(len(figures) * 0.99) - 1)], 2),
-        "worst_steps": max((home.worst for home in table.compartments.values()), default=0),
+        "worst_steps": max((home.max_steps for home in table.scopes.values()), default=0),
     }
     if as_json:
         click.echo(json.dumps(data))
@@ -306,7 +306,7 @@
     return figures
 
 
-def made_for(home: Compartment) -> list[Input]:
+def made_for(home: CompiledScope) -> list[Input]:
     """A request for each rule, as far as its demands tell."""
     made = []
     for rule in home.rules:
@@ -317,11 +317,11 @@
     return made
 
 
-def meeting(home: Compartment, wanted: Condition) -> Input:
+def meeting(home: CompiledScope, wanted: Condition) -> Input:
     """A request that meets the demands of a condition."""
     host, method, path, query, fields = home.scope.hosts[0].replace("*", "any"), "GET", "", [], []
     segments: dict[int, str] = {}
-    for demand in wanted.demands:
+    for demand in wanted.constraints:
         (kind, name), value = demand.dimension, min(demand.values)
         if kind == "host":
             host = value
--- a/stoatrouter/matching/__init__.py
+++ b/stoatrouter/matching/__init__.py
@@ -1,1 +1,1 @@
-"""Rule tables: which rule a request matches, and what it becomes for the core. Free of I/O and clock."""
+"""Rule tables: which rule a request matches, and what that yields for the core. Free of I/O and clock."""
--- a/stoatrouter/matching/cache.py
+++ b/stoatrouter/matching/cache.py
@@ -1,16 +1,17 @@
-"""What one load of a table leaves for the next."""
+"""What one load of a table leaves for the next: unchanged scopes, and expressions by their source."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
 from typing import NamedTuple
 
 from stoatrouter.expressions import Checked, Environment, Limits, check, parse
 from stoatrouter.expressions import types as t
 from stoatrouter.expressions.compiler import compile_many
-from stoatrouter.matching.flaws import Flaw
+from stoatrouter.matching.diagnostics import Diagnostic
 from stoatrouter.matching.records import Rule, Scope
-from stoatrouter.matching.table import Compartment, Run
+from stoatrouter.matching.table import CompiledScope, Run
 from stoatrouter.matching.vocabulary import Vocabulary
 
 
@@ -22,51 +23,95 @@
     plans: frozenset[str]
 
 
+class Expression(NamedTuple):
+    """A checked expression and the function that it was compiled to."""
+
+    checked: Checked
+    run: Run
+
+
+class ExpressionKey(NamedTuple):
+    """What an expression is cached by; the environment is that of the whole cache."""
+
+    source: str
+    wanted_type: t.Type | None
+    max_steps: int
+
+
+@dataclass(slots=True, frozen=True)
+class CachedScope:
+    """A scope that was compiled without an error, with what it was compiled from."""
+
+    scope: Scope
+    rules: tuple[Rule, ...]
+    compiled: CompiledScope
+    warnings: tuple[Diagnostic, ...]
+    plan_uses: tuple[PlanUse, ...]
+
+
 class Cache:
-    """What one load leaves for the next: unchanged scopes, and expressions by their source."""
+    """The cache of one rule file's tables."""
 
     def __init__(self) -> None:
-        self.known: dict[tuple[str, t.Type | None, int], tuple[Checked, Run]] = {}
-        self.used: set[tuple[str, t.Type | None, int]] = set()
+        """Start empty."""
+        self.expressions: dict[ExpressionKey, Expression] = {}
+        self.used: set[ExpressionKey] = set()  # by the load in progress
+        self.scopes: dict[str, CachedScope] = {}
         self.environment: Environment | None = None
-        self.words: Vocabulary | None = None
-        self.scopes: dict[str, tuple[Scope, tuple[Rule, ...], Compartment, list[Flaw], list[PlanUse]]] = {}
+        self.vocabulary: Vocabulary | None = None
 
-    def begin(self, environment: Environment, words: Vocabulary) -> None:
-        """Clear the cache where the environment or the vocabulary differs."""
-        if (environment, words) != (self.environment, self.words):
-            self.known.clear()
+    def begin(self, environment: Environment, vocabulary: Vocabulary) -> None:
+        """Begin a load; the cache is cleared where the environment or the vocabulary has changed."""
+        if (environment, vocabulary) != (self.environment, self.vocabulary):
+            self.expressions.clear()
             self.scopes.clear()
-        self.environment, self.words = environment, words
-
-    def compartment(
-        self, name: str, scope: Scope, rules: Sequence[Rule]
-    ) -> tuple[Compartment, list[Flaw], list[PlanUse]] | None:
-        """A scope that is unchanged since it was found good, with its warnings; or None."""
-        kept = self.scopes.get(name)
-        if kept is None or kept[0] != scope or kept[1] != tuple(rules):
+        self.environment = environment
+        self.vocabulary = vocabulary
+
+    def find_scope(self, name: str, scope: Scope, rules: Sequence[Rule]) -> CachedScope | None:
+        """Find a scope that is unchanged since it was compiled; returns None for any other."""
+        cached = self.scopes.get(name)
+        if cached is None or cached.scope != scope or cached.rules != tuple(rules):
             return None
-        return kept[2], kept[3], kept[4]
+        return cached
 
-    def keep(
-        self, made: Compartment, rules: Sequence[Rule], warnings: list[Flaw], plan_uses: list[PlanUse]
+    def store_scope(
+        self,
+        compiled: CompiledScope,
+        rules: Sequence[Rule],
+        warnings: Sequence[Diagnostic],
+        plan_uses: Sequence[PlanUse],
     ) -> None:
-        """Keep a scope that was found good for the next load."""
-        self.scopes[made.name] = made.scope, tuple(rules), made, warnings, plan_uses
-
-    def get(
-        self, source: str, want: t.Type | None, environment: Environment, steps: int
-    ) -> tuple[Checked, Run]:
-        """A checked and compiled expression, from the cache where it is known; raises ExpressionError."""
-        key = (source, want, steps)
+        """Store a scope that was compiled without an error, for the next load."""
+        self.scopes[compiled.name] = CachedScope(
+            compiled.scope, tuple(rules), compiled, tuple(warnings), tuple(plan_uses)
+        )
+
+    def compile(
+        self, source: str, wanted_type: t.Type | None, environment: Environment, max_steps: int
+    ) -> Expression:
+        """Check and compile an expression, or take it from the cache.
+
+        Args:
+            source: The expression's source.
+            wanted_type: The type that it must yield; None: any.
+            environment: The variables that it may use.
+            max_steps: The most steps that it may take in the worst case.
+
+        Raises:
+            ExpressionError: The expression has errors.
+        """
+        key = ExpressionKey(source, wanted_type, max_steps)
         self.used.add(key)
-        if (found := self.known.get(key)) is None:
-            checked = check(parse(source), environment, want, Limits(steps=min(Limits().steps, steps)))
-            found = self.known[key] = checked, compile_many([checked])[0]
-        return found
+        expression = self.expressions.get(key)
+        if expression is None:
+            limits = Limits(steps=min(Limits().steps, max_steps))
+            checked = check(parse(source), environment, wanted_type, limits)
+            expression = self.expressions[key] = Expression(checked, compile_many([checked])[0])
+        return expression
 
     def sweep(self, scopes: Iterable[str]) -> None:
-        """Forget expressions that this load did not use, and scopes that are gone."""
-        self.known = {key: self.known[key] for key in self.used if key in self.known}
+        """Remove expressions that the load in progress did not use, and scopes that are gone."""
+        self.expressions = {key: self.expressions[key] for key in self.used if key in self.expressions}
         self.used = set()
         self.scopes = {name: self.scopes[name] for name in scopes if name in self.scopes}
--- a/stoatrouter/matching/files.py
+++ b/stoatrouter/matching/files.py
@@ -1,4 +1,4 @@
-"""Rule files: read, checked and made into a table. This is the I/O of the package."""
+"""Rule files: read, checked and compiled to a table. This is the I/O of the package."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from stoatrouter.expressions.environment import Environment
 from stoatrouter.matching.cache import Cache
-from stoatrouter.matching.flaws import Flaw, TableError
+from stoatrouter.matching.diagnostics import Diagnostic, TableError
 from stoatrouter.matching.inputs import HTTP
 from stoatrouter.matching.loader import Loader
 from stoatrouter.matching.records import Rule, Rules, Team
@@ -17,7 +17,10 @@
 from stoatrouter.matching.vocabulary import Bucket, Vocabulary
 from stoatrouter.settings import Fault, Loaded, Place, SettingsError, load
 
-RULES, TEAM = "rules.#Rules", "rules.#Team"
+# Definitions of the schema, settings/schemas/rules.cue.
+RULES = "rules.#Rules"
+TEAM = "rules.#Team"
+EPOCH_LENGTH = 12  # hex digits
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,33 +38,35 @@
     @property
     def epoch(self) -> str:
         """A short digest of the files' contents; equal contents have the same one."""
-        digests = {
-            f.name: d for loaded in (self.operator, *self.teams.values()) for f, d in loaded.digests.items()
-        }
-        return hashlib.sha256(repr(sorted(digests.items())).encode()).hexdigest()[:12]
-
-    def place(self, path: str) -> Place:
-        """The file and line of a path of the table."""
-        parts = path.split(".", 2)
-        if (
-            len(parts) == 3
-            and parts[0] == "scopes"
-            and parts[1] in self.teams
-            and parts[2].startswith("rules")
-        ):
-            return self.teams[parts[1]].place(parts[2])
-        return self.operator.place(path)
-
-    def fault(self, flaw: Flaw) -> Fault:
-        """A flaw with its file and line."""
-        inner = f"{flaw.at}: " if flaw.at else ""
-        return Fault(self.place(flaw.path), flaw.path, inner + flaw.what, flaw.remedy)
+        digests = {file.name: digest for file, digest in self.operator.digests.items()}
+        for team in self.teams.values():
+            digests |= {file.name: digest for file, digest in team.digests.items()}
+        return hashlib.sha256(repr(sorted(digests.items())).encode()).hexdigest()[:EPOCH_LENGTH]
+
+    def find_place(self, path: str) -> Place:
+        """Find the file and line of a path of the table."""
+        match path.split(".", 2):
+            case ["scopes", scope, rest] if scope in self.teams and rest.startswith("rules"):
+                return self.teams[scope].place(rest)
+            case _:
+                return self.operator.place(path)
+
+    def locate(self, diagnostic: Diagnostic) -> Fault:
+        """Give a diagnostic its file and line."""
+        position = f"{diagnostic.at}: " if diagnostic.at else ""
+        return Fault(
+            self.find_place(diagnostic.path),
+            diagnostic.path,
+            position + diagnostic.what,
+            diagnostic.remedy,
+        )
 
 
 class Files:
     """Reads rule files; a team's file is read again only where it has changed."""
 
     def __init__(self) -> None:
+        """Start without any file read."""
         self.teams: dict[Path, Loaded[Team]] = {}
 
     def read(self, path: Path) -> Sources:
@@ -72,12 +77,14 @@
         for name, scope in operator.record.scopes.items():
             if scope.file is None:
                 continue
-            at = operator.place(f"scopes.{name}.file")
             if scope.rules:
-                faults.append(Fault(at, f"scopes.{name}", "it has rules and a file", "leave one of them out"))
+                place = operator.place(f"scopes.{name}.file")
+                faults.append(
+                    Fault(place, f"scopes.{name}", "it has rules and a file", "leave one of them out")
+                )
             # Guards the operator's part: a team's file is read by itself and can say nothing of scopes.
             try:
-                teams[name] = self.team(path.parent / scope.file)
+                teams[name] = self.read_team(path.parent / scope.file)
             except SettingsError as error:
                 faults += error.faults
         if faults:
@@ -85,31 +92,40 @@
         self.teams = {path: team for path, team in self.teams.items() if team in teams.values()}
         return Sources(operator, teams)
 
-    def team(self, path: Path) -> Loaded[Team]:
-        """A team's file; it is read again only if it has changed. Raises SettingsError."""
-        known = self.teams.get(path)
-        if known is None or not known.unchanged():
-            known = self.teams[path] = load(path, Team, TEAM)
-        return known
+    def read_team(self, path: Path) -> Loaded[Team]:
+        """Read a team's file, again only if it has changed; raises SettingsError."""
+        team = self.teams.get(path)
+        if team is None or not team.unchanged():
+            team = self.teams[path] = load(path, Team, TEAM)
+        return team
 
 
 @dataclass(slots=True)
 class Tables:
-    """Makes the tables of one rule file; what has not changed is taken from the previous one."""
+    """Loads the tables of one rule file; what has not changed is taken from the previous one.
+
+    Attributes:
+        path: The operator's rule file.
+        vocabulary: The classes, plans and bounds of the settings.
+        environment: What expressions may use.
+        buckets: The buckets of the object front; None for the HTTP front.
+        files: Files that were read, and need not be read again.
+        cache: Expressions and scopes that were compiled.
+    """
 
     path: Path
-    words: Vocabulary
+    vocabulary: Vocabulary
     environment: Environment = HTTP
     buckets: Mapping[str, Bucket] | None = None
     files: Files = field(default_factory=Files)
     cache: Cache = field(default_factory=Cache)
 
     def load(self) -> tuple[Table, Sources]:
-        """The table of the files as they are now; raises SettingsError with all faults."""
+        """Load the table of the files as they are now; raises SettingsError with all faults."""
         sources = self.files.read(self.path)
         rules: dict[str, Sequence[Rule]] = {name: team.record.rules for name, team in sources.teams.items()}
         try:
-            loader = Loader(self.words, self.environment, self.cache, self.buckets)
+            loader = Loader(self.vocabulary, self.environment, self.cache, self.buckets)
             return loader.load(sources.operator.record, rules, sources.epoch), sources
         except TableError as error:
-            raise SettingsError(*(sources.fault(flaw) for flaw in error.flaws)) from None
+            raise SettingsError(*map(sources.locate, error.errors)) from None
--- a/stoatrouter/matching/inputs.py
+++ b/stoatrouter/matching/inputs.py
@@ -8,9 +8,9 @@
 
 import ipaddress
 import re
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable, Sequence
 from functools import lru_cache
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import unquote_to_bytes
 
 from stoatrouter.expressions import types as t
@@ -18,23 +18,33 @@
 from stoatrouter.expressions.environment import Environment, Variable
 from stoatrouter.expressions.runtime import Fields
 
-MOST_METHOD, MOST_HOST, MOST_PATH, MOST_QUERY, MOST_VALUE = 32, 255, 2048, 4096, 8192
-MOST_SEGMENTS, MOST_SEGMENT, MOST_FIELDS, MOST_PAIRS = 32, 255, 64, 64
-MOST_SIZE = 1 << 53
-
-STRINGS = t.MapOf(t.STRING, repeated=True)
+# Bounds in characters.
+MAX_METHOD = 32
+MAX_HOST = 255
+MAX_PATH = 2048
+MAX_QUERY = 4096
+MAX_FIELD_VALUE = 8192
+MAX_SEGMENT = 255
+# Bounds in elements.
+MAX_SEGMENTS = 32
+MAX_FIELDS = 64
+MAX_PAIRS = 64  # of a query, or of cookies
+MAX_SIZE = 1 << 53  # bytes of a body
+
+Address = ipaddress.IPv4Address | ipaddress.IPv6Address
+STRING_MAP = t.MapOf(t.STRING, repeated=True)
 HTTP = Environment(
     {
-        "request.method": Variable(t.STRING, "method", text(MOST_METHOD, 1)),
-        "request.host": Variable(t.STRING, "host", text(MOST_HOST)),
-        "request.path": Variable(t.STRING, "path", text(MOST_PATH, 1)),
-        "request.segments": Variable(t.ListOf(t.STRING), "segments", many(MOST_SEGMENTS, text(MOST_SEGMENT))),
+        "request.method": Variable(t.STRING, "method", text(MAX_METHOD, 1)),
+        "request.host": Variable(t.STRING, "host", text(MAX_HOST)),
+        "request.path": Variable(t.STRING, "path", text(MAX_PATH, 1)),
+        "request.segments": Variable(t.ListOf(t.STRING), "segments", many(MAX_SEGMENTS, text(MAX_SEGMENT))),
         "request.headers": Variable(
-            t.MapOf(t.STRING, folded=True, repeated=True), "headers", many(MOST_FIELDS, text(MOST_VALUE))
+            t.MapOf(t.STRING, folded=True, repeated=True), "headers", many(MAX_FIELDS, text(MAX_FIELD_VALUE))
         ),
-        "request.query": Variable(STRINGS, "query", many(MOST_PAIRS, text(MOST_QUERY))),
-        "request.cookies": Variable(STRINGS, "cookies", many(MOST_PAIRS, text(MOST_VALUE))),
-        "request.size": Variable(t.INT, "size", whole(-1, MOST_SIZE)),
+        "request.query": Variable(STRING_MAP, "query", many(MAX_PAIRS, text(MAX_QUERY))),
+        "request.cookies": Variable(STRING_MAP, "cookies", many(MAX_PAIRS, text(MAX_FIELD_VALUE))),
+        "request.size": Variable(t.INT, "size", whole(-1, MAX_SIZE)),
         "request.class": Variable(t.STRING, "request_class", text(64)),
         "source.ip": Variable(t.IP, "ip", Bound()),
     }
@@ -48,25 +58,51 @@
     }
 )
 
-METHOD = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,32}")
-HOST = re.compile(r"(\[[0-9A-Fa-f:.]+\]|[0-9A-Za-z._~!$&'()*+,;=%-]*)(?::[0-9]*)?")
-TARGET = re.compile(r"[!-~]+")
-ABSOLUTE = re.compile(r"https?://([^/?]*)(.*)", re.IGNORECASE | re.DOTALL)
-ESCAPED = re.compile(r"%([0-9A-Fa-f]{2})?")
+METHOD_PATTERN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,32}")
+HOST_PATTERN = re.compile(r"(\[[0-9A-Fa-f:.]+\]|[0-9A-Za-z._~!$&'()*+,;=%-]*)(?::[0-9]*)?")
+TARGET_PATTERN = re.compile(r"[!-~]+")
+ABSOLUTE_FORM = re.compile(r"https?://([^/?]*)(.*)", re.IGNORECASE | re.DOTALL)
+PERCENT_ESCAPE = re.compile(r"%([0-9A-Fa-f]{2})?")
 UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-CONTROL = re.compile("[\x00-\x1f\x7f]")
+CONTROL_CHARACTER = re.compile("[\x00-\x1f\x7f]")
 
 
 class Unreadable(Exception):
-    """A request that is rejected before rules are tried; `status` is a 4xx."""
+    """A request that is rejected before rules are tried."""
 
     def __init__(self, status: int, reason: str) -> None:
+        """Reject a request.
+
+        Args:
+            status: The HTTP status of the answer, a 4xx.
+            reason: What is wrong with the request; the text of the answer.
+        """
         super().__init__(reason)
-        self.status, self.reason = status, reason
+        self.status = status
+        self.reason = reason
 
 
 class Input:
-    """A request as expressions see it; rarely used values are computed on first use."""
+    """A request as expressions see it; attributes of LAZY_ATTRIBUTES are computed on first use.
+
+    Attributes:
+        method: The method, as it came.
+        host: In lower case, without port and trailing dot.
+        path: In normal form (`normalize_path`).
+        raw_path: As it came, without the query.
+        raw_query: As it came, without the `?`.
+        headers: Header fields by lower-case name.
+        size: The stated length of the body in bytes; -1 where none is stated.
+        request_class: The class that the front would give without rules; empty where there is none.
+        peer: The client's address, as text.
+        segments: The unescaped segments of the path.
+        query: Names and values of the query.
+        cookies: Names and values of cookies.
+        ip: The client's address.
+        bucket: The bucket of an object call; set by the object front.
+        key: Its key; likewise.
+        operation: Its operation; likewise.
+    """
 
     __slots__ = (
         "method",
@@ -87,19 +123,39 @@
         "operation",
     )
 
+    method: str
+    host: str
+    path: str
+    raw_path: str
+    raw_query: str
+    headers: Fields
+    size: int
+    request_class: str
+    peer: str
+    segments: list[str]
+    query: Fields
+    cookies: Fields
+    ip: Address
+    bucket: str
+    key: str
+    operation: str
+
     def __getattr__(self, name: str) -> Any:
-        # only called for a slot that is not filled yet
-        value = LATER[name](self)
+        """Compute an attribute that is not set yet; only called for those.
+
+        Raises:
+            KeyError: The attribute is none of LAZY_ATTRIBUTES.
+        """
+        value = LAZY_ATTRIBUTES[name](self)
         setattr(self, name, value)
         return value
 
 
-LATER = {
-    "query": lambda given: read_query(given.raw_query),
-    "cookies": lambda given: read_cookies(given.headers.get("cookie", "")),
-    "ip": lambda given: address(given.peer),
-    "segments": lambda given: read_segments(given.path),
-}
+class Target(NamedTuple):
+    """A request target in origin form, with the host that it came with (RFC 9112, 3.2)."""
+
+    host: str
+    path_and_query: str
 
 
 def read_input(
@@ -110,41 +166,67 @@
     size: int = -1,
     request_class: str = "",
 ) -> Input:
-    """Parse a request; raises Unreadable.
-
-    `fields` are the header lines as they came, `peer` is the client's address, `size` the stated length of
-    the body in bytes or -1.
+    """Parse a request.
+
+    Args:
+        method: The method, as it came.
+        target: The request target, as it came.
+        fields: The header lines, as they came.
+        peer: The client's address.
+        size: The stated length of the body in bytes; -1 where none is stated.
+        request_class: The class that the front would give without rules, if any.
+
+    Raises:
+        Unreadable: The request is malformed, ambiguous or exceeds a bound.
     """
-    given = Input()
-    if not METHOD.fullmatch(method):
+    if not METHOD_PATTERN.fullmatch(method):
         raise Unreadable(400, "the method is no token")
-    given.method, given.size, given.request_class, given.peer = method, size, request_class, peer
-    given.headers = read_fields(fields)
-    host = given.headers.get("host", "")
-    if "host" in given.headers.lists:
+    request = Input()
+    request.method = method
+    request.size = size
+    request.request_class = request_class
+    request.peer = peer
+    request.headers = read_fields(fields)
+    if "host" in request.headers.lists:
         raise Unreadable(400, "more than one Host")
-    if not TARGET.fullmatch(target):
+    host, path_and_query = split_target(target, request.headers.get("host", ""))
+    request.host = read_host(host)
+    read_path_and_query(request, path_and_query)
+    return request
+
+
+def split_target(target: str, host: str) -> Target:
+    """Split a target in origin or absolute form; the latter's host precedes Host. Raises Unreadable."""
+    if not TARGET_PATTERN.fullmatch(target):
         raise Unreadable(400, "the target has characters that must be escaped")
-    if not target.startswith("/"):
-        found = ABSOLUTE.fullmatch(target)
-        if found is None:
-            raise Unreadable(400, "the target is no path")
-        host, target = found[1], found[2] if found[2].startswith("/") else "/" + found[2]
-    given.host = read_host(host)
-    path, _, given.raw_query = target.partition("?")
-    if len(path) > MOST_PATH or len(given.raw_query) > MOST_QUERY or given.raw_query.count("&") >= MOST_PAIRS:
+    if target.startswith("/"):
+        return Target(host, target)
+    absolute = ABSOLUTE_FORM.fullmatch(target)
+    if absolute is None:
+        raise Unreadable(400, "the target is no path")
+    path_and_query = absolute[2] if absolute[2].startswith("/") else "/" + absolute[2]
+    return Target(absolute[1], path_and_query)
+
+
+def read_path_and_query(request: Input, path_and_query: str) -> None:
+    """Set a request's path and query; raises Unreadable.
+
+    What may be rejected in segments and query is read here, as that must not happen within a rule.
+    """
+    path, _, query = path_and_query.partition("?")
+    if len(path) > MAX_PATH or len(query) > MAX_QUERY or query.count("&") >= MAX_PAIRS:
         raise Unreadable(414, "the path or the query is too long")
-    given.raw_path = path
-    given.path = normal_path(path) if "%" in path or "." in path else path
-    if "%" in path or len(path) > MOST_SEGMENT or path.count("/") > MOST_SEGMENTS:
-        given.segments = read_segments(given.path)  # it may be refused, which must not happen within a rule
-    if "%" in given.raw_query:
-        given.query = read_query(given.raw_query)
-    return given
+    request.raw_path = path
+    request.raw_query = query
+    request.path = normalize_path(path) if "%" in path or "." in path else path
+    if "%" in path or len(path) > MAX_SEGMENT or path.count("/") > MAX_SEGMENTS:
+        request.segments = read_segments(request.path)
+    if "%" in query:
+        request.query = read_query(query)
 
 
 def read_fields(lines: Iterable[tuple[bytes, bytes]]) -> Fields:
-    """Header fields by lower-case name; raises Unreadable.
+    """Read header fields by lower-case name; raises Unreadable.
 
     Lines of one name are joined by ', ' in their order (RFC 9110, 5.3), those of Cookie by '; ' (RFC 6265).
     Bytes that are not UTF-8 become U+FFFD.
@@ -159,38 +241,38 @@
             value = values[name] + ("; " if name == "cookie" else ", ") + value
         values[name] = value
         # Guards the bounds that costs are computed from.
-        if len(value) > MOST_VALUE:
+        if len(value) > MAX_FIELD_VALUE:
             raise Unreadable(431, f"the header field {name[:40]} is too long")
-    if len(values) > MOST_FIELDS or any(len(same) > MOST_FIELDS for same in lists.values()):
+    if len(values) > MAX_FIELDS or any(len(lines) > MAX_FIELDS for lines in lists.values()):
         raise Unreadable(431, "too many header fields")
-    if values.get("cookie", "").count(";") >= MOST_PAIRS:
+    if values.get("cookie", "").count(";") >= MAX_PAIRS:
         raise Unreadable(431, "too many cookies")
     return Fields(values, lists)
 
 
 @lru_cache(maxsize=1024)
 def read_host(text: str) -> str:
-    """The host without its port, in lower case and without a trailing dot; raises Unreadable."""
-    found = HOST.fullmatch(text)
-    if found is None or len(found[1]) > MOST_HOST:
+    """Read a host without its port, in lower case and without a trailing dot; raises Unreadable."""
+    match = HOST_PATTERN.fullmatch(text)
+    if match is None or len(match[1]) > MAX_HOST:
         raise Unreadable(400, "the host cannot be read")
-    return found[1].lower().removesuffix(".")
+    return match[1].lower().removesuffix(".")
 
 
-def normal_path(path: str) -> str:
-    """The path in the normal form of RFC 3986, 6.2.2; raises Unreadable.
+def normalize_path(path: str) -> str:
+    """Bring a path to the normal form of RFC 3986, 6.2.2; raises Unreadable.
 
     Escapes of unreserved characters are undone, and hex digits are in upper case. Escaped slashes and empty
     segments stay.
     """
 
-    def normal(found: re.Match[str]) -> str:
-        if found[1] is None:
+    def normalize_escape(escape: re.Match[str]) -> str:
+        if escape[1] is None:
             raise Unreadable(400, "a % in the path is followed by no two hex digits")
-        character = chr(int(found[1], 16))
-        return character if character in UNRESERVED else f"%{found[1].upper()}"
+        character = chr(int(escape[1], 16))
+        return character if character in UNRESERVED else f"%{escape[1].upper()}"
 
-    path = ESCAPED.sub(normal, path)
+    path = PERCENT_ESCAPE.sub(normalize_escape, path)
     # Guards nodes and rules against two readings of one path: whoever resolves dots would see another one.
     if "/." in path and any(part in (".", "..") for part in path.split("/")):
         raise Unreadable(400, "the path has dot segments")
@@ -198,59 +280,67 @@
 
 
 def read_segments(path: str) -> list[str]:
-    """The unescaped segments of a normal path; raises Unreadable."""
+    """Split a path in normal form into its unescaped segments; raises Unreadable."""
     parts = path[1:].split("/") if path != "/" else []
-    if len(parts) > MOST_SEGMENTS:
+    if len(parts) > MAX_SEGMENTS:
         raise Unreadable(414, "the path has too many segments")
-    return [segment(part) for part in parts]
+    return [read_segment(part) for part in parts]
 
 
-def segment(part: str) -> str:
-    """One segment of a path, unescaped; raises Unreadable."""
-    value = unescaped(part, 400, "the path") if "%" in part else part
+def read_segment(part: str) -> str:
+    """Unescape one segment of a path; raises Unreadable."""
+    value = unescape(part, 400, "the path") if "%" in part else part
     # Guards keys and logs: nothing that ends a string or a line elsewhere gets through.
-    if CONTROL.search(value):
+    if CONTROL_CHARACTER.search(value):
         raise Unreadable(400, "the path has control characters")
-    if len(value) > MOST_SEGMENT:
+    if len(value) > MAX_SEGMENT:
         raise Unreadable(414, "a segment of the path is too long")
     return value
 
 
-def unescaped(text: str, status: int, what: str) -> str:
-    """Undo percent escapes, which must be UTF-8; raises Unreadable."""
-    if any(found[1] is None for found in ESCAPED.finditer(text)):
-        raise Unreadable(status, f"a % in {what} is followed by no two hex digits")
+def unescape(text: str, status: int, subject: str) -> str:
+    """Undo percent escapes, which must be UTF-8; raises Unreadable that names the subject."""
+    if any(escape[1] is None for escape in PERCENT_ESCAPE.finditer(text)):
+        raise Unreadable(status, f"a % in {subject} is followed by no two hex digits")
     try:
         return unquote_to_bytes(text).decode("utf-8")
     except UnicodeDecodeError:
-        raise Unreadable(status, f"{what} is not UTF-8") from None
+        raise Unreadable(status, f"{subject} is not UTF-8") from None
 
 
 def read_query(raw: str) -> Fields:
-    """Names and values of a query in form encoding, where '+' is a space.
+    """Read the names and values of a query in form encoding, where '+' is a space.
 
     The first value of a name counts; `values` gives all of them.
     """
-    return pairs((part.partition("=")[::2] for part in raw.split("&") if part), query_text)
+    parts = (part for part in raw.split("&") if part)
+    return collect_pairs((part.partition("=")[::2] for part in parts), unescape_query)
 
 
-def query_text(text: str) -> str:
-    """A name or value of a query, unescaped; raises Unreadable."""
+def unescape_query(text: str) -> str:
+    """Unescape a name or value of a query; raises Unreadable."""
     text = text.replace("+", " ")
-    return unescaped(text, 400, "the query") if "%" in text else text
+    return unescape(text, 400, "the query") if "%" in text else text
 
 
 def read_cookies(raw: str) -> Fields:
-    """Names and values of Cookie (RFC 6265, 5.4); parts without '=' are skipped."""
-    return pairs((part.partition("=")[::2] for part in raw.split(";") if "=" in part), str.strip)
+    """Read the names and values of Cookie (RFC 6265, 5.4); parts without '=' are skipped."""
+    parts = (part for part in raw.split(";") if "=" in part)
+    return collect_pairs((part.partition("=")[::2] for part in parts), str.strip)
+
 
+def collect_pairs(pairs: Iterable[Sequence[str]], read: Callable[[str], str]) -> Fields:
+    """Collect names with their first values, and all values of names that occur more than once.
 
-def pairs(items: Iterable[Any], read: Any) -> Fields:
-    """Names with their first values, and all values of names that occur more than once."""
+    Args:
+        pairs: Names and values, encoded.
+        read: Decodes a name or a value.
+    """
     values: dict[str, str] = {}
     lists: dict[str, tuple[str, ...]] = {}
-    for raw_name, raw_value in items:
-        name, value = read(raw_name), read(raw_value)
+    for raw_name, raw_value in pairs:
+        name = read(raw_name)
+        value = read(raw_value)
         if name in values:
             lists[name] = (*lists.get(name, (values[name],)), value)
         else:
@@ -259,7 +349,17 @@
 
 
 @lru_cache(maxsize=4096)
-def address(peer: str) -> Any:
-    """The address of a connection's peer; an IPv4-mapped IPv6 address is read as IPv4."""
-    found = ipaddress.ip_address(peer.partition("%")[0])
-    return found.ipv4_mapped or found if isinstance(found, ipaddress.IPv6Address) else found
+def parse_address(peer: str) -> Address:
+    """Parse the address of a connection's peer; an IPv4-mapped IPv6 address is read as IPv4."""
+    address = ipaddress.ip_address(peer.partition("%")[0])
+    if isinstance(address, ipaddress.IPv6Address) and address.ipv4_mapped is not None:
+        return address.ipv4_mapped
+    return address
+
+
+LAZY_ATTRIBUTES: dict[str, Callable[[Input], Any]] = {
+    "query": lambda request: read_query(request.raw_query),
+    "cookies": lambda request: read_cookies(request.headers.get("cookie", "")),
+    "ip": lambda request: parse_address(request.peer),
+    "segments": lambda request: read_segments(request.path),
+}
--- a/stoatrouter/matching/loader.py
+++ b/stoatrouter/matching/loader.py
@@ -1,252 +1,189 @@
-"""Loads a rule table: all scopes and rules are checked and compiled, or all faults are reported."""
+"""Loads a rule table: all scopes and rules are checked and compiled, or all errors are reported."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping, Sequence
-from typing import Any
+from collections.abc import Mapping, Sequence
 
 from stoatrouter.expressions import Environment
-from stoatrouter.expressions import types as t
 from stoatrouter.matching import index
-from stoatrouter.matching.cache import Cache, PlanUse
-from stoatrouter.matching.conjuncts import Condition, condition
+from stoatrouter.matching.cache import Cache
+from stoatrouter.matching.conjuncts import Constraint
 from stoatrouter.matching.coverage import Coverage
-from stoatrouter.matching.flaws import Flaw, TableError
+from stoatrouter.matching.diagnostics import Diagnostic, TableError
 from stoatrouter.matching.inputs import HTTP
 from stoatrouter.matching.records import Rule, Rules, Scope
-from stoatrouter.matching.scopes import Areas, collisions, outside
-from stoatrouter.matching.table import Compartment, Compiled, Table, Value
-from stoatrouter.matching.values import ANY, ValueChecker
+from stoatrouter.matching.rule_compiler import RuleCompiler
+from stoatrouter.matching.scopes import ScopeIndex, find_collisions
+from stoatrouter.matching.table import CompiledRule, CompiledScope, Table
 from stoatrouter.matching.vocabulary import Bucket, Vocabulary
 
-MOST_RULES, MOST_SCOPES = 20_000, 1_000
+MAX_RULES = 20_000  # of a table
+MAX_SCOPES = 1_000  # of a table
+DEAREST_SHOWN = 3  # rules that an error about a scope's steps names
 
 
-class Loader(ValueChecker):
-    """One load of one table; it collects faults, and takes unchanged expressions from the cache."""
+class Loader(RuleCompiler):
+    """One load of one table; it collects errors, and takes what is unchanged from the cache."""
 
     def __init__(
         self,
-        words: Vocabulary,
+        vocabulary: Vocabulary,
         environment: Environment = HTTP,
-        before: Cache | None = None,
+        cache: Cache | None = None,
         buckets: Mapping[str, Bucket] | None = None,
     ) -> None:
-        super().__init__(words, environment, before if before is not None else Cache())
-        self.buckets = buckets
-        self.plans: dict[str, tuple[str, str]] = {}  # of each volume, and the place of the rule that says so
-        self.warnings: list[Flaw] = []
-        self.plan_uses: list[PlanUse] = []  # of the scope being loaded
+        """Prepare a load.
+
+        Args:
+            vocabulary: The classes, plans and bounds of the settings.
+            environment: What expressions may use.
+            cache: What earlier loads left; None: nothing.
+            buckets: The buckets of the object front; None for the HTTP front.
+        """
+        super().__init__(vocabulary, environment, Cache() if cache is None else cache, buckets)
+        self.warnings: list[Diagnostic] = []
 
     def load(self, rules: Rules, teams: Mapping[str, Sequence[Rule]], epoch: str) -> Table:
-        """Make the table; raises TableError.
+        """Compile a table.
 
-        `teams` has the rules of scopes that name a file of their own.
+        Args:
+            rules: The operator's file.
+            teams: The rules of scopes that name a file of their own.
+            epoch: A short digest of all files.
+
+        Raises:
+            TableError: The table has errors; it names them all.
         """
-        self.cache.begin(self.environment, self.words)
-        if len(rules.scopes) > MOST_SCOPES:
-            self.wrong("scopes", f"{len(rules.scopes)} scopes", f"{MOST_SCOPES} at most")
-        if sum(len(teams.get(n, s.rules)) for n, s in rules.scopes.items()) > MOST_RULES:
-            raise TableError([Flaw("scopes", "too many rules", f"{MOST_RULES} at most")])
-        for name, bucket in (self.buckets or {}).items():
-            if bucket.plan is not None:
-                self.plans[bucket.volume] = bucket.plan, f"the bucket {name!r}"
-        for first, second, host, path in collisions(rules.scopes):
-            self.wrong(
-                f"scopes.{second}",
-                f"host {host!r} with path {path!r} is claimed by {first!r} as well",
-                "give each path to one scope; the longer prefix has its own requests",
-            )
-        made = {
-            name: self.compartment(name, scope, teams.get(name, scope.rules))
-            for name, scope in rules.scopes.items()
+        self.cache.begin(self.environment, self.vocabulary)
+        rules_by_scope = {name: teams.get(name, scope.rules) for name, scope in rules.scopes.items()}
+        self.check_scopes(rules, rules_by_scope)
+        compiled = {
+            name: self.load_scope(name, scope, rules_by_scope[name]) for name, scope in rules.scopes.items()
         }
-        if self.flaws:
-            raise TableError(self.flaws)
-        self.cache.sweep(made)
+        if self.errors:
+            raise TableError(self.errors)
+        self.cache.sweep(compiled)
         return Table(
-            {name: c for name, c in made.items() if c is not None},
-            Areas(rules.scopes),
+            {name: scope for name, scope in compiled.items() if scope is not None},
+            ScopeIndex(rules.scopes),
             rules.otherwise,
-            self.words,
+            self.vocabulary,
             sorted(set(self.warnings)),
             epoch,
-            self.buckets is not None,
+            any_node=self.buckets is not None,
         )
 
-    def compartment(self, name: str, scope: Scope, rules: Sequence[Rule]) -> Compartment | None:
-        """Check and compile one scope; None where a rule cannot be compiled. Flaws are recorded."""
-        kept = self.cache.compartment(name, scope, rules)
-        if kept is not None:
-            self.warnings += kept[1]
-            for plan_use in kept[2]:
-                self.one_plan(*plan_use)
-            return kept[0]
+    def check_scopes(self, rules: Rules, rules_by_scope: Mapping[str, Sequence[Rule]]) -> None:
+        """Check how many scopes and rules there are, and that no two scopes claim the same.
+
+        Raises:
+            TableError: There are more rules than a load may take time for.
+        """
+        if len(rules.scopes) > MAX_SCOPES:
+            self.report("scopes", f"{len(rules.scopes)} scopes", f"{MAX_SCOPES} at most")
+        if sum(map(len, rules_by_scope.values())) > MAX_RULES:
+            raise TableError([Diagnostic("scopes", "too many rules", f"{MAX_RULES} at most")])
+        for first, second, host, path in find_collisions(rules.scopes):
+            self.report(
+                f"scopes.{second}",
+                f"host {host!r} with path {path!r} is claimed by {first!r} as well",
+                "give each path to one scope; the longer prefix has its own requests",
+            )
+
+    # -- one scope ----------------------------------------------------------------------------------------
+    def load_scope(self, name: str, scope: Scope, rules: Sequence[Rule]) -> CompiledScope | None:
+        """Take a scope from the cache, or compile it; returns None where a rule has errors."""
+        cached = self.cache.find_scope(name, scope, rules)
+        if cached is not None:
+            self.warnings += cached.warnings
+            for use in cached.plan_uses:
+                self.check_plan_use(use)
+            return cached.compiled
         self.plan_uses = []
+        errors_before = len(self.errors)
+        warnings_before = len(self.warnings)
+        compiled = self.compile_scope(name, scope, rules)
+        if compiled is not None and len(self.errors) == errors_before:
+            warnings = self.warnings[warnings_before:]
+            self.cache.store_scope(compiled, rules, warnings, self.plan_uses)
+        return compiled
+
+    def compile_scope(self, name: str, scope: Scope, rules: Sequence[Rule]) -> CompiledScope | None:
+        """Check and compile one scope; returns None where a rule has errors, which are recorded."""
         path = f"scopes.{name}"
-        before = len(self.flaws), len(self.warnings)
-        self.scope_words(path, scope)
-        places = [f"{path}.rules[{i}]" for i in range(len(rules))]
-        compiled: list[Compiled] = []
-        whole = True
-        names: dict[str, int] = {}
-        for i, (place, rule) in enumerate(zip(places, rules, strict=True)):
-            if names.setdefault(rule.name, i) != i:
-                self.wrong(
-                    place, f"the name {rule.name!r} stands twice", f"it is that of rules[{names[rule.name]}]"
-                )
-            made = self.rule(place, scope, rule)
-            whole = whole and made is not None
-            if made is not None:
-                compiled.append(made)
-        if not whole:
+        self.check_scope(path, scope)
+        places = [f"{path}.rules[{number}]" for number in range(len(rules))]
+        self.check_rule_names(places, rules)
+        results = [self.compile_rule(place, scope, rule) for place, rule in zip(places, rules, strict=True)]
+        compiled = [rule for rule in results if rule is not None]
+        if len(compiled) < len(rules):
             return None
-        self.idle(places, compiled)
-        tree = index.build([c.condition for c in compiled])
-        worst = tree.worst([c.cost for c in compiled]) + max((c.yield_cost for c in compiled), default=0)
-        if worst > scope.steps:
-            dear = sorted(compiled, key=lambda c: -c.cost)[:3]
-            self.wrong(
-                path,
-                f"a request may take {worst} steps, {scope.steps} at most",
-                "dearest: "
-                + ", ".join(f"{c.cost} for {c.name}" for c in dear)
-                + "; conditions on host, method, path or a header keep rules apart",
-            )
-        made = Compartment(name, scope, tuple(compiled), tree, worst)
-        if len(self.flaws) == before[0]:
-            self.cache.keep(made, rules, self.warnings[before[1] :], self.plan_uses)
-        return made
-
-    def scope_words(self, path: str, scope: Scope) -> None:
+        self.warn_of_idle_rules(places, compiled)
+        tree = index.build([rule.condition for rule in compiled])
+        yield_steps = max((rule.yield_cost for rule in compiled), default=0)
+        max_steps = tree.max_steps([rule.cost for rule in compiled]) + yield_steps
+        if max_steps > scope.steps:
+            self.report_steps(path, scope, max_steps, compiled)
+        return CompiledScope(name, scope, tuple(compiled), tree, max_steps)
+
+    def check_scope(self, path: str, scope: Scope) -> None:
         """Check that the classes and plans of a scope exist and its paths are prefixes."""
-        for kind in scope.classes:
-            if self.words.class_number(kind) is None:
-                self.wrong(
-                    f"{path}.classes",
-                    f"there is no class {kind!r}",
-                    "there is: " + ", ".join(c.name for c in self.words.classes),
-                )
+        for request_class in scope.classes:
+            if self.vocabulary.class_number(request_class) is None:
+                known = ", ".join(each.name for each in self.vocabulary.classes)
+                self.report(f"{path}.classes", f"there is no class {request_class!r}", f"there is: {known}")
         for plan in scope.plans:
-            if plan not in self.words.plans:
-                self.wrong(
-                    f"{path}.plans", f"there is no plan {plan!r}", "there is: " + ", ".join(self.words.plans)
-                )
-        for claimed in scope.paths:
-            if not claimed.startswith("/"):
-                self.wrong(f"{path}.paths", f"{claimed!r} is no path prefix", "it starts with /")
-
-    def idle(self, places: list[str], compiled: list[Compiled]) -> None:
-        """Record warnings for rules that can never match."""
-        for place, rule in zip(places, compiled, strict=True):
-            clash = rule.condition.contradiction()
-            if rule.condition.never:
-                self.warnings.append(Flaw(place, f"rule {rule.name!r} never matches: its condition is false"))
-            elif clash is not None:
-                both = f"{demand_text(clash[0])} and {demand_text(clash[1])}"
-                self.warnings.append(Flaw(place, f"rule {rule.name!r} never matches: it wants {both}"))
-        for i, j in Coverage([c.condition for c in compiled]).covered():
-            self.warnings.append(
-                Flaw(
-                    places[i],
-                    f"rule {compiled[i].name!r} never matches: {compiled[j].name!r} before it covers it",
-                    "move it up, or remove one",
-                )
-            )
-
-    # -- one rule -----------------------------------------------------------------------------------------
-    def rule(self, place: str, scope: Scope, rule: Rule) -> Compiled | None:
-        """Check and compile one rule; None where it is wrong. Flaws are recorded."""
-        before = len(self.flaws)
-        when = self.expression(f"{place}.when", rule.when, t.BOOL, scope.steps)
-        parts = condition(when[0].root.node) if when is not None else Condition((), frozenset())
-        if when is not None and (beyond := outside(scope, parts)) is not None:
-            self.wrong(
-                f"{place}.when",
-                f"{beyond} is outside of this scope",
-                f"it has hosts {', '.join(scope.hosts)} and paths {', '.join(scope.paths)}",
-            )
-        values: dict[str, Value] = {}
-        cost = 0
-        if rule.refuse is None:
-            cost = self.values(place, scope, rule, parts, values)
-        elif given := [name for name in FIELDS if getattr(rule, ATTRIBUTE.get(name, name)) is not None]:
-            self.wrong(place, f"a rule that refuses yields no {given[0]}", "leave it out")
-        if self.buckets is not None and rule.refuse is None:
-            for name in PIECES_OWN:
-                if getattr(rule, name) is not None:
-                    self.wrong(f"{place}.{name}", f"an object's pieces have their own {name}", "leave it out")
-        if rule.refuse is not None and not 400 <= rule.refuse.status <= 599:
-            self.wrong(f"{place}.refuse.status", f"{rule.refuse.status} is no refusal", "400 to 599")
-        if len(self.flaws) > before or when is None:
-            return None
-        return Compiled(rule.name, when[1], parts, when[0].cost, rule, values, cost)
-
-    def values(self, place: str, scope: Scope, rule: Rule, parts: Condition, values: dict[str, Value]) -> int:
-        """Fill in what a rule yields; returns the steps that it takes."""
-        cost = 0
-        plans: frozenset[str] = frozenset()
-        volumes: frozenset[str] = frozenset()
-        for name in FIELDS:
-            given = getattr(rule, ATTRIBUTE.get(name, name))
-            if given is None and not (self.buckets is not None and name in ("volume", "plan")):
-                given = self.only(place, scope, name)
-            if given is None:
-                continue
-            checker: Callable[..., tuple[Value, int] | None] = getattr(self, f"{name}_value")
-            made = checker(f"{place}.{name}", scope, given, parts)
-            if made is not None:
-                values[name], steps = made[:2]
-                cost += steps
-                if name == "plan":
-                    plans = frozenset(o.text for o in made[2])
-                if name == "volume":
-                    volumes = (
-                        frozenset(o.text for o in made[2])
-                        if len(made) > 2
-                        else frozenset((f"{ANY} {place}",))
-                    )
-        reached = self.reached(parts) if self.buckets is not None else volumes
-        self.plan_uses.append(PlanUse(place, reached, plans))
-        self.one_plan(*self.plan_uses[-1])
-        return cost
-
-    def reached(self, parts: Condition) -> frozenset[str]:
-        """The volumes of the buckets that a condition lets through."""
-        named = [d.values for d in parts.demands if d.dimension == ("bucket", "")]
-        return frozenset(
-            bucket.volume
-            for name, bucket in (self.buckets or {}).items()
-            if all(name in values for values in named)
+            if plan not in self.vocabulary.plans:
+                known = ", ".join(self.vocabulary.plans)
+                self.report(f"{path}.plans", f"there is no plan {plan!r}", f"there is: {known}")
+        for prefix in scope.paths:
+            if not prefix.startswith("/"):
+                self.report(f"{path}.paths", f"{prefix!r} is no path prefix", "it starts with /")
+
+    def check_rule_names(self, places: Sequence[str], rules: Sequence[Rule]) -> None:
+        """Check that the names of a scope's rules differ."""
+        first_uses: dict[str, int] = {}
+        for number, (place, rule) in enumerate(zip(places, rules, strict=True)):
+            first = first_uses.setdefault(rule.name, number)
+            if first != number:
+                self.report(place, f"the name {rule.name!r} stands twice", f"it is that of rules[{first}]")
+
+    def report_steps(self, path: str, scope: Scope, max_steps: int, compiled: Sequence[CompiledRule]) -> None:
+        """Record that a request of a scope may take too many steps."""
+        dearest = sorted(compiled, key=lambda rule: -rule.cost)[:DEAREST_SHOWN]
+        self.report(
+            path,
+            f"a request may take {max_steps} steps, {scope.steps} at most",
+            "dearest: "
+            + ", ".join(f"{rule.cost} for {rule.name}" for rule in dearest)
+            + "; conditions on host, method, path or a header keep rules apart",
         )
 
-    def one_plan(self, place: str, volumes: frozenset[str], plans: frozenset[str]) -> None:
-        """Record a flaw where a volume gets two plans.
-
-        Limits are kept by volume and plan, so a volume with two plans would have two limits.
-        """
-        for volume in sorted(volumes):
-            for plan in sorted(plans):
-                first, where = self.plans.setdefault(volume, (plan, place))
-                if first != plan:
-                    name = "a computed volume" if volume.startswith(ANY) else f"volume {volume!r}"
-                    self.wrong(
-                        place,
-                        f"{name} has plan {plan!r} here and {first!r} at {where}",
-                        "a volume has one plan",
-                    )
-                    return
-
-
-FIELDS = ("class", "volume", "plan", "key", "shard", "units", "repeat", "deadline")
-ATTRIBUTE = {"class": "request_class"}
-PIECES_OWN = ("volume", "units", "hosts", "repeat")  # of which a call of the object front has none
-
-
-def demand_text(demand: Any) -> str:
-    """A demand in words, for warnings."""
-    kind, name = demand.dimension
-    what = {"prefix": "a path that starts with", "segment": f"segment {name} to be"}.get(
-        kind, f"{kind} {name!r} to be" if name else f"the {kind} to be"
-    )
-    return f"{what} {' or '.join(sorted(map(repr, demand.values)))}"
+    def warn_of_idle_rules(self, places: Sequence[str], compiled: Sequence[CompiledRule]) -> None:
+        """Record warnings for rules that can never match."""
+        for place, rule in zip(places, compiled, strict=True):
+            never = f"rule {rule.name!r} never matches"
+            contradiction = rule.condition.find_contradiction()
+            if rule.condition.is_false:
+                self.warnings.append(Diagnostic(place, f"{never}: its condition is false"))
+            elif contradiction is not None:
+                both = " and ".join(map(describe_constraint, contradiction))
+                self.warnings.append(Diagnostic(place, f"{never}: it wants {both}"))
+        for covered in Coverage([rule.condition for rule in compiled]).find_covered():
+            name = compiled[covered.rule].name
+            covering = compiled[covered.covered_by].name
+            what = f"rule {name!r} never matches: {covering!r} before it covers it"
+            self.warnings.append(Diagnostic(places[covered.rule], what, "move it up, or remove one"))
+
+
+def describe_constraint(constraint: Constraint) -> str:
+    """Describe a constraint in words, for warnings."""
+    kind, name = constraint.dimension
+    match kind:
+        case "prefix":
+            subject = "a path that starts with"
+        case "segment":
+            subject = f"segment {name} to be"
+        case _:
+            subject = f"{kind} {name!r} to be" if name else f"the {kind} to be"
+    return f"{subject} {' or '.join(sorted(map(repr, constraint.values)))}"
--- a/stoatrouter/matching/matcher.py
+++ b/stoatrouter/matching/matcher.py
@@ -12,23 +12,34 @@
 from stoatrouter.expressions.runtime import stable_hash
 from stoatrouter.matching.decisions import Decision, Refusal
 from stoatrouter.matching.inputs import Input
-from stoatrouter.matching.placements import Conflict, Placements
+from stoatrouter.matching.placements import KeyConflict, PlacementKey, Placements
 from stoatrouter.matching.table import Table
 
-MOST_DIFFERENCES = 1_000  # pairs of rules whose differences are counted apart
+MAX_DIFFERENCES = 1_000  # pairs of rules whose differences are counted apart
+OTHER_RULES = ("others", "others")  # the pair that all further differences count under
 
 
 @dataclass(slots=True)
 class Matcher:
-    """Decides requests. `windows` are the repeat windows of keyed classes by number; others have none."""
+    """Decides requests.
+
+    Attributes:
+        table: The table in force.
+        windows: For how long nodes know the keys of idempotent classes, by class number; others have none.
+        shadow: The table in shadow, whose decisions are only compared.
+        placements: The decisions for idempotency keys.
+        matched: Requests by scope and rule.
+        differences: Requests that the shadow decides differently, by the rules in force and in shadow.
+        shadowed: Requests that both tables decided.
+    """
 
     table: Table
     windows: dict[int, timedelta] = field(default_factory=dict)
     shadow: Table | None = None
     placements: Placements = field(default_factory=Placements)
-    matched: Counter[tuple[str, str]] = field(default_factory=Counter)  # by scope and rule
-    differences: Counter[tuple[str, str]] = field(default_factory=Counter)  # rule in force, rule in shadow
-    shadowed: int = 0  # requests that both tables were asked about
+    matched: Counter[tuple[str, str]] = field(default_factory=Counter)
+    differences: Counter[tuple[str, str]] = field(default_factory=Counter)
+    shadowed: int = 0
 
     def replace(self, table: Table) -> None:
         """Put a table in force. Placements stay, as they belong to requests and not to tables."""
@@ -36,62 +47,81 @@
 
     def put_in_shadow(self, table: Table | None) -> None:
         """Run another table beside the one in force, or none; counts start again."""
-        self.shadow, self.shadowed = table, 0
+        self.shadow = table
+        self.shadowed = 0
         self.differences.clear()
 
-    def decide(self, given: Input, now: timedelta, idempotency_key: str | None = None) -> Decision | Refusal:
-        """Decide a request."""
-        home, rule = self.table.match(given)
-        decided = self.table.decided(home, rule, given)
+    def decide(
+        self, request: Input, now: timedelta, idempotency_key: str | None = None
+    ) -> Decision | Refusal:
+        """Decide a request.
+
+        Args:
+            request: The request.
+            now: The time since the Unix epoch.
+            idempotency_key: The client's key; requests without one are never placed as an earlier one was.
+        """
+        match = self.table.match(request)
+        decision = self.table.decide_match(match, request)
         if self.shadow is not None:
-            self.compare(given, decided, self.shadow.decide(given))
-        self.matched[(decided.scope or "", decided.rule or "")] += 1
-        if idempotency_key is None or home is None:
-            return decided
-        return self.placed(given, decided, idempotency_key, now)
-
-    def placed(
-        self, given: Input, decided: Decision | Refusal, key: str, now: timedelta
+            self.compare(decision, self.shadow.decide(request))
+        self.matched[(decision.scope or "", decision.rule or "")] += 1
+        if idempotency_key is None or match.scope is None:
+            return decision
+        return self.place(request, decision, idempotency_key, now)
+
+    def place(
+        self, request: Input, decision: Decision | Refusal, idempotency_key: str, now: timedelta
     ) -> Decision | Refusal:
-        """Place a keyed request as its first try was, even where the table has changed since."""
-        place = (given.host, given.path, key)
-        fingerprint = stable_hash(f"{given.method} {given.raw_query}")
+        """Place an idempotent request as its first attempt was, even where the table has changed since."""
+        key = PlacementKey(request.host, request.path, idempotency_key)
+        fingerprint = stable_hash(f"{request.method} {request.raw_query}")
         try:
-            before = self.placements.find(place, fingerprint, now)
-        except Conflict:
-            return Refusal(422, "this Idempotency-Key came with another request", decided.scope)
-        if before is not None:
-            decided = before
-        if isinstance(decided, Decision) and (window := self.windows.get(decided.request_class)):
-            self.placements.keep(place, decided, fingerprint, now, window)
-        return decided
-
-    def compare(self, given: Input, decided: Decision | Refusal, other: Decision | Refusal) -> None:
-        """Count a request that the shadow table decides differently, by the rules that decided."""
+            earlier = self.placements.find(key, fingerprint, now)
+        except KeyConflict:
+            return Refusal(422, "this Idempotency-Key came with another request", decision.scope)
+        if earlier is not None:
+            decision = earlier
+        if isinstance(decision, Decision) and (window := self.windows.get(decision.request_class)):
+            self.placements.store(key, decision, fingerprint, now, window)
+        return decision
+
+    def compare(self, decision: Decision | Refusal, shadow: Decision | Refusal) -> None:
+        """Count a request that both tables decided, by the rules where they decided differently."""
         self.shadowed += 1
-        if alike(decided, other):
+        if are_equivalent(decision, shadow):
             return
-        pair = (named(decided), named(other))
+        pair = (rule_label(decision), rule_label(shadow))
         # Guards memory: a pair of large tables has many pairs of rules.
-        if pair not in self.differences and len(self.differences) >= MOST_DIFFERENCES:
-            pair = ("others", "others")
+        if pair not in self.differences and len(self.differences) >= MAX_DIFFERENCES:
+            pair = OTHER_RULES
         self.differences[pair] += 1
 
 
-def named(decided: Decision | Refusal) -> str:
-    """The scope and rule of a decision, as differences are counted."""
-    return f"{decided.scope or '-'}/{decided.rule or '-'}"
+def rule_label(decision: Decision | Refusal) -> str:
+    """The scope and rule of a decision, as differences are counted by."""
+    return f"{decision.scope or '-'}/{decision.rule or '-'}"
 
 
-def alike(a: Decision | Refusal, b: Decision | Refusal) -> bool:
+def are_equivalent(first: Decision | Refusal, second: Decision | Refusal) -> bool:
     """Whether two decisions are the same apart from the names of their rules."""
-    if isinstance(a, Refusal) or isinstance(b, Refusal):
-        return (
-            isinstance(a, Refusal) and isinstance(b, Refusal) and (a.status, a.reason) == (b.status, b.reason)
-        )
-    return placing(a) == placing(b)
-
-
-def placing(d: Decision) -> tuple[object, ...]:
-    """All that a decision says of the request, without the names of scope and rule."""
-    return (d.request_class, d.volume, d.plan, d.key, d.shard, d.units, d.hosts, d.repeat, d.deadline)
+    if isinstance(first, Decision) and isinstance(second, Decision):
+        return yielded_values(first) == yielded_values(second)
+    if isinstance(first, Refusal) and isinstance(second, Refusal):
+        return (first.status, first.reason) == (second.status, second.reason)
+    return False
+
+
+def yielded_values(decision: Decision) -> tuple[object, ...]:
+    """All that a decision yields for the request, without the names of scope and rule."""
+    return (
+        decision.request_class,
+        decision.volume,
+        decision.plan,
+        decision.key,
+        decision.shard,
+        decision.units,
+        decision.hosts,
+        decision.repeat,
+        decision.deadline,
+    )
--- a/stoatrouter/matching/outcomes.py
+++ b/stoatrouter/matching/outcomes.py
@@ -1,14 +1,15 @@
-"""The texts that an expression can yield, to check at load what a rule can reach and repeat."""
+"""The texts that an expression can yield, to check at load what a rule can reach and what may be retried."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from stoatrouter.expressions import syntax as s
-from stoatrouter.matching.conjuncts import Condition, condition, literal_text
+from stoatrouter.matching.conjuncts import Condition, literal_text, split_condition
 
-# RFC 9110, 9.2.1: safe methods. A client repeats them, and so may a head.
+# RFC 9110, 9.2.1: safe methods. A client retries them, and so may a head.
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "TRACE"))
+METHOD = ("method", "")
 
 
 @dataclass(slots=True, frozen=True)
@@ -19,45 +20,55 @@
     safe: bool
 
 
-def outcomes(node: s.Node, safe: bool) -> frozenset[Outcome] | None:
-    """All texts that an expression can yield; None where they cannot be derived from its source."""
+def find_outcomes(node: s.Node, safe: bool) -> frozenset[Outcome] | None:
+    """Find all texts that an expression can yield.
+
+    Args:
+        node: The expression.
+        safe: Whether only safe methods lead to it.
+
+    Returns:
+        The texts; None where they cannot be derived from the source.
+    """
     match node:
         case s.Literal():
             text = literal_text(node)
             return None if text is None else frozenset((Outcome(text, safe),))
-        case s.Conditional(condition=asked, then=then, other=other):
-            return united(
-                outcomes(then, safe or proves_safe(condition(asked))),
-                outcomes(other, safe or proves_safe_if_not(asked)),
+        case s.Conditional(condition=condition, then=then, other=other):
+            return unite(
+                find_outcomes(then, safe or proves_safe(split_condition(condition))),
+                find_outcomes(other, safe or proves_safe_if_not(condition)),
             )
         case s.Index(operand=s.MapLiteral(items=items)) | s.Select(operand=s.MapLiteral(items=items)):
-            return united(*(outcomes(value, safe) for _, value in items))
+            return unite(*(find_outcomes(value, safe) for _, value in items))
         case s.Call(function="orValue" | "or", receiver=s.Node() as optional, arguments=(other,)):
-            return united(outcomes(optional, safe), outcomes(other, safe))
+            return unite(find_outcomes(optional, safe), find_outcomes(other, safe))
         case s.Call(function="of", arguments=(inner,)) | s.Call(function="try", arguments=(inner,)):
-            return outcomes(inner, safe)
+            return find_outcomes(inner, safe)
         case _:
             return None
 
 
-def united(*parts: frozenset[Outcome] | None) -> frozenset[Outcome] | None:
-    """The union of several sets of outcomes; None where one of them cannot be told."""
-    if any(part is None for part in parts):
-        return None
-    return frozenset().union(*(part for part in parts if part is not None))
+def unite(*parts: frozenset[Outcome] | None) -> frozenset[Outcome] | None:
+    """Unite several sets of outcomes; returns None where one of them is not known."""
+    known = [part for part in parts if part is not None]
+    return frozenset().union(*known) if len(known) == len(parts) else None
 
 
-def proves_safe(known: Condition) -> bool:
+def proves_safe(condition: Condition) -> bool:
     """Whether a condition holds for safe methods only."""
-    return any(d.dimension == ("method", "") and d.values <= SAFE_METHODS for d in known.demands)
+    return any(
+        constraint.dimension == METHOD and constraint.values <= SAFE_METHODS
+        for constraint in condition.constraints
+    )
 
 
-def proves_safe_if_not(asked: s.Node) -> bool:
+def proves_safe_if_not(node: s.Node) -> bool:
     """Whether a condition that does not hold leaves only safe methods, like method != "GET"."""
-    match asked:
+    match node:
         case s.Call(function="!", arguments=(inner,)):
-            return proves_safe(condition(inner))
+            return proves_safe(split_condition(inner))
         case s.Call(function="!=", arguments=arguments):
-            return proves_safe(condition(s.Call(asked.at, asked.depth, "==", arguments)))
+            return proves_safe(split_condition(s.Call(node.at, node.depth, "==", arguments)))
         case _:
             return False
--- a/stoatrouter/matching/placements.py
+++ b/stoatrouter/matching/placements.py
@@ -1,9 +1,9 @@
-"""Where keyed requests were placed: a repeat is placed as its first try was, under any table.
+"""Where idempotent requests were placed: a retry is placed as its first attempt was, under any table.
 
-Nodes drop a repeat only where the first try came to: with another volume, key or shard it would run again.
-So the decision for an idempotency key is kept for the repeat window of its class. Within one process and its
-bound, a repeat that comes in time is placed as the first try was. A head that starts from nothing, or that
-had to forget (which is counted), places by its table.
+Nodes drop a retry only where the first attempt came to: with another volume, key or shard it would run again.
+So the decision for an idempotency key is stored for the window in which nodes know the key, which its class
+states. Within one process and its bound, a retry that comes in time is placed as the first attempt was. A
+head that starts from nothing, or that had to evict the key (which is counted), places by its table.
 """
 
 from __future__ import annotations
@@ -11,10 +11,23 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 from datetime import timedelta
+from typing import NamedTuple
 
 from stoatrouter.matching.decisions import Decision
 
-MOST = 16_384  # keys held together; beyond, the oldest is forgotten and counted
+MAX_PLACEMENTS = 16_384  # beyond, the oldest is evicted and counted
+
+
+class PlacementKey(NamedTuple):
+    """What a placement is found by.
+
+    Not by scope, as a new table may give the path to another one, and not by the idempotency key alone, as
+    clients' keys must not collide.
+    """
+
+    host: str
+    path: str
+    idempotency_key: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,51 +39,61 @@
     until: timedelta
 
 
-class Conflict(Exception):
+class KeyConflict(Exception):
     """An idempotency key came with another request than before."""
 
 
 class Placements:
-    """Placements by host, path and key, the oldest first.
-
-    Not by scope, as a new table may give the path to another one, and not by key alone, as clients' keys
-    must not collide.
-    """
-
-    def __init__(self, most: int = MOST) -> None:
-        self.most = most
-        self.held: OrderedDict[tuple[str, str, str], Placement] = OrderedDict()
-        self.forgotten = 0  # before their time was over
-
-    def find(self, place: tuple[str, str, str], fingerprint: int, now: timedelta) -> Decision | None:
-        """The decision kept for this key, or None; raises Conflict."""
-        held = self.held.get(place)
-        if held is None or held.until <= now:
+    """Stored placements, the oldest first."""
+
+    def __init__(self, limit: int = MAX_PLACEMENTS) -> None:
+        """Start without placements.
+
+        Args:
+            limit: The most placements that are stored at a time.
+        """
+        self.limit = limit
+        self.entries: OrderedDict[tuple[str, str, str], Placement] = OrderedDict()
+        self.forgotten = 0  # evicted while they were still valid
+
+    def find(self, key: tuple[str, str, str], fingerprint: int, now: timedelta) -> Decision | None:
+        """Find the decision stored for a key.
+
+        Args:
+            key: The request's PlacementKey.
+            fingerprint: A hash of what else identifies the request.
+            now: The time since the Unix epoch.
+
+        Raises:
+            KeyConflict: The decision was made for another request.
+        """
+        placement = self.entries.get(key)
+        if placement is None or placement.until <= now:
             return None
-        # Guards data: two requests under one key would be taken for repeats of each other.
-        if held.fingerprint != fingerprint:
-            raise Conflict
-        return held.decision
+        # Guards data: two requests under one key would be taken for retries of each other.
+        if placement.fingerprint != fingerprint:
+            raise KeyConflict
+        return placement.decision
 
-    def keep(
+    def store(
         self,
-        place: tuple[str, str, str],
+        key: tuple[str, str, str],
         decision: Decision,
         fingerprint: int,
         now: timedelta,
         window: timedelta,
     ) -> None:
-        """Keep a decision for its window from now on; a repeat renews it, as nodes count from the latest."""
-        self.held.pop(place, None)
-        self.held[place] = Placement(decision, fingerprint, now + window)
+        """Store a decision for its window from now on; a retry renews it, as nodes count from the latest."""
+        self.entries.pop(key, None)
+        self.entries[key] = Placement(decision, fingerprint, now + window)
         self.sweep(now)
 
     def sweep(self, now: timedelta) -> None:
-        """Forget expired placements, and the oldest beyond the bound."""
-        while self.held:
-            place, oldest = next(iter(self.held.items()))
+        """Remove expired placements, and the oldest beyond the limit."""
+        while self.entries:
+            key, oldest = next(iter(self.entries.items()))
             if oldest.until > now:
-                if len(self.held) <= self.most:
+                if len(self.entries) <= self.limit:
                     return
                 self.forgotten += 1
-            del self.held[place]
+            del self.entries[key]
--- a/stoatrouter/matching/records.py
+++ b/stoatrouter/matching/records.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 
@@ -19,7 +21,7 @@
 
 
 class Rule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One rule: its condition, and what the request becomes. Fields left out default to the scope's."""
+    """One rule: its condition, and what it yields. Fields left out default to the scope's."""
 
     name: str
     when: str
@@ -35,14 +37,32 @@
     refuse: Refusal | None = None
 
 
+class RuleField(StrEnum):
+    """The fields of a rule that yield values, under their names in the file."""
+
+    CLASS = "class"
+    VOLUME = "volume"
+    PLAN = "plan"
+    KEY = "key"
+    SHARD = "shard"
+    UNITS = "units"
+    REPEAT = "repeat"
+    DEADLINE = "deadline"
+
+    @property
+    def attribute(self) -> str:
+        """The attribute of Rule that holds the field."""
+        return "request_class" if self is RuleField.CLASS else self.value
+
+
 class Rights(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Rights that an operator may give to a team beyond its own area."""
 
-    repeat_unsafe_methods: bool = False  # a PUT or POST may become a class that is safe to repeat
+    repeat_unsafe_methods: bool = False  # a PUT or POST may get a class that is retried freely
 
 
 class Scope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A team's area: what its rules may use. It is set by the operator, not by the team."""
+    """A team's scope: what its rules may use. It is set by the operator, not by the team."""
 
     hosts: tuple[str, ...]
     paths: tuple[str, ...]
--- /dev/null
+++ b/stoatrouter/matching/rule_compiler.py
@@ -0,0 +1,170 @@
+"""Checks and compiles one rule: its condition, what it yields, and that each volume has one plan."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, NamedTuple
+
+from stoatrouter.expressions import Environment
+from stoatrouter.expressions import types as t
+from stoatrouter.matching.cache import Cache, PlanUse
+from stoatrouter.matching.conjuncts import Condition, split_condition
+from stoatrouter.matching.records import Rule, RuleField, Scope
+from stoatrouter.matching.scopes import find_outside
+from stoatrouter.matching.table import CompiledRule
+from stoatrouter.matching.values import ANY_VOLUME, CheckedValue, ValueChecker
+from stoatrouter.matching.vocabulary import Bucket, Vocabulary
+
+BUCKET = ("bucket", "")
+# Fields that a rule of the object front must not have: an object's pieces have their own.
+PIECE_FIELDS = ("volume", "units", "hosts", "repeat")
+BUCKET_FIELDS = (RuleField.VOLUME, RuleField.PLAN)  # which the object front knows by the bucket
+NO_CONDITION = Condition((), frozenset())
+
+
+class VolumePlan(NamedTuple):
+    """The plan of a volume, and the place that says so."""
+
+    plan: str
+    place: str
+
+
+class RuleCompiler(ValueChecker):
+    """Checks and compiles rules; collects the errors that it finds."""
+
+    def __init__(
+        self,
+        vocabulary: Vocabulary,
+        environment: Environment,
+        cache: Cache,
+        buckets: Mapping[str, Bucket] | None,
+    ) -> None:
+        """Compile the rules of one table.
+
+        Args:
+            vocabulary: The classes, plans and bounds of the settings.
+            environment: What expressions may use.
+            cache: Compiled expressions of earlier loads.
+            buckets: The buckets of the object front; None for the HTTP front.
+        """
+        super().__init__(vocabulary, environment, cache)
+        self.buckets = buckets
+        self.volume_plans = {
+            bucket.volume: VolumePlan(bucket.plan, f"the bucket {name!r}")
+            for name, bucket in (buckets or {}).items()
+            if bucket.plan is not None
+        }
+        self.plan_uses: list[PlanUse] = []  # of the scope being compiled
+
+    def compile_rule(self, place: str, scope: Scope, rule: Rule) -> CompiledRule | None:
+        """Check and compile one rule; returns None where it has errors, which are recorded.
+
+        Args:
+            place: The rule's path in the file.
+            scope: The scope that it belongs to.
+            rule: The rule as it stands in the file.
+        """
+        errors_before = len(self.errors)
+        when = self.compile(f"{place}.when", rule.when, t.BOOL, scope.steps)
+        condition = NO_CONDITION if when is None else split_condition(when.checked.root.node)
+        outside = find_outside(scope, condition)
+        if outside is not None:
+            self.report(
+                f"{place}.when",
+                f"{outside} is outside of this scope",
+                f"it has hosts {', '.join(scope.hosts)} and paths {', '.join(scope.paths)}",
+            )
+        checked: dict[RuleField, CheckedValue] = {}
+        if rule.refuse is None:
+            checked = self.check_values(place, scope, rule, condition)
+        else:
+            self.check_refusal(place, rule, rule.refuse.status)
+        if len(self.errors) > errors_before or when is None:
+            return None
+        values = {field.value: each.value for field, each in checked.items()}
+        yield_cost = sum(each.cost for each in checked.values())
+        return CompiledRule(rule.name, when.run, condition, when.checked.cost, rule, values, yield_cost)
+
+    def check_refusal(self, place: str, rule: Rule, status: int) -> None:
+        """Check a rule that refuses: its status, and that it yields nothing."""
+        given = [field for field in RuleField if getattr(rule, field.attribute) is not None]
+        if given:
+            self.report(place, f"a rule that refuses yields no {given[0]}", "leave it out")
+        if not 400 <= status <= 599:
+            self.report(f"{place}.refuse.status", f"{status} is no refusal", "400 to 599")
+
+    def check_values(
+        self, place: str, scope: Scope, rule: Rule, condition: Condition
+    ) -> dict[RuleField, CheckedValue]:
+        """Check and compile all that a rule yields; values with errors are left out."""
+        if self.buckets is not None:
+            for name in PIECE_FIELDS:
+                if getattr(rule, name) is not None:
+                    self.report(
+                        f"{place}.{name}", f"an object's pieces have their own {name}", "leave it out"
+                    )
+        checked: dict[RuleField, CheckedValue] = {}
+        for field in RuleField:
+            given = self.find_given(place, scope, rule, field)
+            if given is None:
+                continue
+            value = self.check_value(field, f"{place}.{field}", scope, given, condition)
+            if value is not None:
+                checked[field] = value
+        use = self.find_plan_use(place, condition, checked)
+        self.plan_uses.append(use)
+        self.check_plan_use(use)
+        return checked
+
+    def find_given(self, place: str, scope: Scope, rule: Rule, field: RuleField) -> Any:
+        """What a rule says of a field, else the scope's default; None where there is neither."""
+        given = getattr(rule, field.attribute)
+        if given is not None or (self.buckets is not None and field in BUCKET_FIELDS):
+            return given
+        return self.find_default(place, scope, field)
+
+    # -- one plan for each volume -------------------------------------------------------------------------
+    def find_plan_use(
+        self, place: str, condition: Condition, checked: Mapping[RuleField, CheckedValue]
+    ) -> PlanUse:
+        """Find the volumes and plans that a rule can yield."""
+        plans = known_texts(checked.get(RuleField.PLAN))
+        if self.buckets is not None:
+            return PlanUse(place, self.reached_volumes(condition), plans)
+        volume = checked.get(RuleField.VOLUME)
+        if volume is not None and volume.outcomes is None:
+            return PlanUse(place, frozenset((f"{ANY_VOLUME} {place}",)), plans)
+        return PlanUse(place, known_texts(volume), plans)
+
+    def reached_volumes(self, condition: Condition) -> frozenset[str]:
+        """The volumes of the buckets that a condition lets through."""
+        allowed = [each.values for each in condition.constraints if each.dimension == BUCKET]
+        return frozenset(
+            bucket.volume
+            for name, bucket in (self.buckets or {}).items()
+            if all(name in names for names in allowed)
+        )
+
+    def check_plan_use(self, use: PlanUse) -> None:
+        """Record an error where a volume gets two plans.
+
+        Limits are counted by volume and plan, so a volume with two plans would have two limits.
+        """
+        for volume in sorted(use.volumes):
+            for plan in sorted(use.plans):
+                first = self.volume_plans.setdefault(volume, VolumePlan(plan, use.place))
+                if first.plan != plan:
+                    subject = "a computed volume" if volume.startswith(ANY_VOLUME) else f"volume {volume!r}"
+                    self.report(
+                        use.place,
+                        f"{subject} has plan {plan!r} here and {first.plan!r} at {first.place}",
+                        "a volume has one plan",
+                    )
+                    return
+
+
+def known_texts(checked: CheckedValue | None) -> frozenset[str]:
+    """The texts that a value can yield; none where there is no value."""
+    if checked is None or checked.outcomes is None:
+        return frozenset()
+    return frozenset(outcome.text for outcome in checked.outcomes)
--- a/stoatrouter/matching/samples.py
+++ b/stoatrouter/matching/samples.py
@@ -1,4 +1,4 @@
-"""Recorded request heads: which are taken, what of them is written, how they are read. No I/O."""
+"""Recorded request heads: which are recorded, what of them is written, how they are read. No I/O."""
 
 from __future__ import annotations
 
@@ -8,38 +8,49 @@
 
 from stoatrouter.matching.inputs import Input, read_input
 
-MASKED = b"***"
-LONGEST_LINE = 65_536  # characters of one record; longer heads are left out and counted
+MASK = b"***"  # in place of a masked field's value
+MAX_LINE_LENGTH = 65_536  # characters of one record; longer heads are left out
 
 
 class Sampler:
-    """Takes the first of every `one_in` request heads and masks the named header fields."""
+    """Samples the first of every `one_in` request heads and masks the named header fields."""
 
     def __init__(self, one_in: int, mask: Iterable[str]) -> None:
-        self.one_in, self.mask = one_in, frozenset(name.lower().encode() for name in mask)
+        """Sample from the next request on.
+
+        Args:
+            one_in: One of so many requests is recorded.
+            mask: The names of header fields whose values are not recorded, in any case.
+        """
+        self.one_in = one_in
+        self.masked_fields = frozenset(name.lower().encode() for name in mask)
         self.seen = 0
 
-    def take(self, given: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> str | None:
-        """The record of a request, or None where it is not in the sample."""
+    def sample(self, request: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> str | None:
+        """Return the record of a request as a line of JSON; None where it is not in the sample.
+
+        Args:
+            request: The request as rules see it.
+            target: Its target as it came.
+            fields: Its header lines as they came.
+        """
         self.seen += 1
         if (self.seen - 1) % self.one_in:
             return None
-        kept = [
-            [name.decode("latin-1"), (MASKED if name.lower() in self.mask else value).decode("latin-1")]
-            for name, value in fields
-        ]
-        line = json.dumps(
-            {
-                "method": given.method,
-                "target": target,
-                "fields": kept,
-                "peer": given.peer,
-                "size": given.size,
-                "class": given.request_class,
-            },
-            separators=(",", ":"),
-        )
-        return line if len(line) <= LONGEST_LINE else None
+        record = {
+            "method": request.method,
+            "target": target,
+            "fields": [self._record_field(name, value) for name, value in fields],
+            "peer": request.peer,
+            "size": request.size,
+            "class": request.request_class,
+        }
+        line = json.dumps(record, separators=(",", ":"))
+        return line if len(line) <= MAX_LINE_LENGTH else None
+
+    def _record_field(self, name: bytes, value: bytes) -> list[str]:
+        recorded = MASK if name.lower() in self.masked_fields else value
+        return [name.decode("latin-1"), recorded.decode("latin-1")]
 
 
 def read_sample(line: str) -> Input:
@@ -49,16 +60,18 @@
         fields = [
             (str(name).encode("latin-1"), str(value).encode("latin-1")) for name, value in record["fields"]
         ]
-        method, target = str(record["method"]), str(record["target"])
+        method = str(record["method"])
+        target = str(record["target"])
         peer = str(record.get("peer", "127.0.0.1"))
-        size, kind = int(record.get("size", -1)), str(record.get("class", ""))
+        size = int(record.get("size", -1))
+        request_class = str(record.get("class", ""))
     except (KeyError, TypeError, ValueError, RecursionError) as error:
         raise ValueError(f"no recorded request: {error}") from None
-    return read_input(method, target, fields, peer, size, kind)
+    return read_input(method, target, fields, peer, size, request_class)
 
 
 def read_samples(lines: Iterable[str]) -> Iterator[tuple[int, Input | Exception]]:
-    """All records of a log with their line numbers from 1; an unreadable one is given as its error."""
+    """Yield all records of a log with their line numbers from 1; an unreadable one as its error."""
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
--- a/stoatrouter/matching/scopes.py
+++ b/stoatrouter/matching/scopes.py
@@ -7,81 +7,102 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 
-from stoatrouter.matching.conjuncts import PATH, PREFIX, Condition
+from stoatrouter.matching.conjuncts import PATH, PREFIX, Condition, Constraint
 from stoatrouter.matching.records import Scope
 
 ANY_HOST = "*"
+HOST = ("host", "")
 
 
-class Areas:
+class Collision(NamedTuple):
+    """A host and path prefix that two scopes claim."""
+
+    first: str
+    second: str
+    host: str
+    path: str
+
+
+class ScopeIndex:
     """Finds the scope of a request by its host and path."""
 
     def __init__(self, scopes: Mapping[str, Scope]) -> None:
-        self.by_host: dict[str, dict[str, str]] = {}
-        self.lengths: dict[str, tuple[int, ...]] = {}
+        """Index the claims of scopes; of two equal claims the first counts.
+
+        Args:
+            scopes: The scopes by name.
+        """
+        self.by_host: dict[str, dict[str, str]] = {}  # the scope's name by host and path prefix
         for name, scope in scopes.items():
             for host in scope.hosts:
                 for path in scope.paths:
                     self.by_host.setdefault(host, {}).setdefault(path, name)
-        for host, paths in self.by_host.items():
-            self.lengths[host] = tuple(sorted({len(path) for path in paths}, reverse=True))
-        self.suffixes = tuple(sorted((h for h in self.by_host if h.startswith("*.")), key=len, reverse=True))
+        # Lengths of the prefixes of each host, the longest first.
+        self.lengths = {
+            host: tuple(sorted({len(path) for path in paths}, reverse=True))
+            for host, paths in self.by_host.items()
+        }
+        wildcards = (host for host in self.by_host if host.startswith("*."))
+        self.wildcards = tuple(sorted(wildcards, key=len, reverse=True))
 
-    def owner(self, host: str, path: str) -> str | None:
-        """The name of the scope; None where no scope claims the request.
+    def find_scope(self, host: str, path: str) -> str | None:
+        """Find the name of the scope that a request belongs to; returns None where no scope claims it.
 
         A host by its name precedes `*.domain`, a longer domain precedes a shorter one, and both precede `*`.
         """
-        for claimed in self.claimed(host):
-            paths = self.by_host[claimed]
-            for length in self.lengths[claimed]:
-                if (name := paths.get(path[:length])) is not None:
+        for claim in self.find_claims(host):
+            names = self.by_host[claim]
+            for length in self.lengths[claim]:
+                name = names.get(path[:length])
+                if name is not None:
                     return name
         return None
 
-    def claimed(self, host: str) -> Iterable[str]:
-        """The claims that a host falls under, in order of precedence."""
+    def find_claims(self, host: str) -> Iterable[str]:
+        """Yield the claimed hosts that cover a host, in order of precedence."""
         if host in self.by_host:
             yield host
-        for suffix in self.suffixes:
-            if host.endswith(suffix[1:]):
-                yield suffix
+        for wildcard in self.wildcards:
+            if host.endswith(wildcard[1:]):
+                yield wildcard
         if ANY_HOST in self.by_host:
             yield ANY_HOST
 
 
-def collisions(scopes: Mapping[str, Scope]) -> list[tuple[str, str, str, str]]:
-    """Areas that two scopes claim: both names, the host and the path."""
-    taken: dict[tuple[str, str], str] = {}
-    found = []
+def find_collisions(scopes: Mapping[str, Scope]) -> list[Collision]:
+    """Find the hosts with path prefixes that more than one scope claims."""
+    claims: dict[tuple[str, str], str] = {}
+    collisions: list[Collision] = []
     for name, scope in scopes.items():
         for host in scope.hosts:
             for path in scope.paths:
-                first = taken.setdefault((host, path), name)
+                first = claims.setdefault((host, path), name)
                 if first != name:
-                    found.append((first, name, host, path))
-    return found
+                    collisions.append(Collision(first, name, host, path))
+    return collisions
 
 
-def outside(scope: Scope, wanted: Condition) -> str | None:
-    """What of a condition lies outside its scope, so that it never matches; None where nothing does."""
-    for demand in wanted.demands:
-        if demand.dimension == ("host", ""):
-            for host in demand.values:
+def find_outside(scope: Scope, condition: Condition) -> str | None:
+    """Describe what of a condition lies outside its scope, so that it never matches; None for nothing."""
+    for constraint in condition.constraints:
+        if constraint.dimension == HOST:
+            for host in constraint.values:
                 if not any(covers_host(claim, host) for claim in scope.hosts):
                     return f"the host {host!r}"
-        if demand.dimension in (PATH, PREFIX):
-            for path in demand.values:
-                inside = any(
-                    path.startswith(claim) or (demand.dimension == PREFIX and claim.startswith(path))
-                    for claim in scope.paths
-                )
-                if not inside:
+        if constraint.dimension in (PATH, PREFIX):
+            for path in constraint.values:
+                if not any(reaches_claim(constraint, path, claim) for claim in scope.paths):
                     return f"the path {path!r}"
     return None
 
 
+def reaches_claim(constraint: Constraint, path: str, claim: str) -> bool:
+    """Whether a request that meets a constraint of the path by this value can lie below a claimed prefix."""
+    return path.startswith(claim) or (constraint.dimension == PREFIX and claim.startswith(path))
+
+
 def covers_host(claim: str, host: str) -> bool:
     """Whether a claim of a scope covers a host; `*.domain` covers all hosts below it."""
     return claim in (ANY_HOST, host) or (claim.startswith("*.") and host.endswith(claim[1:]))
--- a/stoatrouter/matching/table.py
+++ b/stoatrouter/matching/table.py
@@ -5,21 +5,20 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from datetime import timedelta
-from typing import Any
+from typing import Any, NamedTuple
 
 from stoatrouter.expressions.runtime import hex16, stable_hash
 from stoatrouter.matching import index
 from stoatrouter.matching.conjuncts import Condition
 from stoatrouter.matching.decisions import Decision, Refusal
-from stoatrouter.matching.flaws import Flaw
+from stoatrouter.matching.diagnostics import Diagnostic
 from stoatrouter.matching.inputs import Input
 from stoatrouter.matching.records import Otherwise, Rule, Scope
-from stoatrouter.matching.scopes import Areas
+from stoatrouter.matching.scopes import ScopeIndex
 from stoatrouter.matching.vocabulary import Vocabulary
 
 PIECE = 64 * 1024  # bytes that count as the largest request there is, as in the object front
-LEAST_DEADLINE = timedelta(milliseconds=1)
-
+MIN_DEADLINE = timedelta(milliseconds=1)
 
 Run = Callable[[Input], Any]
 
@@ -31,33 +30,61 @@
     constant: Any = None
     run: Run | None = None
 
-    def of(self, given: Input) -> Any:
+    def evaluate(self, request: Input) -> Any:
         """The value for a request; raises EvaluationError where an expression fails."""
-        return self.constant if self.run is None else self.run(given)
+        return self.constant if self.run is None else self.run(request)
 
 
 @dataclass(slots=True)
-class Compiled:
-    """One compiled rule."""
+class CompiledRule:
+    """One compiled rule.
+
+    Attributes:
+        name: The rule's name.
+        when: The compiled condition.
+        condition: The condition in its parts.
+        cost: Steps of `when` in the worst case.
+        rule: The rule as it stands in the file.
+        values: What it yields, by the field's name in the file.
+        yield_cost: Steps of all values in the worst case.
+    """
 
     name: str
     when: Run
     condition: Condition
-    cost: int  # steps of `when` in the worst case
+    cost: int
     rule: Rule
     values: dict[str, Value] = field(default_factory=dict)
     yield_cost: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Compartment:
-    """A scope with its compiled rules."""
+class CompiledScope:
+    """A scope with its compiled rules.
+
+    Attributes:
+        name: The scope's name.
+        scope: The scope as it stands in the file.
+        rules: Its rules, in order.
+        tree: The index of their conditions.
+        max_steps: The most steps that a request of this scope may take.
+    """
 
     name: str
     scope: Scope
-    rules: tuple[Compiled, ...]
+    rules: tuple[CompiledRule, ...]
     tree: index.Tree
-    worst: int  # steps that a request of this scope may take
+    max_steps: int
+
+
+class Match(NamedTuple):
+    """The scope that a request belongs to, and the first of its rules that matches."""
+
+    scope: CompiledScope | None
+    rule: CompiledRule | None
+
+
+NO_MATCH = Match(None, None)
 
 
 class Table:
@@ -65,96 +92,129 @@
 
     def __init__(
         self,
-        compartments: Mapping[str, Compartment],
-        areas: Areas,
+        scopes: Mapping[str, CompiledScope],
+        scope_index: ScopeIndex,
         otherwise: Otherwise,
-        words: Vocabulary,
-        warnings: Sequence[Flaw],
+        vocabulary: Vocabulary,
+        warnings: Sequence[Diagnostic],
         epoch: str,
         any_node: bool = False,
     ) -> None:
-        self.compartments, self.areas, self.otherwise, self.words = compartments, areas, otherwise, words
-        self.warnings, self.epoch = tuple(warnings), epoch
-        self.any_node = any_node  # where no key is given: a new object, that any node takes
-        self.owners = {volume: name for name, c in compartments.items() for volume in c.scope.volumes}
+        """Put the parts of a table together.
+
+        Args:
+            scopes: The compiled scopes by name.
+            scope_index: Finds the scope of a request.
+            otherwise: The answer to a request that no rule matches.
+            vocabulary: The classes and plans that decisions refer to by number.
+            warnings: What was found beside errors.
+            epoch: A short digest of the files.
+            any_node: Whether a request without a key is a new object, which any node takes.
+        """
+        self.scopes = scopes
+        self.scope_index = scope_index
+        self.otherwise = otherwise
+        self.vocabulary = vocabulary
+        self.warnings = tuple(warnings)
+        self.epoch = epoch
+        self.any_node = any_node
+        self.volume_owners = {
+            volume: name for name, scope in scopes.items() for volume in scope.scope.volumes
+        }
 
     @property
     def size(self) -> int:
         """How many rules the table has."""
-        return sum(len(c.rules) for c in self.compartments.values())
-
-    def match(self, given: Input) -> tuple[Compartment | None, Compiled | None]:
-        """The scope that a request belongs to, and the first of its rules that matches."""
-        owner = self.areas.owner(given.host, given.path)
-        if owner is None:
-            return None, None
-        home = self.compartments[owner]
-        rules = home.rules
-        for i in home.tree.find(given):
-            if rules[i].when(given):
-                return home, rules[i]
-        return home, None
-
-    def decide(self, given: Input) -> Decision | Refusal:
+        return sum(len(scope.rules) for scope in self.scopes.values())
+
+    def match(self, request: Input) -> Match:
+        """Find the scope that a request belongs to, and the first of its rules that matches."""
+        name = self.scope_index.find_scope(request.host, request.path)
+        if name is None:
+            return NO_MATCH
+        scope = self.scopes[name]
+        rules = scope.rules
+        for position in scope.tree.find(request):
+            if rules[position].when(request):
+                return Match(scope, rules[position])
+        return Match(scope, None)
+
+    def decide(self, request: Input) -> Decision | Refusal:
         """Decide a request."""
-        return self.decided(*self.match(given), given)
-
-    def decided(self, home: Compartment | None, rule: Compiled | None, given: Input) -> Decision | Refusal:
-        """The decision that follows from a match."""
-        if home is None or rule is None:
-            return Refusal(self.otherwise.status, self.otherwise.reason, home.name if home else None)
-        if rule.rule.refuse is not None:
-            return Refusal(rule.rule.refuse.status, rule.rule.refuse.reason, home.name, rule.name)
-        decided = self.yielded(home, rule, given)
+        return self.decide_match(self.match(request), request)
+
+    def decide_match(self, match: Match, request: Input) -> Decision | Refusal:
+        """Decide a request whose match is known."""
+        scope, rule = match
+        if scope is None or rule is None:
+            return Refusal(self.otherwise.status, self.otherwise.reason, scope.name if scope else None)
+        refusal = rule.rule.refuse
+        if refusal is not None:
+            return Refusal(refusal.status, refusal.reason, scope.name, rule.name)
+        decision = self.evaluate(scope, rule, request)
         # Guards volumes against a computed one that falls on another team's.
-        if (
-            self.owners.get(decided.volume, home.name) != home.name
-            and decided.volume not in home.scope.volumes
-        ):
-            return Refusal(403, "this volume belongs to another scope", home.name, rule.name)
-        return decided
-
-    def yielded(self, home: Compartment, rule: Compiled, given: Input) -> Decision:
-        """The values that a matched rule yields."""
-        values, words = rule.values, self.words
-        kind = words.class_number(values["class"].of(given))
-        plan = words.plans.index(values["plan"].of(given)) if "plan" in values else -1
-        assert kind is not None  # checked at load, for every text that can be yielded
-        key = as_hex(values["key"].of(given)) if "key" in values else hex16(stable_hash(given.path))
-        shard = (
-            values["shard"].of(given)
-            if "shard" in values
-            else (
-                int(key, 16) % words.shards if words.shards and ("key" in values or not self.any_node) else -1
-            )
-        )
-        units = (
-            float(values["units"].of(given)) if "units" in values else by_size(given.size, words.max_units)
-        )
-        most = words.classes[kind].deadline
-        deadline = (
-            min(most, max(LEAST_DEADLINE, values["deadline"].of(given))) if "deadline" in values else most
-        )
+        owner = self.volume_owners.get(decision.volume, scope.name)
+        if owner != scope.name and decision.volume not in scope.scope.volumes:
+            return Refusal(403, "this volume belongs to another scope", scope.name, rule.name)
+        return decision
+
+    def evaluate(self, scope: CompiledScope, rule: CompiledRule, request: Input) -> Decision:
+        """Evaluate the values that a matched rule yields."""
+        values = rule.values
+        request_class = self.vocabulary.class_number(values["class"].evaluate(request))
+        assert request_class is not None  # checked at load, for every text that can be yielded
+        plan = self.vocabulary.plans.index(values["plan"].evaluate(request)) if "plan" in values else -1
+        key = as_hex(values["key"].evaluate(request)) if "key" in values else path_key(request)
         return Decision(
-            home.name,
-            rule.name,
-            kind,
-            as_hex(values["volume"].of(given)) if "volume" in values else "",
-            plan,
-            key,
-            shard,
-            units,
-            rule.rule.hosts or home.scope.hosts_of_volume,
-            bool(values["repeat"].of(given)) if "repeat" in values else False,
-            deadline,
+            scope=scope.name,
+            rule=rule.name,
+            request_class=request_class,
+            plan=plan,
+            key=key,
+            shard=self._evaluate_shard(values, request, key),
+            units=self._evaluate_units(values, request),
+            deadline=self._evaluate_deadline(values, request, request_class),
+            volume=as_hex(values["volume"].evaluate(request)) if "volume" in values else "",
+            hosts=rule.rule.hosts or scope.scope.hosts_of_volume,
+            repeat=bool(values["repeat"].evaluate(request)) if "repeat" in values else False,
         )
 
+    def _evaluate_shard(self, values: Mapping[str, Value], request: Input, key: str) -> int:
+        """The shard that a rule yields, else the key's; -1 where any node takes the request."""
+        if "shard" in values:
+            shard: int = values["shard"].evaluate(request)
+            return shard
+        shards = self.vocabulary.shards
+        takes_any = self.any_node and "key" not in values
+        return int(key, 16) % shards if shards and not takes_any else -1
+
+    def _evaluate_units(self, values: Mapping[str, Value], request: Input) -> float:
+        """The units that a rule yields, else those of the request's size."""
+        if "units" in values:
+            return float(values["units"].evaluate(request))
+        return units_of_size(request.size, self.vocabulary.max_units)
+
+    def _evaluate_deadline(
+        self, values: Mapping[str, Value], request: Input, request_class: int
+    ) -> timedelta:
+        """The deadline that a rule yields, from MIN_DEADLINE to the class's, else the class's."""
+        limit = self.vocabulary.classes[request_class].deadline
+        if "deadline" not in values:
+            return limit
+        deadline: timedelta = values["deadline"].evaluate(request)
+        return min(limit, max(MIN_DEADLINE, deadline))
+
+
+def path_key(request: Input) -> str:
+    """The key of a request for which a rule yields none: a hash of its path."""
+    return hex16(stable_hash(request.path))
+
 
 def as_hex(value: int | str) -> str:
     """A volume or key as 16 hex digits."""
     return hex16(value) if isinstance(value, int) else value
 
 
-def by_size(size: int, most: float) -> float:
+def units_of_size(size: int, max_units: float) -> float:
     """Units by the stated size in bytes: PIECE bytes or more count as the largest request."""
-    return min(most, float(max(1, -(-int(most) * max(size, 0) // PIECE))))
+    return min(max_units, float(max(1, -(-int(max_units) * max(size, 0) // PIECE))))
--- a/stoatrouter/matching/values.py
+++ b/stoatrouter/matching/values.py
@@ -1,202 +1,293 @@
-"""Checks of the values that rules yield: class, plan, volume, key, shard, units, deadline."""
+"""Checks of the values that rules yield: class, plan, volume, key, shard, units, repeat, deadline.
+
+Each check proves that every value that can be yielded is allowed, so that no request can meet an error.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
-from stoatrouter.expressions import Checked, Environment, ExpressionError
+from stoatrouter.expressions import Environment, ExpressionError
 from stoatrouter.expressions import types as t
 from stoatrouter.expressions.errors import EvaluationError
 from stoatrouter.expressions.runtime import duration_of_text
-from stoatrouter.matching.cache import Cache
+from stoatrouter.matching.cache import Cache, Expression
 from stoatrouter.matching.conjuncts import Condition
-from stoatrouter.matching.flaws import Flaw
-from stoatrouter.matching.outcomes import Outcome, outcomes, proves_safe
-from stoatrouter.matching.records import Computed, Scope
-from stoatrouter.matching.table import LEAST_DEADLINE, Run, Value
+from stoatrouter.matching.diagnostics import Diagnostic
+from stoatrouter.matching.outcomes import Outcome, find_outcomes, proves_safe
+from stoatrouter.matching.records import Computed, RuleField, Scope
+from stoatrouter.matching.table import MIN_DEADLINE, Value
 from stoatrouter.matching.vocabulary import Vocabulary
 
-HEX = frozenset("0123456789abcdef")
-ANY = "*"  # of a scope's volumes: any at all, computed ones too
-YIELD_STEPS = 2_000  # of one computed value
+HEX_DIGITS = frozenset("0123456789abcdef")
+HEX_LENGTH = 16  # of a volume or key
+ANY_VOLUME = "*"  # of a scope's volumes: any at all, computed ones too
+MAX_YIELD_STEPS = 2_000  # of one computed value
+MAX_SHARD = (1 << 31) - 1  # where the number of shards is not known
+
+
+@dataclass(slots=True, frozen=True)
+class CheckedValue:
+    """A value that passed its check.
+
+    Attributes:
+        value: The value, ready to be evaluated.
+        cost: The steps of evaluating it in the worst case.
+        outcomes: All texts that it can yield; None where they are not known.
+    """
+
+    value: Value
+    cost: int = 0
+    outcomes: frozenset[Outcome] | None = None
+
+
+class NumberRange(NamedTuple):
+    """The numbers that a field may have, both ends included, and how diagnostics name them."""
+
+    low: int
+    high: int
+    subject: str
+    remedy: str
 
 
 class ValueChecker:
-    """Checks and compiles the values that rules yield; collects what is wrong with them."""
+    """Checks and compiles the values that rules yield; collects the errors that it finds."""
+
+    def __init__(self, vocabulary: Vocabulary, environment: Environment, cache: Cache) -> None:
+        """Check values against the settings' names.
 
-    def __init__(self, words: Vocabulary, environment: Environment, cache: Cache) -> None:
-        self.words, self.environment, self.cache = words, environment, cache
-        self.flaws: list[Flaw] = []
+        Args:
+            vocabulary: The classes, plans and bounds of the settings.
+            environment: What expressions may use.
+            cache: Compiled expressions of earlier loads.
+        """
+        self.vocabulary = vocabulary
+        self.environment = environment
+        self.cache = cache
+        self.errors: list[Diagnostic] = []
 
-    def wrong(self, path: str, what: str, remedy: str = "") -> None:
-        """Record a flaw at a path of the file."""
-        self.flaws.append(Flaw(path, what, remedy))
+    def report(self, path: str, what: str, remedy: str = "") -> None:
+        """Record an error at a path of the file."""
+        self.errors.append(Diagnostic(path, what, remedy))
 
-    def expression(
-        self, path: str, source: str, want: t.Type | None, steps: int
-    ) -> tuple[Checked, Run] | None:
-        """Check and compile an expression of at most `steps` steps; None where it is wrong."""
+    def compile(
+        self, path: str, source: str, wanted_type: t.Type | None, max_steps: int
+    ) -> Expression | None:
+        """Check and compile an expression of at most `max_steps` steps; returns None where it has errors."""
         try:
-            return self.cache.get(source, want, self.environment, steps)
+            return self.cache.compile(source, wanted_type, self.environment, max_steps)
         except ExpressionError as error:
-            self.flaws += [Flaw(path, p.what, p.remedy, str(p.at)) for p in error.problems]
+            self.errors += [
+                Diagnostic(path, problem.what, problem.remedy, str(problem.at)) for problem in error.problems
+            ]
             return None
 
-    def only(self, place: str, scope: Scope, name: str) -> str | None:
-        """The default of a field that a rule leaves out: the only one that its scope allows, else None."""
-        allowed = {"class": scope.classes, "plan": scope.plans, "volume": scope.volumes}.get(name)
-        if allowed is None:
-            return None
-        if len(allowed) == 1 and allowed[0] != ANY:
+    def find_default(self, place: str, scope: Scope, field: RuleField) -> str | None:
+        """Find the default of a field that a rule leaves out: the only one that its scope allows.
+
+        Returns None for fields without a default, and, with an error, where the scope allows several.
+        """
+        match field:
+            case RuleField.CLASS:
+                allowed = scope.classes
+            case RuleField.PLAN:
+                allowed = scope.plans
+            case RuleField.VOLUME:
+                allowed = scope.volumes
+            case _:
+                return None
+        if len(allowed) == 1 and allowed[0] != ANY_VOLUME:
             return allowed[0]
-        self.wrong(place, f"no {name} is given", "this scope has: " + ", ".join(allowed))
+        self.report(place, f"no {field} is given", "this scope has: " + ", ".join(allowed))
         return None
 
-    def named(
-        self, path: str, allowed: Sequence[str], given: str | Computed, what: str, safe: bool = False
-    ) -> tuple[Value, int, frozenset[Any]] | None:
-        """A value that must be one of those that the scope allows, for every request."""
+    def check_value(
+        self, field: RuleField, path: str, scope: Scope, given: Any, condition: Condition
+    ) -> CheckedValue | None:
+        """Check and compile the value of a field.
+
+        Args:
+            field: The field.
+            path: Its path in the file.
+            scope: The rule's scope, which says what is allowed.
+            given: What the rule says: a constant or Computed.
+            condition: The rule's condition, which says what requests there can be.
+
+        Returns:
+            The value; None where it has errors, which are recorded.
+        """
+        match field:
+            case RuleField.CLASS:
+                return self.check_class(path, scope, given, condition)
+            case RuleField.VOLUME:
+                return self.check_volume(path, scope, given)
+            case RuleField.PLAN:
+                return self.check_name(path, scope.plans, given, "plan")
+            case RuleField.KEY:
+                return self.check_hex(path, given)
+            case RuleField.SHARD:
+                return self.check_shard(path, given)
+            case RuleField.UNITS:
+                return self.check_units(path, given)
+            case RuleField.REPEAT:
+                return self.check_repeat(path, given)
+            case RuleField.DEADLINE:
+                return self.check_deadline(path, given)
+
+    # -- names --------------------------------------------------------------------------------------------
+    def check_name(
+        self, path: str, allowed: Sequence[str], given: str | Computed, subject: str, safe: bool = False
+    ) -> CheckedValue | None:
+        """Check a value that must be one of the scope's names, for every request.
+
+        Args:
+            path: The field's path in the file.
+            allowed: The names.
+            given: What the rule says.
+            subject: What the names are, for errors.
+            safe: Whether the rule's condition holds for safe methods only.
+        """
+        remedy = "it has: " + ", ".join(allowed)
         if isinstance(given, str):
             if given not in allowed:
-                self.wrong(path, f"{what} {given!r} is not of this scope", "it has: " + ", ".join(allowed))
+                self.report(path, f"{subject} {given!r} is not of this scope", remedy)
                 return None
-            return Value(given), 0, frozenset((Outcome(given, safe),))
-        made = self.expression(f"{path}.expr", given.expr, t.STRING, YIELD_STEPS)
-        if made is None:
+            return CheckedValue(Value(given), outcomes=frozenset((Outcome(given, safe),)))
+        path = f"{path}.expr"
+        expression = self.compile(path, given.expr, t.STRING, MAX_YIELD_STEPS)
+        if expression is None:
             return None
-        possible = outcomes(made[0].root.node, safe)
-        if possible is None:
-            self.wrong(
-                f"{path}.expr",
-                f"which {what} this yields cannot be told before a request comes",
+        outcomes = find_outcomes(expression.checked.root.node, safe)
+        if outcomes is None:
+            self.report(
+                path,
+                f"which {subject} this yields cannot be told before a request comes",
                 "use literals, ?: and maps of literals",
             )
             return None
-        reached = sorted({o.text for o in possible} - set(allowed))
-        if reached:
-            self.wrong(
-                f"{path}.expr", f"{what} {reached[0]!r} is not of this scope", "it has: " + ", ".join(allowed)
-            )
+        foreign = sorted({outcome.text for outcome in outcomes} - set(allowed))
+        if foreign:
+            self.report(path, f"{subject} {foreign[0]!r} is not of this scope", remedy)
             return None
-        return Value(run=made[1]), made[0].cost, possible
+        return CheckedValue(Value(run=expression.run), expression.checked.cost, outcomes)
 
-    def class_value(self, path: str, scope: Scope, given: str | Computed, parts: Condition) -> Any:
-        """The value of `class`, with its steps; None where it is wrong."""
-        made = self.named(path, scope.classes, given, "class", proves_safe(parts))
-        if made is None:
-            return None
-        free = sorted({o.text for o in made[2] if not o.safe and self.repeatable(o.text)})
-        if free and not scope.rights.repeat_unsafe_methods:
-            # Guards data: what a head may repeat freely must be harmless to repeat, and a PUT is not.
-            self.wrong(
+    def check_class(
+        self, path: str, scope: Scope, given: str | Computed, condition: Condition
+    ) -> CheckedValue | None:
+        """Check `class`, and that only safe requests can get one that heads retry freely."""
+        checked = self.check_name(path, scope.classes, given, "class", proves_safe(condition))
+        if checked is None or scope.rights.repeat_unsafe_methods:
+            return checked
+        outcomes = checked.outcomes or ()
+        unsafe = sorted({o.text for o in outcomes if not o.safe and self.is_repeatable(o.text)})
+        if unsafe:
+            # Guards data: what a head may retry freely must be idempotent, and a PUT is not.
+            self.report(
                 path,
-                f"class {free[0]!r} may be repeated freely, but the condition lets methods through that "
+                f"class {unsafe[0]!r} may be repeated freely, but the condition lets methods through that "
                 "are not safe",
                 'add request.method in ["GET", "HEAD"] to it, or ask the operator for '
                 "the right repeat_unsafe_methods",
             )
             return None
-        return made[:2]
-
-    def repeatable(self, name: str) -> bool:
-        """Whether requests of a class may be repeated freely."""
-        number = self.words.class_number(name)
-        return number is not None and self.words.classes[number].repeatable
-
-    def plan_value(self, path: str, scope: Scope, given: str | Computed, parts: Condition) -> Any:
-        """The value of `plan`, with its steps and the plans it can yield; None where it is wrong."""
-        made = self.named(path, scope.plans, given, "plan")
-        return made
-
-    def volume_value(self, path: str, scope: Scope, given: str | Computed, parts: Condition) -> Any:
-        """The value of `volume`, with its steps and, where known, the volumes; None where it is wrong."""
-        if ANY not in scope.volumes:
-            return self.named(path, scope.volumes, given, "volume")
-        hexed = self.hexed(path, given)
-        if hexed is not None and hexed[0].run is None:
-            return *hexed, frozenset((Outcome(hexed[0].constant, False),))
-        return hexed
-
-    def key_value(self, path: str, scope: Scope, given: str | Computed, parts: Condition) -> Any:
-        """The value of `key`, with its steps; None where it is wrong."""
-        return self.hexed(path, given)
-
-    def hexed(self, path: str, given: str | Computed) -> tuple[Value, int] | None:
-        """A value of 16 hex digits: a literal, or an int that becomes them."""
+        return checked
+
+    def is_repeatable(self, name: str) -> bool:
+        """Whether requests of a class may be retried freely."""
+        number = self.vocabulary.class_number(name)
+        return number is not None and self.vocabulary.classes[number].repeatable
+
+    def check_volume(self, path: str, scope: Scope, given: str | Computed) -> CheckedValue | None:
+        """Check `volume`: one of the scope's, or any where it has ANY_VOLUME."""
+        if ANY_VOLUME not in scope.volumes:
+            return self.check_name(path, scope.volumes, given, "volume")
+        checked = self.check_hex(path, given)
+        if checked is not None and checked.value.run is None:
+            outcomes = frozenset((Outcome(checked.value.constant, False),))
+            return CheckedValue(checked.value, checked.cost, outcomes)
+        return checked
+
+    def check_hex(self, path: str, given: str | Computed) -> CheckedValue | None:
+        """Check a value of 16 hex digits: a literal, or an int that is formatted as such."""
         if isinstance(given, str):
-            if len(given) != 16 or not set(given) <= HEX:
-                self.wrong(path, f"{given!r} is not 16 hex digits in lower case")
+            if len(given) != HEX_LENGTH or not set(given) <= HEX_DIGITS:
+                self.report(path, f"{given!r} is not 16 hex digits in lower case")
                 return None
-            return Value(given), 0
-        made = self.expression(f"{path}.expr", given.expr, None, YIELD_STEPS)
-        if made is None:
+            return CheckedValue(Value(given))
+        expression = self.compile(f"{path}.expr", given.expr, None, MAX_YIELD_STEPS)
+        if expression is None:
             return None
-        hexed = getattr(made[0].root.node, "function", None) == "hex16"
-        if made[0].type != t.INT and not hexed:
-            self.wrong(
+        checked = expression.checked
+        is_hex = getattr(checked.root.node, "function", None) == "hex16"
+        if checked.type != t.INT and not is_hex:
+            self.report(
                 f"{path}.expr",
-                f"this yields {made[0].type}, but an int is wanted here",
+                f"this yields {checked.type}, but an int is wanted here",
                 "write hash(...); it becomes 16 hex digits",
             )
             return None
-        return Value(run=made[1]), made[0].cost
-
-    def shard_value(self, path: str, scope: Scope, given: int | Computed, parts: Condition) -> Any:
-        """The value of `shard`, with its steps; None where it is wrong."""
-        most = self.words.shards - 1 if self.words.shards else (1 << 31) - 1
-        return self.number(path, given, t.INT, -1, most, "shard", "write hash(...) % " + str(most + 1))
-
-    def units_value(self, path: str, scope: Scope, given: float | Computed, parts: Condition) -> Any:
-        """The value of `units`, with its steps; None where it is wrong."""
-        return self.number(
-            path,
-            given,
-            t.INT,
-            1,
-            int(self.words.max_units),
-            "number of units",
-            f"from 1 to {self.words.max_units:g}",
+        return CheckedValue(Value(run=expression.run), checked.cost)
+
+    # -- numbers and times --------------------------------------------------------------------------------
+    def check_shard(self, path: str, given: int | Computed) -> CheckedValue | None:
+        """Check `shard`: one of the settings' shards, or -1 for any."""
+        shards = self.vocabulary.shards
+        high = shards - 1 if shards else MAX_SHARD
+        return self.check_number(path, given, NumberRange(-1, high, "shard", f"write hash(...) % {high + 1}"))
+
+    def check_units(self, path: str, given: float | Computed) -> CheckedValue | None:
+        """Check `units`: as many as the settings allow one request."""
+        most = self.vocabulary.max_units
+        return self.check_number(
+            path, given, NumberRange(1, int(most), "number of units", f"from 1 to {most:g}")
         )
 
-    def number(self, path: str, given: Any, want: t.Type, low: int, high: int, what: str, remedy: str) -> Any:
-        """A number whose bounds prove that it is in range."""
+    def check_number(self, path: str, given: float | Computed, allowed: NumberRange) -> CheckedValue | None:
+        """Check a number, or an expression whose bounds prove that it is in range."""
+        low, high, subject, remedy = allowed
         if not isinstance(given, Computed):
             if not low <= given <= high:
-                self.wrong(path, f"{given:g} is out of the {what}'s range", f"from {low} to {high}")
+                self.report(path, f"{given:g} is out of the {subject}'s range", f"from {low} to {high}")
                 return None
-            return Value(given), 0
-        made = self.expression(f"{path}.expr", given.expr, want, YIELD_STEPS)
-        if made is None:
+            return CheckedValue(Value(given))
+        expression = self.compile(f"{path}.expr", given.expr, t.INT, MAX_YIELD_STEPS)
+        if expression is None:
             return None
-        bound = made[0].bound
+        bound = expression.checked.bound
         if bound.low < low or bound.high > high:
-            self.wrong(
+            self.report(
                 f"{path}.expr",
-                f"the {what} may lie from {bound.low} to {bound.high}, {low} to {high} are allowed",
+                f"the {subject} may lie from {bound.low} to {bound.high}, {low} to {high} are allowed",
                 remedy,
             )
             return None
-        return Value(run=made[1]), made[0].cost
+        return CheckedValue(Value(run=expression.run), expression.checked.cost)
 
-    def repeat_value(self, path: str, scope: Scope, given: bool | Computed, parts: Condition) -> Any:
-        """The value of `repeat`, with its steps; None where it is wrong."""
+    def check_repeat(self, path: str, given: bool | Computed) -> CheckedValue | None:
+        """Check `repeat`: whether the request is a retry."""
         if isinstance(given, bool):
-            return Value(given), 0
-        made = self.expression(f"{path}.expr", given.expr, t.BOOL, YIELD_STEPS)
-        return made and (Value(run=made[1]), made[0].cost)
+            return CheckedValue(Value(given))
+        return self.check_computed(path, given, t.BOOL)
 
-    def deadline_value(self, path: str, scope: Scope, given: str | Computed, parts: Condition) -> Any:
-        """The value of `deadline`, with its steps; None where it is wrong."""
-        if isinstance(given, str):
-            try:
-                span = duration_of_text(given)
-            except EvaluationError as error:
-                self.wrong(path, f"{given!r}: {error}", "like '250ms' or '2s'")
-                return None
-            if span < LEAST_DEADLINE:
-                self.wrong(path, f"{given!r} is no deadline", "1ms or more")
-                return None
-            return Value(span), 0
-        made = self.expression(f"{path}.expr", given.expr, t.DURATION, YIELD_STEPS)
-        return made and (Value(run=made[1]), made[0].cost)
+    def check_deadline(self, path: str, given: str | Computed) -> CheckedValue | None:
+        """Check `deadline`: a duration of MIN_DEADLINE or more."""
+        if isinstance(given, Computed):
+            return self.check_computed(path, given, t.DURATION)
+        try:
+            deadline = duration_of_text(given)
+        except EvaluationError as error:
+            self.report(path, f"{given!r}: {error}", "like '250ms' or '2s'")
+            return None
+        if deadline < MIN_DEADLINE:
+            self.report(path, f"{given!r} is no deadline", "1ms or more")
+            return None
+        return CheckedValue(Value(deadline))
+
+    def check_computed(self, path: str, given: Computed, wanted_type: t.Type) -> CheckedValue | None:
+        """Check an expression of which only the type matters."""
+        expression = self.compile(f"{path}.expr", given.expr, wanted_type, MAX_YIELD_STEPS)
+        if expression is None:
+            return None
+        return CheckedValue(Value(run=expression.run), expression.checked.cost)
--- a/stoatrouter/matching/vocabulary.py
+++ b/stoatrouter/matching/vocabulary.py
@@ -1,4 +1,4 @@
-"""The words that rules may use: classes, plans and buckets of the settings."""
+"""The names that rules may use: classes, plans and buckets of the settings."""
 
 from __future__ import annotations
 
@@ -8,25 +8,38 @@
 
 @dataclass(slots=True, frozen=True)
 class KnownClass:
-    """What a table needs to know of a request class."""
+    """What a table needs to know of a request class.
+
+    Attributes:
+        name: The class's name in the settings.
+        repeatable: Whether its requests are idempotent, so that a head may retry them freely.
+        deadline: The most time that its requests have.
+    """
 
     name: str
-    repeatable: bool  # may be repeated freely
+    repeatable: bool
     deadline: timedelta
 
 
 @dataclass(slots=True, frozen=True)
 class Vocabulary:
-    """The words that rules may use: classes and plans of the settings in their order, and bounds."""
+    """The names that rules may use: classes and plans in the order of the settings, and bounds.
+
+    Attributes:
+        classes: The request classes; decisions refer to them by position.
+        plans: The plans; decisions refer to them by position.
+        shards: The number of shards; 0 where it is not known.
+        max_units: The most units of work that one request may have.
+    """
 
     classes: tuple[KnownClass, ...]
     plans: tuple[str, ...]
-    shards: int  # 0: not told
+    shards: int
     max_units: float
 
     def class_number(self, name: str) -> int | None:
-        """The number of a class; None where there is no such class."""
-        return next((i for i, known in enumerate(self.classes) if known.name == name), None)
+        """Find the number of a class; returns None where there is no such class."""
+        return next((number for number, known in enumerate(self.classes) if known.name == name), None)
 
 
 @dataclass(slots=True, frozen=True)
--- a/stoatrouter/net/recorder.py
+++ b/stoatrouter/net/recorder.py
@@ -35,7 +35,7 @@
 
     def take(self, given: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> None:
         """Record a request if it is one of the sample; beyond MOST_WAITING it is only counted."""
-        line = self.sampler.take(given, target, fields)
+        line = self.sampler.sample(given, target, fields)
         if line is None:
             return
         if len(self.waiting) >= MOST_WAITING:
--- a/stoatrouter/net/tables.py
+++ b/stoatrouter/net/tables.py
@@ -103,10 +103,10 @@
             event="rules.in_force",
             epoch=table.epoch,
             rules=table.size,
-            scopes=len(table.compartments),
+            scopes=len(table.scopes),
         )
-        for flaw in table.warnings[:MOST_LOGGED]:
-            logger.warning("rules: {warning}", event="rules.idle", warning=str(sources.fault(flaw)))
+        for warning in table.warnings[:MOST_LOGGED]:
+            logger.warning("rules: {warning}", event="rules.idle", warning=str(sources.locate(warning)))
         return table
 
     def reload(self) -> None:
@@ -155,7 +155,7 @@
     async def compile(self, path: Path) -> Made:
         """Compile a table of other files without putting it in force; raises SettingsError."""
         now = self.tables
-        tables = Tables(path, now.words, now.environment, now.buckets, cache=now.cache)
+        tables = Tables(path, now.vocabulary, now.environment, now.buckets, cache=now.cache)
         table, sources = await in_thread(lambda: without_long_pauses(tables.load))
         return tables, table, sources
 
--- a/tests/test_http_tables.py
+++ b/tests/test_http_tables.py
@@ -212,7 +212,7 @@
             assert matcher.differences == {("feed/reads", "feed/-"): 30} and matcher.shadowed == 31
             head.recorder.write()
             head.recorder.most = 2048
-            head.recorder.sampler.take(
+            head.recorder.sampler.sample(
                 matcher_input := next(iter(read_samples([first_line(tmp_path)])))[1], "/feed/0", ()
             )
             assert matcher_input.path == "/feed/0" and matcher_input.headers["x-secret"] == "***"
--- a/tests/test_matcher.py
+++ b/tests/test_matcher.py
@@ -49,13 +49,13 @@
 
 
 def test_placements_are_bounded_and_what_is_forgotten_is_counted():
-    kept, decision = Placements(most=10), table(rule("r", "true")).decide(ask())
+    kept, decision = Placements(limit=10), table(rule("r", "true")).decide(ask())
     for i in range(25):
-        kept.keep(("h", "/", str(i)), decision, 0, T0, timedelta(seconds=5))
-    assert len(kept.held) == 10 and kept.forgotten == 15
+        kept.store(("h", "/", str(i)), decision, 0, T0, timedelta(seconds=5))
+    assert len(kept.entries) == 10 and kept.forgotten == 15
     assert kept.find(("h", "/", "24"), 0, T0) == decision and kept.find(("h", "/", "3"), 0, T0) is None
-    kept.keep(("h", "/", "x"), decision, 0, T0 + timedelta(seconds=6), timedelta(seconds=5))
-    assert len(kept.held) == 1 and kept.forgotten == 15  # those whose time is over are not counted
+    kept.store(("h", "/", "x"), decision, 0, T0 + timedelta(seconds=6), timedelta(seconds=5))
+    assert len(kept.entries) == 1 and kept.forgotten == 15  # those whose time is over are not counted
 
 
 def test_a_shadow_decides_nothing_and_its_differences_are_counted_by_rule():
--- a/tests/test_matching.py
+++ b/tests/test_matching.py
@@ -11,10 +11,10 @@
 from stoatrouter.expressions import parse
 from stoatrouter.expressions.parser import LONGEST
 from stoatrouter.matching import index
-from stoatrouter.matching.conjuncts import condition
+from stoatrouter.matching.conjuncts import split_condition
 from stoatrouter.matching.coverage import Coverage
+from stoatrouter.matching.diagnostics import TableError
 from stoatrouter.matching.files import Tables
-from stoatrouter.matching.flaws import TableError
 from stoatrouter.matching.records import Scope
 from stoatrouter.settings import SettingsError
 from tests.matching_tables import DETERMINED, ask, computed, rule, table
@@ -61,7 +61,7 @@
 @DETERMINED
 @given(st.lists(WHENS, min_size=1, max_size=40))
 def test_the_index_never_changes_which_rule_wins(whens):
-    made = table(*(rule(f"r{i}", when) for i, when in enumerate(whens))).compartments["all"]
+    made = table(*(rule(f"r{i}", when) for i, when in enumerate(whens))).scopes["all"]
     for request in REQUESTS:
         plain = next((i for i, r in enumerate(made.rules) if r.when(request)), None)
         tried = list(made.tree.find(request))
@@ -72,10 +72,10 @@
 @DETERMINED
 @given(st.lists(WHENS, min_size=2, max_size=30))
 def test_what_is_said_to_be_covered_or_contradictory_never_wins(whens):
-    conditions = [condition(parse(when)) for when in whens]
-    made = table(*(rule(f"r{i}", when) for i, when in enumerate(whens))).compartments["all"]
-    idle = {i for i, _ in Coverage(conditions).covered()} | {
-        i for i, c in enumerate(conditions) if c.never or c.contradiction()
+    conditions = [split_condition(parse(when)) for when in whens]
+    made = table(*(rule(f"r{i}", when) for i, when in enumerate(whens))).scopes["all"]
+    idle = {i for i, _ in Coverage(conditions).find_covered()} | {
+        i for i, c in enumerate(conditions) if c.is_false or c.find_contradiction()
     }
     for request in REQUESTS:
         assert next((i for i, r in enumerate(made.rules) if r.when(request)), None) not in idle
@@ -109,11 +109,12 @@
 
 def test_an_index_over_many_rules_tries_few():
     conditions = [
-        condition(parse(f'request.path.startsWith("/a/{i}/") && request.method == "GET"')) for i in range(500)
+        split_condition(parse(f'request.path.startsWith("/a/{i}/") && request.method == "GET"'))
+        for i in range(500)
     ]
     tree = index.build(conditions)
-    assert len(tree.find(ask("/a/123/x"))) <= index.LEAF and 123 in tree.find(ask("/a/123/x"))
-    assert tree.worst([10] * 500) < 100
+    assert len(tree.find(ask("/a/123/x"))) <= index.MAX_LEAF_RULES and 123 in tree.find(ask("/a/123/x"))
+    assert tree.max_steps([10] * 500) < 100
 
 
 # -- what is refused at load --------------------------------------------------------------------------------
@@ -180,7 +181,7 @@
 def test_a_budget_is_of_what_one_request_may_meet():
     spread = [rule(f"r{i}", f'request.path.startsWith("/{i}/") && request.size > {i}') for i in range(100)]
     scope = Scope(("*",), ("/",), ("event-write",), ("basic",), (FEED,), 100)
-    assert table(*spread, scope=scope).compartments["all"].worst <= 100  # each request meets few of them
+    assert table(*spread, scope=scope).scopes["all"].max_steps <= 100  # each request meets few of them
     with pytest.raises(TableError, match="keep rules apart"):
         table(*(rule(f"r{i}", f"request.size > {i}") for i in range(100)), scope=scope)
 
@@ -220,7 +221,7 @@
     write_rules(tmp_path)
     again, _ = tables.load()
     assert again.epoch == first.epoch
-    assert again.compartments["app"] is first.compartments["app"]  # what has not changed is not made again
+    assert again.scopes["app"] is first.scopes["app"]  # what has not changed is not made again
     assert again.decide(ask()) == first.decide(ask())
 
 
@@ -231,7 +232,7 @@
             rule("open", "((("),
             rule("loop", "request.segments.map(x, x).map("),
         )
-    assert [flaw.path for flaw in refusal.value.flaws] == [f"scopes.all.rules[{i}].when" for i in range(3)]
+    assert [error.path for error in refusal.value.errors] == [f"scopes.all.rules[{i}].when" for i in range(3)]
 
 
 def test_the_page_for_operators_has_rules_that_load(tmp_path):
