--- a/stoatrouter/cli/rules/bench.py
+++ b/stoatrouter/cli/rules/bench.py
@@ -53,7 +53,7 @@
 def read_requests(table: Table, log: Path | None) -> list[Input]:
     """The readable requests of a log; without a log, one request for each rule of the table."""
     if log is None:
-        return [request for home in table.compartments.values() for request in example_requests(home)]
+        return [request for home in table.scopes.values() for request in example_requests(home)]
     with log.open(encoding="utf-8", errors="replace") as lines:
         return [request for _, request in read_samples(lines) if isinstance(request, Input)]
 
@@ -79,5 +79,5 @@
         "load_s": round(load_seconds, 3),
         "median_us": round(statistics.median(figures), 2),
         "p99_us": round(figures[max(0, int(len(figures) * 0.99) - 1)], 2),
-        "worst_steps": max((home.worst for home in table.compartments.values()), default=0),
+        "worst_steps": max((home.max_steps for home in table.scopes.values()), default=0),
     }
--- a/stoatrouter/cli/rules/check.py
+++ b/stoatrouter/cli/rules/check.py
@@ -33,9 +33,9 @@
         echo_json(table_data(loaded))
         return
     echo_warnings(loaded.warnings)
-    for name, home in loaded.table.compartments.items():
+    for name, home in loaded.table.scopes.items():
         click.echo(
-            f"{name}: {len(home.rules)} rules, at most {home.worst} of {home.scope.steps} steps a request"
+            f"{name}: {len(home.rules)} rules, at most {home.max_steps} of {home.scope.steps} steps a request"
         )
     echo_unchecked_names(loaded.names_checked)
     click.echo(f"{file}: fine, table {loaded.table.epoch}")
@@ -44,8 +44,8 @@
 def table_data(loaded: LoadedTable) -> dict[str, object]:
     """A table that has no errors, as data for JSON output."""
     scopes = {
-        name: {"rules": len(home.rules), "steps": home.worst, "most": home.scope.steps}
-        for name, home in loaded.table.compartments.items()
+        name: {"rules": len(home.rules), "steps": home.max_steps, "most": home.scope.steps}
+        for name, home in loaded.table.scopes.items()
     }
     return {
         "ok": True,
--- a/stoatrouter/cli/rules/diff.py
+++ b/stoatrouter/cli/rules/diff.py
@@ -12,7 +12,7 @@
 from stoatrouter.cli.options import FILE, config_option, json_option
 from stoatrouter.cli.output import ExitCode, echo_json, exit_with_faults
 from stoatrouter.cli.tables import load_table
-from stoatrouter.matching.explain import Difference, decision_data, differences
+from stoatrouter.matching.explain import Difference, decision_data, find_differences
 from stoatrouter.matching.samples import read_samples
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
@@ -34,7 +34,7 @@
     except SettingsError as error:
         exit_with_faults(error, as_json, ExitCode.CANNOT_RUN)
     with log.open(encoding="utf-8", errors="replace") as file:
-        found, counts = differences(before, after, read_samples(file))
+        found, counts = find_differences(before, after, read_samples(file))
     if as_json:
         echo_json(differences_data(found, counts, before, after))
     else:
--- a/stoatrouter/cli/rules/examples.py
+++ b/stoatrouter/cli/rules/examples.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from stoatrouter.matching.conjuncts import PATH, PREFIX, Condition, Demand
+from stoatrouter.matching.conjuncts import PATH, PREFIX, Condition, Constraint
 from stoatrouter.matching.inputs import Input, Unreadable, read_input
-from stoatrouter.matching.table import Compartment
+from stoatrouter.matching.table import CompiledScope
 
 ANY_LABEL = "any"  # in place of the star of a host
 FILLER = "x"  # a segment of a path that no demand names
@@ -25,7 +25,7 @@
     fields: list[tuple[bytes, bytes]] = field(default_factory=list)
     segments: dict[int, str] = field(default_factory=dict)
 
-    def meet(self, demand: Demand) -> None:
+    def meet(self, demand: Constraint) -> None:
         """Put the least of the values that a demand allows into its place; other dimensions are left out."""
         kind, name = demand.dimension
         value = min(demand.values)
@@ -48,7 +48,7 @@
         return path + ("?" + "&".join(self.query) if self.query else "")
 
 
-def example_requests(home: Compartment) -> list[Input]:
+def example_requests(home: CompiledScope) -> list[Input]:
     """A request for each rule of a scope, as far as its demands tell; none where that cannot be read."""
     requests = []
     for rule in home.rules:
@@ -59,14 +59,14 @@
     return requests
 
 
-def example_request(home: Compartment, condition: Condition) -> Input:
+def example_request(home: CompiledScope, condition: Condition) -> Input:
     """A request of a scope that meets the demands of a condition.
 
     Raises:
         Unreadable: A front would reject it before any rule.
     """
     draft = Draft(home.scope.hosts[0].replace("*", ANY_LABEL))
-    for demand in condition.demands:
+    for demand in condition.constraints:
         draft.meet(demand)
     fields = [(b"Host", draft.host.encode()), *draft.fields]
     return read_input(draft.method, draft.target(home.scope.paths[0]), fields, PEER)
--- a/stoatrouter/cli/rules/explain.py
+++ b/stoatrouter/cli/rules/explain.py
@@ -143,14 +143,14 @@
     """An explanation as data for JSON output."""
     looked = [
         {"rule": each.rule, "matched": each.failed is None, "failed": each.failed, "steps": each.steps}
-        for each in explanation.looked
+        for each in explanation.tried
     ]
     return {
         "scope": explanation.scope,
         "rules": explanation.rules,
         "looked": looked,
         "steps": explanation.steps,
-        "decided": decision_data(explanation.decided, table),
+        "decided": decision_data(explanation.decision, table),
     }
 
 
@@ -159,13 +159,13 @@
     if explanation.scope is None:
         click.echo("no scope claims this host and path")
     else:
-        looked = len(explanation.looked)
+        looked = len(explanation.tried)
         click.echo(f"scope {explanation.scope}: {explanation.rules} rules, {looked} looked at")
-    for each in explanation.looked:
+    for each in explanation.tried:
         result = "matched" if each.failed is None else f"no: {each.failed}"
         click.echo(f"  {each.rule}: {result} ({each.steps} steps at most)")
-    data = decision_data(explanation.decided, table)
-    if isinstance(explanation.decided, Refusal):
+    data = decision_data(explanation.decision, table)
+    if isinstance(explanation.decision, Refusal):
         click.echo(f"refused: {data['refused']} {data['reason']}")
     else:
         for name in SHOWN:
--- a/stoatrouter/cli/tables.py
+++ b/stoatrouter/cli/tables.py
@@ -37,7 +37,7 @@
     @property
     def warnings(self) -> list[Fault]:
         """What is suspicious, but no error, such as rules that never match."""
-        return [self.sources.fault(flaw) for flaw in self.table.warnings]
+        return [self.sources.locate(flaw) for flaw in self.table.warnings]
 
 
 def load_table(path: Path, config_path: Path | None, objects: Path | None = None) -> LoadedTable:
--- a/stoatrouter/net/recorder.py
+++ b/stoatrouter/net/recorder.py
@@ -39,7 +39,7 @@
 
     def record(self, matcher_input: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> None:
         """Record a request if it is one of the sample; beyond MOST_WAITING it is only counted."""
-        line = self.sampler.take(matcher_input, target, fields)
+        line = self.sampler.sample(matcher_input, target, fields)
         if line is None:
             return
         if len(self.waiting) >= MOST_WAITING:
