--- a/tests/heads/test_call_answers.py
+++ b/tests/heads/test_call_answers.py
@@ -21,7 +21,7 @@
 from stoatrouter.credit.records import Booked
 from stoatrouter.history.records import Activate, CommandResult
 from stoatrouter.history.rule_history import RuleHistory
-from stoatrouter.lab.fleet.credit import Disk
+from stoatrouter.lab.fleet.credit_head import CreditDisk
 from stoatrouter.membership.roster import Status
 from stoatrouter.peering import credit_calls, rule_calls
 from stoatrouter.peering.credit_calls import CreditCalls
@@ -45,25 +45,25 @@
     def __init__(self) -> None:
         self.leader = "h0"
         self.raft = SimpleNamespace(
-            term=3, leads=True, votes_here=True, voters=(Voter("h0", "i0"), Voter("h1", "i1")), commit=9
+            term=3, leads=True, votes_here=True, voters=(Voter("h0", "i0"), Voter("h1", "i1")), commit_index=9
         )
         members = {"h1": SimpleNamespace(status=Status.SUSPECT), "h0": SimpleNamespace(status=Status.ALIVE)}
         self.fleet = SimpleNamespace(
             settings=SimpleNamespace(name="h0", fleet="f"),
             me=Voter("h0", "i0"),
-            process=5,
+            incarnation=5,
             leader=None,
             majority_age=1.2345 * SECOND,
             availability=SimpleNamespace(state=SimpleNamespace(value="in touch"), changes=True),
-            agreed=SimpleNamespace(raft=self.raft, lasting=True, machine=SimpleNamespace(index=9)),
-            belonging=SimpleNamespace(origin="o"),
-            counts=SimpleNamespace(counts={"b": 2, "a": 1}),
+            replication=SimpleNamespace(raft=self.raft, disk_writable=True, machine=SimpleNamespace(index=9)),
+            bootstrap=SimpleNamespace(origin="o"),
+            counters=SimpleNamespace(by_name={"b": 2, "a": 1}),
             datagrams=SimpleNamespace(detector=SimpleNamespace(roster=SimpleNamespace(members=members))),
             now=lambda: 100 * SECOND,
             read=self.read,
         )
         self.history, self.ledger, self.status = RuleHistory(), Ledger(), None
-        self.escrow = HeadEscrow(2 * SECOND, Disk())
+        self.escrow = HeadEscrow(2 * SECOND, CreditDisk())
         self.escrow.purses["acmé"] = Purse("acmé", [LocalAllotment("1.0", 1500, 4 * SECOND)])
         self.rules = SimpleNamespace(
             fleet=self.fleet,
