--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -140,7 +140,7 @@
                 await service.expire()
 
         took = harness.processor_seconds(lambda: asyncio.run(look()))
-        service.book.close()
+        service.journal.close()
     share = took / (LOOKS * STEP.total_seconds())
     name = "cpu of the looks at allotments, 10 customers, by heads that serve them"
     run.add(Measurement(name, heads, round(100 * share, 4), "% of a core"))
@@ -151,7 +151,7 @@
     fleet: Any = SimpleNamespace(
         settings=SimpleNamespace(folder=folder),
         stored=SimpleNamespace(writable=True, boot=1),
-        watchers=[],
+        monitor=SimpleNamespace(watchers=[]),
         replication=SimpleNamespace(restore_listeners=[], raft=SimpleNamespace(settled=False)),
         now=lambda: SECOND,
     )
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -191,7 +191,7 @@
         if heads.rules is not None:
             await heads.rules.close()
         if heads.credit is not None:
-            heads.credit.book.close()
+            heads.credit.journal.close()
         await heads.fleet.close()
 
     async def _end_watch(self) -> None:
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -57,15 +57,14 @@
             ledger: The accounts that the heads agreed on.
             classes: The classes of requests, in the order of their prices.
             background: The names of the classes that are throttled first.
-            now: The core's time: set once at the start and monotonic since, so leases hold whatever
-                clocks do.
+            now: The core's monotonic time, so that leases hold whatever clocks do.
         """
         self.settings, self.fleet, self.ledger, self.now = settings, fleet, ledger, now
-        self.book = SpentJournal(fleet.settings.folder / SPENT_FILE if fleet.stored.writable else None)
-        self.escrow = HeadEscrow(settings.lease, self.book)
+        self.journal = SpentJournal(fleet.settings.folder / SPENT_FILE if fleet.stored.writable else None)
+        self.escrow = HeadEscrow(settings.lease, self.journal)
         self.gate = Gate(self.escrow, ledger.customers_of, settings.prices, ranks(classes, background))
         self.begun = False  # the account knows of this process
-        self._previously_spent = self.book.read()  # by an earlier process, by allotment
+        self._previously_spent = self.journal.read()  # by an earlier process, by allotment
         self._number = fleet.stored.boot << 32  # of this head's last command to the account
         self._request_waits = asyncio.Event()
         self._answered = asyncio.Event()  # replaced after each answer of the account
@@ -185,7 +184,7 @@
             count=len(settles),
         )
         for id in self._previously_spent:
-            self.book.end(id)
+            self.journal.end(id)
         self._previously_spent = {}
 
     # -- the leader ---------------------------------------------------------------------------------------
@@ -209,7 +208,7 @@
                 await self.fleet.command(PART, body, command_id, COMMAND_TIMEOUT)
 
     async def close(self) -> None:
-        """Settle for the last time, so that what is unspent goes back at once; then close the book."""
+        """Settle for the last time, so that what is unspent goes back at once; then close the journal."""
         self._closing = True
         turns = self.escrow.closing()
         if turns and self.begun and self.fleet.availability.draws:
@@ -222,13 +221,13 @@
                     "credit: stops before its final settlement was confirmed; the next process settles",
                     event="credit.unsettled",
                 )
-        self.book.close()
+        self.journal.close()
 
     def _forget_settled(self, turns: list[Turn]) -> None:
         for turn in turns:
             for settle in turn.settles:
                 if settle.final:
-                    self.book.end(settle.allotment)
+                    self.journal.end(settle.allotment)
 
     # -- for operators ------------------------------------------------------------------------------------
     async def submit_command(self, command: Command, id: str, timeout: timedelta) -> Booked:
