--- a/stoatrouter/policy/key_order.py
+++ b/stoatrouter/policy/key_order.py
@@ -22,12 +22,12 @@
             self.queues.setdefault(request.key, deque()).append(request)
 
     def blocked_until(self, request: Request, now: int) -> int:
-        """From when the order of its key lets a request go; 0: now.
+        """From when the order of its key lets a request of an ordered class go; 0: now.
 
         A request's own retries do not wait for the hold-down.
         """
         key = request.key
-        if not request.request_class.ordered_by_key or key is None:
+        if key is None:
             return 0
         hold_down_until = self.hold_down_until.get(key, 0)
         is_first = self.queues[key][0] is request
--- a/stoatrouter/policy/scheduler.py
+++ b/stoatrouter/policy/scheduler.py
@@ -133,10 +133,10 @@
     # -- requests -----------------------------------------------------------------------------------------
     def _arrive(self, event: api.RequestArrived, now: int) -> None:
         """Place a newly arrived request at a node, set its timers, and send what the node lets through."""
-        if event.request in self.requests:
+        requests = self.state.requests
+        if event.request in requests:
             return
-        request = self._new_request(event, now)
-        self.state.requests[event.request] = request
+        request = requests[event.request] = self._new_request(event, now)
         self.retry_budget.note_arrival(now)
         if event.shard != ANY_SHARD:
             self.slow_start.requested_shards.note(event.shard, now)
@@ -197,7 +197,7 @@
     # -- attempts -----------------------------------------------------------------------------------------
     def _end_attempt(self, event: api.AttemptEnded, now: int) -> None:
         """Take an attempt's outcome: learn from it, then close, finish or place the request again."""
-        request = self.requests.get(event.request)
+        request = self.state.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
@@ -266,7 +266,7 @@
         if now - self.forgotten_at >= FORGET_EVERY:
             self.forgotten_at = now
             self._forget_old(now)
-        for node in self.nodes.due(now):
+        for node in self.state.nodes.due(now):
             self._read_node(node, now)
         self.endpoints.subscribe_if_due(now)
 
@@ -280,7 +280,7 @@
         self.dispatcher.dispatch(node, now)
         if not (node.pending or node.in_flight or node.read_latency > self.state.tightest_objective):
             # until its averages are too old
-            self.nodes.rest(node, now, max(node.answered_at, node.last_sent_at) + AVERAGE_SPAN)
+            self.state.nodes.rest(node, now, max(node.answered_at, node.last_sent_at) + AVERAGE_SPAN)
 
     def _cut_if_silent(self, node: Node, now: int) -> None:
         """Take a first attempt that is neither answered nor overtaken as a time-out."""
--- a/stoatrouter/policy/send_rules.py
+++ b/stoatrouter/policy/send_rules.py
@@ -46,10 +46,12 @@
         if node.up_since and (until := self.slow_start.blocked_until(request, node, now)):
             return until
         # 5: the limit: this host's part of the bucket may never sink below its part of the tolerance
-        if not request.charged and (until := limit_blocked_until(request, now)):
+        limited = request.volume.plan.limit and not request.charged
+        if limited and (until := request.volume.available_at(now, request.units)) > now:
             return until
         # 6: order within a key
-        if until := self.key_order.blocked_until(request, now):
+        ordered = request.request_class.ordered_by_key
+        if ordered and (until := self.key_order.blocked_until(request, now)):
             return until
         # 7: the retry budget
         if is_retry and not self.retry_budget.allows_retry(now):
@@ -65,15 +67,6 @@
         )
 
 
-def limit_blocked_until(request: Request, now: int) -> int:
-    """From when the volume's limit has the request's units; 0: now."""
-    volume = request.volume
-    if not volume.plan.limit:
-        return 0
-    available_at = volume.available_at(now, request.units)
-    return available_at if available_at > now else 0
-
-
 def blocks_retry(request: Request, node: Node, at: int, earlier: list[Attempt]) -> bool:
     """Whether earlier attempts block a retry of the request at `node` at `at` (microseconds).
 
