--- a/stoatrouter/policy/send_rules.py
+++ b/stoatrouter/policy/send_rules.py
@@ -17,7 +17,7 @@
     def __init__(
         self, max_attempts: int, slow_start: SlowStart, key_order: KeyOrder, retry_budget: RetryBudget
     ) -> None:
-        """Ask these parts; `max_attempts` is of one request, hedged ones and retries included."""
+        """Ask these parts; `max_attempts` is of one request, retries included."""
         self.max_attempts = max_attempts
         self.slow_start = slow_start
         self.key_order = key_order
