--- a/stoatrouter/core/invariants.py
+++ b/stoatrouter/core/invariants.py
@@ -6,14 +6,16 @@
 
 from loguru import logger
 
+from stoatrouter.core.errors import CoreError
+
 broken: Counter[str] = Counter()
 LOGGED_EACH = 5  # further breaks of the same kind are only counted: a log that floods hides its cause
 
 
-class InvariantBroken(AssertionError):
+class InvariantBroken(CoreError, AssertionError):
     """A condition that the core relies on does not hold; raised in debug builds only.
 
-    It is an AssertionError, so that tests and callers that expect one still catch it.
+    It is an AssertionError as well, so that tests and callers that expect one still catch it.
     """
 
     def __init__(self, what: str, details: dict[str, object]) -> None:
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -17,7 +17,7 @@
 from stoatrouter.core.list_times import ListTimes, list_times
 from stoatrouter.core.model import NodeInfo
 from stoatrouter.net.endpoint_list import read_list
-from stoatrouter.net.errors import Broken
+from stoatrouter.net.errors import Broken, MalformedList
 from stoatrouter.net.tracked_request import only_once
 from stoatrouter.policy.interface import ListKind, Phase
 
@@ -198,7 +198,7 @@
     async def call(self, session: aiohttp.ClientSession) -> bool:
         """Make one call, for the complete list or for changes; returns whether it brought any.
 
-        Raises ValueError for a malformed answer, and the client's errors.
+        Raises MalformedList or ValueError for a malformed answer, and the client's errors.
         """
         planned = self.plan_call()
         self.call_started = asyncio.get_running_loop().time()
@@ -208,7 +208,7 @@
         try:
             data = json.loads(raw)
         except RecursionError:  # brackets without end
-            raise ValueError("list nested too deeply") from None
+            raise MalformedList("list nested too deeply") from None
         changed = self.apply(data, self.age())
         self.current_at = asyncio.get_running_loop().time()
         self.answered.set()
@@ -240,14 +240,14 @@
             age: For how long it may already have been binding; None: not known.
 
         Raises:
-            ValueError: It breaks the protocol, or does not follow on the cached list.
+            MalformedList: It breaks the protocol, or does not follow on the cached list.
         """
         message = read_list(data, self.cached, self.zones)
         if not message.complete and (self.generation is None or message.generation < self.generation):
             # Guards against changes to another list than the cached one, as from an agent that restarted
             # its generations.
             self.generation = None  # the next call requests the complete list
-            raise ValueError("changes to a list that is not cached")
+            raise MalformedList("changes to a list that is not cached")
         self.generation = message.generation
         if message.complete or message.nodes or message.faults:
             kind = ListKind.FULL if message.complete else ListKind.CHANGES
@@ -306,13 +306,15 @@
 
 
 async def fetch(session: aiohttp.ClientSession, url: URL) -> bytearray:
-    """Read the body at a URL; raises ValueError for a status but 200 or more than LARGEST_LIST bytes."""
+    """Read the body at a URL; raises MalformedList for a status but 200 or more than LARGEST_LIST bytes."""
     async with session.get(url, allow_redirects=False) as response:
         if response.status != 200:
-            raise ValueError(f"status {response.status}")
+            raise MalformedList(f"status {response.status} (allowed: 200)")
         raw = bytearray()
         while chunk := await response.content.read(LARGEST_LIST):
             raw += chunk
             if len(raw) > LARGEST_LIST:  # guards memory against an answer without end
-                raise ValueError(f"list too large: more than {LARGEST_LIST} bytes")
+                raise MalformedList(
+                    f"list too large: {len(raw)} bytes or more (allowed: {LARGEST_LIST} or less)"
+                )
     return raw
--- a/stoatrouter/net/endpoint_list.py
+++ b/stoatrouter/net/endpoint_list.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from stoatrouter.core.model import NodeInfo
+from stoatrouter.net.errors import MalformedList
 from stoatrouter.policy.interface import Phase
 
 UNNAMED_ZONES = 1 << 16  # numbers from here on are of zones that the settings do not name
@@ -48,7 +49,7 @@
         zones: The zones by name, in the order in which the settings number them.
 
     Raises:
-        ValueError: The message as a whole breaks the protocol.
+        MalformedList: The message as a whole breaks the protocol.
     """
     try:
         generation = int(data["generation"])
@@ -57,7 +58,7 @@
         if not isinstance(entries, list):
             raise TypeError("instances is no list")
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"bad list: {type(error).__name__}: {error}") from None
+        raise MalformedList(f"bad list: {type(error).__name__}: {error}") from None
     nodes, faults = read_entries(entries, cached if complete else NONE_CACHED, zones)
     return ListMessage(generation, complete, nodes, faults)
 
--- a/stoatrouter/net/errors.py
+++ b/stoatrouter/net/errors.py
@@ -63,6 +63,10 @@
     """The decision to send no longer held once there was a connection; no byte was written."""
 
 
+class MalformedList(NetError, ValueError):
+    """Discovery's answer is no message of the endpoint list, or does not follow on the cached list."""
+
+
 class MalformedAnswer(NetError, aiohttp.ClientPayloadError):
     """A node sent a malformed answer; its request may have been executed.
 
