--- a/benchmarks/capacity/instrumented_head.py
+++ b/benchmarks/capacity/instrumented_head.py
@@ -24,9 +24,10 @@
 
 from stoatrouter import __main__ as program
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.net import clients
+from stoatrouter.net import client_table, clients
+from stoatrouter.net.node_connection import NodeConnection
 from stoatrouter.net.nodes import NodeClient
-from stoatrouter.net.pool import NodeConnection, NodePool
+from stoatrouter.net.pool import NodePool
 from stoatrouter.policy import Scheduler
 
 FRONT, NODE_CLIENT, DIAL = "front", "node client", "dial"
@@ -71,15 +72,15 @@
     "RequestHandler.start": FRONT,
     "RequestHandler._handle_request": FRONT,
     "BaseSelectorEventLoop._accept_connection2": ACCEPT,
-    "ClientTable.keep_swept": FRONT,
+    "ClientTable.sweep_periodically": FRONT,
     "NodeClient.attempt": NODE_CLIENT,
     "TrackedRequest.write_bytes": NODE_CLIENT,
     "Watch.follow": LIST,
 }
 PLACES_BY_CALLBACK = {
-    "Engine.timer": TIMERS,
+    "Engine.timer_due": TIMERS,
     "Engine.overdue": TIMERS,
-    "Engine.ended": NODE_CLIENT,
+    "Engine.attempt_ended": NODE_CLIENT,
     "ClientRequest.__reset_writer": NODE_CLIENT,
     "BaseSelectorEventLoop._accept_connection": ACCEPT,
     "BaseSelectorEventLoop._sock_write_done": NODE_CLIENT,
@@ -126,7 +127,7 @@
 def decision_place(scheduler: Scheduler, now: int, event: Any) -> str:
     """Readings and lists are counted apart from what requests cost."""
     name = type(event).__name__
-    if name == "NodeList":
+    if name == "EndpointList":
         return LIST
     return READING if name == "TimerFired" and event.token == 0 else DECISION
 
@@ -178,7 +179,7 @@
     if os.environ.get("CAPACITY_SPLIT"):
         instrument()
     if idle := os.environ.get("CAPACITY_IDLE_SECONDS"):
-        clients.IDLE = timedelta(seconds=float(idle))
+        client_table.IDLE_TIMEOUT = timedelta(seconds=float(idle))
     start = program.Head.start
 
     async def start_and_watch(head: Any) -> None:
--- a/stoatrouter/core/nodes.py
+++ b/stoatrouter/core/nodes.py
@@ -1,4 +1,4 @@
-"""The node list as the core holds it, and the nodes that operators took out of service."""
+"""The node list of the core, and the nodes that operators took out of service."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     out: dict[str, timedelta] = field(default_factory=dict)  # since when
     back: dict[str, tuple[timedelta, timedelta]] = field(default_factory=dict)  # out since, back since
 
-    def put_out(self, node: str, now: timedelta) -> None:
+    def take_out(self, node: str, now: timedelta) -> None:
         """Mark a node as out since now; if it was put back meanwhile, since it first was out."""
         since, _ = self.back.pop(node, (now, now))
         self.out.setdefault(node, min(since, now))
@@ -38,12 +38,12 @@
         if (since := self.out.pop(node, None)) is not None:
             self.back[node] = (since, now)
 
-    def seen(self, node: NodeInfo) -> NodeInfo:
-        """A listed node as the decision module is to see it, with its phase or start time overridden."""
+    def effective(self, node: NodeInfo) -> NodeInfo:
+        """A listed node with the phase or start time that operators override, for the decision module."""
         if node.id in self.out:
             return node if node.phase is api.Phase.GONE else replace(node, phase=api.Phase.DRAINING)
         since, back = self.back.get(node.id, (node.started, node.started))
         if node.started < since:
-            # Guards a node that was restarted while it was out, which the list may not say: it warms up.
+            # Guards a node that was restarted while it was out, which the list may not show: it warms up.
             return replace(node, started=back)
         return node
--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -11,17 +11,10 @@
 from aiohttp import HttpVersion11, web
 
 from stoatrouter.core import model
-from stoatrouter.net.bodies import (
-    Body,
-    BodyCapacity,
-    BrokenOff,
-    Flow,
-    StoredBody,
-    TooLarge,
-    TooSlow,
-    read_body,
-)
+from stoatrouter.net.answer_stream import AnswerStream
+from stoatrouter.net.bodies import Body, BodyCapacity, StoredBody, read_body
 from stoatrouter.net.engine import Engine
+from stoatrouter.net.errors import BrokenOff, TooLarge, TooSlow
 from stoatrouter.net.listener import Drain
 
 HEALTH_PATH = "/healthz"
@@ -80,13 +73,13 @@
 
     def reject(self, request_class: int) -> web.Response:
         """Reject a request of a class for lack of capacity."""
-        return answer_response(self.engine.turn_away(request_class))
+        return answer_response(self.engine.reject(request_class))
 
     async def stream_answer(
         self,
         request: web.BaseRequest,
         request_id: str,
-        flow: Flow,
+        stream: AnswerStream,
         response: web.StreamResponse | None = None,
     ) -> web.StreamResponse:
         """Stream an answer to the client; a truncated one ends the connection, so that clients can tell.
@@ -94,12 +87,12 @@
         Args:
             request: The client's request.
             request_id: The id of the core's request, for the report of how the stream ended.
-            flow: The node's answer.
+            stream: The node's answer.
             response: The response with its status and header fields; None: 200 without further fields.
         """
         response = self.drain.mark(response or web.StreamResponse())
-        if flow.length is not None:
-            response.content_length = flow.length
+        if stream.length is not None:
+            response.content_length = stream.length
         elif request.version >= HttpVersion11:
             response.enable_chunked_encoding()
         else:
@@ -107,7 +100,7 @@
         complete: bool | None = None
         try:
             await response.prepare(request)
-            async for chunk in flow.pieces():
+            async for chunk in stream.pieces():
                 await response.write(chunk)
             await response.write_eof()
             complete = True
@@ -116,8 +109,8 @@
             if request.transport is not None:
                 request.transport.close()  # what was written still goes out
         finally:
-            flow.close()
-            self.engine.flow_ended(request_id, complete)
+            stream.close()
+            self.engine.stream_ended(request_id, complete)
         return response
 
 
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -25,11 +25,12 @@
 from stoatrouter.matching.decisions import Decision, Refusal
 from stoatrouter.matching.inputs import Input, Unreadable, read_input
 from stoatrouter.matching.matcher import Matcher
-from stoatrouter.net.bodies import Body, BodyCapacity, NoCapacity
+from stoatrouter.net.bodies import Body, BodyCapacity
 from stoatrouter.net.engine import Engine
+from stoatrouter.net.errors import NoCapacity
 from stoatrouter.net.listener import Drain
-from stoatrouter.net.nodes import HOP_BY_HOP
 from stoatrouter.net.recorder import Recorder
+from stoatrouter.net.replies import HOP_BY_HOP
 from stoatrouter.policy import interface as api
 
 # Fields of a client's request that nodes don't get: those of its connection, those that the node client
@@ -88,14 +89,14 @@
         try:
             rule_input = read_request(request)
             if self.recorder is not None:
-                self.recorder.take(rule_input, request.raw_path, request.raw_headers)
+                self.recorder.record(rule_input, request.raw_path, request.raw_headers)
             key = read_idempotency_key(request)
             decision = self.matcher.decide(rule_input, self.engine.clock.now(), key)
             if isinstance(decision, Refusal):
                 return self.refuse(request, decision)
             translated = self.translate(request, decision, key)
             # Guards clients' connections: those that wait must not hold them all.
-            if self.drain.crowded():
+            if self.drain.overloaded():
                 return self.reject_crowded(request, translated.request_class)
             body = await self.read_body(request)
         except (BadRequest, Unreadable) as error:
@@ -116,9 +117,9 @@
         if not isinstance(answer, model.Served):
             return self.drain.mark(answer_response(answer))
         head = answer.head or model.Head(200, ())
-        if answer.flow is not None:
+        if answer.stream is not None:
             response = web.StreamResponse(status=head.status, headers=without_length(head))
-            return await self.stream_answer(request, translated.id, answer.flow, response)
+            return await self.stream_answer(request, translated.id, answer.stream, response)
         return self.drain.mark(complete_response(request, head, answer.body))
 
     def refuse(self, request: web.BaseRequest, refusal: Refusal) -> web.StreamResponse:
@@ -138,7 +139,7 @@
             key: The client's idempotency key; where it gives none, a class with keys gets a fresh one.
         """
         request_class = self.settings.classes[decision.request_class]
-        if key is None and request_class.effect is api.Effect.KEYED:
+        if key is None and request_class.effect is api.Effect.IDEMPOTENT:
             key = secrets.token_hex(8)  # for the head's own retries: nodes recognize them by it
         return model.Request(
             id=secrets.token_hex(8),
--- a/stoatrouter/fronts/http/settings.py
+++ b/stoatrouter/fronts/http/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from stoatrouter.config import Config, ConfigError, address
+from stoatrouter.config import Config, ConfigError, parse_address
 from stoatrouter.core.spans import span
 from stoatrouter.matching.vocabulary import KnownClass, Vocabulary
 from stoatrouter.policy import interface as api
@@ -70,7 +70,7 @@
         record = load(path, HttpFile, "http.#Http").record
     except SettingsError as error:
         raise ConfigError(f"bad settings of the HTTP front:\n{error}") from None
-    address(record.listen)  # raises ConfigError where it is none
+    parse_address(record.listen)  # raises ConfigError where it is none
     folder = path.parent
     return HttpSettings(
         listen=record.listen,
@@ -108,5 +108,5 @@
     return {
         number: span(c.repeat_window)
         for number, c in enumerate(settings.classes)
-        if c.effect is api.Effect.KEYED and c.repeat_window
+        if c.effect is api.Effect.IDEMPOTENT and c.repeat_window
     }
--- a/stoatrouter/fronts/objects/front.py
+++ b/stoatrouter/fronts/objects/front.py
@@ -114,7 +114,7 @@
     async def _serve_call(self, request: web.BaseRequest) -> web.StreamResponse:
         """Admit a call, route it and serve it; raises ObjectError."""
         # Guards memory: each operation holds a few pieces.
-        if self.operations > self.conf.max_operations or self.drain.crowded():
+        if self.operations > self.conf.max_operations or self.drain.overloaded():
             raise ObjectError(ErrorCode.SLOW_DOWN, "too many operations at once", CROWDED_RETRY_AFTER)
         path, _, query_string = request.raw_path.partition("?")
         query = parse_query(query_string)
--- a/stoatrouter/fronts/objects/store.py
+++ b/stoatrouter/fronts/objects/store.py
@@ -143,7 +143,7 @@
             target=f"/{request_class.name}/{bucket.volume}/{address.piece}",
             body=body,
             # fresh for each write: a manifest written anew is no retry of the one before
-            idempotency_key=secrets.token_hex(8) if request_class.effect is api.Effect.KEYED else None,
+            idempotency_key=secrets.token_hex(8) if request_class.effect is api.Effect.IDEMPOTENT else None,
         )
 
     def _limit_time(self, class_deadline: timedelta) -> timedelta:
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -25,8 +25,9 @@
     release_body,
     retry_after_field,
 )
-from stoatrouter.net.bodies import Body, BodyCapacity, NoCapacity
+from stoatrouter.net.bodies import Body, BodyCapacity
 from stoatrouter.net.engine import Engine
+from stoatrouter.net.errors import NoCapacity
 from stoatrouter.net.listener import Drain
 from stoatrouter.policy import interface as api
 
@@ -82,7 +83,7 @@
         try:
             translated = self.translate(request)
             # Guards clients' connections: those that wait must not hold them all.
-            if self.drain.crowded():
+            if self.drain.overloaded():
                 return self.reject_crowded(request, translated.request_class)
             body = await self.read_body(request)
             if request.method == "GET" and len(body):
@@ -102,8 +103,8 @@
             answer = await self.engine.serve(replace(translated, body=body) if len(body) else translated)
         finally:
             release_body(body)
-        if isinstance(answer, model.Served) and answer.flow is not None:
-            return await self.stream_answer(request, translated.id, answer.flow)
+        if isinstance(answer, model.Served) and answer.stream is not None:
+            return await self.stream_answer(request, translated.id, answer.stream)
         return self.drain.mark(answer_response(answer))
 
     def reject_unparsed(self, data: bytes) -> bytes | None:
@@ -119,7 +120,7 @@
         length = CONTENT_LENGTH.search(head)
         if len(body) != (int(length[1]) if length is not None else 0):
             return None
-        answer = self.engine.turn_away(request_class)
+        answer = self.engine.reject(request_class)
         assert isinstance(answer, model.Refused)  # what the engine gives for lack of capacity
         fields = retry_after_field(answer.retry_after)
         if self.drain.closing:
--- a/stoatrouter/matching/inputs.py
+++ b/stoatrouter/matching/inputs.py
@@ -14,9 +14,9 @@
 from urllib.parse import unquote_to_bytes
 
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.bounds import Bound, many, text, whole
+from stoatrouter.expressions.bounds import Bound, int_bound, list_bound, text_bound
 from stoatrouter.expressions.environment import Environment, Variable
-from stoatrouter.expressions.runtime import Fields
+from stoatrouter.expressions.runtime import Address, Fields
 
 # Bounds in characters.
 MAX_METHOD = 32
@@ -31,30 +31,35 @@
 MAX_PAIRS = 64  # of a query, or of cookies
 MAX_SIZE = 1 << 53  # bytes of a body
 
-Address = ipaddress.IPv4Address | ipaddress.IPv6Address
 STRING_MAP = t.MapOf(t.STRING, repeated=True)
 HTTP = Environment(
     {
-        "request.method": Variable(t.STRING, "method", text(MAX_METHOD, 1)),
-        "request.host": Variable(t.STRING, "host", text(MAX_HOST)),
-        "request.path": Variable(t.STRING, "path", text(MAX_PATH, 1)),
-        "request.segments": Variable(t.ListOf(t.STRING), "segments", many(MAX_SEGMENTS, text(MAX_SEGMENT))),
+        "request.method": Variable(t.STRING, "method", text_bound(MAX_METHOD, 1)),
+        "request.host": Variable(t.STRING, "host", text_bound(MAX_HOST)),
+        "request.path": Variable(t.STRING, "path", text_bound(MAX_PATH, 1)),
+        "request.segments": Variable(
+            t.ListOf(t.STRING), "segments", list_bound(MAX_SEGMENTS, text_bound(MAX_SEGMENT))
+        ),
         "request.headers": Variable(
-            t.MapOf(t.STRING, folded=True, repeated=True), "headers", many(MAX_FIELDS, text(MAX_FIELD_VALUE))
+            t.MapOf(t.STRING, folded=True, repeated=True),
+            "headers",
+            list_bound(MAX_FIELDS, text_bound(MAX_FIELD_VALUE)),
+        ),
+        "request.query": Variable(STRING_MAP, "query", list_bound(MAX_PAIRS, text_bound(MAX_QUERY))),
+        "request.cookies": Variable(
+            STRING_MAP, "cookies", list_bound(MAX_PAIRS, text_bound(MAX_FIELD_VALUE))
         ),
-        "request.query": Variable(STRING_MAP, "query", many(MAX_PAIRS, text(MAX_QUERY))),
-        "request.cookies": Variable(STRING_MAP, "cookies", many(MAX_PAIRS, text(MAX_FIELD_VALUE))),
-        "request.size": Variable(t.INT, "size", whole(-1, MAX_SIZE)),
-        "request.class": Variable(t.STRING, "request_class", text(64)),
+        "request.size": Variable(t.INT, "size", int_bound(-1, MAX_SIZE)),
+        "request.class": Variable(t.STRING, "request_class", text_bound(64)),
         "source.ip": Variable(t.IP, "ip", Bound()),
     }
 )
 OBJECTS = Environment(
     {
         **HTTP.variables,
-        "object.bucket": Variable(t.STRING, "bucket", text(63)),
-        "object.key": Variable(t.STRING, "key", text(1024)),
-        "object.operation": Variable(t.STRING, "operation", text(32, 1)),
+        "object.bucket": Variable(t.STRING, "bucket", text_bound(63)),
+        "object.key": Variable(t.STRING, "key", text_bound(1024)),
+        "object.operation": Variable(t.STRING, "operation", text_bound(32, 1)),
     }
 )
 
--- a/stoatrouter/matching/values.py
+++ b/stoatrouter/matching/values.py
@@ -11,8 +11,8 @@
 
 from stoatrouter.expressions import Environment, ExpressionError
 from stoatrouter.expressions import types as t
+from stoatrouter.expressions.conversions import duration_of_text
 from stoatrouter.expressions.errors import EvaluationError
-from stoatrouter.expressions.runtime import duration_of_text
 from stoatrouter.matching.cache import Cache, Expression
 from stoatrouter.matching.conjuncts import Condition
 from stoatrouter.matching.diagnostics import Diagnostic
--- /dev/null
+++ b/stoatrouter/peering/follower.py
@@ -0,0 +1,132 @@
+"""How a head learns what was committed where no leader replicates to it: it polls the voters.
+
+A voter that hears its leader needs none of this. All others poll one voter after the other; each answer
+brings committed entries, who leads, and how long ago a majority was connected (agreement/contact.py). The
+other side is `follower_feed`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from datetime import timedelta
+
+import msgspec
+
+from stoatrouter.agreement.contact import MajorityContact
+from stoatrouter.peering import calls
+from stoatrouter.peering.availability import AvailabilityMonitor
+from stoatrouter.peering.backoff import Backoff
+from stoatrouter.peering.bootstrap import FleetBootstrap
+from stoatrouter.peering.errors import PeerUnreachable
+from stoatrouter.peering.replication import Replication
+from stoatrouter.peering.settings import HeadsSettings
+from stoatrouter.peering.streams import Streams
+
+IDLE_INTERVAL = timedelta(milliseconds=500)  # between two looks whether this head has to poll
+FIRST_BACKOFF = timedelta(milliseconds=50)
+LONGEST_BACKOFF = timedelta(seconds=1)
+
+
+class Follower:
+    """One head's polls of the voters.
+
+    Attributes:
+        leader: The name of the leader, as the last answer had it; None where it is not known.
+    """
+
+    def __init__(
+        self,
+        settings: HeadsSettings,
+        replication: Replication,
+        streams: Streams,
+        bootstrap: FleetBootstrap,
+        monitor: AvailabilityMonitor,
+        now: Callable[[], timedelta],
+        draws: random.Random,
+    ) -> None:
+        """Set up; nothing is polled before `run_for_ever`.
+
+        Args:
+            settings: Names this head, the first voters and where heads listen.
+            replication: Takes in the committed entries.
+            streams: To the voters.
+            bootstrap: Says which fleet's entries may be learnt.
+            monitor: Notified of majorities that were connected.
+            now: This head's monotonic time.
+            draws: Draws the jitter of the backoff.
+        """
+        self.leader: str | None = None
+        self._turn = 0  # counts the voters chosen, so that the next one differs
+        self._settings = settings
+        self._replication = replication
+        self._streams = streams
+        self._bootstrap = bootstrap
+        self._monitor = monitor
+        self._now = now
+        self._backoff = Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, draws)
+
+    async def run_for_ever(self) -> None:
+        """Poll the voters, one after the other, unless this head leads or hears its leader."""
+        while True:
+            if not self._has_to_poll():
+                await asyncio.sleep(IDLE_INTERVAL.total_seconds())
+            elif await self._poll(self.next_voter()):
+                self._backoff.reset()
+            else:
+                await asyncio.sleep(self._backoff.next_pause())
+
+    def _has_to_poll(self) -> bool:
+        raft = self._replication.raft
+        hears_leader = raft.votes_here and raft.leader is not None
+        return not raft.leads and not hears_leader and bool(self._settings.streams)
+
+    def next_voter(self) -> str:
+        """Choose a voter to poll; those of the settings until others are known."""
+        me = self._settings.name
+        addresses = self._settings.streams
+        voters = [voter.name for voter in self._replication.raft.voters] or list(self._settings.voters)
+        names = [name for name in voters if name in addresses and name != me]
+        names = names or [name for name in addresses if name != me] or [me]
+        self._turn += 1
+        return names[(self._turn + voter_offset(me)) % len(names)]
+
+    def forget_leader(self) -> None:
+        """Give up the leader that is known, and choose another voter than the next one."""
+        self.leader = None
+        self._turn += 1
+
+    async def _poll(self, name: str) -> bool:
+        """Poll one voter; whether it answered and is connected to a majority."""
+        machine = self._replication.machine
+        asked_at = self._now()
+        fetch = calls.Fetch(machine.index, self._replication.raft.log.term_at(machine.index) or 0)
+        try:
+            reply = await self._streams.request(name, calls.FETCH, msgspec.msgpack.encode(fetch))
+            fetched = msgspec.msgpack.decode(reply.body, type=calls.Fetched)
+        except (PeerUnreachable, msgspec.MsgspecError):
+            return False
+        if not self._bootstrap.may_learn_from(fetched.origin) or self._bootstrap.adopt_missed(fetched):
+            return False
+        self._learn(fetched, asked_at)
+        return fetched.majority_connected
+
+    def _learn(self, fetched: calls.Fetched, asked_at: timedelta) -> None:
+        """Take in an answer to a poll that was sent at this time."""
+        self._bootstrap.join(fetched.origin)
+        self._replication.learn(fetched)
+        if not fetched.majority_connected:
+            return
+        self._turn -= 1  # stay with a voter that serves
+        self.leader = fetched.leader
+        contact = MajorityContact()
+        if fetched.majority_age is not None:
+            contact.record_report(asked_at, fetched.waited, fetched.majority_age)
+        self._monitor.note_contact(contact, fetched.commit)
+        self._monitor.refresh()
+
+
+def voter_offset(name: str) -> int:
+    """A number of a head's name that is the same in every process: heads spread over the voters by it."""
+    return sum(position * byte for position, byte in enumerate(name.encode(), 1))
--- /dev/null
+++ b/stoatrouter/peering/leader_client.py
@@ -0,0 +1,148 @@
+"""Commands and reads, sent to whichever head leads and retried until it answers or the time is over.
+
+A command that is retried takes effect once: the state machine answers a known id with the first answer
+(agreement/machine.py).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Awaitable, Callable
+from datetime import timedelta
+
+import msgspec
+
+from stoatrouter.agreement.machine import Command
+from stoatrouter.peering import calls
+from stoatrouter.peering.backoff import Backoff
+from stoatrouter.peering.errors import LeaderUnavailable, PeerUnreachable, ReplicaBehind
+from stoatrouter.peering.follower import Follower
+from stoatrouter.peering.leader_service import LeaderService
+from stoatrouter.peering.replication import Replication
+from stoatrouter.peering.settings import HeadsSettings
+from stoatrouter.peering.streams import Streams
+
+ATTEMPT_TIMEOUT = timedelta(seconds=3)  # of one request to the leader
+SHORTEST_APPLY_WAIT = timedelta(milliseconds=50)  # for the log here, however late the answer came
+FIRST_BACKOFF = timedelta(milliseconds=50)
+LONGEST_BACKOFF = timedelta(milliseconds=400)
+
+
+class LeaderClient:
+    """One head's commands and reads, which only the leader answers."""
+
+    def __init__(
+        self,
+        settings: HeadsSettings,
+        replication: Replication,
+        streams: Streams,
+        follower: Follower,
+        service: LeaderService,
+        now: Callable[[], timedelta],
+        draws: random.Random,
+    ) -> None:
+        """Set up.
+
+        Args:
+            settings: Names this head.
+            replication: Knows the leader, where this head votes, and what is applied here.
+            streams: To the leader.
+            follower: Knows the leader from polls, and which voter to try where none is known.
+            service: Answers where this head leads itself.
+            now: This head's monotonic time.
+            draws: Draws the jitter of the backoff.
+        """
+        self._settings = settings
+        self._replication = replication
+        self._streams = streams
+        self._follower = follower
+        self._service = service
+        self._now = now
+        self._draws = draws
+
+    @property
+    def leader(self) -> str | None:
+        """The name of the leader, as far as this head knows."""
+        return self._replicated_leader() or self._follower.leader
+
+    async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
+        """Have a command committed by whoever leads.
+
+        Args:
+            part: The part of the state machine that the command is for.
+            body: The command, as the part encodes it.
+            id: Its idempotency key: sent again under it, the command is not applied again.
+            within: How long it may take, retries included.
+
+        Returns:
+            The part's answer.
+
+        Raises:
+            LeaderUnavailable: No leader answered in time; the command may still take effect. Sent again under
+                its id it gives the one answer.
+        """
+        command = Command(id, part, body, self._settings.name)
+        encoded = msgspec.msgpack.encode(command)
+        answer = await self._request(
+            calls.COMMAND, encoded, within, lambda: self._service.answer_command(command)
+        )
+        return answer.body
+
+    async def read(self, within: timedelta) -> None:
+        """Wait until all that was committed before the call is applied here, as the leader confirms it.
+
+        Raises:
+            LeaderUnavailable: No leader answered in time.
+            ReplicaBehind: What the leader had committed was not applied here in time.
+        """
+        deadline = self._now() + within
+        answer = await self._request(calls.READ, b"", within, self._service.answer_read)
+        left = max(SHORTEST_APPLY_WAIT, deadline - self._now())
+        if not await self._replication.wait_applied(answer.index, left):
+            raise ReplicaBehind
+
+    async def _request(
+        self, kind: str, body: bytes, within: timedelta, answer_here: Callable[[], Awaitable[bytes]]
+    ) -> calls.Answer:
+        """Send a request to whoever leads, again and again until it is answered; raises LeaderUnavailable.
+
+        `answer_here` is how this head answers it, where it leads itself.
+        """
+        deadline = self._now() + within
+        backoff = Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, self._draws)
+        reason = "no leader is known"
+        hint: str | None = None  # the leader, as the last answer had it
+        while (left := deadline - self._now()) > timedelta(0):
+            name = self._choose_head(hint)
+            try:
+                if self._replication.raft.leads or name == self._settings.name:
+                    encoded = await answer_here()
+                else:
+                    reply = await self._streams.request(name, kind, body, min(left, ATTEMPT_TIMEOUT))
+                    encoded = reply.body
+                answer = msgspec.msgpack.decode(encoded, type=calls.Answer)
+            except (PeerUnreachable, msgspec.MsgspecError) as error:
+                reason = str(error)
+                hint = None
+                self._follower.forget_leader()
+            else:
+                if answer.ok:
+                    return answer
+                reason = answer.why
+                hint = answer.leader
+            await self._pause(backoff.next_pause(), deadline)
+        raise LeaderUnavailable(reason)
+
+    def _choose_head(self, hint: str | None) -> str:
+        """The leader as far as it is known, by the surest source first; else the next voter."""
+        return self._replicated_leader() or hint or self._follower.leader or self._follower.next_voter()
+
+    def _replicated_leader(self) -> str | None:
+        leader = self._replication.raft.leader
+        return leader.name if leader is not None else None
+
+    async def _pause(self, seconds: float, deadline: timedelta) -> None:
+        """Wait before a retry, but not beyond the deadline."""
+        left = (deadline - self._now()).total_seconds()
+        await asyncio.sleep(min(seconds, max(0.0, left)))
--- /dev/null
+++ b/stoatrouter/peering/replication.py
@@ -0,0 +1,376 @@
+"""The replication loop of one head: runs the effects of agreement/raft.py, and who waits for their outcome.
+
+Decides nothing: what is accepted, committed and applied, and in which order, is `Raft`'s to say. A message
+that must not go out before a write is on the disk waits for it here (`Persist`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import timedelta
+
+from loguru import logger
+
+from stoatrouter.agreement.machine import Command, Machine, encode
+from stoatrouter.agreement.raft import Raft, Timing
+from stoatrouter.agreement.records import (
+    COMMAND,
+    VOTERS,
+    Accepted,
+    AnyMessage,
+    Apply,
+    CommittedReceived,
+    Compact,
+    DiskFailed,
+    Effect,
+    Entry,
+    Event,
+    LeaderChanged,
+    LogLost,
+    Persist,
+    PersistentState,
+    Propose,
+    Read,
+    ReadConfirmed,
+    Received,
+    Rejected,
+    Restore,
+    Send,
+    Snapshot,
+    Tick,
+    Voter,
+    Write,
+    WriteCompleted,
+)
+from stoatrouter.peering import calls
+from stoatrouter.peering.disk_writer import DiskWriter
+from stoatrouter.peering.errors import (
+    CommitTimeout,
+    EntryOverwritten,
+    OutcomeCompacted,
+    ProposalRejected,
+    ReadTimeout,
+)
+from stoatrouter.peering.storage import BootstrapWrite, Storage, StoredState
+
+TICK = timedelta(milliseconds=20)
+# A snapshot is taken once so much was applied since the last one.
+COMPACT_ENTRIES = 1_000
+COMPACT_BYTES = 8 * 1024 * 1024
+
+
+@dataclass(slots=True, frozen=True)
+class PendingProposal:
+    """A proposal in the log that its proposer waits for."""
+
+    term: int  # the entry's; another term at its index is another leader's entry
+    answer: asyncio.Future[bytes]
+
+
+class Replication:
+    """One head's replicated log and state machine, running.
+
+    Attributes:
+        machine: The state machine that committed entries are applied to.
+        raft: The agreement; replaced as a whole where the head begins with another state (`begin`).
+        disk_writable: False once the disk takes no writes: this head has no vote then.
+        changed: Set and replaced whenever entries were applied; wait for it, then look again.
+        restore_listeners: Called after the whole state was replaced by a snapshot.
+    """
+
+    def __init__(
+        self,
+        me: Voter,
+        stored: StoredState,
+        storage: Storage,
+        machine: Machine,
+        timing: Timing,
+        seed: int,
+        now: Callable[[], timedelta],
+        send: Callable[[Voter, AnyMessage], None],
+        on_change: Callable[[], None],
+    ) -> None:
+        """Begin with what is on the disk; `restore_stored` applies it once all parts are known.
+
+        Args:
+            me: This head, with the identity of its disk.
+            stored: What the disk holds.
+            storage: The open storage; it is written to from a thread of its own and closed by `close`.
+            machine: What committed entries are applied to.
+            timing: Heartbeat and election timings.
+            seed: Of the election timeouts.
+            now: This head's monotonic time.
+            send: Sends a message to another voter; it does not wait.
+            on_change: Called after entries were applied and when the leader has changed.
+        """
+        self.machine = machine
+        self.raft = Raft(me, stored.disk, seed, timing, now=now())
+        self.raft.abstains = not stored.writable
+        self.disk_writable = stored.writable
+        self.changed = asyncio.Event()
+        self.restore_listeners: list[Callable[[], None]] = []
+        self._loop = asyncio.get_running_loop()
+        self._writer = DiskWriter(storage, self._loop, self._on_disk_failure, stored.writable)
+        self._stored_snapshot = stored.disk.snapshot
+        self._now = now
+        self._send = send
+        self._on_change = on_change
+        self._bytes_since_snapshot = 0  # applied
+        self._last_request = 0  # numbers the ids of proposals and reads
+        self._proposals: dict[int, PendingProposal] = {}  # by index
+        self._reads: dict[str, asyncio.Future[int]] = {}  # by id
+        # What the agreement answers to a proposal at once, by id, until `propose` takes it.
+        self._accepted: dict[str, Accepted] = {}
+        self._rejected: dict[str, Rejected] = {}
+
+    def restore_stored(self) -> None:
+        """Apply the snapshot that the disk held at the start, once all parts of the machine are known."""
+        self.machine.restore(self._stored_snapshot.index, self._stored_snapshot.state)
+
+    # -- for callers --------------------------------------------------------------------------------------
+    async def propose(self, body: bytes, kind: str, within: timedelta) -> bytes:
+        """Have an entry committed, here at the leader.
+
+        Args:
+            body: The entry's body.
+            kind: The entry's kind, COMMAND or VOTERS.
+            within: How long to wait for the commit.
+
+        Returns:
+            The machine's answer to a command; b"" for other entries.
+
+        Raises:
+            ProposalRejected: This head does not lead, or cannot take the entry now.
+            CommitTimeout: It was not committed in time; it may be later.
+            EntryOverwritten: Another leader's entry was committed in its place.
+            OutcomeCompacted: A snapshot came that covers its index.
+        """
+        accepted = self._put_proposal(body, kind)
+        answer: asyncio.Future[bytes] = self._loop.create_future()
+        self._proposals[accepted.index] = PendingProposal(accepted.term, answer)
+        try:
+            async with asyncio.timeout(within.total_seconds()):
+                return await answer
+        except TimeoutError:
+            raise CommitTimeout from None
+        finally:
+            self._proposals.pop(accepted.index, None)
+
+    def _put_proposal(self, body: bytes, kind: str) -> Accepted:
+        """Put a proposal to the agreement, which accepts or rejects it at once; raises ProposalRejected."""
+        request_id = self._next_id("p")
+        self.step(Propose(self._now(), request_id, body, kind))
+        rejected = self._rejected.pop(request_id, None)
+        if rejected is not None:
+            raise ProposalRejected(rejected.reason)
+        return self._accepted.pop(request_id)
+
+    async def command(self, command: Command, within: timedelta) -> bytes:
+        """Have a command committed, here at the leader; its answer. Raises as `propose` does."""
+        return await self.propose(encode(command), COMMAND, within)
+
+    async def change_voters(self, body: bytes, within: timedelta) -> None:
+        """Have a change of the voters committed, here at the leader. Raises as `propose` does."""
+        await self.propose(body, VOTERS, within)
+
+    async def read(self, within: timedelta) -> int:
+        """Confirm with a majority, here at the leader, up to which index a read must have applied.
+
+        The result is Raft's read index (Ongaro's thesis, section 6.4): a read is linearizable at any head
+        that has applied the log up to it.
+
+        Raises:
+            ProposalRejected: This head does not lead, or ceased to while it waited.
+            ReadTimeout: No majority answered in time.
+        """
+        request_id = self._next_id("r")
+        index: asyncio.Future[int] = self._loop.create_future()
+        self._reads[request_id] = index
+        try:
+            self.step(Read(self._now(), request_id))
+            async with asyncio.timeout(within.total_seconds()):
+                return await index
+        except TimeoutError:
+            raise ReadTimeout from None
+        finally:
+            self._reads.pop(request_id, None)
+
+    async def wait_applied(self, index: int, within: timedelta) -> bool:
+        """Wait until an index is applied here; False where it is not within the time."""
+        try:
+            async with asyncio.timeout(within.total_seconds()):
+                while self.machine.index < index:
+                    await self.changed.wait()
+        except TimeoutError:
+            return False
+        return True
+
+    def receive(self, sender: Voter, message: AnyMessage) -> None:
+        """Take in a message of another voter."""
+        self.step(Received(self._now(), sender, message))
+
+    def learn(self, fetched: calls.Fetched) -> None:
+        """Take in the committed entries that a voter has answered a poll with."""
+        self.step(
+            CommittedReceived(
+                self._now(),
+                fetched.prev_index,
+                fetched.prev_term,
+                fetched.entries,
+                fetched.commit,
+                fetched.snapshot,
+            )
+        )
+
+    def store(self, write: BootstrapWrite, done: Callable[[], None]) -> None:
+        """Store what the fleet's bootstrap promises; `done` is called once it is on the disk."""
+        self._writer.put(write, done)
+
+    def begin(self, snapshot: Snapshot, term: int, origin: str, done: Callable[[], None]) -> None:
+        """Begin with a state, in one write: a founding, or a survivor's own when the voters are lost.
+
+        Args:
+            snapshot: The state, and the voters that go on with it.
+            term: The term that the log goes on in.
+            origin: The identity of the fleet that this head belongs to from now on.
+            done: Called once the beginning is on the disk and has taken effect.
+        """
+        before = self.raft
+        write = Write(term, None, cut_from=1, snapshot=snapshot, keep_from=snapshot.index + 1, origin=origin)
+
+        def on_written() -> None:
+            disk = PersistentState(term, None, snapshot)
+            self.raft = Raft(before.me, disk, before.seed, before.timing, now=self._now())
+            self._restore(snapshot)
+            done()
+
+        self._writer.put(write, on_written)
+
+    async def run_for_ever(self) -> None:
+        """Let time pass for the agreement."""
+        while True:
+            self.step(Tick(self._now()))
+            await asyncio.sleep(TICK.total_seconds())
+
+    def close(self) -> None:
+        """Finish what is queued for the disk, and close the storage."""
+        self._writer.close()
+
+    def _next_id(self, prefix: str) -> str:
+        self._last_request += 1
+        return f"{prefix}{self._last_request}"
+
+    # -- events in, effects out ---------------------------------------------------------------------------
+    def step(self, event: Event) -> None:
+        """Reduce an event of the agreement, and run its effects in order."""
+        for effect in self.raft.reduce(event):
+            self._perform(effect)
+
+    def _perform(self, effect: Effect) -> None:
+        match effect:
+            case Send():
+                self._send(effect.to, effect.message)
+            case Persist():
+                self._writer.put(effect.write, lambda: self._on_written(effect))
+            case Apply():
+                self._apply(effect.entries)
+            case Restore():
+                self._restore(effect.snapshot)
+            case Accepted():
+                self._accepted[effect.id] = effect
+            case Rejected():
+                self._reject(effect)
+            case ReadConfirmed():
+                self._resolve_read(effect)
+            case LeaderChanged():
+                self._report_leader(effect)
+            case LogLost():
+                report_log_lost(effect)
+
+    def _on_written(self, durable: Persist) -> None:
+        """Send what has waited for a write, which is on the disk."""
+        for send in durable.then:
+            self._send(send.to, send.message)
+        self.step(WriteCompleted(self._now(), durable.number))
+
+    def _on_disk_failure(self, reason: str) -> None:
+        """Give up this head's vote: its disk takes no writes any more."""
+        logger.error(
+            "heads: the disk takes no writes, this head has no voice: {why}", event="heads.disk", why=reason
+        )
+        self.disk_writable = False
+        self.step(DiskFailed(self._now()))
+
+    def _apply(self, entries: tuple[Entry, ...]) -> None:
+        """Apply committed entries, answer their proposers, and compact the log where it has grown enough."""
+        for entry in entries:
+            answer = self.machine.apply(entry)
+            self._bytes_since_snapshot += len(entry.body)
+            self._resolve_proposal(entry, answer[1] if answer is not None else b"")
+        self._report_applied()
+        behind = self.machine.index - self.raft.log.snapshot.index
+        if behind >= COMPACT_ENTRIES or self._bytes_since_snapshot >= COMPACT_BYTES:
+            self._bytes_since_snapshot = 0
+            self.step(Compact(self._now(), self.machine.index, self.machine.state()))
+
+    def _restore(self, snapshot: Snapshot) -> None:
+        """Replace all that was applied by a snapshot."""
+        logger.info("heads: caught up by a snapshot at {index}", event="heads.restored", index=snapshot.index)
+        self.machine.restore(snapshot.index, snapshot.state)
+        for index, proposal in self._proposals.items():
+            if index <= snapshot.index and not proposal.answer.done():
+                proposal.answer.set_exception(OutcomeCompacted())
+        for listener in self.restore_listeners:
+            listener()
+        self._report_applied()
+
+    # -- who waits ----------------------------------------------------------------------------------------
+    def _resolve_proposal(self, entry: Entry, answer: bytes) -> None:
+        """Answer whoever waits for the entry at this index."""
+        proposal = self._proposals.get(entry.index)
+        if proposal is None or proposal.answer.done():
+            return
+        if proposal.term == entry.term:
+            proposal.answer.set_result(answer)
+        else:
+            proposal.answer.set_exception(EntryOverwritten())
+
+    def _resolve_read(self, readable: ReadConfirmed) -> None:
+        index = self._reads.get(readable.id)
+        if index is not None and not index.done():
+            index.set_result(readable.index)
+
+    def _reject(self, rejected: Rejected) -> None:
+        """Fail the read of this id; without one it is a proposal, whose caller looks for the rejection."""
+        index = self._reads.get(rejected.id)
+        if index is None:
+            self._rejected[rejected.id] = rejected
+        elif not index.done():
+            index.set_exception(ProposalRejected(rejected.reason))
+
+    def _report_applied(self) -> None:
+        """Wake those who wait for an index to be applied."""
+        self.changed.set()
+        self.changed = asyncio.Event()
+        self._on_change()
+
+    def _report_leader(self, change: LeaderChanged) -> None:
+        logger.info(
+            "heads: term {term}, {leader} leads",
+            event="heads.role",
+            term=change.term,
+            leader=change.leader or "nobody known",
+        )
+        self._on_change()
+
+
+def report_log_lost(lost: LogLost) -> None:
+    """Log that this head's disk is older than what it acknowledged."""
+    logger.error(
+        "heads: the disk holds {held} of {acknowledged} entries acknowledged: it votes no more",
+        event="heads.forgot",
+        held=lost.last_on_disk,
+        acknowledged=lost.acknowledged,
+    )
--- /dev/null
+++ b/stoatrouter/peering/services.py
@@ -0,0 +1,140 @@
+"""The services that heads agree on, each put together where its settings turn it on."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, NamedTuple, Protocol
+
+import msgspec
+from aiohttp import web
+
+from stoatrouter.peering.fleet import Fleet
+from stoatrouter.peering.settings import HeadsSettings
+
+if TYPE_CHECKING:
+    from stoatrouter.agreement.machine import Part
+    from stoatrouter.config import Config
+    from stoatrouter.fronts.http.settings import HttpSettings
+    from stoatrouter.net.engine import Engine
+    from stoatrouter.net.tables import TableService
+    from stoatrouter.peering.credit import CreditService
+    from stoatrouter.peering.rules import RulesService
+
+Call = Callable[[str, str, bytes], Awaitable[web.Response | None]]
+
+
+class ServingHead(Protocol):
+    """What the services need of the head that they are parts of."""
+
+    @property
+    def conf(self) -> Config:
+        """What the platform configured."""
+        ...
+
+    @property
+    def engine(self) -> Engine:
+        """What serves requests; it asks the credit service first."""
+        ...
+
+    @property
+    def http_tables(self) -> TableService | None:
+        """The rule tables of the HTTP front; None where it is off."""
+        ...
+
+
+class StartingRules(NamedTuple):
+    """The rules that a head starts with."""
+
+    version: int  # of the history; 0: the head's own files
+    http: HttpSettings | None  # the HTTP front's settings, with the files of that version
+
+
+def add_credit(
+    settings: HeadsSettings, head: ServingHead, fleet: Fleet, parts: dict[str, Part], calls: list[Call]
+) -> CreditService | None:
+    """Set up prepaid credit, which the core asks before its module for every front.
+
+    Args:
+        settings: The settings of the heads.
+        head: The head whose engine asks it.
+        fleet: The other heads.
+        parts: Where its part of the replicated state is added.
+        calls: Where its management calls are added.
+
+    Returns:
+        The service; None where the settings turn it off.
+    """
+    if settings.credit is None:
+        return None
+    from stoatrouter.credit.ledger import Ledger
+    from stoatrouter.peering.credit import PART, CreditService
+    from stoatrouter.peering.credit_calls import CreditCalls
+
+    ledger = parts[PART] = Ledger()
+    scheduler = head.engine.reducer.scheduler
+    service = CreditService(
+        settings.credit,
+        fleet,
+        ledger,
+        scheduler.settings.classes,
+        scheduler.background_classes,
+        head.engine.clock.now,
+    )
+    head.engine.reducer.gate = service.gate
+    head.engine.prepare = service.prepare
+    calls.append(CreditCalls(service).call)
+    return service
+
+
+def add_rules(
+    settings: HeadsSettings,
+    head: ServingHead,
+    fleet: Fleet,
+    parts: dict[str, Part],
+    calls: list[Call],
+    started_with: int,
+) -> RulesService | None:
+    """Set up the shared history of the HTTP front's rules.
+
+    Args:
+        settings: The settings of the heads.
+        head: The head whose rule tables follow the history.
+        fleet: The other heads.
+        parts: Where its part of the replicated state is added.
+        calls: Where its management calls are added.
+        started_with: The version that the head started with (`persisted_version`).
+
+    Returns:
+        The service; None where the settings turn it off, or the head has no HTTP front.
+    """
+    if settings.rules is None or head.http_tables is None:
+        return None
+    from stoatrouter.history.rule_history import RuleHistory
+    from stoatrouter.peering.rule_calls import RuleCalls
+    from stoatrouter.peering.rule_rollout import PART
+    from stoatrouter.peering.rules import RulesService
+
+    history = parts[PART] = RuleHistory()
+    service = RulesService(settings.rules, fleet, history, head.http_tables, started_with)
+    calls.append(RuleCalls(service).call)
+    return service
+
+
+def persisted_version(settings: HeadsSettings, http: HttpSettings | None) -> StartingRules:
+    """Find the version of the rules that this head has stored, to start with.
+
+    Args:
+        settings: The settings of the heads.
+        http: The HTTP front's settings; None where it is off.
+
+    Returns:
+        The stored version and its files, or version 0 and the head's own files where none can be used.
+    """
+    if settings.rules is None or http is None:
+        return StartingRules(0, http)
+    from stoatrouter.peering.rule_store import RuleStore
+
+    stored = RuleStore(settings.folder).load()
+    if stored is None:
+        return StartingRules(0, http)
+    return StartingRules(stored.number, msgspec.structs.replace(http, rules=stored.root))
--- a/stoatrouter/policy/simhost.py
+++ b/stoatrouter/policy/simhost.py
@@ -11,11 +11,11 @@
 from typing import Any, TextIO
 
 from stoatrouter.policy import interface as api
-from stoatrouter.policy.logic import Scheduler
+from stoatrouter.policy.scheduler import Scheduler
 
 Fields = dict[str, Any]
 
-EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
+EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.IDEMPOTENT, "fragile": api.Effect.UNSAFE}
 REGISTRY = {"automatic": False, "subscribe": True}  # whether the list must be asked for
 GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.SHARD}
 PHASES = {"on": api.Phase.ON, "fading": api.Phase.DRAINING, "off": api.Phase.GONE}
@@ -34,67 +34,30 @@
 
 def read_settings(data: Fields) -> api.Settings:
     """Build the settings from an instance's first message; keys that are not known are skipped."""
-    extra, limits, rules = data.get("Extra", {}), data["Limits"], data["Contract"]
+    extra = data.get("Extra", {})
+    limits = data["Limits"]
+    rules = data["Contract"]
     writes = extra.get("ChangesData") or []
-    classes = tuple(
-        api.RequestClass(
-            name=c["Name"],
-            worth=c["Points"],
-            aim=c["Promise"],
-            deadline=c["HardLimit"],
-            late_worth=c.get("LateWorth") or 0.0,
-            effect=EFFECTS[c["Effect"]],
-            group=GROUPS[c.get("Group") or "all"],
-            repeat_window=c.get("Window") or 0,
-            writes=bool(writes[i]) if i < len(writes) else False,
-            in_turn=bool(c.get("InTurn")),
-            stream=bool(c.get("Stream")),
-        )
-        for i, c in enumerate(data["Classes"])
-    )
-    plans = tuple(
-        api.Plan(
-            name=p["Name"],
-            usual_rate=p.get("UsualRate") or 0.0,
-            reserve=p.get("Guaranteed") or 0.0,
-            share=p.get("Shares", 1.0),
-            price=p.get("Price", 1.0),
-            limit=p.get("Limit") or 0.0,
-            burst=p.get("Burst") or 0.0,
-            tolerance=p.get("Tolerance") or 0.0,
-        )
-        for p in data["Contracts"]
-    )
     return api.Settings(
-        classes=classes,
-        plans=plans,
-        rules=api.Rules(
-            answer_slack=rules.get("AnswerSlack") or 0,
-            drain_grace=rules.get("DrainGrace") or 0,
-            cold_from=rules.get("ColdFrom", 1.0),
-            cold_time=rules.get("Cold") or 0,
-            cold_units=extra.get("ColdBears") or 0.0,
-            fall_time=rules.get("Fall") or 0,
-            fall_multiple=rules.get("FallMultiple") or 1.0,
-            ask_within=rules.get("AskWithin"),
-            key_rest=rules.get("KeyRest"),
-            budget_time=rules.get("CountedOver"),
-            budget_free=rules.get("SpareAttempts") or 0.0,
-            budget_share=rules.get("ExtraRatio") or 0.0,
+        classes=tuple(
+            read_class(kind, bool(writes[i]) if i < len(writes) else False)
+            for i, kind in enumerate(data["Classes"])
         ),
+        plans=tuple(read_plan(plan) for plan in data["Contracts"]),
+        rules=read_rules(rules, extra),
         hosts=data["Balancers"],
-        me=data["Me"],
+        host_index=data["Me"],
         zone=data.get("Zone") or 0,
         tick=data.get("Tick") or 0,
         max_attempts=limits["MostTries"],
         parallel_attempts=bool(limits.get("ParallelTries")),
         may_cancel=bool(limits.get("Cancel")),
-        may_probe=bool(limits.get("Probes")),
-        takes_advice=bool(limits.get("RetryAfter")),
-        max_advice=limits.get("MaxRetryAfter") or 0,
-        list_on_request=REGISTRY[data.get("RegistryMode") or "automatic"],
-        share_worth=extra.get("FairWorth", 1.0),
-        beyond_worth=extra.get("BeyondShare", 1.0),
+        health_checks=bool(limits.get("Probes")),
+        accepts_retry_after=bool(limits.get("RetryAfter")),
+        max_retry_after=limits.get("MaxRetryAfter") or 0,
+        must_subscribe=REGISTRY[data.get("RegistryMode") or "automatic"],
+        quota_weight_factor=extra.get("FairWorth", 1.0),
+        excess_weight_factor=extra.get("BeyondShare", 1.0),
         mean_units=extra.get("UnitMean") or 1.0,
         max_units=extra.get("MostUnits") or 1.0,
         meter_period=extra.get("Metering") or 0,
@@ -103,54 +66,103 @@
     )
 
 
-def read_list(e: Fields) -> api.NodeList:
-    """Read a message of the node list."""
-    return api.NodeList(
-        LISTS[e["Form"]],
-        tuple(
-            api.NodeEntry(
-                n["Brick"],
-                n["UnitGroup"],
-                n["RegionPart"],
-                PHASES[n["Phase"]],
-                n["Weight"],
-                n.get("UpSince") or 0,
-            )
-            for n in e["NodesList"] or ()
-        ),
+def read_class(data: Fields, writes: bool) -> api.RequestClass:
+    """Read a class of requests; whether it writes stands apart from it on the wire."""
+    return api.RequestClass(
+        name=data["Name"],
+        priority_weight=data["Points"],
+        latency_objective=data["Promise"],
+        deadline=data["HardLimit"],
+        late_weight_factor=data.get("LateWorth") or 0.0,
+        effect=EFFECTS[data["Effect"]],
+        group=GROUPS[data.get("Group") or "all"],
+        repeat_window=data.get("Window") or 0,
+        writes=writes,
+        ordered_by_key=bool(data.get("InTurn")),
+        stream=bool(data.get("Stream")),
+    )
+
+
+def read_plan(data: Fields) -> api.Plan:
+    """Read a plan."""
+    return api.Plan(
+        name=data["Name"],
+        usual_rate=data.get("UsualRate") or 0.0,
+        reserve=data.get("Guaranteed") or 0.0,
+        weight=data.get("Shares", 1.0),
+        price=data.get("Price", 1.0),
+        limit=data.get("Limit") or 0.0,
+        burst=data.get("Burst") or 0.0,
+        tolerance=data.get("Tolerance") or 0.0,
     )
 
 
-def read_request(e: Fields) -> api.RequestArrived:
+def read_rules(data: Fields, extra: Fields) -> api.Rules:
+    """Read the figures of the rules."""
+    return api.Rules(
+        answer_slack=data.get("AnswerSlack") or 0,
+        drain_grace=data.get("DrainGrace") or 0,
+        warm_up_from=data.get("ColdFrom", 1.0),
+        warm_up_time=data.get("Cold") or 0,
+        warm_up_units=extra.get("ColdBears") or 0.0,
+        overload_window=data.get("Fall") or 0,
+        overload_multiple=data.get("FallMultiple") or 1.0,
+        poll_within=data.get("AskWithin"),
+        key_hold_down=data.get("KeyRest"),
+        retry_budget_window=data.get("CountedOver"),
+        retry_budget_min=data.get("SpareAttempts") or 0.0,
+        retry_budget_ratio=data.get("ExtraRatio") or 0.0,
+    )
+
+
+def read_list(message: Fields) -> api.EndpointList:
+    """Read a message of the endpoint list."""
+    kind = LISTS[message["Form"]]
+    return api.EndpointList(kind, tuple(read_entry(entry) for entry in message["NodesList"] or ()))
+
+
+def read_entry(data: Fields) -> api.NodeEntry:
+    """Read one endpoint."""
+    return api.NodeEntry(
+        node=data["Brick"],
+        shard=data["UnitGroup"],
+        zone=data["RegionPart"],
+        phase=PHASES[data["Phase"]],
+        weight=data["Weight"],
+        up_since=data.get("UpSince") or 0,
+    )
+
+
+def read_request(message: Fields) -> api.RequestArrived:
     """Read a client's request."""
-    bits = e["Bitmap"]
+    bits = message["Bitmap"]
     return api.RequestArrived(
-        request=e["MsgId"],
-        volume=e["ShareId"],
-        plan=e["ServiceLevel"],
-        request_class=e["Service"],
-        shard=int(e["Shard"]),
-        time_left=e["Left"],
-        units=e["Weight"],
-        hosts=int(e["Writers"]),
-        key=e["Item"],
+        request=message["MsgId"],
+        volume=message["ShareId"],
+        plan=message["ServiceLevel"],
+        request_class=message["Service"],
+        shard=int(message["Shard"]),
+        time_left=message["Left"],
+        units=message["Weight"],
+        hosts=int(message["Writers"]),
+        key=message["Item"],
         repeat=bool(bits & REPEAT_BIT),
         write=bool(bits & WRITE_BIT),
     )
 
 
-def read_outcome(e: Fields) -> api.AttemptEnded:
+def read_outcome(message: Fields) -> api.AttemptEnded:
     """Read how an attempt ended."""
     return api.AttemptEnded(
-        e["MsgId"],
-        e["SeqNo"],
-        e["Brick"],
-        api.Outcome(e["Status"]),
-        e["TimeTaken"],
-        bool(e["Finished"]),
-        e.get("Used") or 0,
-        e.get("ByOthers") or 0.0,
-        e.get("Load"),
+        request=message["MsgId"],
+        attempt=message["SeqNo"],
+        node=message["Brick"],
+        outcome=api.Outcome(message["Status"]),
+        took=message["TimeTaken"],
+        finished=bool(message["Finished"]),
+        volume_percent=message.get("Used") or 0,
+        units_by_others=message.get("ByOthers") or 0.0,
+        load=message.get("Load"),
     )
 
 
@@ -159,7 +171,7 @@
     "JOB_IN": read_request,
     "RESULT": read_outcome,
     "HEADERS": lambda e: api.StreamStarted(e["MsgId"], e["SeqNo"], e["Brick"]),
-    "CHECK_RESULT": lambda e: api.ProbeEnded(
+    "CHECK_RESULT": lambda e: api.HealthCheckEnded(
         e["Brick"], api.Outcome(e["Status"]), e["TimeTaken"], e.get("Load")
     ),
     "LEFT": lambda e: api.ClientGone(e["MsgId"]),
@@ -169,12 +181,12 @@
 
 WRITERS: dict[type, Callable[[Any], Fields]] = {
     api.Send: lambda a: {"cmd": "CALL_OUT", "MsgId": a.request, "Brick": a.node, "TryFor": a.timeout},
-    api.Refuse: lambda a: {"cmd": "SHED", "MsgId": a.request, "RetryIn": a.retry_in},
+    api.Reject: lambda a: {"cmd": "SHED", "MsgId": a.request, "RetryIn": a.retry_after},
     api.Fail: lambda a: {"cmd": "REPORT_FAILURE", "MsgId": a.request},
     api.CancelAttempt: lambda a: {"cmd": "STOP_ATTEMPT", "MsgId": a.request, "SeqNo": a.attempt},
     api.SetTimer: lambda a: {"cmd": "AFTER", "After": a.after, "Cookie": a.token},
     api.Subscribe: lambda a: {"cmd": "WATCH", "Want": True},
-    api.ProbeNode: lambda a: {"cmd": "SAMPLE", "Brick": a.node},
+    api.CheckHealth: lambda a: {"cmd": "SAMPLE", "Brick": a.node},
 }
 
 
@@ -186,10 +198,15 @@
         self.instances: dict[str, Scheduler] = {}
 
     def batch(self, line: str) -> str:
-        """Answer one batch."""
+        """Answer one batch, a line of JSON, by another.
+
+        Raises:
+            WireError: where the line is no batch, or a message in it is not of the wire's form.
+        """
         try:
             batch = json.loads(line)
-            now, events = batch["Time"], batch["events"]
+            now = batch["Time"]
+            events = batch["events"]
         except (ValueError, KeyError, TypeError) as error:
             raise WireError(f"not a batch: {describe(error)}") from None
         if not isinstance(events, list):
@@ -202,16 +219,19 @@
     def event(self, now: int, event: Fields) -> list[Fields]:
         """Pass one event to its instance and put its actions on the wire."""
         try:
-            name, host = event["cmd"], event["HostId"]
+            name = event["cmd"]
+            host = event["HostId"]
             if name == "ATTACH":
-                settings, seed = read_settings(event["ProfileData"]), event["InitSeed"]
+                settings = read_settings(event["ProfileData"])
+                seed = event["InitSeed"]
             elif name == "HALT":
                 self.instances.pop(host, None)
                 return []
             elif name not in READERS:
                 raise WireError(f"unknown message {name!r}")
             else:
-                parsed, scheduler = READERS[name](event), self.instances[host]
+                parsed = READERS[name](event)
+                scheduler = self.instances[host]
         except (KeyError, ValueError, TypeError, AttributeError) as error:
             label = event.get("cmd") if isinstance(event, dict) else event
             raise WireError(f"bad message {label!r}: {describe(error)}") from None
@@ -226,7 +246,7 @@
 
 
 def describe(error: Exception) -> str:
-    """Name what was wrong in one line."""
+    """Describe the fault in one line."""
     return f"missing {error}" if isinstance(error, KeyError) else " ".join(str(error).split())
 
 
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -10,10 +10,10 @@
 import pytest
 
 from stoatrouter.credit.records import Booked
-from stoatrouter.history.records import Answer
-from stoatrouter.peering.creditcalls import CreditCalls
-from stoatrouter.peering.operators import Operators
-from stoatrouter.peering.rulecalls import RuleCalls
+from stoatrouter.history.records import CommandResult
+from stoatrouter.peering.credit_calls import CreditCalls
+from stoatrouter.peering.head_calls import HeadCalls
+from stoatrouter.peering.rule_calls import RuleCalls
 
 EDIT = {
     "id": "e1",
@@ -36,24 +36,25 @@
         self.commands: list[object] = []
         self.settings = SimpleNamespace(largest=1_000)
         raft = SimpleNamespace(leads=True, voters=(), leader=None)
-        self.fleet = SimpleNamespace(read=self.read, agreed=SimpleNamespace(raft=raft))
-        self.register = SimpleNamespace(
-            ended={}, by_id=lambda id: None, version=lambda number: None, versions=[]
+        self.fleet = SimpleNamespace(read=self.read, replication=SimpleNamespace(raft=raft))
+        self.history = SimpleNamespace(
+            abandoned={}, find_by_id=lambda id: None, find_version=lambda number: None, versions=[]
         )
+        self.rollout = SimpleNamespace(submit_command=self.submit_command)
         self.ledger = SimpleNamespace(accounts={}, entries={})
 
     async def read(self, within) -> None:
         self.commands.append("read")
 
-    async def command(self, command, id, within=None):
+    async def submit_command(self, command, id, timeout=None):
         self.commands.append(command)
-        return Booked(True) if within is not None else Answer(True, 1)
+        return Booked(True) if timeout is not None else CommandResult(True, 1)
 
 
 def call(method: str, path: str, data: object = None) -> tuple[int, str, list[object]]:
     """Status, error and what was asked of the agreement."""
     asked = Asked()
-    answerers = (RuleCalls(asked), CreditCalls(asked), Operators(asked.fleet))
+    answerers = (RuleCalls(asked), CreditCalls(asked), HeadCalls(asked.fleet))
     body = b"" if data is None else json.dumps(data).encode()
 
     async def ask():
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -14,7 +14,7 @@
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.purse import LocalAllotment, Purse
 from stoatrouter.credit.records import Begin, Book, Booked, Grants, PutCustomer, Turns, charge_of
-from stoatrouter.lab.fleet.credit import Disk
+from stoatrouter.lab.fleet.credit_head import CreditDisk
 from stoatrouter.peering.credit import CreditService
 from stoatrouter.peering.settings import CreditSettings
 from tests.peers import Node, head_config, run
@@ -33,13 +33,13 @@
         self.ledger, self.asked, self.answers = Ledger(), [], asyncio.Semaphore(0)
         self.ledger.put(PutCustomer("acme", ("v",)))
         self.ledger.book(1, Book("t", "acme", paid, "top-up", "x", "y", "z"))
-        agreed = SimpleNamespace(restored=[], raft=SimpleNamespace(settled=False))
+        agreed = SimpleNamespace(restore_listeners=[], raft=SimpleNamespace(settled=False))
         fleet = SimpleNamespace(
             settings=SimpleNamespace(folder=tmp_path, name="h0"),
-            found=SimpleNamespace(lasting=False, boot=1),
+            stored=SimpleNamespace(writable=False, boot=1),
             me=SimpleNamespace(identity="h0/0"),
             monitor=SimpleNamespace(watchers=[]),
-            agreed=agreed,
+            replication=agreed,
             now=self.now,
             command=self.command,
         )
@@ -87,7 +87,7 @@
         speaking.cancel()
         assert len(head.asked) == 1, f"{sum(r.done() for r in requests)} of {count} after one answer"
         assert all([await r for r in requests])
-        assert head.service.holder.purses["acme"].waiting == 0
+        assert head.service.escrow.purses["acme"].waiting == 0
 
     run(story())
 
@@ -97,11 +97,11 @@
         head = OneHead(tmp_path, paid=1_000 * CHARGE)
         requests = [asyncio.create_task(head.request(i)) for i in range(FEW)]
         await settle()
-        assert head.service.holder.purses["acme"].waiting == FEW * CHARGE
+        assert head.service.escrow.purses["acme"].waiting == FEW * CHARGE
         for request in requests[1:]:
             request.cancel()
         await asyncio.gather(*requests[1:], return_exceptions=True)
-        assert head.service.holder.purses["acme"].waiting == CHARGE
+        assert head.service.escrow.purses["acme"].waiting == CHARGE
         requests[0].cancel()
 
     run(story())
@@ -109,7 +109,7 @@
 
 def test_what_is_left_of_small_allotments_does_not_keep_a_head_from_asking():
     """Two allotments with 1,500 each are enough for one charge of 2,000 by their sum, and not by either."""
-    holder = HeadEscrow(LEASE, Disk())
+    holder = HeadEscrow(LEASE, CreditDisk())
     held = [LocalAllotment(f"{number}.0", 1_500, SECOND + LEASE) for number in (1, 2)]
     holder.purses["acme"] = Purse("acme", held, answered_at=SECOND)
     assert holder.take("r2", "acme", 2_000, 2, SECOND) is not None
@@ -122,7 +122,7 @@
     ledger = Ledger()
     ledger.put(PutCustomer("acme", ("v",)))
     ledger.book(1, Book("t", "acme", 10 * CHARGE, "top-up", "x", "y", "z"))
-    holder = HeadEscrow(LEASE, Disk())
+    holder = HeadEscrow(LEASE, CreditDisk())
     for _ in range(MANY):
         holder.begin_wait("acme", CHARGE)
         holder.want("acme", CHARGE, SECOND)
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -28,15 +28,17 @@
 from stoatrouter import config
 from stoatrouter.agreement.records import Voter
 from stoatrouter.fronts.http.settings import load_http
+from stoatrouter.lab.histories.history import Request
 from stoatrouter.lab.histories.judge import judge
 from stoatrouter.lab.hollow.census import Census, Incomplete
-from stoatrouter.lab.hollow.head import HollowHead, Life, Surroundings, settings_of
+from stoatrouter.lab.hollow.head import HollowHead, Lifecycle, Surroundings, settings_of_head
 from stoatrouter.lab.hollow.launcher import choose_addresses
 from stoatrouter.lab.hollow.network import Network
-from stoatrouter.peering.counts import Counts
-from stoatrouter.peering.envelope import Envelope, Seal
+from stoatrouter.peering.counters import MessageCounters
+from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
+from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.settings import load_heads
-from stoatrouter.peering.streams import MOST_OPEN, Streams, Unreachable
+from stoatrouter.peering.streams import MOST_IN_FLIGHT, Streams
 from tests.addresses import free_port
 from tests.heads.processes import ROOT
 from tests.heads.test_rules_processes import RULES
@@ -82,7 +84,8 @@
     surroundings = Surroundings(conf, load_http(folder / "http.cue"), network, watches=False)
     peers = tuple(addresses.values())
     heads = [
-        HollowHead(name, settings_of(common, name, addresses[name], peers), surroundings) for name in names
+        HollowHead(name, settings_of_head(common, name, addresses[name], peers), surroundings)
+        for name in names
     ]
     try:
         await asyncio.gather(*(asyncio.create_task(head.start()) for head in heads))
@@ -124,7 +127,7 @@
             await until(
                 lambda: all(grown(head, "hollow.said.ping") >= SEEN_PERIODS for head in heads), "probes"
             )
-            entries = followers[0].heads.fleet.agreed.machine.index
+            entries = followers[0].heads.fleet.replication.machine.index
             for head in followers:
                 spent = time.monotonic() - began
                 counted = {kind: grown(head, kind) for kind in head.counts}
@@ -142,7 +145,7 @@
                     and kind.removeprefix("hollow.asked.") not in ("fetch", "rules")
                 )
                 assert others == 0, counted
-            assert followers[0].heads.fleet.agreed.machine.index == entries
+            assert followers[0].heads.fleet.replication.machine.index == entries
 
     run(story(), LIMIT)
 
@@ -152,12 +155,12 @@
         async with hollow_only(tmp_path, 4) as heads:
             victim = heads[3]
             victim.heads.fleet.tasks[0].cancel()
-            await until(lambda: victim.life is Life.DIED, "it is found dead")
-            assert "run_for_ever" in victim.why and "cancelled" in victim.why
-            assert [head.life for head in heads[:3]] == [Life.RUNNING] * 3
+            await until(lambda: victim.lifecycle is Lifecycle.DIED, "it is found dead")
+            assert "run_for_ever" in victim.death_reason and "cancelled" in victim.death_reason
+            assert [head.lifecycle for head in heads[:3]] == [Lifecycle.RUNNING] * 3
             for task in (*victim.heads.tasks, *victim.heads.fleet.tasks):
                 task.cancel()
-            victim.life = Life.RUNNING  # so that it is closed with the others
+            victim.lifecycle = Lifecycle.RUNNING  # so that it is closed with the others
 
     run(story(), LIMIT)
 
@@ -176,14 +179,14 @@
             ]
             assert not left
             await victim.start()
-            assert victim.heads.fleet.me == identity and victim.life is Life.RUNNING
+            assert victim.heads.fleet.me == identity and victim.lifecycle is Lifecycle.RUNNING
 
     run(story(), LIMIT)
 
 
 # -- a voter's bound ----------------------------------------------------------------------------------------
 def test_a_voter_holds_so_many_questions_and_refuses_the_next(tmp_path):
-    """Each waiting question holds a place; those beyond MOST_OPEN are refused, the others answered."""
+    """Each waiting question holds a place; those beyond MOST_IN_FLIGHT are refused, the others answered."""
     beyond, at_once = 8, 8  # a client opens eight connections to one head
 
     async def story():
@@ -196,28 +199,34 @@
 
         def streams(name: str, handler=answer) -> Streams:
             return Streams(
-                Seal(secret, fleet, name), Voter(name, name), 1, addresses, Counts(), handler, lambda: ""
+                EnvelopeSealer(secret, fleet, name),
+                Voter(name, name),
+                1,
+                addresses,
+                MessageCounters(),
+                handler,
+                lambda: "",
             )
 
         port = free_port()
         addresses = {"voter": f"127.0.0.1:{port}"}
         voter = streams("voter")
         await voter.start(("127.0.0.1", port))
-        clients = [streams(f"c{number}") for number in range((MOST_OPEN + beyond) // at_once)]
+        clients = [streams(f"c{number}") for number in range((MOST_IN_FLIGHT + beyond) // at_once)]
         asked = []
         for client in clients:
             await client.start(None)
             asked += [
-                asyncio.create_task(client.ask("voter", "fetch", b"x", timedelta(seconds=LIMIT)))
+                asyncio.create_task(client.request("voter", "fetch", b"x", timedelta(seconds=LIMIT)))
                 for _ in range(at_once)
             ]
         await until(lambda: sum(task.done() for task in asked) == beyond, "the ones beyond are refused")
-        assert voter.open == MOST_OPEN
+        assert voter.in_flight == MOST_IN_FLIGHT
         release.set()
         answers = await asyncio.gather(*asked, return_exceptions=True)
-        refused = [each for each in answers if isinstance(each, Unreachable)]
+        refused = [each for each in answers if isinstance(each, PeerUnreachable)]
         assert len(refused) == beyond and all(str(each).endswith("503") for each in refused)
-        assert sum(isinstance(each, tuple) for each in answers) == MOST_OPEN and voter.open == 0
+        assert sum(isinstance(each, tuple) for each in answers) == MOST_IN_FLIGHT and voter.in_flight == 0
         for each in (*clients, voter):
             await each.close()
 
@@ -228,8 +237,8 @@
 async def counts_of(fleet: CapacityFleet) -> tuple[dict[str, int], dict[str, dict[str, int]]]:
     """What the real follower and the hollow ones have counted."""
     real = next(head for head in fleet.real if head.name not in fleet.real.voters)
-    census = await fleet.hollow.tell()
-    assert not census.died, census.tell()
+    census = await fleet.hollow.report()
+    assert not census.died, census.summary()
     return (await real.told())["counts"], {report.name: report.counts for report in census.running}
 
 
@@ -276,7 +285,7 @@
             await faults.heal()
             await fleet.steady(quiet=True)
             async with asyncio.timeout(LIMIT / 3):  # whatever the faults were, each draws credit again
-                while not all(report.served for report in (await fleet.hollow.tell()).running):
+                while not all(report.served for report in (await fleet.hollow.report()).running):
                     await asyncio.sleep(0.2)
             await asking.finish()
             history, broken = asking.judged()
@@ -284,8 +293,8 @@
             assert asking.accepted > 0
             for name in fleet.hollow.names:
                 assert any(event["event"] == "rules.version" for event in history.logs[name]), name
-            served = [line for line in history.of("request") if line["status"] == 200]
-            assert served and {line["head"] for line in served} == set(fleet.hollow.names)
+            served = [line for line in history.of(Request) if line.status == 200]
+            assert served and {line.head for line in served} == set(fleet.hollow.names)
             # the judge reads hollow heads' logs: one that goes back to an older version is found out
             name = fleet.hollow.names[0]
             newest = next(e for e in reversed(history.logs[name]) if e["event"] == "rules.version")
@@ -298,14 +307,14 @@
 def test_the_heads_of_a_worker_that_dies_are_named_and_in_no_mean(tmp_path):
     async def story():
         async with fleet_up(tmp_path, SMALL, seed=3) as fleet:
-            before = await fleet.hollow.tell()
+            before = await fleet.hollow.report()
             worker = fleet.hollow.workers[0]
             worker.process.kill()
             await worker.process.wait()
-            after = await fleet.hollow.tell()
+            after = await fleet.hollow.report()
             assert set(after.died) == set(worker.names) and "worker 0" in after.died[worker.names[0]]
-            assert after.lives["died"] == len(worker.names) and len(after.running) == 2
-            assert all(name in after.tell() for name in worker.names)
+            assert after.lifecycles["died"] == len(worker.names) and len(after.running) == 2
+            assert all(name in after.summary() for name in worker.names)
             with pytest.raises(Incomplete, match=worker.names[0]):
                 after.mean_rates(before, 1.0)
 
@@ -314,7 +323,7 @@
 
 def test_a_head_without_a_report_counts_as_dead():
     census = Census(("a", "b"))
-    assert set(census.died) == {"a", "b"} and census.lives["died"] == 2
+    assert set(census.died) == {"a", "b"} and census.lifecycles["died"] == 2
 
 
 # -- sizes and ends -----------------------------------------------------------------------------------------
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -14,7 +14,7 @@
 def test_a_window_below_one_is_a_pace_so_that_many_hosts_do_not_make_seconds_of_queue():
     driver = SchedulerDriver(hosts=200)
     node = driver.scheduler.nodes["n1"]
-    node.window, node.answers = 0.25, 100.0 * MS
+    node.window, node.latency = 0.25, 100.0 * MS
     for i in range(40):
         driver.request(f"r{i}", 2, left=3 * SECOND)
         node.window = 0.25
@@ -26,7 +26,7 @@
 def test_late_answers_leave_one_place_and_a_jam_less():
     driver = SchedulerDriver(hosts=200)
     node = driver.scheduler.nodes["n1"]
-    node.answers = 100.0 * MS
+    node.latency = 100.0 * MS
     driver.request("long", 2)  # its aim is a second, so 200 ms are late but no jam
     driver.wait(200 * MS)
     driver.end("long")
@@ -41,17 +41,22 @@
 def test_lateness_and_order_follow_the_time_that_is_really_left():
     driver = SchedulerDriver()
     node = driver.scheduler.nodes["n1"]
-    node.reads, node.cut_at = 150.0 * MS, driver.now  # in time for the aim of 250 ms, not for 100 ms
+    node.read_latency, node.window_cut_at = (
+        150.0 * MS,
+        driver.now,
+    )  # in time for the aim of 250 ms, not for 100 ms
     driver.request("hurried", left=100 * MS)
     assert not driver.sends("hurried")
     driver.request("patient", volume="v2")
-    assert driver.sends("patient") and driver.scheduler.requests["hurried"].aim == driver.now + 100 * MS
+    assert (
+        driver.sends("patient") and driver.scheduler.requests["hurried"].objective_at == driver.now + 100 * MS
+    )
 
 
 def test_a_host_that_stood_still_takes_its_own_gap_for_no_jam_and_sends_no_burst():
     driver = SchedulerDriver(hosts=4)
     node = driver.scheduler.nodes["n1"]
-    node.answers, node.window = 20.0 * MS, 32.0
+    node.latency, node.window = 20.0 * MS, 32.0
     driver.wait(200 * MS)
     driver.request("before")
     driver.now += 900 * MS  # no turn for 900 ms, then all at once
@@ -60,7 +65,7 @@
     for i in range(40):
         driver.request(f"r{i}")
     driver.end("before")
-    assert node.answers == 20.0 * MS and node.window == 4.0 and node.cut_at == 0
+    assert node.latency == 20.0 * MS and node.window == 4.0 and node.window_cut_at == 0
     assert len(driver.sends()) <= 1 + 5
 
 
@@ -79,7 +84,7 @@
 def test_a_window_below_one_grows_by_answers_that_are_slow_by_work_alone():
     driver = SchedulerDriver(hosts=200)
     node = driver.scheduler.nodes["n1"]
-    node.window, node.answers = 0.25, 150.0 * MS
+    node.window, node.latency = 0.25, 150.0 * MS
     driver.request("export", 2)  # 200 ms: over a quarter of the threshold, within half of its own aim
     driver.wait(200 * MS)
     driver.end("export")
@@ -93,7 +98,12 @@
     """
     drivers = [
         SchedulerDriver(
-            hosts=hosts, me=me, seed=me, may_probe=probes, report_fields=("queue",), start=(100 + me) * SECOND
+            hosts=hosts,
+            host_index=me,
+            seed=me,
+            health_checks=probes,
+            report_fields=("queue",),
+            start=(100 + me) * SECOND,
         )
         for me in range(hosts)
     ]
@@ -101,7 +111,7 @@
     done = served = 0.0
     for driver in drivers:
         node = driver.scheduler.nodes["n1"]
-        node.window, node.last_sent = 0.5, driver.now  # each has seen that the node is slow
+        node.window, node.last_sent_at = 0.5, driver.now  # each has seen that the node is slow
     for tick in range(seconds * 20):
         done += 3.0 if len(queue) < 20 else 1.0  # sixty a second, or twenty
         while queue and done >= 1:
@@ -120,8 +130,8 @@
             for name, _, _, at in list(driver.open_sends):
                 if driver.now - at >= 2 * SECOND:
                     driver.end(name, Outcome.TIMEOUT)
-            if any(isinstance(a, api.ProbeNode) for _, a in driver.log[probed:]):
-                driver.event(api.ProbeEnded("n1", Outcome.OK, 1 * MS, {"queue": float(len(queue))}))
+            if any(isinstance(a, api.CheckHealth) for _, a in driver.log[probed:]):
+                driver.event(api.HealthCheckEnded("n1", Outcome.OK, 1 * MS, {"queue": float(len(queue))}))
     return len(queue), int(served)
 
 
@@ -131,45 +141,45 @@
 
 
 def test_a_report_of_a_crowd_holds_work_back_and_an_old_one_does_not():
-    driver = SchedulerDriver(hosts=50, may_probe=True, report_fields=("util", "queue"))
+    driver = SchedulerDriver(hosts=50, health_checks=True, report_fields=("util", "queue"))
     node = driver.scheduler.nodes["n1"]
-    node.window, node.last_sent = 0.3, driver.now
-    driver.event(api.ProbeEnded("n1", Outcome.OK, 1 * MS, {"queue": 80.0}))
+    node.window, node.last_sent_at = 0.3, driver.now
+    driver.event(api.HealthCheckEnded("n1", Outcome.OK, 1 * MS, {"queue": 80.0}))
     driver.request("r", left=2 * SECOND)
     driver.wait(500 * MS)
-    assert not driver.sends("r") and any(isinstance(a, api.ProbeNode) for _, a in driver.log)
+    assert not driver.sends("r") and any(isinstance(a, api.CheckHealth) for _, a in driver.log)
     driver.wait(1200 * MS)  # nothing more is heard of the queue: a safe default, the window's own pace
     driver.request("s", left=2 * SECOND)
     driver.wait(300 * MS)
     assert driver.sends("s")
-    driver.event(api.ProbeEnded("n1", Outcome.OK, 1 * MS, {"queue": float("nan"), "util": 3.0}))
-    driver.event(api.ProbeEnded("n1", Outcome.TIMEOUT, 250 * MS, None))
-    driver.event(api.ProbeEnded("gone", Outcome.OK, 1 * MS, {"queue": 80.0}))
+    driver.event(api.HealthCheckEnded("n1", Outcome.OK, 1 * MS, {"queue": float("nan"), "util": 3.0}))
+    driver.event(api.HealthCheckEnded("n1", Outcome.TIMEOUT, 250 * MS, None))
+    driver.event(api.HealthCheckEnded("gone", Outcome.OK, 1 * MS, {"queue": 80.0}))
 
 
-def test_a_client_that_comes_back_with_what_was_given_up_has_not_got_a_new_aim():
+def test_a_client_that_comes_back_with_what_was_shed_has_not_got_a_new_objective():
     driver = SchedulerDriver(hosts=200)
     node = driver.scheduler.nodes["n1"]
-    node.window, node.last_sent, node.trip = 0.1, driver.now, 300.0 * MS
+    node.window, node.last_sent_at, node.last_round_trip = 0.1, driver.now, 300.0 * MS
     driver.request("first", key="k", left=2 * SECOND)
     aim = driver.now + 250 * MS
     assert driver.finals("first")
     driver.wait(150 * MS)
     node.window = 1.0
-    node.out[("other", 0)] = driver.now
+    node.in_flight[("other", 0)] = driver.now
     driver.request("again", key="k", left=1850 * MS)
     driver.request("fresh", key="k", left=2 * SECOND)
     requests = driver.scheduler.requests
-    assert requests["again"].aim == aim and requests["fresh"].aim == driver.now + 250 * MS
+    assert requests["again"].objective_at == aim and requests["fresh"].objective_at == driver.now + 250 * MS
 
 
-def test_nothing_goes_past_a_late_request_that_is_worth_more():
+def test_nothing_goes_past_a_late_request_of_higher_priority():
     driver = SchedulerDriver(
         plans=(api.Plan("p", 50, reserve=50, price=8.0), api.Plan("q", 50, reserve=50, price=0.2))
     )
     node = driver.scheduler.nodes["n1"]
-    node.window, node.reads, node.cut_at = 2.0, 300.0 * MS, driver.now
-    node.out[("other", 0)] = driver.now
+    node.window, node.read_latency, node.window_cut_at = 2.0, 300.0 * MS, driver.now
+    node.in_flight[("other", 0)] = driver.now
     driver.request("late", volume="a", plan=0)
     driver.request("less", 2, volume="b", plan=1, left=3 * SECOND)
     assert not driver.sends()
@@ -196,14 +206,14 @@
             assert quiet.window == 1.0
 
 
-def test_a_keyed_write_that_may_have_run_goes_on_at_the_shard_it_was_sent_to():
+def test_an_idempotent_write_that_may_have_run_is_retried_at_the_shard_it_was_sent_to():
     kind = api.RequestClass(
         "write",
-        worth=3,
-        aim=400 * MS,
+        priority_weight=3,
+        latency_objective=400 * MS,
         deadline=2 * SECOND,
         writes=True,
-        effect=api.Effect.KEYED,
+        effect=api.Effect.IDEMPOTENT,
         group=api.Group.SHARD,
         repeat_window=5 * SECOND,
     )
--- a/tests/test_request_histories.py
+++ b/tests/test_request_histories.py
@@ -8,11 +8,15 @@
 
 import pytest
 
-from stoatrouter.lab.histories.requests import Kind, Terms, judge
+from stoatrouter.lab.histories.requests import Effect, RequestClass, Terms, judge
 from tests.fleet_story import play
 
 TERMS = Terms(
-    {"look": Kind("safe"), "note": Kind("keyed", 2.0), "lend": Kind("unsafe")},
+    {
+        "look": RequestClass(Effect.SAFE),
+        "note": RequestClass(Effect.IDEMPOTENT, 2.0),
+        "lend": RequestClass(Effect.UNSAFE),
+    },
     {"a": 0, "b": 0, "c": 1},
     drain_grace=1.0,
 )
@@ -83,13 +87,13 @@
 
 
 BROKEN = {
-    "told as leaving": "from stoatrouter.net import discovery\n"
-    "discovery.PHASES['DRAINING'] = discovery.PHASES['SERVING']\n",
-    "may not run twice": "from stoatrouter.policy.rules import Rulebook\n"
-    "Rulebook.barred_again = lambda *_: False\n",
+    "told as leaving": "from stoatrouter.net import endpoint_list\n"
+    "endpoint_list.PHASES['DRAINING'] = endpoint_list.PHASES['SERVING']\n",
+    "may not run twice": "from stoatrouter.policy import scheduler, send_rules\n"
+    "scheduler.blocks_retry = send_rules.blocks_retry = lambda *_: False\n",
     "after its client had gone": "from stoatrouter.core.reducer import Reducer\n"
     "Reducer._client_left = lambda self, name: []\n"
-    "from stoatrouter.net import engine\nengine.gone = lambda client: False\n",
+    "from stoatrouter.net import engine\nengine.has_disconnected = lambda client: False\n",
     "lost by": "from stoatrouter.head import Head\nasync def stop(self):\n    pass\nHead.stop = stop\n",
 }
 
