--- a/stoatrouter/lab/fleet/credit_head.py
+++ b/stoatrouter/lab/fleet/credit_head.py
@@ -9,7 +9,14 @@
 import msgspec
 
 from stoatrouter.credit.escrow import HeadEscrow
-from stoatrouter.credit.records import Begin, Booked, Grants, Settle, Turn, Turns
+from stoatrouter.credit.records import (
+    CommandResult,
+    CreditReport,
+    CustomerReport,
+    Grants,
+    RegisterHead,
+    Settlement,
+)
 from stoatrouter.lab.fleet.credit_account import ACCOUNT, RETRY_INTERVAL, CreditAccount
 from stoatrouter.lab.fleet.world import World
 
@@ -67,7 +74,7 @@
         if self.pending_call is None:
             if not self.has_begun:
                 self._call_begin()
-            elif turns := self.escrow.turns(now):
+            elif turns := self.escrow.due_reports(now):
                 self._call_turns(turns, now)
         self.world.schedule_on(self.name, TICK, self.tick)
 
@@ -78,20 +85,22 @@
 
     def _call_begin(self) -> None:
         holds = tuple(self.disk.spent)
-        command = Begin(self.name, self.identity, self.predecessor, self._next_number(), holds)
+        command = RegisterHead(self.name, self.identity, self.predecessor, self._next_number(), holds)
         self._call(command, self._on_begun)
 
     def _on_begun(self, reply: bytes) -> None:
         """Settle what the incarnation before had spent, now that the account knows this one."""
-        booked = msgspec.msgpack.decode(reply, type=Booked)
+        booked = msgspec.msgpack.decode(reply, type=CommandResult)
         if not booked.ok:
-            self.predecessor = booked.why  # sent with the next tick
+            self.predecessor = booked.reason  # sent with the next tick
             return
         spent_before = self.spent_before
         if not spent_before:
             self.has_begun = True
             return
-        turn = Turn("", (), tuple(Settle(id, spent, True) for id, spent in spent_before.items()))
+        turn = CustomerReport(
+            "", (), tuple(Settlement(id, spent, True) for id, spent in spent_before.items())
+        )
 
         def on_settled(_: bytes) -> None:
             for id in spent_before:
@@ -99,25 +108,25 @@
             self.has_begun = True
             self.spent_before = {}
 
-        self._call(Turns(self.name, self.identity, self._next_number(), (turn,)), on_settled)
+        self._call(CreditReport(self.name, self.identity, self._next_number(), (turn,)), on_settled)
 
-    def _call_turns(self, turns: list[Turn], asked_at: timedelta) -> None:
-        command = Turns(self.name, self.identity, self._next_number(), tuple(turns))
+    def _call_turns(self, turns: list[CustomerReport], asked_at: timedelta) -> None:
+        command = CreditReport(self.name, self.identity, self._next_number(), tuple(turns))
         self._call(command, lambda reply: self._on_granted(turns, reply, asked_at))
 
-    def _on_granted(self, turns: list[Turn], reply: bytes, asked_at: timedelta) -> None:
+    def _on_granted(self, turns: list[CustomerReport], reply: bytes, asked_at: timedelta) -> None:
         """Hand the grants to the escrow; turns without one mean that the account knows another identity."""
         now = self.world.clock(self.name)
         grants = msgspec.msgpack.decode(reply, type=Grants).grants
         for turn, grant in zip(turns, grants, strict=False):
-            self.escrow.granted(turn, grant, asked_at, now)
+            self.escrow.apply_grant(turn, grant, asked_at, now)
             self.asked_at[grant.allotment] = asked_at
         for turn in turns[len(grants) :]:
-            self.escrow.unanswered(turn)
+            self.escrow.forget_report(turn)
             self.has_begun = False
             self.predecessor = self.identity
 
-    def _call(self, command: Turns | Begin, on_reply: Callable[[bytes], None]) -> None:
+    def _call(self, command: CreditReport | RegisterHead, on_reply: Callable[[bytes], None]) -> None:
         """Send a command under its number until there is a reply."""
         number = command.number
         self.pending_call = number
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -18,7 +18,16 @@
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.records import Begin, Booked, Command, Expired, Grants, Settle, Turn, Turns
+from stoatrouter.credit.records import (
+    Command,
+    CommandResult,
+    CreditReport,
+    CustomerReport,
+    Expired,
+    Grants,
+    RegisterHead,
+    Settlement,
+)
 from stoatrouter.peering.errors import ReplicationError
 from stoatrouter.peering.fleet import Fleet
 from stoatrouter.peering.settings import CreditSettings
@@ -57,15 +66,14 @@
             ledger: The accounts that the heads agreed on.
             classes: The classes of requests, in the order of their prices.
             background: The names of the classes that are throttled first.
-            now: The core's time: set once at the start and monotonic since, so leases hold whatever
-                clocks do.
+            now: The core's monotonic time, so that leases hold whatever clocks do.
         """
         self.settings, self.fleet, self.ledger, self.now = settings, fleet, ledger, now
-        self.book = SpentJournal(fleet.settings.folder / SPENT_FILE if fleet.stored.writable else None)
-        self.escrow = HeadEscrow(settings.lease, self.book)
-        self.gate = Gate(self.escrow, ledger.customers_of, settings.prices, ranks(classes, background))
+        self.journal = SpentJournal(fleet.settings.folder / SPENT_FILE if fleet.stored.writable else None)
+        self.escrow = HeadEscrow(settings.lease, self.journal)
+        self.gate = Gate(self.escrow, ledger.customer_of, settings.prices, ranks(classes, background))
         self.begun = False  # the account knows of this process
-        self._previously_spent = self.book.read()  # by an earlier process, by allotment
+        self._previously_spent = self.journal.read()  # by an earlier process, by allotment
         self._number = fleet.stored.boot << 32  # of this head's last command to the account
         self._request_waits = asyncio.Event()
         self._answered = asyncio.Event()  # replaced after each answer of the account
@@ -88,12 +96,12 @@
             Whether it waited and the account is still reachable.
         """
         now = self.now
-        if not self.gate.lacks(request, now()):
+        if not self.gate.may_wait(request, now()):
             return False
         deadline = now() + min(self.settings.wait, request.time_left / MAX_WAIT_FRACTION)
         with self.gate.waiting(request):
-            while (left := deadline - now()) > timedelta(0) and self.gate.lacks(request, now()):
-                self.gate.want(request, now())
+            while (left := deadline - now()) > timedelta(0) and self.gate.may_wait(request, now()):
+                self.gate.request_allotment(request, now())
                 self._request_waits.set()
                 answered = self._answered
                 with contextlib.suppress(TimeoutError):
@@ -118,7 +126,7 @@
         if not self.begun:
             await self._begin()
         asked_at = self.now()
-        turns = self.escrow.turns(asked_at)
+        turns = self.escrow.due_reports(asked_at)
         if turns:
             grants = await self._send_turns(turns)
             # without all grants the account does not know this head (it was written off), or an answer is
@@ -126,24 +134,24 @@
             self.begun = len(grants.grants) == len(turns)
             self._apply_grants(turns, grants, asked_at)
 
-    def _apply_grants(self, turns: list[Turn], grants: Grants, asked_at: timedelta) -> None:
+    def _apply_grants(self, turns: list[CustomerReport], grants: Grants, asked_at: timedelta) -> None:
         """Apply the account's answer, and wake the requests that wait for it."""
         now = self.now()
         for turn, grant in zip(turns, grants.grants, strict=False):
-            self.escrow.granted(turn, grant, asked_at, now)
+            self.escrow.apply_grant(turn, grant, asked_at, now)
         for turn in turns[len(grants.grants) :]:
-            self.escrow.unanswered(turn)
+            self.escrow.forget_report(turn)
         self._answered.set()
         self._answered = asyncio.Event()
 
-    async def _send_turns(self, turns: list[Turn]) -> Grants:
+    async def _send_turns(self, turns: list[CustomerReport]) -> Grants:
         """Send turns to the account under the next number; no grants where this head stops first."""
         self._number += 1
         name, identity = self.fleet.settings.name, self.fleet.me.identity
-        answer = await self._submit_until_answered(Turns(name, identity, self._number, tuple(turns)))
+        answer = await self._submit_until_answered(CreditReport(name, identity, self._number, tuple(turns)))
         return msgspec.msgpack.decode(answer, type=Grants) if answer else Grants(())
 
-    async def _submit_until_answered(self, command: Turns | Begin) -> bytes:
+    async def _submit_until_answered(self, command: CreditReport | RegisterHead) -> bytes:
         """Retry a command under its id until it is answered; b"" where this head stops first."""
         body = msgspec.msgpack.encode(command)
         id = f"credit/{self.fleet.me.identity}/{self._number}"
@@ -164,34 +172,34 @@
     async def _introduce(self) -> None:
         """Tell the account which allotments this head's disk and process know of, until it accepts."""
         name, identity = self.fleet.settings.name, self.fleet.me.identity
-        allotments = sorted({a.id for purse in self.escrow.purses.values() for a in purse.allotments})
-        takes_over_from = self.ledger.heads.get(name, ("", 0))[0]
-        booked = Booked(False)
+        allotments = sorted({a.id for purse in self.escrow.accounts.values() for a in purse.allotments})
+        takes_over_from = self.ledger.registered_identity(name)
+        booked = CommandResult(False)
         while not booked.ok and not self._closing:
             self._number += 1
             known = (*self._previously_spent, *allotments)
             answer = await self._submit_until_answered(
-                Begin(name, identity, takes_over_from, self._number, known)
+                RegisterHead(name, identity, takes_over_from, self._number, known)
             )
-            booked = msgspec.msgpack.decode(answer, type=Booked) if answer else booked
-            takes_over_from = booked.why
+            booked = msgspec.msgpack.decode(answer, type=CommandResult) if answer else booked
+            takes_over_from = booked.reason
 
     async def _settle_previous(self) -> None:
-        settles = tuple(Settle(id, spent, True) for id, spent in self._previously_spent.items())
-        await self._send_turns([Turn("", (), settles)])
+        settles = tuple(Settlement(id, spent, True) for id, spent in self._previously_spent.items())
+        await self._send_turns([CustomerReport("", (), settles)])
         logger.info(
             "credit: settled {count} allotments of the process before",
             event="credit.settled",
             count=len(settles),
         )
         for id in self._previously_spent:
-            self.book.end(id)
+            self.journal.end(id)
         self._previously_spent = {}
 
     # -- the leader ---------------------------------------------------------------------------------------
     async def expire(self) -> None:
         """Where this head leads: expire allotments by its own clock, counted since it knew of them."""
-        now, places = self.fleet.now(), self.ledger.places
+        now, places = self.fleet.now(), self.ledger.customer_by_allotment
         if len(self._known_since) != len(places) or self._known_since.keys() != places.keys():
             self._known_since = {id: self._known_since.get(id, now) for id in places}
         if not self.fleet.replication.raft.settled:
@@ -209,9 +217,9 @@
                 await self.fleet.command(PART, body, command_id, COMMAND_TIMEOUT)
 
     async def close(self) -> None:
-        """Settle for the last time, so that what is unspent goes back at once; then close the book."""
+        """Settle for the last time, so that what is unspent goes back at once; then close the journal."""
         self._closing = True
-        turns = self.escrow.closing()
+        turns = self.escrow.final_reports()
         if turns and self.begun and self.fleet.availability.draws:
             try:
                 async with asyncio.timeout(FINAL_SETTLE_TIMEOUT.total_seconds()):
@@ -222,20 +230,20 @@
                     "credit: stops before its final settlement was confirmed; the next process settles",
                     event="credit.unsettled",
                 )
-        self.book.close()
+        self.journal.close()
 
-    def _forget_settled(self, turns: list[Turn]) -> None:
+    def _forget_settled(self, turns: list[CustomerReport]) -> None:
         for turn in turns:
-            for settle in turn.settles:
+            for settle in turn.settlements:
                 if settle.final:
-                    self.book.end(settle.allotment)
+                    self.journal.end(settle.allotment)
 
     # -- for operators ------------------------------------------------------------------------------------
-    async def submit_command(self, command: Command, id: str, timeout: timedelta) -> Booked:
+    async def submit_command(self, command: Command, id: str, timeout: timedelta) -> CommandResult:
         """Submit an operator's command to the account under an idempotency key.
 
         Raises:
             ReplicationError: No leader confirmed it in time; it may be applied all the same.
         """
         body = msgspec.msgpack.encode(command)
-        return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, timeout), type=Booked)
+        return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, timeout), type=CommandResult)
--- a/stoatrouter/peering/datagrams.py
+++ b/stoatrouter/peering/datagrams.py
@@ -12,18 +12,19 @@
 
 from loguru import logger
 
-from stoatrouter.membership.datagram import Malformed, decode, encode
-from stoatrouter.membership.detector import (
-    Changed,
-    Detector,
-    Dropped,
+from stoatrouter.membership.datagram import decode, encode
+from stoatrouter.membership.detector import Detector
+from stoatrouter.membership.detector_records import (
+    DatagramDropped,
+    DatagramReceived,
     Effect,
     Event,
-    Heard,
     Leaving,
     SendTo,
+    StatusChanged,
     Tick,
 )
+from stoatrouter.membership.errors import MalformedDatagram
 from stoatrouter.membership.roster import Status
 from stoatrouter.peering.counters import Channel, MessageCounters
 from stoatrouter.peering.errors import RejectReason
@@ -96,10 +97,10 @@
             return
         try:
             message = decode(data, self._secret, self._fleet)
-        except Malformed as error:
+        except MalformedDatagram as error:
             self._drop(str(error), source)
             return
-        self._step(Heard(self._now(), source, message), source)
+        self._step(DatagramReceived(self._now(), source, message), source)
 
     def error_received(self, exc: Exception) -> None:
         """Count a datagram that could not be sent; the detector finds out by itself that its peer is gone."""
@@ -128,10 +129,10 @@
         match effect:
             case SendTo():
                 self._send(effect)
-            case Changed():
+            case StatusChanged():
                 self._report_change(effect)
-            case Dropped():
-                self._drop(effect.why, source)
+            case DatagramDropped():
+                self._drop(effect.reason, source)
 
     def _send(self, effect: SendTo) -> None:
         data = encode(effect.message, self._secret, self._fleet)
@@ -141,7 +142,7 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, (host, int(port)))
 
-    def _report_change(self, effect: Changed) -> None:
+    def _report_change(self, effect: StatusChanged) -> None:
         logger.info(
             "heads: {head} is {status}, as seen from here",
             event="heads.seen",
