--- a/stoatrouter/cli/rules/diff.py
+++ b/stoatrouter/cli/rules/diff.py
@@ -56,11 +56,10 @@
                 "new": each.new,
                 "count": each.count,
                 "lines": each.lines,
-                "was": decision_data(each.example[0], before),
-                "is": decision_data(each.example[1], after),
+                "was": decision_data(each.example.old, before),
+                "is": decision_data(each.example.new, after),
             }
             for each in found
-            if each.example
         ],
     }
 
@@ -68,7 +67,7 @@
 def echo_differences(found: Iterable[Difference], counts: Counter[str], before: Table, after: Table) -> None:
     """Print differences as text, a line for each pair of rules, and the counts."""
     for each in found:
-        lines = ", ".join(map(str, each.lines or []))
+        lines = ", ".join(map(str, each.lines))
         changes = describe_changes(each, before, after)
         click.echo(f"{each.count:6} {each.old} -> {each.new}: {changes} (lines {lines})")
     unreadable = f"; {counts['unreadable']} lines cannot be read" if counts["unreadable"] else ""
@@ -77,9 +76,8 @@
 
 def describe_changes(difference: Difference, before: Table, after: Table) -> str:
     """What becomes of the example of a difference: each field whose value changes."""
-    assert difference.example is not None
-    was = decision_data(difference.example[0], before)
-    now = decision_data(difference.example[1], after)
+    was = decision_data(difference.example.old, before)
+    now = decision_data(difference.example.new, after)
     return ", ".join(
         f"{name}: {was.get(name)} -> {now.get(name)}"
         for name in dict.fromkeys([*was, *now])
--- a/stoatrouter/cli/rules/examples.py
+++ b/stoatrouter/cli/rules/examples.py
@@ -1,4 +1,4 @@
-"""Requests that meet rules, built from the demands of the rules' conditions."""
+"""Requests that meet rules, built from the constraints of the rules' conditions."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from stoatrouter.matching.table import CompiledScope
 
 ANY_LABEL = "any"  # in place of the star of a host
-FILLER = "x"  # a segment of a path that no demand names
+FILLER = "x"  # a segment of a path that no constraint names
 PEER = "127.0.0.1"
 
 
 @dataclass(slots=True)
 class Draft:
-    """A request in its parts, while the demands of a condition are put into it."""
+    """A request in its parts, while the constraints of a condition are put into it."""
 
     host: str
     method: str = "GET"
@@ -25,15 +25,15 @@
     fields: list[tuple[bytes, bytes]] = field(default_factory=list)
     segments: dict[int, str] = field(default_factory=dict)
 
-    def meet(self, demand: Constraint) -> None:
-        """Put the least of the values that a demand allows into its place; other dimensions are left out."""
-        kind, name = demand.dimension
-        value = min(demand.values)
+    def meet(self, constraint: Constraint) -> None:
+        """Put the least value that a constraint allows into its place; other dimensions are left out."""
+        kind, name = constraint.dimension
+        value = min(constraint.values)
         if kind == "host":
             self.host = value
         elif kind == "method":
             self.method = value
-        elif demand.dimension in (PATH, PREFIX):
+        elif constraint.dimension in (PATH, PREFIX):
             self.path = max(self.path, value, key=len)
         elif kind == "segment":
             self.segments[int(name)] = value
@@ -49,7 +49,7 @@
 
 
 def example_requests(home: CompiledScope) -> list[Input]:
-    """A request for each rule of a scope, as far as its demands tell; none where that cannot be read."""
+    """A request for each rule of a scope, as far as its constraints tell; none where that cannot be read."""
     requests = []
     for rule in home.rules:
         try:
@@ -60,14 +60,14 @@
 
 
 def example_request(home: CompiledScope, condition: Condition) -> Input:
-    """A request of a scope that meets the demands of a condition.
+    """A request of a scope that meets the constraints of a condition.
 
     Raises:
         Unreadable: A front would reject it before any rule.
     """
     draft = Draft(home.scope.hosts[0].replace("*", ANY_LABEL))
-    for demand in condition.constraints:
-        draft.meet(demand)
+    for constraint in condition.constraints:
+        draft.meet(constraint)
     fields = [(b"Host", draft.host.encode()), *draft.fields]
     return read_input(draft.method, draft.target(home.scope.paths[0]), fields, PEER)
 
--- a/stoatrouter/matching/inputs.py
+++ b/stoatrouter/matching/inputs.py
@@ -16,7 +16,7 @@
 from stoatrouter.expressions import types as t
 from stoatrouter.expressions.bounds import Bound, int_bound, list_bound, text_bound
 from stoatrouter.expressions.environment import Environment, Variable
-from stoatrouter.expressions.runtime import Fields
+from stoatrouter.expressions.runtime import Address, Fields
 
 # Bounds in characters.
 MAX_METHOD = 32
@@ -31,7 +31,6 @@
 MAX_PAIRS = 64  # of a query, or of cookies
 MAX_SIZE = 1 << 53  # bytes of a body
 
-Address = ipaddress.IPv4Address | ipaddress.IPv6Address
 STRING_MAP = t.MapOf(t.STRING, repeated=True)
 HTTP = Environment(
     {
