--- a/benchmarks/capacity/faults.py
+++ b/benchmarks/capacity/faults.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity.mixed import CapacityFleet
 from benchmarks.capacity.story import Story
 from stoatrouter.lab.hollow.places import Place
-from tests.heads.chaos import VOLUMES
+from tests.heads.history_clients import VOLUMES
 
 DETECT_WITHIN = 25.0  # seconds; the judge asks for no more of a head that was down for less
 
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -28,12 +28,12 @@
     """A calm while: rates of hollow heads and of real ones, processor time and memory."""
     hollow, real = fleet.hollow, fleet.real
     before, cpu_before = await hollow.report(), cpu_of(fleet)
-    real_before = {head.name: await head.told() for head in real.up}
+    real_before = {head.name: await head.status() for head in real.up}
     began = time.monotonic()
     await asyncio.sleep(seconds)
     span = time.monotonic() - began
     after, cpu_after = await hollow.report(), cpu_of(fleet)
-    real_after = {head.name: await head.told() for head in real.up}
+    real_after = {head.name: await head.status() for head in real.up}
     show(after.summary())
     lag = max(answer.longest_lag for answer in hollow.replies.values())
     late = max(answer.late_fraction for answer in hollow.replies.values())
--- a/benchmarks/capacity/head_processes.py
+++ b/benchmarks/capacity/head_processes.py
@@ -103,7 +103,7 @@
     """Read what a head has used."""
     assert head.process is not None
     bytes_out, bytes_in = address_bytes(head.host, head.streams)
-    told: dict[str, Any] = await head.told()
+    told: dict[str, Any] = await head.status()
     return usage_of(head.process.pid, told.get("counts", {}), writes_of(head), bytes_in, bytes_out)
 
 
--- a/benchmarks/capacity/likeness.py
+++ b/benchmarks/capacity/likeness.py
@@ -24,7 +24,7 @@
 from benchmarks.capacity.realheads import RealHeads
 from stoatrouter.lab.hollow.census import Census
 from stoatrouter.lab.hollow.launcher import FleetSpec, HollowFleet
-from tests.heads.test_rules_processes import edit, rules
+from tests.heads.rules_clients import edit, rules
 
 VOTERS = 3
 SETTLE = 6.0  # seconds after the start: first news of heads has gone round
@@ -44,7 +44,7 @@
     async def counts(self) -> dict[str, dict[str, int]]:
         """What each follower has counted."""
         if self.hollow is None:
-            told = {name: await self.real[name].told() for name in self.followers}
+            told = {name: await self.real[name].status() for name in self.followers}
             return {name: {kind: count_of(each, kind) for kind in KINDS} for name, each in told.items()}
         census: Census = await self.hollow.report()
         assert not census.died, census.summary()
--- a/benchmarks/capacity/mixed.py
+++ b/benchmarks/capacity/mixed.py
@@ -19,7 +19,8 @@
 from stoatrouter.lab.hollow.launcher import FleetSpec, HollowFleet
 from stoatrouter.lab.hollow.places import Place, spread, spread_voters
 from stoatrouter.lab.hollow.worker import end_with_parent
-from tests.heads.processes import ROOT
+from tests.heads.rules_clients import RULES
+from tests.program_process import ROOT
 
 MOST_PROCESSES = 200
 MOST_HEADS = 1024  # that a detector holds (membership/detector.py)
@@ -34,18 +35,6 @@
     'credit: {prices: {"score-read": 1000, "event-write": 4000}, lease: "5s"}\n'
     'rules: {check_within: "10s", versions: 5000}\n'
 )
-RULES = """scopes: feed: {
-	hosts: ["*"]
-	paths: ["/"]
-	classes: ["score-read"]
-	plans: ["premium"]
-	volumes: ["00000000f0a70011"]
-	rules: [
-		{name: "marked", when: #"request.path == "/mark""#, refuse: {status: 451, reason: "MARK"}},
-		{name: "reads", when: #"request.method == "GET""#, class: "score-read"},
-	]
-}
-"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,7 +148,7 @@
     async def look(self) -> Look:
         """How all heads that run stand now, and how many others each sees."""
         census = await self.hollow.report()
-        told = await asyncio.gather(*(head.told() for head in self.real.up))
+        told = await asyncio.gather(*(head.status() for head in self.real.up))
         states = [report.availability for report in census.running] + [each.get("state", "") for each in told]
         seen = [report.seen.get("alive", 0) for report in census.running]
         seen += [list(each.get("seen", {}).values()).count("alive") for each in told]
--- a/benchmarks/capacity/one_head.py
+++ b/benchmarks/capacity/one_head.py
@@ -4,8 +4,6 @@
 
 import asyncio
 import json
-import os
-import sys
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -14,8 +12,8 @@
 
 from benchmarks.capacity.head_processes import FLEET, Usage, usage_of
 from tests.addresses import free_ports, own_host
-from tests.heads.processes import ROOT, end_with_parent
-from tests.peers import config_data, told
+from tests.peers import config_data, node_list
+from tests.program_process import program_environ, start_program
 
 SECRET = "s" * 40  # as tests/heads/processes.py writes it
 START_WITHIN_S = 30.0
@@ -62,7 +60,9 @@
         plan = self.plan
         self.folder.mkdir(parents=True)
         (self.folder / "tmp").mkdir()
-        data = config_data(told(1, *plan.nodes), plan.discovery, self.port, f"{self.host}:{self.management}")
+        data = config_data(
+            node_list(1, *plan.nodes), plan.discovery, self.port, f"{self.host}:{self.management}"
+        )
         data |= {"name": plan.name, "listen": f"{self.host}:{self.port}"}
         if plan.peers:
             data |= {"peer_listen": f"{self.host}:{self.datagrams}", "peers": list(plan.peers)}
@@ -80,24 +80,14 @@
     async def start(self) -> None:
         """Start it and wait until it is ready."""
         self.write()
-        environ = os.environ | {
-            "NODE_CONFIG": str(self.folder / "config.json"),
-            "PYTHONPATH": str(ROOT),
-            "TMPDIR": str(self.folder / "tmp"),
-            "STOATROUTER_HEADS": "" if self.plan.streams is None else str(self.folder / "heads.cue"),
-            "STOATROUTER_HTTP": str(self.folder / "http.cue") if self.plan.rules else "",
-        }
-        environ.pop("NODE_DISCOVERY", None)
+        environ = program_environ(
+            self.folder / "config.json",
+            TMPDIR=str(self.folder / "tmp"),
+            STOATROUTER_HEADS="" if self.plan.streams is None else str(self.folder / "heads.cue"),
+            STOATROUTER_HTTP=str(self.folder / "http.cue") if self.plan.rules else "",
+        )
         with (self.folder / "log").open("ab") as logs:
-            self.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                *("-O", "-B", "-m", "stoatrouter"),
-                cwd=self.folder,
-                env=environ,
-                stdout=logs,
-                stderr=logs,
-                preexec_fn=end_with_parent,
-            )
+            self.process = await start_program(self.folder, environ, optimized=True, stdout=logs, stderr=logs)
         async with asyncio.timeout(START_WITHIN_S):
             while (await self.call("/control/ready"))[0] != 200:
                 assert self.process.returncode is None, (self.folder / "log").read_text()[-2000:]
--- a/benchmarks/capacity/realheads.py
+++ b/benchmarks/capacity/realheads.py
@@ -6,85 +6,62 @@
 
 from __future__ import annotations
 
-import asyncio
 import json
-import os
-import sys
 from collections.abc import Mapping
 from pathlib import Path
+from typing import Any
 
 import aiohttp
 
 from benchmarks.capacity.harness import process_cpu, process_memory_mb
 from stoatrouter.lab.hollow.places import Place, one_way_seconds
-from tests.heads.processes import ROOT, HeadProcess, Processes, end_with_parent
+from tests.heads.processes import SECRET, HeadProcess, Processes
 from tests.peers import config_data
 
 FLEET = "capacity"
 ZONES = [f"zone-{number}" for number in range(12)]
-MANAGEMENT_WITHIN = 10.0  # seconds
 
 
 class RealHead(HeadProcess):
-    """One process of the program."""
+    """One process of the program, with optimisation as it is shipped."""
 
     fleet: RealHeads
+    optimized = True
 
     def write(self) -> None:
-        """Its configuration and settings."""
+        """Write its configuration and settings, and the rules that it starts with."""
+        super().write()
+        (self.folder / "rules.cue").write_text(self.fleet.http)
+
+    def configuration(self) -> dict[str, Any]:
+        """Its configuration: hollow heads are among its peers."""
         fleet, relay = self.fleet, self.fleet.relay
         others = [name for name in fleet.names if name != self.name]
         peers = [relay.datagram_address(self.name, other) for other in others]
-        data = fleet.config_data() | {
+        return fleet.config_data() | {
             "name": self.name,
             "listen": f"{self.host}:{self.port}",
             "management": f"{self.host}:{self.management}",
             "peer_listen": f"{self.host}:{self.datagrams}",
             "peers": [*peers, *fleet.hollow_addresses.values()],
         }
+
+    def heads_settings(self) -> str:
+        """Its settings of the heads; only voters and spares have an address for streams."""
+        relay = self.fleet.relay
+        own = f"{self.host}:{self.streams}"
         streams = {
-            name: f"{self.host}:{self.streams}"
-            if name == self.name
-            else relay.stream_address(self.name, name)
-            for name in fleet.streams
+            name: own if name == self.name else relay.stream_address(self.name, name)
+            for name in self.fleet.streams
         }
-        (self.folder / "config.json").write_text(json.dumps(data))
-        (self.folder / "heads.cue").write_text(fleet.heads_file(streams))
-        (self.folder / "secret").write_text("s" * 40)
-        (self.folder / "tmp").mkdir(exist_ok=True)
-        (self.folder / "http.cue").write_text(f'listen: "{self.host}:{self.http}"\nrules: "rules.cue"\n')
-        (self.folder / "rules.cue").write_text(fleet.http)
-
-    async def start(self, ready: bool = True) -> None:
-        """Start the process, with optimisation as it is shipped."""
-        self.write()
-        environ = os.environ | {
-            "NODE_CONFIG": str(self.folder / "config.json"),
-            "PYTHONPATH": str(ROOT),
-            "STOATROUTER_HTTP": str(self.folder / "http.cue"),
-            "TMPDIR": str(self.folder / "tmp"),
-            "STOATROUTER_LOG_FORMAT": "json",
-        }
-        environ.pop("NODE_DISCOVERY", None)
+        return self.fleet.heads_file(streams)
+
+    def settings_environ(self) -> dict[str, str]:
+        """Name the files of the parts that are switched on."""
+        environ = {"STOATROUTER_HTTP": str(self.folder / "http.cue")}
         if self.fleet.heads_on:
             environ["STOATROUTER_HEADS"] = str(self.folder / "heads.cue")
-        with self.logs.open("ab") as logs:
-            self.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-O",
-                "-B",
-                "-m",
-                "stoatrouter",
-                cwd=self.folder,
-                env=environ,
-                stderr=logs,
-                stdout=logs,
-                preexec_fn=end_with_parent,
-            )
-        self.paused = False
-        self.fleet.relay.where[self.name] = (self.host, self.datagrams, self.streams)
-        if ready:
-            await self.until_ready()
+        return environ
 
     @property
     def cpu(self) -> float:
@@ -121,7 +98,7 @@
         self.hollow_addresses: Mapping[str, str] = {}
 
     def config_data(self) -> dict[str, object]:
-        """What all heads are told, hollow ones too: one discovery serves all in turn."""
+        """The configuration of all heads, hollow ones too: one discovery serves all in turn."""
         data = config_data({}, self.discovery)
         data["settings"] = data["settings"] | {"RegistryMode": "subscribe", "Areas": ZONES}
         return data
@@ -143,18 +120,13 @@
     def delay(self) -> None:
         """Delay what passes the relay as the places say; to be called again after `relay.heal`."""
         for (sender, receiver), way in self.relay.ways.items():
-            # the relay draws a delay from nothing up to what it is told: twice the mean
+            # the relay draws a delay from nothing up to what it is given: twice the mean
             here, there = self.places.get(sender), self.places.get(receiver)
             way.delay = 0.0 if here is None or there is None else 2 * one_way_seconds(here, there)
 
     async def close(self) -> None:
         """End all heads."""
-        for head in self:
-            if head.process is not None and head.process.returncode is None:
-                head.process.kill()
-        for head in self:
-            if head.process is not None:
-                await head.process.wait()
+        await self.kill_all()
         await self.relay.close()
         await self.session.close()
 
@@ -168,6 +140,6 @@
         files[0].write_text(json.dumps(data))
         files[1].write_text(self.heads_file(streams))
         files[2].write_text('listen: "127.0.0.1:0"\nrules: "rules.cue"\n')
-        (folder / "secret").write_text("s" * 40)
+        (folder / "secret").write_text(SECRET)
         (folder / "rules.cue").write_text(self.http)
         return files
--- a/benchmarks/capacity/scenes.py
+++ b/benchmarks/capacity/scenes.py
@@ -108,7 +108,7 @@
     """A voter is lost with its disk; a spare takes its place, and its credit is written off."""
     fleet, real = stage.fleet, stage.fleet.real
     leader = await real.leader()
-    voting = [name for name in (await leader.told())["voters"] if name != leader.name]
+    voting = [name for name in (await leader.status())["voters"] if name != leader.name]
     lost = stage.draws.choice(sorted(voting))
     spare = next(
         name for name in real.streams if name not in (leader.name, *voting) and real[name] in real.up
--- a/benchmarks/capacity/story.py
+++ b/benchmarks/capacity/story.py
@@ -21,7 +21,7 @@
 from stoatrouter.lab.histories.history import History, read_history
 from stoatrouter.lab.histories.judge import judge
 from stoatrouter.lab.hollow.logs import read_events
-from tests.heads.chaos import VOLUMES, Chaos
+from tests.heads.history_clients import VOLUMES, HistoryClients
 from tests.heads.processes import HeadProcess
 
 PRICE = 1_000  # of a unit of the first class, as the fleet's file has it (fleet.py)
@@ -30,7 +30,7 @@
 SETTLES_WITHIN = 90.0  # seconds
 
 
-class Story(Chaos):
+class Story(HistoryClients):
     """The clients of one run. Times between acts are drawn from the seed."""
 
     def __init__(self, fleet: CapacityFleet, seed: int, file: Path, edit_every: float) -> None:
--- a/benchmarks/capacity/times_processes.py
+++ b/benchmarks/capacity/times_processes.py
@@ -24,7 +24,7 @@
 from benchmarks.heads_rules import text_of
 from stoatrouter.credit.records import Book
 from tests.heads.processes import HeadProcess, Processes
-from tests.heads.test_rules_processes import edit
+from tests.heads.rules_clients import edit
 
 SETTLE_S = 2.0
 FOLLOWERS_WITHIN_S = 12.0  # for all followers to hear of a new leader; those that do not are counted
@@ -147,7 +147,7 @@
     def everywhere() -> bool:
         return all(number in versions(each) for each in fleet)
 
-    await fleet.until(everywhere, f"version {number} on all heads", end=150)
+    await fleet.until(everywhere, f"version {number} on all heads", timeout=150)
     await asyncio.sleep(1.0)
     spans = [versions(each)[number] - accepted for each in fleet]
     return number, spans, time.monotonic() - began
--- a/benchmarks/capacity/voter_load.py
+++ b/benchmarks/capacity/voter_load.py
@@ -33,7 +33,7 @@
 from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.streams import Streams
 from tests.heads.processes import HeadProcess, Processes
-from tests.heads.test_rules_processes import edit
+from tests.heads.rules_clients import edit
 
 CREDIT_ON = 'credit: prices: "score-read": 1000\n'
 RULES_ON = 'rules: {check_within: "120s", largest: 16Mi}\n'
@@ -211,7 +211,7 @@
             any(event["number"] == told["number"] for event in head.events("rules.version")) for head in fleet
         )
 
-    await fleet.until(everywhere, f"version {told['number']} on all voters", end=100)
+    await fleet.until(everywhere, f"version {told['number']} on all voters", timeout=100)
     await asyncio.sleep(1.0)  # followers learn of it, the disk's writes end
     return told["number"]
 
--- a/benchmarks/capacity/voters.py
+++ b/benchmarks/capacity/voters.py
@@ -81,7 +81,7 @@
 
 
 async def newest_term(fleet: Processes) -> int:
-    told: list[dict[str, Any]] = [await head.told() for head in fleet.up]
+    told: list[dict[str, Any]] = [await head.status() for head in fleet.up]
     return max((each.get("term", 0) for each in told), default=0)
 
 
--- a/benchmarks/heads.py
+++ b/benchmarks/heads.py
@@ -17,7 +17,7 @@
 
 from aiohttp import web
 
-from tests.peers import HOST, config_data, listening, told
+from tests.peers import HOST, config_data, listening, node_list
 
 TICKS = os.sysconf("SC_CLK_TCK")
 
@@ -90,7 +90,7 @@
     """A head of the program in a folder, as the platform starts it."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(config_data(told(1, *known), listen=listen)))
+        path.write_text(json.dumps(config_data(node_list(1, *known), listen=listen)))
         made = {
             "PATH": os.environ["PATH"],
             "NODE_CONFIG": str(path),
--- a/benchmarks/heads_detector.py
+++ b/benchmarks/heads_detector.py
@@ -76,10 +76,10 @@
     with tempfile.TemporaryDirectory() as folder:
         async with heads_up(Path(folder), count=size, seed=size) as fleet:
             await asyncio.sleep(5)
-            before = [await h.told() for h in fleet]
+            before = [await h.status() for h in fleet]
             cpu = [cpu_of(h.process.pid) for h in fleet if h.process]
             await asyncio.sleep(10)
-            after = [await h.told() for h in fleet]
+            after = [await h.status() for h in fleet]
             used = [
                 a - b for a, b in zip([cpu_of(h.process.pid) for h in fleet if h.process], cpu, strict=True)
             ]
@@ -94,7 +94,7 @@
             await victim.kill()
             killed, first = time.monotonic(), 0.0
             while True:
-                seen = [(await h.told()).get("seen", {}).get(victim.name) == "failed" for h in fleet.up]
+                seen = [(await h.status()).get("seen", {}).get(victim.name) == "failed" for h in fleet.up]
                 first = first or (time.monotonic() - killed if any(seen) else 0.0)
                 if all(seen):
                     break
--- a/benchmarks/heads_history.py
+++ b/benchmarks/heads_history.py
@@ -18,7 +18,7 @@
 async def play(folder: Path, heads: int, seed: int, seconds: float) -> int:
     from tests.heads.chaos import MORE, Chaos
     from tests.heads.processes import heads_up
-    from tests.heads.test_rules_processes import rules
+    from tests.heads.rules_clients import rules
 
     async with heads_up(folder, count=heads, seed=seed, more=MORE, http=rules("own")) as fleet:
         chaos = Chaos(fleet, seed, folder / "history.jsonl")
--- a/benchmarks/heads_rules.py
+++ b/benchmarks/heads_rules.py
@@ -17,7 +17,7 @@
 
 
 def text_of(count: int, mark: str) -> str:
-    from tests.heads.test_rules_processes import rules
+    from tests.heads.rules_clients import rules
 
     lines = "".join(
         f'\t\t{{name: "r{i}", when: #"request.path == "/p{i}""#, refuse: {{status: 410, reason: "gone"}}}},\n'
@@ -38,7 +38,7 @@
             at.append(found[0])
         return max(at)
 
-    return await fleet.until(look, f"version {number} on all heads", end=200) - since
+    return await fleet.until(look, f"version {number} on all heads", timeout=200) - since
 
 
 def time_of(head: Any, event: dict[str, Any]) -> float:
@@ -54,7 +54,7 @@
 
 async def play(count: int, times: int, heads: int) -> str:
     from tests.heads.processes import heads_up
-    from tests.heads.test_rules_processes import edit, undo
+    from tests.heads.rules_clients import edit, undo
 
     more = 'rules: {check_within: "120s", largest: 16Mi}\n'
     with tempfile.TemporaryDirectory() as folder:
@@ -83,7 +83,7 @@
     import signal
 
     from tests.heads.processes import heads_up
-    from tests.heads.test_rules_processes import mark
+    from tests.heads.rules_clients import mark
 
     folder.mkdir()
     async with heads_up(folder, count=1, voters=1, http=text_of(count, "one")) as fleet:
--- a/tests/heads/credit_clients.py
+++ b/tests/heads/credit_clients.py
@@ -2,9 +2,13 @@
 
 from __future__ import annotations
 
+import asyncio
 from dataclasses import dataclass, field
 
+from aiohttp import web
+
 from tests.heads.processes import HeadProcess, Processes
+from tests.peers import Node
 
 LIMIT = 150.0
 PRICE = 1_000  # millionths for each unit of a score-read
@@ -19,6 +23,23 @@
 PATIENCE = 20_000  # milliseconds; a request waits for a quarter of its time at most
 
 
+def holding_node() -> tuple[Node, asyncio.Event]:
+    """A node that holds requests whose names begin with "held" while the event is not set."""
+    node, gate = Node("a", 0), asyncio.Event()
+
+    async def hold(request: web.BaseRequest) -> None:
+        if request.headers["Req-Id"].startswith("held"):
+            await gate.wait()
+
+    node.gate = hold
+    return node, gate
+
+
+def requests_held(node: Node) -> int:
+    """How many of these requests the node has got."""
+    return sum(request.headers["Req-Id"].startswith("held") for request in node.requests)
+
+
 @dataclass
 class Counted:
     """What clients saw: served for sure, refused for sure, or no answer to go by."""
--- a/tests/heads/processes.py
+++ b/tests/heads/processes.py
@@ -1,15 +1,11 @@
-"""Several heads of the real program with relays between them, stand-in nodes and discovery, as stories
-need."""
+"""Several heads of the real program, with relays between them, stand-in nodes and discovery."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import ctypes
 import json
-import os
 import signal
-import sys
 import time
 from collections.abc import AsyncIterator, Callable
 from pathlib import Path
@@ -19,21 +15,19 @@
 
 from tests.addresses import free_ports, own_host
 from tests.heads.relay import Relay
-from tests.peers import Discovery, Node, config_data, listening, nodes_up, told
+from tests.peers import Discovery, Node, config_data, listening, node_list, nodes_up
+from tests.program_process import program_environ, start_program
 
-ROOT = Path(__file__).parent.parent.parent
-END = 40.0  # seconds that a story waits for a state; it only ends what would never come
-LIBC = ctypes.CDLL(None)
-
-
-def end_with_parent() -> None:
-    """A head ends with the tests that started it, also when those are killed (PR_SET_PDEATHSIG)."""
-    LIBC.prctl(1, signal.SIGKILL)
+STATE_TIMEOUT = 40.0  # seconds that a story waits for a state; it only ends what would never come
+LOG_TAIL = 8  # lines
+SECRET = "s" * 40
 
 
 class HeadProcess:
     """One head: its files, its process, and calls to it."""
 
+    optimized = False  # with its assertions
+
     def __init__(self, fleet: Processes, name: str) -> None:
         self.fleet, self.name = fleet, name
         self.folder = fleet.folder / name
@@ -45,63 +39,65 @@
         self.paused = False
 
     def write(self) -> None:
-        """Its configuration and settings."""
+        """Write its configuration and settings."""
+        fleet = self.fleet
+        (self.folder / "config.json").write_text(json.dumps(self.configuration()))
+        (self.folder / "heads.cue").write_text(self.heads_settings())
+        (self.folder / "secret").write_text(SECRET)
+        (self.folder / "tmp").mkdir(exist_ok=True)
+        if fleet.http:
+            (self.folder / "http.cue").write_text(f'listen: "{self.host}:{self.http}"\nrules: "rules.cue"\n')
+            if not (self.folder / "rules.cue").exists():
+                (self.folder / "rules.cue").write_text(fleet.http)
+
+    def configuration(self) -> dict[str, Any]:
+        """Its configuration, in which the relay is the others' address."""
         fleet, relay = self.fleet, self.fleet.relay
         data = config_data(
-            told(1, *(n.entry() for n in fleet.nodes)),
+            node_list(1, *(n.entry() for n in fleet.nodes)),
             fleet.discovery,
             self.port,
             f"{self.host}:{self.management}",
         ) | {"listen": f"{self.host}:{self.port}"}
-        others = [n for n in fleet.names if n != self.name]
-        data |= {
+        others = [name for name in fleet.names if name != self.name]
+        return data | {
             "name": self.name,
             "peer_listen": f"{self.host}:{self.datagrams}",
             "peers": [relay.datagram_address(self.name, other) for other in others],
         }
-        (self.folder / "config.json").write_text(json.dumps(data))
-        streams = {n: relay.stream_address(self.name, n) for n in others}
-        streams[self.name] = f"{self.host}:{self.streams}"
-        text = (
+
+    def heads_settings(self) -> str:
+        """Its settings of the heads, in which the relay is the others' address."""
+        fleet, relay = self.fleet, self.fleet.relay
+        own = f"{self.host}:{self.streams}"
+        others = [name for name in fleet.names if name != self.name]
+        streams = {name: relay.stream_address(self.name, name) for name in others} | {self.name: own}
+        return (
             'fleet: "test"\nsecret_file: "secret"\nfolder: "disk"\n'
-            f'listen: "{self.host}:{self.streams}"\n'
-            + "streams: {"
-            + ", ".join(f'"{n}": "{a}"' for n, a in streams.items())
-            + "}\n"
-            + f"voters: {json.dumps(fleet.voters)}\n"
-            + fleet.more
+            f'listen: "{own}"\n'
+            f"streams: {json.dumps(streams)}\n"
+            f"voters: {json.dumps(fleet.voters)}\n{fleet.more}"
         )
-        (self.folder / "heads.cue").write_text(text)
-        (self.folder / "secret").write_text("s" * 40)
-        (self.folder / "tmp").mkdir(exist_ok=True)
-        if fleet.http:
-            (self.folder / "http.cue").write_text(f'listen: "{self.host}:{self.http}"\nrules: "rules.cue"\n')
-            if not (self.folder / "rules.cue").exists():
-                (self.folder / "rules.cue").write_text(fleet.http)
 
-    async def start(self, ready: bool = True) -> None:
-        self.write()
-        environ = os.environ | {
-            "NODE_CONFIG": str(self.folder / "config.json"),
-            "PYTHONPATH": str(ROOT),
-            "STOATROUTER_HEADS": str(self.folder / "heads.cue"),
-            "TMPDIR": str(self.folder / "tmp"),
-            "STOATROUTER_LOG_FORMAT": "json",
-        }
-        environ.pop("NODE_DISCOVERY", None)
+    def settings_environ(self) -> dict[str, str]:
+        """Name the files of the parts that are switched on."""
+        environ = {"STOATROUTER_HEADS": str(self.folder / "heads.cue")}
         if self.fleet.http:
             environ["STOATROUTER_HTTP"] = str(self.folder / "http.cue")
+        return environ
+
+    async def start(self, ready: bool = True) -> None:
+        """Write the files and start the process; returns once it is ready, or at once without `ready`."""
+        self.write()
+        environ = program_environ(
+            self.folder / "config.json",
+            TMPDIR=str(self.folder / "tmp"),
+            STOATROUTER_LOG_FORMAT="json",
+            **self.settings_environ(),
+        )
         with self.logs.open("ab") as logs:
-            self.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-B",
-                "-m",
-                "stoatrouter",
-                cwd=self.folder,  # with its assertions
-                env=environ | self.fleet.environ,
-                stderr=logs,
-                stdout=logs,
-                preexec_fn=end_with_parent,
+            self.process = await start_program(
+                self.folder, environ | self.fleet.environ, self.optimized, stderr=logs, stdout=logs
             )
         self.paused = False
         self.fleet.relay.where[self.name] = (self.host, self.datagrams, self.streams)
@@ -133,9 +129,10 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0, None
 
-    async def told(self) -> dict[str, Any]:
-        status, told = await self.call("GET", "/control/heads")
-        return told if status == 200 else {}
+    async def status(self) -> dict[str, Any]:
+        """What it says of itself and the others; empty where it gives no answer."""
+        code, status = await self.call("GET", "/control/heads")
+        return status if code == 200 else {}
 
     async def read(
         self,
@@ -189,6 +186,11 @@
     def disk(self) -> Path:
         return self.folder / "disk" / self.name
 
+    def log_tail(self) -> str:
+        """The texts of the last lines of its log."""
+        lines = self.logs.read_text().splitlines()[-LOG_TAIL:]
+        return " | ".join(json.loads(line)["text"].strip() for line in lines if line.startswith("{"))
+
     def events(self, name: str) -> list[dict[str, Any]]:
         """Its log's records of one event."""
         found = []
@@ -226,29 +228,30 @@
     def up(self) -> list[HeadProcess]:
         return [h for h in self if h.process is not None and h.process.returncode is None and not h.paused]
 
-    async def until(self, holds: Callable[[], Any], what: str, end: float = END) -> Any:
-        """Wait for a state; fails with what it waited for."""
-        until = time.monotonic() + end
+    async def until(self, holds: Callable[[], Any], what: str, timeout: float = STATE_TIMEOUT) -> Any:
+        """Wait for a state, and return what `holds` returned; fails with the name of the state."""
+        deadline = time.monotonic() + timeout
         while True:
             result = holds()
             if asyncio.iscoroutine(result):
                 result = await result
             if result:
                 return result
-            assert time.monotonic() < until, f"never came: {what}\n{self.last_words()}"
+            assert time.monotonic() < deadline, f"never came: {what}\n{self.log_tails()}"
             await asyncio.sleep(0.05)
 
-    def last_words(self) -> str:
-        return "\n".join(
-            f"{h.name}: "
-            + " | ".join(
-                json.loads(line)["text"].strip()
-                for line in h.logs.read_text().splitlines()[-8:]
-                if line.startswith("{")
-            )
-            for h in self
-            if h.logs.exists()
-        )
+    def log_tails(self) -> str:
+        """The last lines of each head's log."""
+        return "\n".join(f"{head.name}: {head.log_tail()}" for head in self if head.logs.exists())
+
+    async def kill_all(self) -> None:
+        """Kill all that run, and wait until they have ended."""
+        started = [head.process for head in self if head.process is not None]
+        for process in started:
+            if process.returncode is None:
+                process.kill()
+        for process in started:
+            await process.wait()
 
     async def leader(self, among: list[str] | None = None) -> HeadProcess:
         """The head that leads and hears a majority, once there is one."""
@@ -256,8 +259,8 @@
         async def look() -> HeadProcess | None:
             for head in self.up:
                 if among is None or head.name in among:
-                    told = await head.told()
-                    if told.get("leads") and told["state"] == "in touch":
+                    status = await head.status()
+                    if status.get("leads") and status["state"] == "in touch":
                         return head
             return None
 
@@ -266,8 +269,8 @@
     async def all_in_touch(self, *names: str) -> None:
         async def look() -> bool:
             heads = [self[n] for n in names] if names else self.up
-            told = [await h.told() for h in heads]
-            return all(t.get("state") == "in touch" for t in told)
+            statuses = [await head.status() for head in heads]
+            return all(status.get("state") == "in touch" for status in statuses)
 
         await self.until(look, f"{names or 'all'} in touch")
 
@@ -275,7 +278,7 @@
         """All that run have applied the same."""
 
         async def look() -> bool:
-            applied = {(await h.told()).get("applied") for h in self.up}
+            applied = {(await h.status()).get("applied") for h in self.up}
             return len(applied) == 1 and None not in applied
 
         await self.until(look, "all have applied the same")
@@ -293,7 +296,7 @@
     environ: dict[str, str] | None = None,
     start: bool = True,
 ) -> AsyncIterator[Processes]:
-    """Heads h0 to h(count-1), the first `voters` of them voting, ready to serve; all are ended at the end."""
+    """Heads h0 to h(count-1), the first `voters` of them voting, ready to serve; killed at the end."""
     fleet = Processes(folder, count, voters, seed, more, http, environ or {})
     fleet.nodes = list(nodes) or [Node("a", 0)]
     print(f"seed {seed}")
@@ -312,10 +315,5 @@
                 await fleet.all_in_touch()
             yield fleet
         finally:
-            for head in fleet:
-                if head.process is not None and head.process.returncode is None:
-                    head.process.kill()
-            for head in fleet:
-                if head.process is not None:
-                    await head.process.wait()
+            await fleet.kill_all()
             await fleet.relay.close()
--- a/tests/heads/test_credit_operations.py
+++ b/tests/heads/test_credit_operations.py
@@ -13,22 +13,17 @@
     VOLUME,
     Counted,
     customer,
+    holding_node,
     pay,
     settled,
 )
 from tests.heads.processes import Processes, heads_up
-from tests.peers import Node, run
+from tests.peers import run
 
 
 def test_customers_are_moved_and_dropped_with_requests_out(tmp_path):
     async def story():
-        node, gate = Node("a", 0), asyncio.Event()
-
-        async def hold(request):
-            if request.headers["Req-Id"].startswith("held"):
-                await gate.wait()
-
-        node.gate = hold
+        node, gate = holding_node()
         async with heads_up(tmp_path, count=3, seed=6, more=PATIENT, nodes=(node,)) as fleet:
             await customer(fleet["h0"], "acme", VOLUME, paid=20 * CHARGE)
             await customer(fleet["h0"], "next", paid=20 * CHARGE)
@@ -105,7 +100,7 @@
 
 async def seen_alive(fleet: Processes) -> None:
     async def look() -> bool:
-        return all([set((await h.told())["seen"].values()) == {"alive"} for h in fleet.up])
+        return all([set((await h.status())["seen"].values()) == {"alive"} for h in fleet.up])
 
     await fleet.until(look, "all see all alive")
 
--- a/tests/heads/test_credit_processes.py
+++ b/tests/heads/test_credit_processes.py
@@ -23,11 +23,13 @@
     Counted,
     account,
     customer,
+    holding_node,
     pay,
+    requests_held,
     settled,
 )
 from tests.heads.processes import Processes, heads_up
-from tests.peers import Node, run
+from tests.peers import run
 
 
 def test_all_heads_surge_on_a_nearly_empty_account_and_another_customer_loses_nothing(tmp_path):
@@ -106,13 +108,7 @@
 
 def test_a_head_paused_beyond_its_lease_wakes_in_a_request_and_all_is_exact(tmp_path):
     async def story():
-        node, gate = Node("a", 0), asyncio.Event()
-
-        async def hold(request):
-            if request.headers["Req-Id"].startswith("held"):
-                await gate.wait()
-
-        node.gate = hold
+        node, gate = holding_node()
         async with heads_up(tmp_path, seed=3, more=CREDIT, nodes=(node,)) as fleet:
             await customer(fleet["h0"], "acme", VOLUME, paid=40 * CHARGE)
             await fleet.all_equal()
@@ -123,7 +119,7 @@
                 for i in range(3)
             ]
             await fleet.until(
-                lambda: sum(r.headers["Req-Id"].startswith("held") for r in node.requests) == 3,
+                lambda: requests_held(node) == 3,
                 "three are held",
             )
             paused.signal(signal.SIGSTOP)
@@ -147,13 +143,7 @@
 @pytest.mark.parametrize("disk", [True, False], ids=["with_its_disk", "without"])
 def test_a_head_killed_with_reservations_out_starts_again_at_once(tmp_path, disk):
     async def story():
-        node, gate = Node("a", 0), asyncio.Event()
-
-        async def hold(request):
-            if request.headers["Req-Id"].startswith("held"):
-                await gate.wait()
-
-        node.gate = hold
+        node, gate = holding_node()
         async with heads_up(tmp_path, seed=4, more=PATIENT, nodes=(node,)) as fleet:
             await customer(fleet["h0"], "acme", VOLUME, paid=100 * CHARGE)
             await fleet.all_equal()
@@ -162,7 +152,7 @@
                 assert await counted.ask(victim, f"s{n}", deadline=PATIENCE) == 200
             held = [asyncio.create_task(counted.ask(victim, f"held{i}")) for i in range(3)]
             await fleet.until(
-                lambda: sum(r.headers["Req-Id"].startswith("held") for r in node.requests) == 3,
+                lambda: requests_held(node) == 3,
                 "three are held",
             )
             await victim.kill()
@@ -221,4 +211,4 @@
 
 
 async def all_cut_off(fleet: Processes, names: list[str]) -> bool:
-    return all([(await fleet[n].told())["state"] == "cut off" for n in names])
+    return all([(await fleet[n].status())["state"] == "cut off" for n in names])
--- a/tests/heads/test_ground.py
+++ b/tests/heads/test_ground.py
@@ -19,8 +19,9 @@
 import pytest
 
 from stoatrouter.peering.storage import DATABASE_FILE
-from tests.heads.processes import ROOT, HeadProcess, Processes, heads_up
+from tests.heads.processes import HeadProcess, Processes, heads_up
 from tests.peers import run
+from tests.program_process import ROOT, program_environ, start_program
 
 LIMIT = 100.0  # seconds; it only ends what hangs
 
@@ -28,7 +29,7 @@
 async def seen_as(fleet: Processes, of: str, status: str, by: list[HeadProcess] | None = None) -> None:
     async def look() -> bool:
         others = [h for h in by or fleet.up if h.name != of]
-        return all([(await h.told()).get("seen", {}).get(of) == status for h in others])
+        return all([(await h.status()).get("seen", {}).get(of) == status for h in others])
 
     await fleet.until(look, f"{of} seen as {status}")
 
@@ -47,7 +48,7 @@
     async def story():
         async with heads_up(tmp_path, seed=1) as fleet:
             first = await fleet.leader()
-            identity = (await first.told())["identity"]
+            identity = (await first.status())["identity"]
             await first.kill()
             second = await fleet.leader()
             assert second.name != first.name
@@ -57,7 +58,7 @@
             await fleet.all_in_touch()
             await fleet.all_equal()
             await seen_as(fleet, first.name, "alive")
-            assert (await first.told())["identity"] == identity
+            assert (await first.status())["identity"] == identity
             one_leader_for_each_term(fleet)
 
     run(story(), LIMIT)
@@ -73,7 +74,7 @@
             second = await fleet.leader(large)
 
             async def cut_off() -> bool:
-                return all([(await fleet[n].told())["state"] == "cut off" for n in small])
+                return all([(await fleet[n].status())["state"] == "cut off" for n in small])
 
             await fleet.until(cut_off, "both cut off")
             for name in small:
@@ -86,7 +87,7 @@
             fleet.relay.heal()
             await fleet.all_in_touch()
             await fleet.all_equal()
-            assert "h3" in (await fleet[leader.name].told())["voters"]
+            assert "h3" in (await fleet[leader.name].status())["voters"]
             one_leader_for_each_term(fleet)
 
     run(story(), LIMIT)
@@ -97,13 +98,13 @@
 
     async def story():
         async with heads_up(tmp_path, seed=3) as fleet:
-            voters = (await (await fleet.leader()).told())["voters"]
+            voters = (await (await fleet.leader()).status())["voters"]
             fleet.relay.cut("h3", "h0", both=False)
             fleet.relay.cut("h3", "h4")
             await asyncio.sleep(6)
             assert not any(s["status"] == "failed" for h in fleet for s in h.events("heads.seen"))
             for head in fleet:
-                told = await head.told()
+                told = await head.status()
                 assert told["state"] == "in touch" and told["voters"] == voters
 
     run(story(), LIMIT)
@@ -120,7 +121,7 @@
             first.paused = False
 
             async def follows() -> bool:
-                told = await first.told()
+                told = await first.status()
                 return told["state"] == "in touch" and not told["leads"]
 
             await fleet.until(follows, "it follows")
@@ -167,7 +168,7 @@
         async with heads_up(tmp_path, seed=6) as fleet:
             leader = await fleet.leader()
             victim = fleet[next(n for n in fleet.voters if n != leader.name)]
-            before = (await victim.told())["identity"]
+            before = (await victim.status())["identity"]
             await victim.kill()
             shutil.copy(victim.disk / DATABASE_FILE, victim.folder / "older.db")
             await victim.start()
@@ -178,7 +179,7 @@
             spoil(victim, how)
             await victim.start()
             await fleet.all_in_touch()
-            told = await victim.told()
+            told = await victim.status()
             assert told["identity"] != before and not told["votes"]
             assert told["voters"][victim.name] == before  # it is still named so, until operators change that
             leader = await fleet.leader()
@@ -195,7 +196,7 @@
 
 
 async def votes(head: HeadProcess) -> bool:
-    return (await head.told()).get("votes", False)
+    return (await head.status()).get("votes", False)
 
 
 def test_a_head_that_cannot_write_serves_without_a_voice(tmp_path):
@@ -206,7 +207,7 @@
             await asyncio.gather(*(h.start(ready=False) for h in fleet))
             await asyncio.gather(*(h.until_ready() for h in fleet))
             await fleet.all_in_touch()
-            told = await blocked.told()
+            told = await blocked.status()
             assert not told["disk"] and not told["votes"]
             assert (await blocked.read("r1"))[0] == 200
             leader = await fleet.leader()
@@ -222,22 +223,22 @@
             leader = await fleet.leader()
             assert (await leader.call("POST", "/control/heads/recover"))[0] == 409
             await fleet.all_equal()
-            origin = (await fleet["h3"].told())["origin"]
+            origin = (await fleet["h3"].status())["origin"]
             for name in fleet.voters:
                 await fleet[name].kill()
                 shutil.rmtree(fleet[name].disk)
             survivor = fleet["h3"]
 
             async def cut_off() -> bool:
-                return (await survivor.told())["state"] == "cut off"
+                return (await survivor.status())["state"] == "cut off"
 
             await fleet.until(cut_off, "the survivor is cut off")
             assert (await survivor.call("POST", "/control/heads/recover"))[0] == 200
             assert (await fleet.leader()).name == "h3"
-            assert (await survivor.told())["origin"] != origin
+            assert (await survivor.status())["origin"] != origin
             for name in fleet.voters:  # they come back with empty disks and follow
                 await fleet[name].start(ready=False)
-                assert not (await fleet[name].told()).get("votes")
+                assert not (await fleet[name].status()).get("votes")
 
     run(story(), LIMIT)
 
@@ -265,7 +266,7 @@
                     assert response.status == 403
 
             async def counted() -> bool:
-                counts = (await head.told())["counts"]
+                counts = (await head.status())["counts"]
                 return (
                     counts.get("datagram.dropped.not_a_peer", 0) >= 3
                     and counts.get("stream.dropped.foreign") == 3
@@ -316,19 +317,8 @@
             text = (head.folder / "heads.cue").read_text()
             assert change[0] in text
             (head.folder / "heads.cue").write_text(text.replace(*change))
-            environ = os.environ | {
-                "NODE_CONFIG": str(head.folder / "config.json"),
-                "PYTHONPATH": str(ROOT),
-                "STOATROUTER_HEADS": str(head.folder / "heads.cue"),
-            }
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "stoatrouter",
-                env=environ,
-                cwd=head.folder,
-                stderr=asyncio.subprocess.PIPE,
-            )
+            environ = program_environ(head.folder / "config.json", **head.settings_environ())
+            process = await start_program(head.folder, environ, stderr=asyncio.subprocess.PIPE)
             _, said = await process.communicate()
             assert process.returncode == 2 and words in said.decode(), said.decode()
 
--- a/tests/heads/test_histories.py
+++ b/tests/heads/test_histories.py
@@ -21,7 +21,7 @@
 )
 from tests.heads.chaos import MORE, Chaos
 from tests.heads.processes import heads_up
-from tests.heads.test_rules_processes import rules
+from tests.heads.rules_clients import rules
 from tests.peers import run
 
 FIRST = RegisterState()
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -40,9 +40,9 @@
 from stoatrouter.peering.settings import load_heads
 from stoatrouter.peering.streams import MOST_IN_FLIGHT, Streams
 from tests.addresses import free_port
-from tests.heads.processes import ROOT
-from tests.heads.test_rules_processes import RULES
-from tests.peers import config_data, run, told
+from tests.heads.rules_clients import RULES
+from tests.peers import config_data, node_list, run
+from tests.program_process import ROOT
 
 LIMIT = 170.0
 SMALL = Size(hollow=4, voters=3, spares=0, followers=1, workers=2, nodes=2)
@@ -72,7 +72,7 @@
     (folder / "secret").write_text("s" * 40)
     (folder / "rules.cue").write_text(RULES)
     (folder / "http.cue").write_text('listen: "127.0.0.1:0"\nrules: "rules.cue"\n')
-    (folder / "config.json").write_text(json.dumps(config_data(told(1))))
+    (folder / "config.json").write_text(json.dumps(config_data(node_list(1))))
     (folder / "heads.cue").write_text(
         f'fleet: "{FLEET}"\nsecret_file: "secret"\nfolder: "disk"\n'
         f"streams: {json.dumps(streams)}\nvoters: {json.dumps(names[:voters])}\n{MORE}"
@@ -239,7 +239,7 @@
     real = next(head for head in fleet.real if head.name not in fleet.real.voters)
     census = await fleet.hollow.report()
     assert not census.died, census.summary()
-    return (await real.told())["counts"], {report.name: report.counts for report in census.running}
+    return (await real.status())["counts"], {report.name: report.counts for report in census.running}
 
 
 def test_a_hollow_head_counts_what_a_real_one_does(tmp_path):
--- a/tests/heads/test_majority_lost.py
+++ b/tests/heads/test_majority_lost.py
@@ -16,7 +16,7 @@
 
 async def all_cut_off(fleet: Processes) -> None:
     async def look() -> bool:
-        told = [await head.told() for head in fleet.up]
+        told = [await head.status() for head in fleet.up]
         return all(t.get("state") == "cut off" for t in told)
 
     await fleet.until(look, "all that are left are cut off")
@@ -39,10 +39,10 @@
             for head in fleet.up:
                 status, told = await head.call("GET", "/control/credit")
                 assert status == 200 and not told["draws"], (head.name, told)
-            before = {head.name: (await head.told())["majority_heard_s_ago"] for head in fleet.up}
+            before = {head.name: (await head.status())["majority_heard_s_ago"] for head in fleet.up}
             await asyncio.sleep(1)  # whom they ask meanwhile changes nothing of it
             for head in fleet.up:
-                told = await head.told()
+                told = await head.status()
                 assert told["state"] == "cut off", told
                 assert before[head.name] is None or told["majority_heard_s_ago"] > before[head.name]
             if not wiped:
--- a/tests/heads/test_rules_processes.py
+++ b/tests/heads/test_rules_processes.py
@@ -7,102 +7,24 @@
 
 import asyncio
 import signal
-from typing import Any
 
-import aiohttp
 import pytest
 
-from tests.heads.processes import HeadProcess, Processes, heads_up
+from tests.heads.processes import heads_up
+from tests.heads.rules_clients import (
+    HISTORY,
+    all_marked,
+    became,
+    edit,
+    mark,
+    put,
+    rules,
+    undo,
+    versions_only_go_up,
+)
 from tests.peers import run
 
 LIMIT = 150.0
-HISTORY = 'rules: {check_within: "4s"}\n'
-RULES = """scopes: feed: {
-	hosts: ["*"]
-	paths: ["/"]
-	classes: ["score-read"]
-	plans: ["premium"]
-	volumes: ["00000000f0a70011"]
-	rules: [
-		{name: "marked", when: #"request.path == "/mark""#, refuse: {status: 451, reason: "MARK"}},
-		{name: "reads", when: #"request.method == "GET""#, class: "score-read"},
-	]
-}
-"""
-
-
-def rules(mark: str) -> str:
-    return RULES.replace("MARK", mark)
-
-
-async def mark(head: HeadProcess) -> str:
-    """Which rules a head decides by, as a client sees it."""
-    try:
-        url = f"http://{head.host}:{head.http}/mark"
-        async with asyncio.timeout(3), head.fleet.session.get(url) as response:
-            return (await response.text()).strip()
-    except (aiohttp.ClientError, TimeoutError, OSError):
-        return ""
-
-
-async def edit(head: HeadProcess, id: str, base: int, text: str, author: str = "ann") -> tuple[int, Any]:
-    return await head.call(
-        "POST",
-        "/control/rules/edits",
-        {
-            "id": id,
-            "base": base,
-            "root": "rules.cue",
-            "files": {"rules.cue": text},
-            "author": author,
-            "reason": "story",
-        },
-    )
-
-
-async def undo(head: HeadProcess, id: str, version: int, to: int = 0) -> tuple[int, Any]:
-    return await head.call(
-        "POST",
-        "/control/rules/undo",
-        {"id": id, "version": version, "to": to, "author": "bob", "reason": "story"},
-    )
-
-
-async def became(fleet: Processes, id: str, *states: str) -> dict[str, Any]:
-    """What became of an id, once it is one of these."""
-
-    async def look():
-        for head in fleet.up:
-            status, told = await head.call("GET", f"/control/rules/edits/{id}")
-            if status == 200:
-                return told if told["state"] in states else None
-        return None
-
-    return await fleet.until(look, f"{id} is {states}")
-
-
-async def all_marked(fleet: Processes, text: str, *names: str) -> None:
-    async def look() -> bool:
-        return all([await mark(h) == text for h in ([fleet[n] for n in names] or fleet.up)])
-
-    await fleet.until(look, f"all decide by {text!r}")
-
-
-async def put(fleet: Processes, id: str, base: int, text: str, by: HeadProcess | None = None) -> int:
-    """An edit that comes in force everywhere; its number."""
-    head = by or fleet.up[0]
-    status, told = await edit(head, id, base, rules(text))
-    assert status == 202, told
-    assert (await became(fleet, id, "everywhere", "abandoned"))["state"] == "everywhere"
-    await all_marked(fleet, text)
-    return told["number"]
-
-
-def versions_only_go_up(fleet: Processes) -> None:
-    """From each head's log: over its restarts, too."""
-    for head in fleet:
-        numbers = [said["number"] for said in head.events("rules.version")]
-        assert numbers == sorted(numbers), (head.name, numbers)
 
 
 def test_edits_and_undo_come_in_force_on_every_head(tmp_path):
@@ -183,7 +105,7 @@
             await all_marked(fleet, "three", *large)  # cut-off heads do not stop it
 
             async def cut_off() -> bool:
-                return all([(await fleet[n].told())["state"] == "cut off" for n in small])
+                return all([(await fleet[n].status())["state"] == "cut off" for n in small])
 
             await fleet.until(cut_off, "the smaller side cut off")
             for name in small:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -197,7 +197,7 @@
         return web.Response(body=json.dumps(step).encode())
 
 
-def told(generation: int, *entries: dict[str, Any], reset: bool = True) -> dict[str, Any]:
+def node_list(generation: int, *entries: dict[str, Any], reset: bool = True) -> dict[str, Any]:
     return {"generation": generation, "reset": reset, "instances": list(entries)}
 
 
@@ -237,7 +237,7 @@
 
 
 def head_config(*nodes: Node, **more: Any) -> config.Config:
-    return config.parse(config_data(told(1, *(n.entry() for n in nodes)), **more))
+    return config.parse(config_data(node_list(1, *(n.entry() for n in nodes)), **more))
 
 
 async def until(holds: Callable[[], bool]) -> None:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 from click.testing import CliRunner
 
 from stoatrouter.cli import main
-from tests.peers import config_data, told
+from tests.peers import config_data, node_list
 from tests.rules import OPERATOR, READS, WRITES, write_rules
 
 ROOT = Path(__file__).parent.parent
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def conf(tmp_path):
-    (tmp_path / "config.json").write_text(json.dumps(config_data(told(1))))
+    (tmp_path / "config.json").write_text(json.dumps(config_data(node_list(1))))
     return tmp_path / "config.json"
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,9 +9,9 @@
 
 from stoatrouter import config
 from stoatrouter.faults import explain
-from tests.peers import config_data, told
+from tests.peers import config_data, node_list
 
-GOOD = config_data(told(1))
+GOOD = config_data(node_list(1))
 
 
 def changed(path: str, value: object) -> dict:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.interface import Outcome
-from tests.peers import HOST, SETTINGS, Node, config_data, head_config, nodes_up, run, told, until
+from tests.peers import HOST, SETTINGS, Node, config_data, head_config, node_list, nodes_up, run, until
 from tests.platform_client import HEADERS, PATH, WRITE, attempt, started
 from tests.scheduler_driver import MS as MS_
 from tests.scheduler_driver import SECOND, SchedulerDriver
@@ -71,7 +71,7 @@
                 "restarted": {"startedAtMs": now + 1},
             }[change]
             # a long while ago, as where an agent was silent
-            head.watch.apply(told(2, left.entry(**entry), reset=False), None)
+            head.watch.apply(node_list(2, left.entry(**entry), reset=False), None)
             await asyncio.sleep(0.005)  # the start that was told is over
             dials.let.set()
             answer = await asked
@@ -119,7 +119,7 @@
             ],
         }
         async with nodes_up(*nodes):
-            known = told(1, *(n.entry(zone=zones[n.name]) for n in nodes))
+            known = node_list(1, *(n.entry(zone=zones[n.name]) for n in nodes))
             head = Head(config.parse(config_data(known) | {"settings": settings}))
             await head.start()
             try:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 from stoatrouter.net import discovery
 from stoatrouter.net.discovery import Watch
 from stoatrouter.policy.interface import ListKind, Phase
-from tests.peers import HOST, Discovery, Node, listening, run, told, until
+from tests.peers import HOST, Discovery, Node, listening, node_list, run, until
 
 
 def test_the_watch_goes_on_whatever_discovery_does():
@@ -19,16 +19,16 @@
             b"no json",
             500,
             {"generation": 2},
-            told(2, a.entry(lifecycle="DRAINING"), reset=False),
-            told(3, a.entry(lifecycle="SLEEPING"), reset=False),
-            told(4, reset=False),
-            told(5, a.entry(), reset=True),
+            node_list(2, a.entry(lifecycle="DRAINING"), reset=False),
+            node_list(3, a.entry(lifecycle="SLEEPING"), reset=False),
+            node_list(4, reset=False),
+            node_list(5, a.entry(), reset=True),
         )
         peer, heard = Discovery(*script), []
         async with listening(peer.handle) as port:
             watch = Watch(
                 f"{HOST}:{port}",
-                told(1, a.entry()),
+                node_list(1, a.entry()),
                 lambda kind, nodes, _: heard.append((kind, [n.phase for n in nodes])),
             )
             watch.restore()
@@ -63,14 +63,14 @@
     a, b, counted, heard = Node("a", 0), Node("b", 1), [], []
     watch = Watch(
         f"{HOST}:9",
-        told(1, a.entry(), b.entry()),
+        node_list(1, a.entry(), b.entry()),
         lambda kind, nodes, _: heard.append({n.id: n.phase for n in nodes}),
         counted.append,
     )
     watch.restore()
     for generation, reset in (2, True), (3, False), (4, True):
         entries = a.entry(lifecycle="DRAINING"), b.entry(**spoilt), "nonsense"
-        watch.apply(told(generation, *entries, reset=reset))
+        watch.apply(node_list(generation, *entries, reset=reset))
     stays = {} if "instanceId" in spoilt else {"b": Phase.ON}  # what it stood for cannot be told
     assert heard[1] == heard[3] == {"a": Phase.DRAINING} | stays
     assert heard[2] == {"a": Phase.DRAINING} and watch.generation == 4
@@ -79,9 +79,9 @@
 
 def test_an_agent_that_holds_no_call_is_asked_at_a_pace():
     async def story():
-        peer = Discovery(*(told(1, reset=False) for _ in range(3)))
+        peer = Discovery(*(node_list(1, reset=False) for _ in range(3)))
         async with listening(peer.handle) as port:
-            watch = Watch(f"{HOST}:{port}", told(1), lambda *_: None)
+            watch = Watch(f"{HOST}:{port}", node_list(1), lambda *_: None)
             watch.restore()
             task = asyncio.create_task(watch.run())
             await until(lambda: len(peer.calls) == 3)
@@ -97,11 +97,11 @@
 def test_a_moved_watch_keeps_what_it_holds_and_leaves_a_silent_agent():
     async def story():
         a, heard = Node("a", 0), []
-        old = Discovery(told(2, a.entry(), reset=True))  # then silence
-        new = Discovery(told(3, a.entry(lifecycle="DRAINING"), reset=False), told(2, reset=False))
+        old = Discovery(node_list(2, a.entry(), reset=True))  # then silence
+        new = Discovery(node_list(3, a.entry(lifecycle="DRAINING"), reset=False), node_list(2, reset=False))
         async with listening(old.handle) as before, listening(new.handle) as after:
             watch = Watch(
-                f"{HOST}:{before}", told(1), lambda kind, nodes, _: heard.append((kind, len(nodes)))
+                f"{HOST}:{before}", node_list(1), lambda kind, nodes, _: heard.append((kind, len(nodes)))
             )
             watch.restore()
             task = asyncio.create_task(watch.run())
@@ -125,7 +125,7 @@
         def told_badly(*_):
             raise RuntimeError("no such thing")
 
-        peer = Discovery(b"[" * 100_000, told(2), told(3))
+        peer = Discovery(b"[" * 100_000, node_list(2), node_list(3))
         async with listening(peer.handle) as port:
             task = asyncio.create_task(Watch(f"{HOST}:{port}", {}, told_badly).run())
             await until(lambda: len(peer.calls) == 4)
@@ -140,7 +140,7 @@
     async def story():
         peer = Discovery()
         async with listening(peer.handle) as port:
-            task = asyncio.create_task(Watch(f"{HOST}:{port}", told(1), lambda *_: None).run())
+            task = asyncio.create_task(Watch(f"{HOST}:{port}", node_list(1), lambda *_: None).run())
             await until(lambda: len(peer.calls) >= 3)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
--- a/tests/test_list_and_descriptors.py
+++ b/tests/test_list_and_descriptors.py
@@ -9,7 +9,6 @@
 import os
 import resource
 import socket
-import sys
 from dataclasses import replace
 from datetime import timedelta
 
@@ -25,7 +24,6 @@
 from stoatrouter.policy.interface import Phase
 from tests.addresses import free_ports, own_host
 from tests.agent import Agent, agent_up
-from tests.heads.processes import end_with_parent
 from tests.peers import (
     HOST,
     Discovery,
@@ -33,13 +31,14 @@
     config_data,
     head_config,
     listening,
+    node_list,
     nodes_up,
     run,
-    told,
     until,
 )
 from tests.platform_client import HEADERS, PATH
-from tests.test_program import ROOT, ready
+from tests.program_process import end_with_parent, program_environ, start_program
+from tests.test_program import ready
 
 AT_ONCE = replace(
     list_times(True, 2000 * MS),
@@ -68,15 +67,15 @@
     async def story():
         a, heard = Node("a", 0), []
         agent = Agent(
-            json.dumps(told(2, a.entry())).encode(),
+            json.dumps(node_list(2, a.entry())).encode(),
             fault,
-            json.dumps(told(3, a.entry(lifecycle="DRAINING"), reset=False)).encode(),
-            json.dumps(told(3, reset=False)).encode(),
+            json.dumps(node_list(3, a.entry(lifecycle="DRAINING"), reset=False)).encode(),
+            json.dumps(node_list(3, reset=False)).encode(),
         )
         async with agent_up(agent) as port:
             watch = Watch(
                 f"{HOST}:{port}",
-                told(1),
+                node_list(1),
                 pushed=pushed,
                 times=AT_ONCE,
                 on_list=lambda kind, nodes, age: heard.append((nodes[0].phase, age)),
@@ -106,7 +105,7 @@
                 waiting.connect_ex(full.getsockname())
             agent = Agent()
             async with agent_up(agent) as port:
-                watch = Watch(f"{HOST}:{full.getsockname()[1]}", told(1), lambda *_: None, times=AT_ONCE)
+                watch = Watch(f"{HOST}:{full.getsockname()[1]}", node_list(1), lambda *_: None, times=AT_ONCE)
                 task = asyncio.create_task(watch.run())
                 await until(lambda: watch.failures >= 2)
                 watch.change_address(f"{HOST}:{port}")
@@ -123,7 +122,7 @@
 
     async def story():
         a, b, known = Node("a", 0), Node("b", 0), []
-        says = [told(2, a.entry(lifecycle="DRAINING"), reset=False)] if discovery == "answers" else []
+        says = [node_list(2, a.entry(lifecycle="DRAINING"), reset=False)] if discovery == "answers" else []
         peer = Discovery(*says)
         async with nodes_up(a, b), listening(peer.handle) as port:
             head = Head(head_config(a, b, discovery=port))
@@ -169,7 +168,7 @@
         async with nodes_up(a, b):
             host = own_host()
             port, management, at = free_ports(host, 3)
-            data = config_data(told(1, a.entry()), at, port, f"{host}:{management}", sockets=most)
+            data = config_data(node_list(1, a.entry()), at, port, f"{host}:{management}", sockets=most)
             data |= {"listen": f"{host}:{port}", "discovery": f"{host}:{at}"}
             (tmp_path / "config.json").write_text(json.dumps(data))
 
@@ -177,14 +176,9 @@
                 end_with_parent()
                 resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
 
-            environ = os.environ | {"NODE_CONFIG": str(tmp_path / "config.json"), "PYTHONPATH": str(ROOT)}
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-B",
-                "-m",
-                "stoatrouter",
-                cwd=tmp_path,
-                env=environ,
+            process = await start_program(
+                tmp_path,
+                program_environ(tmp_path / "config.json"),
                 preexec_fn=limit,
                 stderr=asyncio.subprocess.DEVNULL,
             )
@@ -198,7 +192,7 @@
                     assert held <= most
                     async with session.get(f"http://{host}:{management}/control/ready") as answer:
                         assert answer.status == 200
-                    agent = Agent(json.dumps(told(2, a.entry(), b.entry())).encode())
+                    agent = Agent(json.dumps(node_list(2, a.entry(), b.entry())).encode())
                     server = await asyncio.start_server(agent.serve, host, at)
                     await until(lambda: len(agent.calls) >= 2)  # it has the list, and asks for what is newer
                     headers = HEADERS | {"X-IO": "units=2,shard=1,hosts=1"}
--- a/tests/test_object_uploads.py
+++ b/tests/test_object_uploads.py
@@ -6,7 +6,7 @@
 
 from stoatrouter.fronts.objects.extents import PAYLOAD
 from tests.object_client import BODY, error_code, gateway, settled, two
-from tests.peers import Node, nodes_up, run, told, until
+from tests.peers import Node, node_list, nodes_up, run, until
 
 
 def test_parts_land_while_a_node_drains():
@@ -26,7 +26,7 @@
                 )
             )
             await until(lambda: len(b.seen) > before)
-            client.head.watch.apply(told(2, b.entry(lifecycle="DRAINING"), c.entry(), reset=False))
+            client.head.watch.apply(node_list(2, b.entry(lifecycle="DRAINING"), c.entry(), reset=False))
             etags += list(zip(range(2, 9), await others, strict=True))
             status, _, data = await client.complete("/footage/m", upload, etags)
             assert status == 200, data
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,9 +15,9 @@
 
 from stoatrouter.net.sighup import HangupSignal
 from tests.addresses import free_port
-from tests.peers import HOST, Discovery, Node, config_data, listening, nodes_up, run, told, until
+from tests.peers import HOST, Discovery, Node, config_data, listening, node_list, nodes_up, run, until
+from tests.program_process import ROOT, program_environ, start_program
 
-ROOT = Path(__file__).parent.parent
 PATH = "/score-read/00000003b4d60021/7f3a9c21e0b4d655"
 HEADERS = {"X-Plan": "premium", "Req-Deadline-Ms": "2000", "X-IO": "units=2,shard=0,hosts=1"}
 
@@ -27,32 +27,16 @@
     """The program with these nodes in its list, ready to serve."""
     async with nodes_up(*nodes), listening(Discovery().handle) as discovery:
         port, object_port = free_port(), free_port()
-        data = config_data(told(1, *(n.entry() for n in nodes)), discovery, port)
+        data = config_data(node_list(1, *(n.entry() for n in nodes)), discovery, port)
         (tmp_path / "config.json").write_text(json.dumps(data))
-        environ = (
-            os.environ
-            | (environ or {})
-            | {
-                "NODE_CONFIG": str(tmp_path / "config.json"),
-                "PYTHONPATH": str(ROOT),
-                "NODE_DISCOVERY": data["discovery"],
-            }
-        )
+        more = (environ or {}) | {"NODE_DISCOVERY": data["discovery"]}
+        environ = program_environ(tmp_path / "config.json", **more)
         if objects:
             operator = (ROOT / "deploy" / "objects.cue").read_text().replace("8480", str(object_port))
             (tmp_path / "objects.cue").write_text(operator)
             (tmp_path / "objects.secret").write_text("s" * 40)
             environ["STOATROUTER_OBJECTS"] = str(tmp_path / "objects.cue")
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-O",
-            "-B",
-            "-m",
-            "stoatrouter",
-            cwd=tmp_path,
-            env=environ,
-            stderr=asyncio.subprocess.PIPE,
-        )
+        process = await start_program(tmp_path, environ, optimized=True, stderr=asyncio.subprocess.PIPE)
         try:
             async with aiohttp.ClientSession() as session:
                 base = f"http://{HOST}:{port}"
@@ -168,7 +152,7 @@
             process.send_signal(signal.SIGHUP)
             await until(lambda: bool(second.calls))
             assert "from=1&" in second.calls[0][1]  # the list that is held still counts
-            second.script.put_nowait(told(2, b.entry()))
+            second.script.put_nowait(node_list(2, b.entry()))
             await until(lambda: len(second.calls) == 2)
             assert await read(session, base, "two") == (200, b"the other")
             process.send_signal(signal.SIGHUP)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -5,9 +5,7 @@
 
 import asyncio
 import json
-import os
 import signal
-import sys
 
 import aiohttp
 import pytest
@@ -15,11 +13,11 @@
 from stoatrouter.net import disconnects
 from tests.addresses import free_port
 from tests.agent import Agent, agent_up
-from tests.heads.processes import end_with_parent
 from tests.object_client import BODY, gateway
-from tests.peers import HOST, Node, config_data, nodes_up, run, told, until
+from tests.peers import HOST, Node, config_data, node_list, nodes_up, run, until
 from tests.platform_client import HEADERS, PATH
-from tests.test_program import ROOT, program, read
+from tests.program_process import program_environ, start_program
+from tests.test_program import program, read
 
 LARGE = 3 * 1024 * 1024
 
@@ -28,20 +26,10 @@
     async def story():
         a, agent = Node("a", 0), Agent()  # an agent that never answers
         async with nodes_up(a), agent_up(agent) as at:
-            data = config_data(told(1, a.entry()), at, free_port())
+            data = config_data(node_list(1, a.entry()), at, free_port())
             (tmp_path / "config.json").write_text(json.dumps(data))
-            environ = os.environ | {"NODE_CONFIG": str(tmp_path / "config.json"), "PYTHONPATH": str(ROOT)}
-            environ.pop("NODE_DISCOVERY", None)
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-B",
-                "-m",
-                "stoatrouter",
-                cwd=tmp_path,
-                env=environ,
-                preexec_fn=end_with_parent,
-                stderr=asyncio.subprocess.PIPE,
-            )
+            environ = program_environ(tmp_path / "config.json")
+            process = await start_program(tmp_path, environ, stderr=asyncio.subprocess.PIPE)
             await until(lambda: agent.calls)
             process.send_signal(signal.SIGTERM)
             _, said = await process.communicate()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -5,10 +5,8 @@
 import asyncio
 import contextlib
 import json
-import os
 import signal
 import socket
-import sys
 from pathlib import Path
 
 import aiohttp
@@ -21,10 +19,11 @@
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.units import SECOND
 from tests.addresses import free_port
-from tests.peers import HOST, Discovery, Node, config_data, listening, nodes_up, run, told, until
+from tests.peers import HOST, Discovery, Node, config_data, listening, node_list, nodes_up, run, until
 from tests.platform_client import started
+from tests.program_process import ROOT, program_environ, start_program
 from tests.scheduler_driver import CLASSES, PLAN, READ
-from tests.test_program import PATH, ROOT, read
+from tests.test_program import PATH, read
 
 LIMITED = api.Plan("limited", usual_rate=5, reserve=1, weight=1, limit=20, burst=40, tolerance=4)
 
@@ -55,33 +54,21 @@
         self.ear = socket.create_server((HOST, 0), backlog=128)
         self.folder, self.stack = folder, stack
         self.base = f"http://{HOST}:{self.ear.getsockname()[1]}"
-        data = config_data(told(1, *(n.entry() for n in nodes)), discovery, self.ear.getsockname()[1])
+        data = config_data(node_list(1, *(n.entry() for n in nodes)), discovery, self.ear.getsockname()[1])
         (folder / "config.json").write_text(json.dumps(data))
         (folder / "tmp").mkdir()
         stack.callback(self.ear.close)
 
     async def start(self, **more: str) -> Process:
         management = f"{HOST}:{free_port()}"
-        environ = (
-            os.environ
-            | {
-                "NODE_CONFIG": str(self.folder / "config.json"),
-                "PYTHONPATH": str(ROOT),
-                "NODE_MANAGEMENT": management,
-                "TMPDIR": str(self.folder / "tmp"),
-                "NODE_INHERITED_FD": str(self.ear.fileno()),
-            }
-            | more
+        environ = program_environ(
+            self.folder / "config.json",
+            NODE_MANAGEMENT=management,
+            TMPDIR=str(self.folder / "tmp"),
+            NODE_INHERITED_FD=str(self.ear.fileno()),
         )
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-O",
-            "-B",
-            "-m",
-            "stoatrouter",
-            cwd=self.folder,
-            env=environ,
-            pass_fds=[self.ear.fileno()],
+        process = await start_program(
+            self.folder, environ | more, optimized=True, pass_fds=[self.ear.fileno()]
         )
 
         async def end():
