--- a/tests/heads/test_capacity_samples.py
+++ b/tests/heads/test_capacity_samples.py
@@ -25,4 +25,4 @@
 
 def test_a_head_that_has_just_ended_is_left_out_of_a_sample_and_ends_no_run():
     real = SimpleNamespace(up=[Running(), Ended()])
-    assert cpu_of(SimpleNamespace(hollow=SimpleNamespace(answers={}), real=real)) == {"h0": 1.5}
+    assert cpu_of(SimpleNamespace(hollow=SimpleNamespace(replies={}), real=real)) == {"h0": 1.5}
