--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -122,33 +122,33 @@
                     await self._request_waits.wait()
 
     async def _exchange(self) -> None:
-        """Settle and draw what is due, and apply the account's answer."""
+        """Report what is due, and apply the account's answer."""
         if not self.begun:
             await self._begin()
         asked_at = self.now()
-        turns = self.escrow.due_reports(asked_at)
-        if turns:
-            grants = await self._send_turns(turns)
+        reports = self.escrow.due_reports(asked_at)
+        if reports:
+            grants = await self._send_reports(reports)
             # without all grants the account does not know this head (it was written off), or an answer is
             # lost for good
-            self.begun = len(grants.grants) == len(turns)
-            self._apply_grants(turns, grants, asked_at)
+            self.begun = len(grants.grants) == len(reports)
+            self._apply_grants(reports, grants, asked_at)
 
-    def _apply_grants(self, turns: list[CustomerReport], grants: Grants, asked_at: timedelta) -> None:
+    def _apply_grants(self, reports: list[CustomerReport], grants: Grants, asked_at: timedelta) -> None:
         """Apply the account's answer, and wake the requests that wait for it."""
         now = self.now()
-        for turn, grant in zip(turns, grants.grants, strict=False):
-            self.escrow.apply_grant(turn, grant, asked_at, now)
-        for turn in turns[len(grants.grants) :]:
-            self.escrow.forget_report(turn)
+        for report, grant in zip(reports, grants.grants, strict=False):
+            self.escrow.apply_grant(report, grant, asked_at, now)
+        for report in reports[len(grants.grants) :]:
+            self.escrow.forget_report(report)
         self._answered.set()
         self._answered = asyncio.Event()
 
-    async def _send_turns(self, turns: list[CustomerReport]) -> Grants:
-        """Send turns to the account under the next number; no grants where this head stops first."""
+    async def _send_reports(self, reports: list[CustomerReport]) -> Grants:
+        """Send reports to the account under the next number; no grants where this head stops first."""
         self._number += 1
         name, identity = self.fleet.settings.name, self.fleet.me.identity
-        answer = await self._submit_until_answered(CreditReport(name, identity, self._number, tuple(turns)))
+        answer = await self._submit_until_answered(CreditReport(name, identity, self._number, tuple(reports)))
         return msgspec.msgpack.decode(answer, type=Grants) if answer else Grants(())
 
     async def _submit_until_answered(self, command: CreditReport | RegisterHead) -> bytes:
@@ -164,33 +164,33 @@
 
     async def _begin(self) -> None:
         """Tell the account of this process, and settle what the one before it spent."""
-        await self._introduce()
+        await self._register()
         if self._previously_spent:
             await self._settle_previous()
         self.begun = True
 
-    async def _introduce(self) -> None:
+    async def _register(self) -> None:
         """Tell the account which allotments this head's disk and process know of, until it accepts."""
         name, identity = self.fleet.settings.name, self.fleet.me.identity
-        allotments = sorted({a.id for purse in self.escrow.accounts.values() for a in purse.allotments})
-        takes_over_from = self.ledger.registered_identity(name)
-        booked = CommandResult(False)
-        while not booked.ok and not self._closing:
+        allotments = sorted({a.id for account in self.escrow.accounts.values() for a in account.allotments})
+        predecessor = self.ledger.registered_identity(name)
+        result = CommandResult(False)
+        while not result.ok and not self._closing:
             self._number += 1
             known = (*self._previously_spent, *allotments)
             answer = await self._submit_until_answered(
-                RegisterHead(name, identity, takes_over_from, self._number, known)
+                RegisterHead(name, identity, predecessor, self._number, known)
             )
-            booked = msgspec.msgpack.decode(answer, type=CommandResult) if answer else booked
-            takes_over_from = booked.reason
+            result = msgspec.msgpack.decode(answer, type=CommandResult) if answer else result
+            predecessor = result.reason
 
     async def _settle_previous(self) -> None:
-        settles = tuple(Settlement(id, spent, True) for id, spent in self._previously_spent.items())
-        await self._send_turns([CustomerReport("", (), settles)])
+        settlements = tuple(Settlement(id, spent, True) for id, spent in self._previously_spent.items())
+        await self._send_reports([CustomerReport("", (), settlements)])
         logger.info(
             "credit: settled {count} allotments of the process before",
             event="credit.settled",
-            count=len(settles),
+            count=len(settlements),
         )
         for id in self._previously_spent:
             self.journal.end(id)
@@ -219,12 +219,12 @@
     async def close(self) -> None:
         """Settle for the last time, so that what is unspent goes back at once; then close the journal."""
         self._closing = True
-        turns = self.escrow.final_reports()
-        if turns and self.begun and self.fleet.availability.draws:
+        reports = self.escrow.final_reports()
+        if reports and self.begun and self.fleet.availability.draws:
             try:
                 async with asyncio.timeout(FINAL_SETTLE_TIMEOUT.total_seconds()):
-                    await self._send_turns(turns)
-                self._forget_settled(turns)
+                    await self._send_reports(reports)
+                self._forget_settled(reports)
             except TimeoutError:
                 logger.warning(
                     "credit: stops before its final settlement was confirmed; the next process settles",
@@ -232,11 +232,11 @@
                 )
         self.journal.close()
 
-    def _forget_settled(self, turns: list[CustomerReport]) -> None:
-        for turn in turns:
-            for settle in turn.settlements:
-                if settle.final:
-                    self.journal.end(settle.allotment)
+    def _forget_settled(self, reports: list[CustomerReport]) -> None:
+        for report in reports:
+            for settlement in report.settlements:
+                if settlement.final:
+                    self.journal.end(settlement.allotment)
 
     # -- for operators ------------------------------------------------------------------------------------
     async def submit_command(self, command: Command, id: str, timeout: timedelta) -> CommandResult:
--- a/stoatrouter/peering/credit_calls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -183,12 +183,12 @@
         escrow = self.service.escrow
         customers = {
             name: HeldCustomer(
-                left=sum(allotment.available for allotment in purse.allotments),
-                allotments=len(purse.allotments),
-                balance=purse.balance,
-                quota=round(purse.funded_fraction(), 3),
+                left=sum(allotment.available for allotment in account.allotments),
+                allotments=len(account.allotments),
+                balance=account.balance,
+                quota=round(account.funded_fraction(), 3),
             )
-            for name, purse in sorted(escrow.accounts.items())
+            for name, account in sorted(escrow.accounts.items())
         }
         return HeldCredit(
             state=self.service.fleet.availability.state.value,
@@ -287,10 +287,10 @@
             ConflictError: The account rejects it.
             ReplicationError: No majority confirmed it in time.
         """
-        booked = await self.service.submit_command(command, id, TIMEOUT)
-        if not booked.ok:
-            raise ConflictError(booked.reason)
-        return BookedAnswer(booked.balance, booked.repeated)
+        result = await self.service.submit_command(command, id, TIMEOUT)
+        if not result.ok:
+            raise ConflictError(result.reason)
+        return BookedAnswer(result.balance, result.repeated)
 
 
 def check_signature(request: CustomerRequest | EntryRequest | DropRequest) -> None:
--- a/tests/heads/test_call_answers.py
+++ b/tests/heads/test_call_answers.py
@@ -12,13 +12,13 @@
 from types import SimpleNamespace
 
 import msgspec
-from stoatrouter.credit.purse import LocalAllotment, Purse
 
 from stoatrouter.agreement.records import Voter
 from stoatrouter.credit.accounts import Allotment
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.records import Booked
+from stoatrouter.credit.local_account import LocalAccount, LocalAllotment
+from stoatrouter.credit.records import CommandResult as CreditResult
 from stoatrouter.history.records import Activate, CommandResult
 from stoatrouter.history.rule_history import RuleHistory
 from stoatrouter.lab.fleet.credit_head import CreditDisk
@@ -64,7 +64,7 @@
         )
         self.history, self.ledger, self.status = RuleHistory(), Ledger(), None
         self.escrow = HeadEscrow(2 * SECOND, CreditDisk())
-        self.escrow.purses["acmé"] = Purse("acmé", [LocalAllotment("1.0", 1500, 4 * SECOND)])
+        self.escrow.accounts["acmé"] = LocalAccount("acmé", [LocalAllotment("1.0", 1500, 4 * SECOND)])
         self.rules = SimpleNamespace(
             fleet=self.fleet,
             settings=SimpleNamespace(largest=1_000),
@@ -90,7 +90,9 @@
         )
 
     async def put_credit(self, command, id, timeout):
-        return msgspec.msgpack.decode(self.ledger.apply(1, msgspec.msgpack.encode(command)), type=Booked)
+        return msgspec.msgpack.decode(
+            self.ledger.apply(1, msgspec.msgpack.encode(command)), type=CreditResult
+        )
 
     async def call(self, method: str, path: str, data: object = None) -> str:
         """One call and its answer as text."""
@@ -134,7 +136,7 @@
         await head.call("POST", f"{ACCOUNT}/entries", ENTRY),
         await head.call("POST", f"{ACCOUNT}/entries", ENTRY | {"id": "t2", "amount": -1}),
     ]
-    head.ledger.accounts["acmé"].out["9.0"] = Allotment("acmé", "h1", "i1", 100, 40, True)
+    head.ledger.accounts["acmé"].outstanding["9.0"] = Allotment("acmé", "h1", "i1", 100, 40, True)
     answers += [
         await head.call("GET", "/control/credit"),
         await head.call("GET", ACCOUNT),
