--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -132,8 +132,8 @@
                 spent = time.monotonic() - began
                 counted = {kind: grown(head, kind) for kind in head.counts}
                 assert own_probes(counted) <= spent / PERIOD + 2, counted
-                # An answer to each ping that came, and to each that was sent in another's place: counted since
-                # the start, as a lagging loop answers late what came before the span that is looked at.
+                # An answer to each ping that came, and to each that was sent in another's place: counted
+                # since the start, as a lagging loop answers late what came before this span.
                 pings = head.counts["hollow.heard.ping"]
                 relayed = head.counts["hollow.heard.ping_for"]
                 assert head.counts["hollow.said.ack"] <= pings + relayed, head.counts
