--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -84,19 +84,11 @@
     ) -> web.StreamResponse:
         """Stream an answer to the client; a truncated one ends the connection, so that clients can tell.
 
-        Args:
-            request: The client's request.
-            request_id: The id of the core's request, for the report of how the stream ended.
-            stream: The node's answer.
-            response: The response with its status and header fields; None: 200 without further fields.
+        The response has the status and header fields of `response`; without one it is a plain 200. How the
+        stream ended is reported to the engine under `request_id`, the id of the core's request.
         """
         response = self.drain.mark(response or web.StreamResponse())
-        if stream.length is not None:
-            response.content_length = stream.length
-        elif request.version >= HttpVersion11:
-            response.enable_chunked_encoding()
-        else:
-            response.force_close()
+        frame_response(request, response, stream.length)
         complete: bool | None = None
         try:
             await response.prepare(request)
@@ -114,6 +106,16 @@
         return response
 
 
+def frame_response(request: web.BaseRequest, response: web.StreamResponse, length: int | None) -> None:
+    """Frame a streamed response by its length in bytes, else by what the client's HTTP version has for it."""
+    if length is not None:
+        response.content_length = length
+    elif request.version >= HttpVersion11:
+        response.enable_chunked_encoding()
+    else:
+        response.force_close()
+
+
 def check_expectation(request: web.BaseRequest) -> None:
     """Check that the Expect field, where there is one, can be met (RFC 9110, 10.1.1); raises BadRequest."""
     if request.headers.get("Expect", "100-continue").lower() != "100-continue":
--- a/stoatrouter/fronts/objects/settings.py
+++ b/stoatrouter/fronts/objects/settings.py
@@ -55,7 +55,7 @@
 
 
 class ObjectsFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The contents of the file; its keys are documented in docs/settings.md."""
+    """The contents of the file; its keys are documented in settings/schemas/objects.cue."""
 
     listen: str
     secret_file: str
@@ -86,23 +86,12 @@
 def check_settings(
     record: ObjectsFile, folder: Path, secret: bytes, settings: api.Settings, shards: int
 ) -> ObjectSettings:
-    """Check the file's fields against the platform's settings.
-
-    Args:
-        record: The contents of the file.
-        folder: Where the file lies; its paths are relative to it.
-        secret: The contents of the secret's file.
-        settings: The platform's settings.
-        shards: The number of shards that they name.
+    """Check a file's contents, with the secret that it names, against the platform's settings and shards.
 
     Raises:
         ValueError: A field does not fit the platform's settings or is out of its range.
     """
-    # Guards the ETags' authentication: a short secret can be guessed, and placement forged.
-    if len(secret) < MIN_SECRET_BYTES:
-        raise ValueError(f"the secret needs at least {MIN_SECRET_BYTES} bytes")
-    if shards < 1:
-        raise ValueError("the settings name no shards to place manifests on")
+    check_placement(secret, shards)
     read_class, write_class = find_classes(record, settings)
     plans = {plan.name: number for number, plan in enumerate(settings.plans)}
     buckets = {name: check_bucket(name, record, plans) for name in record.buckets}
@@ -122,6 +111,15 @@
     )
 
 
+def check_placement(secret: bytes, shards: int) -> None:
+    """Check what the addresses of pieces are derived from; raises ValueError."""
+    # Guards the ETags' authentication: a short secret can be guessed, and placement forged.
+    if len(secret) < MIN_SECRET_BYTES:
+        raise ValueError(f"the secret needs at least {MIN_SECRET_BYTES} bytes")
+    if shards < 1:
+        raise ValueError("the settings name no shards to place manifests on")
+
+
 def find_classes(record: ObjectsFile, settings: api.Settings) -> tuple[int, int]:
     """Find the numbers of the classes for reads and for writes; raises ValueError where they do not fit."""
     numbers = {request_class.name: number for number, request_class in enumerate(settings.classes)}
--- a/stoatrouter/matching/explain.py
+++ b/stoatrouter/matching/explain.py
@@ -119,12 +119,7 @@
 def find_differences(
     old: Table, new: Table, requests: Iterable[tuple[int, Input | Exception]]
 ) -> tuple[list[Difference], Counter[str]]:
-    """Find the differences between two tables on recorded requests.
-
-    Args:
-        old: A table.
-        new: Another table.
-        requests: Lines of a log with the requests that were recorded there (`samples.read_samples`).
+    """Find the differences between two tables on recorded requests, as `samples.read_samples` yields them.
 
     Returns:
         The differences, that with the most requests first, and counts of `requests`, `changed` ones and
--- a/stoatrouter/matching/index.py
+++ b/stoatrouter/matching/index.py
@@ -130,6 +130,19 @@
     criterion = choose_criterion(conditions, positions, used)
     if criterion is None:
         return Leaf(positions)
+    groups, rest = group_by(conditions, positions, criterion)
+    used = used | {criterion}
+    children = {value: build_subtree(conditions, group, used, depth + 1) for value, group in groups.items()}
+    remaining = build_subtree(conditions, rest, used, depth + 1)
+    if isinstance(criterion, int):
+        return ByPrefix(criterion, children, remaining)
+    return ByValue(create_reader(criterion), children, remaining)
+
+
+def group_by(
+    conditions: Sequence[Condition], positions: Sequence[int], criterion: Criterion
+) -> tuple[dict[str, tuple[int, ...]], tuple[int, ...]]:
+    """Group rules by the values that they require, with the rest that requires none."""
     groups: dict[str, list[int]] = {}
     rest: list[int] = []
     for position in positions:
@@ -138,14 +151,7 @@
             rest.append(position)
         for value in values or ():
             groups.setdefault(value, []).append(position)
-    used = used | {criterion}
-    children = {
-        value: build_subtree(conditions, tuple(group), used, depth + 1) for value, group in groups.items()
-    }
-    remaining = build_subtree(conditions, tuple(rest), used, depth + 1)
-    if isinstance(criterion, int):
-        return ByPrefix(criterion, children, remaining)
-    return ByValue(create_reader(criterion), children, remaining)
+    return {value: tuple(group) for value, group in groups.items()}, tuple(rest)
 
 
 def required_values(condition: Condition, criterion: Criterion) -> frozenset[str] | None:
--- a/stoatrouter/matching/inputs.py
+++ b/stoatrouter/matching/inputs.py
@@ -171,18 +171,10 @@
     size: int = -1,
     request_class: str = "",
 ) -> Input:
-    """Parse a request.
+    """Parse a request; raises Unreadable where it is malformed, ambiguous or exceeds a bound.
 
-    Args:
-        method: The method, as it came.
-        target: The request target, as it came.
-        fields: The header lines, as they came.
-        peer: The client's address.
-        size: The stated length of the body in bytes; -1 where none is stated.
-        request_class: The class that the front would give without rules, if any.
-
-    Raises:
-        Unreadable: The request is malformed, ambiguous or exceeds a bound.
+    Method, target and header lines are as they came, `peer` is the client's address, `size` the stated
+    length of the body in bytes or -1, `request_class` what the front would give without rules, if any.
     """
     if not METHOD_PATTERN.fullmatch(method):
         raise Unreadable(400, "the method is no token")
--- a/stoatrouter/matching/table.py
+++ b/stoatrouter/matching/table.py
@@ -104,7 +104,7 @@
 
         Args:
             scopes: The compiled scopes by name.
-            scope_index: Finds the scope of a request.
+            scope_index: The index that finds the scope of a request.
             otherwise: The answer to a request that no rule matches.
             vocabulary: The classes and plans that decisions refer to by number.
             warnings: What was found beside errors.
@@ -118,9 +118,7 @@
         self.warnings = tuple(warnings)
         self.epoch = epoch
         self.any_node = any_node
-        self.volume_owners = {
-            volume: name for name, scope in scopes.items() for volume in scope.scope.volumes
-        }
+        self.volume_owners = {v: name for name, scope in scopes.items() for v in scope.scope.volumes}
 
     @property
     def size(self) -> int:
--- a/stoatrouter/matching/values.py
+++ b/stoatrouter/matching/values.py
@@ -106,17 +106,10 @@
     def check_value(
         self, field: RuleField, path: str, scope: Scope, given: Any, condition: Condition
     ) -> CheckedValue | None:
-        """Check and compile the value of a field.
+        """Check and compile the value of a field; returns None where it has errors, which are recorded.
 
-        Args:
-            field: The field.
-            path: Its path in the file.
-            scope: The rule's scope, which says what is allowed.
-            given: What the rule says: a constant or Computed.
-            condition: The rule's condition, which says what requests there can be.
-
-        Returns:
-            The value; None where it has errors, which are recorded.
+        The scope says what is allowed, `given` is what the rule says, a constant or Computed, and the rule's
+        condition says what requests there can be.
         """
         match field:
             case RuleField.CLASS:
@@ -142,17 +135,11 @@
     ) -> CheckedValue | None:
         """Check a value that must be one of the scope's names, for every request.
 
-        Args:
-            path: The field's path in the file.
-            allowed: The names.
-            given: What the rule says.
-            subject: What the names are, for errors.
-            safe: Whether the rule's condition holds for safe methods only.
+        `subject` is what the names are, for errors; `safe` is whether the rule's condition holds for safe
+        methods only.
         """
-        remedy = "it has: " + ", ".join(allowed)
         if isinstance(given, str):
-            if given not in allowed:
-                self.report(path, f"{subject} {given!r} is not of this scope", remedy)
+            if not self.check_allowed(path, allowed, {given}, subject):
                 return None
             return CheckedValue(Value(given), outcomes=frozenset((Outcome(given, safe),)))
         path = f"{path}.expr"
@@ -167,12 +154,18 @@
                 "use literals, ?: and maps of literals",
             )
             return None
-        foreign = sorted({outcome.text for outcome in outcomes} - set(allowed))
-        if foreign:
-            self.report(path, f"{subject} {foreign[0]!r} is not of this scope", remedy)
+        if not self.check_allowed(path, allowed, {outcome.text for outcome in outcomes}, subject):
             return None
         return CheckedValue(Value(run=expression.run), expression.checked.cost, outcomes)
 
+    def check_allowed(self, path: str, allowed: Sequence[str], names: set[str], subject: str) -> bool:
+        """Whether all of some names are the scope's; else the first of the others is reported."""
+        foreign = sorted(names - set(allowed))
+        if foreign:
+            remedy = "it has: " + ", ".join(allowed)
+            self.report(path, f"{subject} {foreign[0]!r} is not of this scope", remedy)
+        return not foreign
+
     def check_class(
         self, path: str, scope: Scope, given: str | Computed, condition: Condition
     ) -> CheckedValue | None:
