--- a/stoatrouter/lab/hollow/network.py
+++ b/stoatrouter/lab/hollow/network.py
@@ -21,10 +21,9 @@
 from stoatrouter.peering.streams import CONNECT_TIMEOUT, REQUEST_TIMEOUT
 
 if TYPE_CHECKING:
-    from stoatrouter.agreement.records import Voter
     from stoatrouter.peering.counters import MessageCounters
     from stoatrouter.peering.datagrams import Datagrams
-    from stoatrouter.peering.streams import Streams
+    from stoatrouter.peering.streams import Reply, Streams
 
 
 @dataclass(slots=True)
@@ -74,9 +73,7 @@
         """Put this network between a head and those that it asks, and count what it asks by kind."""
         ask, counts = streams.request, streams.counters
 
-        async def asked(
-            to: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT
-        ) -> tuple[Voter, bytes]:
+        async def asked(to: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT) -> Reply:
             counts.add(f"hollow.asked.{kind}")
             counts.add(f"hollow.asked_of.{to}")
             try:
@@ -84,10 +81,10 @@
             except PeerUnreachable as error:
                 counts.add(f"hollow.unanswered.{kind}.{reason_of(error)}")
                 raise
-            counts.add("hollow.answered_bytes", len(answer[1]))
+            counts.add("hollow.answered_bytes", len(answer.body))
             return answer
 
-        async def passed(to: str, kind: str, body: bytes, within: timedelta) -> tuple[Voter, bytes]:
+        async def passed(to: str, kind: str, body: bytes, within: timedelta) -> Reply:
             there = self.one_way(name, to)
             if there is None:
                 await asyncio.sleep(min(within, CONNECT_TIMEOUT).total_seconds())
--- a/stoatrouter/peering/envelope.py
+++ b/stoatrouter/peering/envelope.py
@@ -27,8 +27,8 @@
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
     """A message with its sender, its receiver and its number.
 
-    Heads of two releases talk to each other: fields are told by their position, so a new one goes at the end
-    and has a default.
+    Heads of two releases talk to each other: fields are identified by position, so a new one goes at the
+    end and has a default.
     """
 
     origin: str  # of the sender's fleet; "": it belongs to none yet
--- a/stoatrouter/peering/errors.py
+++ b/stoatrouter/peering/errors.py
@@ -107,4 +107,4 @@
 
 
 class StorageClosed(PeeringError):
-    """A write was asked for while no database is open; `Storage.open` comes first, `close` last."""
+    """A write was requested while no database is open; `Storage.open` comes first, `close` last."""
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -38,7 +38,7 @@
     Attributes:
         settings: The settings of the heads.
         counters: Messages between heads, by kind.
-        stored: What the disk held at the start.
+        stored: What the disk had at the start.
         me: This head, with the identity of its disk.
         incarnation: Of this process; higher than that of any earlier process of this head.
         replication: The replicated log and state machine.
@@ -53,7 +53,7 @@
     """
 
     def __init__(self, settings: HeadsSettings, seed: int, parts: dict[str, Part]) -> None:
-        """Open the disk and put all parts together; nothing is sent or heard before `start`.
+        """Open the disk and put all parts together; nothing is sent or received before `start`.
 
         Args:
             settings: The settings of the heads.
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, settings: HeadsSettings, head: ServingHead, started_with: int) -> None:
-        """Open the disk and put all parts together; nothing is sent or heard before `start`.
+        """Open the disk and put all parts together; nothing is sent or received before `start`.
 
         Args:
             settings: The settings of the heads.
--- a/stoatrouter/peering/replication.py
+++ b/stoatrouter/peering/replication.py
@@ -126,7 +126,7 @@
         self._rejected: dict[str, Rejected] = {}
 
     def restore_stored(self) -> None:
-        """Apply the snapshot that the disk held at the start, once all parts of the machine are known."""
+        """Apply the snapshot that the disk had at the start, once all parts of the machine are known."""
         self.machine.restore(self._stored_snapshot.index, self._stored_snapshot.state)
 
     # -- for callers --------------------------------------------------------------------------------------
@@ -161,7 +161,7 @@
     def _put_proposal(self, body: bytes, kind: str) -> Accepted:
         """Put a proposal to the agreement, which accepts or rejects it at once; raises ProposalRejected."""
         request_id = self._next_id("p")
-        self.step(Propose(self._now(), request_id, body, kind))
+        self._step(Propose(self._now(), request_id, body, kind))
         rejected = self._rejected.pop(request_id, None)
         if rejected is not None:
             raise ProposalRejected(rejected.why)
@@ -189,7 +189,7 @@
         index: asyncio.Future[int] = self._loop.create_future()
         self._reads[request_id] = index
         try:
-            self.step(Read(self._now(), request_id))
+            self._step(Read(self._now(), request_id))
             async with asyncio.timeout(within.total_seconds()):
                 return await index
         except TimeoutError:
@@ -209,11 +209,11 @@
 
     def receive(self, sender: Voter, message: AnyMessage) -> None:
         """Take in a message of another voter."""
-        self.step(Received(self._now(), sender, message))
+        self._step(Received(self._now(), sender, message))
 
     def learn(self, fetched: calls.Fetched) -> None:
         """Take in the committed entries that a voter has answered a poll with."""
-        self.step(
+        self._step(
             Learnt(
                 self._now(),
                 fetched.prev_index,
@@ -251,7 +251,7 @@
     async def run_for_ever(self) -> None:
         """Let time pass for the agreement."""
         while True:
-            self.step(Tick(self._now()))
+            self._step(Tick(self._now()))
             await asyncio.sleep(TICK.total_seconds())
 
     def close(self) -> None:
@@ -263,7 +263,7 @@
         return f"{prefix}{self._last_request}"
 
     # -- events in, effects out ---------------------------------------------------------------------------
-    def step(self, event: Event) -> None:
+    def _step(self, event: Event) -> None:
         """Reduce an event of the agreement, and run its effects in order."""
         for effect in self.raft.reduce(event):
             self._perform(effect)
@@ -293,7 +293,7 @@
         """Send what has waited for a write, which is on the disk."""
         for send in durable.then:
             self._send(send.to, send.message)
-        self.step(Wrote(self._now(), durable.number))
+        self._step(Wrote(self._now(), durable.number))
 
     def _on_disk_failure(self, reason: str) -> None:
         """Give up this head's vote: its disk takes no writes any more."""
@@ -301,7 +301,7 @@
             "heads: the disk takes no writes, this head has no voice: {why}", event="heads.disk", why=reason
         )
         self.disk_writable = False
-        self.step(DiskFailed(self._now()))
+        self._step(DiskFailed(self._now()))
 
     def _apply(self, entries: tuple[Entry, ...]) -> None:
         """Apply committed entries, answer their proposers, and compact the log where it has grown enough."""
@@ -313,7 +313,7 @@
         behind = self.machine.index - self.raft.log.snapshot.index
         if behind >= COMPACT_ENTRIES or self._bytes_since_snapshot >= COMPACT_BYTES:
             self._bytes_since_snapshot = 0
-            self.step(Compact(self._now(), self.machine.index, self.machine.state()))
+            self._step(Compact(self._now(), self.machine.index, self.machine.state()))
 
     def _restore(self, snapshot: Snapshot) -> None:
         """Replace all that was applied by a snapshot."""
--- a/stoatrouter/peering/spent_journal.py
+++ b/stoatrouter/peering/spent_journal.py
@@ -2,7 +2,7 @@
 
 A killed process loses none of it: each charge is one store of 20 bytes into memory that is the file's, well
 under a microsecond, before the answer goes out. A crash of the whole machine may lose what the system had not
-written yet: then less is settled than was spent, at most what this head's allotments held (docs/credit.md).
+written yet: then less is settled than was spent, at most the sum of this head's allotments (docs/credit.md).
 
 The file (`spent.book`) has SLOTS slots of SLOT_BYTES each: the allotment's name, padded with zero bytes, and
 its record: the figure twice and a CRC-32 of it, so that a torn store is found out.
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, path: Path | None) -> None:
-        """Map the file, which is made where there is none.
+        """Map the file, which is created where there is none.
 
         Args:
             path: The file; None where the disk takes no writes: what is spent is known to this process alone.
--- a/stoatrouter/peering/streams.py
+++ b/stoatrouter/peering/streams.py
@@ -67,7 +67,7 @@
         handler: Handler,
         origin: Callable[[], str],
     ) -> None:
-        """Set up the streams; nothing is sent or heard before `start`.
+        """Set up the streams; nothing is sent or received before `start`.
 
         Args:
             sealer: Seals and unseals the messages.
@@ -133,7 +133,7 @@
         source = request.remote or ""
         if request.method != "POST" or request.path != PATH:
             return web.Response(status=HTTPStatus.NOT_FOUND)
-        # Guards memory and the loop: heads that request too much at once are told so.
+        # Guards memory and the loop: load beyond the bound is shed at once.
         if self.in_flight >= MOST_IN_FLIGHT:
             return web.Response(status=HTTPStatus.SERVICE_UNAVAILABLE)
         self.in_flight += 1
@@ -178,7 +178,7 @@
         return bytes(data)
 
     def _older_incarnation_response(self, error: OlderIncarnation) -> web.Response:
-        """Tell a head whose clock went back the latest incarnation heard of it: it will go beyond."""
+        """Answer a head whose clock went back with the latest incarnation heard of it: it will go beyond."""
         envelope = error.envelope
         latest = str(error.latest).encode()
         reply = self._envelope(envelope.sender.name, envelope.request_id, OLDER, latest)
--- a/stoatrouter/peering/write_mark.py
+++ b/stoatrouter/peering/write_mark.py
@@ -18,7 +18,7 @@
     """A number that goes up, in a file of its own."""
 
     def __init__(self, path: Path) -> None:
-        """Map the file, which is made where there is none; raises OSError."""
+        """Map the file, which is created where there is none; raises OSError."""
         self._file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
         os.ftruncate(self._file, RECORD.size)
         self._map = mmap.mmap(self._file, RECORD.size)
