--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -28,8 +28,8 @@
 from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
 from stoatrouter.peering.errors import MessageRejected, PeerUnreachable
 from stoatrouter.peering.follower import FIRST_BACKOFF, LONGEST_BACKOFF, voter_offset
-from stoatrouter.peering.rules import PART as RULES
-from stoatrouter.peering.rules import Said
+from stoatrouter.peering.rule_rollout import PART as RULES
+from stoatrouter.peering.rule_rollout import HeadReport
 from stoatrouter.peering.streams import Streams
 
 ROOT = Path(__file__).parent.parent.parent
@@ -138,7 +138,7 @@
             totals.body_bytes_out += self.counters.by_name["streams.bytes"] - sent
             totals.body_bytes_in += self.seal.opened - opened
         self.learn(told)
-        if not told.in_touch:
+        if not told.majority_connected:
             totals.failed += 1
             return False
         self.turn -= 1  # stay with a voter that serves
@@ -147,7 +147,7 @@
 
     def learn(self, told: calls.Fetched) -> None:
         now = time.monotonic()
-        self.totals.empty += told.in_touch and told.snapshot is None and not told.entries
+        self.totals.empty += told.majority_connected and told.snapshot is None and not told.entries
         if told.snapshot is not None:
             self.after, self.after_term = told.snapshot.index, told.snapshot.term
         if told.entries:
@@ -166,7 +166,7 @@
 
     async def report(self) -> None:
         """Say to the leader which version is in force, as heads with a history of rules do."""
-        body, every = msgspec.msgpack.encode(Said(0)), self.task.report_every
+        body, every = msgspec.msgpack.encode(HeadReport(0)), self.task.report_every
         await asyncio.sleep(self.draws.random() * every)
         while True:
             if self.leader is not None:
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -39,18 +39,18 @@
 
         Args:
             settings: the decision module's settings, as read from the operators' file; their classes
-                size the counters, and their `max_advice` (microseconds; 0 unless `takes_advice`) is the
-                Retry-After given to requests that fronts reject.
+                size the counters, and their `max_retry_after` (microseconds; 0 unless
+                `accepts_retry_after`) is the Retry-After given to requests that fronts reject.
             seed: the decision module's random seed, so that a run can be repeated.
             max_open: most requests not yet answered at once; one more is rejected before the module.
         """
-        self.gate: Gate | None = None  # asked before the module whether a request can be paid for
+        self.gate: Gate | None = None  # called before the module: whether a request can be paid for
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
         # for what is rejected unseen: as late a Retry-After as the settings let a client be given
-        self.advice = span(settings.max_advice if settings.takes_advice else 0)
+        self.advice = span(settings.max_retry_after if settings.accepts_retry_after else 0)
         self.records: dict[str, model.Record] = {}
-        self.flows: dict[str, int] = {}  # classes of requests whose answers are still being passed on
+        self.streams: dict[str, int] = {}  # classes of requests whose answers are still being passed on
         self.nodes: dict[str, model.NodeInfo] = {}  # as listed
         self.administrative_state = model.AdministrativeState()
         self.tally = model.Tally()
@@ -60,7 +60,7 @@
 
     def reduce(self, event: model.Event) -> list[model.Effect]:
         """Take one event and return the effects to run, in order."""
-        # Guards against events stamped before one already taken: the module's time never goes back.
+        # Guards against events stamped before the latest one: the module's time never goes back.
         self.now = max(self.now, event.at)
         match event:
             case model.Arrived():
@@ -69,18 +69,26 @@
                 return self._reject(event.request_class, model.Refused(self.advice), "crowded")
             case model.AttemptEnded():
                 return self._attempt_ended(event)
-            case model.FlowEnded():
-                return self._flow_ended(event)
+            case model.StreamEnded():
+                return self._stream_ended(event)
             case model.TimerDue():
                 return self._decide(api.TimerFired(event.token))
             case model.EndpointListReceived():
                 return self._list_received(event)
             case model.HealthCheckEnded():
-                return self._decide(api.ProbeEnded(event.node, event.outcome, micros(event.took), event.load))
+                return self._decide(
+                    api.HealthCheckEnded(event.node, event.outcome, micros(event.took), event.load)
+                )
             case model.ClientLeft():
                 return self._client_left(event.request)
             case model.Overdue():
                 return self._overdue(event.request)
+            case _:
+                return self._reduce_control_event(event)
+
+    def _reduce_control_event(self, event: model.ControlEvent) -> list[model.Effect]:
+        """Take an event of operators or of the handover between processes."""
+        match event:
             case model.SetAdministrativeState():
                 return self._set_administrative_state(event)
             case model.HandedOver():
@@ -95,19 +103,24 @@
     @property
     def open(self) -> int:
         """How many requests are not yet answered, have an attempt open or are being streamed."""
-        return len(self.records) + len(self.flows)
+        return len(self.records) + len(self.streams)
 
     def nodes_in_flight(self) -> list[str]:
         """The node of each attempt in flight, once per attempt."""
-        return [a.node for record in self.records.values() for a in record.attempts if a.in_flight]
+        return [
+            attempt.node
+            for record in self.records.values()
+            for attempt in record.attempts
+            if attempt.in_flight
+        ]
 
     @property
     def avoided(self) -> int:
-        """How many listed nodes get nothing new now: draining, out by an operator, or left by choice."""
+        """How many listed nodes get nothing new now: draining, out by an operator, or ejected."""
         return sum(self.scheduler.avoids(name) for name in self.nodes)
 
     def may_begin(self, at: timedelta, request: str, attempt: int) -> bool:
-        """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
+        """Whether an attempt may still be sent; called once it has a connection and before its first byte."""
         record = self.records.get(request)
         if record is None or record.answered or not record.attempts[attempt].in_flight:
             return False
@@ -116,7 +129,7 @@
     # -- requests -----------------------------------------------------------------------------------------
     def _arrived(self, request: model.Request) -> list[model.Effect]:
         # Guards against an id used twice: the module drops the second, and its client would wait in vain.
-        if request.id in self.records or request.id in self.flows:
+        if request.id in self.records or request.id in self.streams:
             return self._reject(request.request_class, model.Failed(), "duplicate_id")
         # Guards against a flood: beyond what the settings let a head hold, nothing reaches the module.
         if len(self.records) >= self.max_open:
@@ -134,54 +147,53 @@
         self.counters.count(request_class, answer)
         return [model.RejectRequest(answer)]
 
-    def _client_left(self, name: str) -> list[model.Effect]:
-        record = self.records.get(name)
+    def _client_left(self, request_id: str) -> list[model.Effect]:
+        record = self.records.get(request_id)
         if record is None or record.answered:
             return []
         self.tally.add("client_gone")
         self.counters.active -= 1
         record.answered = True
         if self.gate is not None:
-            self.gate.end(name, record.may_have_run())
-        effects = self._decide(api.ClientGone(name))
-        # nobody waits for it any more: nodes stop work that is cancelled
-        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.in_flight]
-        self._forget(name)
+            self.gate.end(request_id, record.may_have_run())
+        effects = self._decide(api.ClientGone(request_id))
+        # no client waits for it any more: nodes stop work that is cancelled
+        effects += cancel_attempts(record)
+        self._forget(request_id)
         return effects
 
-    def _overdue(self, name: str) -> list[model.Effect]:
-        record = self.records.get(name)
+    def _overdue(self, request_id: str) -> list[model.Effect]:
+        record = self.records.get(request_id)
         if record is None:
             return []
         effects: list[model.Effect] = []
-        # Guards against a decision that never came (the module failed on it): no request goes unanswered.
-        if not invariant(record.answered, "a request had no answer at its deadline", request=name):
-            effects += self._answer(name, model.Failed())
-        effects += [model.CancelAttempt(name, i) for i, a in enumerate(record.attempts) if a.in_flight]
-        return effects
-
-    def _answer(self, name: str, answer: model.Answer) -> list[model.Effect]:
-        """Exactly one final answer: whatever would be a second one is dropped."""
-        record = self.records.get(name)
+        # Guards against a missing decision (the module failed on it): no request goes unanswered.
+        if not invariant(record.answered, "a request had no answer at its deadline", request=request_id):
+            effects += self._answer(request_id, model.Failed())
+        return effects + cancel_attempts(record)
+
+    def _answer(self, request_id: str, answer: model.Answer) -> list[model.Effect]:
+        """Give exactly one final answer: whatever would be a second one is dropped."""
+        record = self.records.get(request_id)
         if record is None or record.answered:
             return []
         record.answered = True
         if self.gate is not None:
-            self.gate.end(name, isinstance(answer, model.Served) or record.may_have_run())
+            self.gate.end(request_id, isinstance(answer, model.Served) or record.may_have_run())
         self.tally.add(type(answer).__name__.lower())
-        if isinstance(answer, model.Served) and answer.flow is not None:
-            self.flows[name] = record.request.request_class  # it ends with its last byte
+        if isinstance(answer, model.Served) and answer.stream is not None:
+            self.streams[request_id] = record.request.request_class  # it ends with its last byte
         else:
             self._count(record.request.request_class, answer)
-        self._forget(name)
-        return [model.GiveAnswer(name, answer)]
+        self._forget(request_id)
+        return [model.GiveAnswer(request_id, answer)]
 
     def _count(self, request_class: int, answer: model.Answer) -> None:
         self.counters.active -= 1
         self.counters.count(request_class, answer)
 
-    def _flow_ended(self, event: model.FlowEnded) -> list[model.Effect]:
-        request_class = self.flows.pop(event.request, None)
+    def _stream_ended(self, event: model.StreamEnded) -> list[model.Effect]:
+        request_class = self.streams.pop(event.request, None)
         if request_class is None:
             return []
         if event.complete is None:
@@ -191,26 +203,23 @@
             self.tally.add("passed_on" if event.complete else "broken_off")
         return []
 
-    def _forget(self, name: str) -> None:
-        if self.records[name].is_finished():
-            del self.records[name]
+    def _forget(self, request_id: str) -> None:
+        if self.records[request_id].is_finished():
+            del self.records[request_id]
 
     # -- attempts -----------------------------------------------------------------------------------------
     def _attempt_ended(self, event: model.AttemptEnded) -> list[model.Effect]:
         record = self.records.get(event.request)
-        # Guards against an outcome reported twice (an attempt cancelled as its answer came): first counts.
-        if (
-            record is None
-            or event.attempt >= len(record.attempts)
-            or not record.attempts[event.attempt].in_flight
-        ):
+        attempt = record.attempt_in_flight(event.attempt) if record is not None else None
+        # Guards against an outcome reported twice (an attempt cancelled as its answer arrived): first counts.
+        if record is None or attempt is None:
             return []
-        attempt = record.attempts[event.attempt]
-        attempt.in_flight, attempt.never_ran = False, event.outcome.never_ran
+        attempt.in_flight = False
+        attempt.never_ran = event.outcome.never_ran
         ok = event.outcome is api.Outcome.OK
         self.tally.add(event.outcome.name.lower())
         finished = ok or record.answered
-        served = model.Served(event.body, attempt.shard, event.flow, event.head)
+        served = model.Served(event.body, attempt.shard, event.stream, event.head)
         effects = self._answer(event.request, served) if ok else []
         effects += self._decide(
             api.AttemptEnded(
@@ -229,7 +238,8 @@
         return effects
 
     def _send(self, action: api.Send) -> list[model.Effect]:
-        record, node = self.records.get(action.request), self.nodes.get(action.node)
+        record = self.records.get(action.request)
+        node = self.nodes.get(action.node)
         if not invariant(
             record is not None and not record.answered,
             "a send for a request that is over",
@@ -267,7 +277,7 @@
 
     def _count_attempts_elsewhere(self, event: model.AttemptsElsewhere) -> list[model.Effect]:
         for name, node in self.scheduler.nodes.items():
-            node.elsewhere = event.counts.get(name, 0)
+            node.in_flight_elsewhere = event.counts.get(name, 0)
         return []
 
     def _taken_over(self, event: model.TakenOver) -> list[model.Effect]:
@@ -289,17 +299,18 @@
     def _pass_on_nodes(
         self, kind: api.ListKind, nodes: tuple[model.NodeInfo, ...], since: timedelta | None = None
     ) -> list[model.Effect]:
-        entries = tuple(node_entry(self.administrative_state.seen(node)) for node in nodes)
-        return self._decide(api.NodeList(kind, entries, micros(self.now if since is None else since)))
+        entries = tuple(node_entry(self.administrative_state.effective(node)) for node in nodes)
+        return self._decide(api.EndpointList(kind, entries, micros(self.now if since is None else since)))
 
     def _set_administrative_state(self, event: model.SetAdministrativeState) -> list[model.Effect]:
         """Set the administrative state of a node; no effects where the node is not known."""
         node = self.nodes.get(event.node)
         if node is None and event.node not in self.administrative_state.out:
             return []
-        (self.administrative_state.put_out if event.out else self.administrative_state.put_back)(
-            event.node, self.now
-        )
+        if event.out:
+            self.administrative_state.take_out(event.node, self.now)
+        else:
+            self.administrative_state.put_back(event.node, self.now)
         effects: list[model.Effect] = [model.SaveAdministrativeState()]
         return effects + (self._pass_on_nodes(api.ListKind.CHANGES, (node,)) if node is not None else [])
 
@@ -311,7 +322,7 @@
         except Exception:
             if __debug__:
                 raise
-            # Guards against a fault in a decision: this head goes on, and Overdue answers what it left.
+            # Guards against a fault in a decision: this head serves on, and Overdue answers what remains.
             logger.exception("decision failed on {kind}", event="decision.failed", kind=type(event).__name__)
             self.tally.add("decision_failed")
             return []
@@ -324,18 +335,27 @@
         match action:
             case api.Send():
                 return self._send(action)
-            case api.Refuse():
-                return self._answer(action.request, model.Refused(span(action.retry_in)))
+            case api.Reject():
+                return self._answer(action.request, model.Refused(span(action.retry_after)))
             case api.Fail():
                 return self._answer(action.request, model.Failed())
             case api.SetTimer():
                 return [model.SetTimer(span(action.after), action.token)]
             case api.CancelAttempt():
                 return [model.CancelAttempt(action.request, action.attempt)]
-            case api.ProbeNode() if action.node in self.nodes:
+            case api.CheckHealth() if action.node in self.nodes:
                 return [model.CheckHealth(action.node, self.nodes[action.node].address)]
             case _:
-                return []  # the list is always watched: nothing is to be asked for
+                return []  # the list is always watched: no poll is needed
+
+
+def cancel_attempts(record: model.Record) -> list[model.Effect]:
+    """The effects that cancel the attempts of a request that are in flight."""
+    return [
+        model.CancelAttempt(record.request.id, number)
+        for number, attempt in enumerate(record.attempts)
+        if attempt.in_flight
+    ]
 
 
 def request_arrived(request: model.Request) -> api.RequestArrived:
--- a/stoatrouter/peering/availability.py
+++ b/stoatrouter/peering/availability.py
@@ -70,8 +70,8 @@
 
     def note_contact(self, contact: MajorityContact, commit: int) -> None:
         """Take in that a majority was connected at a time, and had committed the log up to an index."""
-        self.contact.seen(contact.at)
-        if self._catch_up_to is None and contact.at is not None:
+        self.contact.record(contact.latest)
+        if self._catch_up_to is None and contact.latest is not None:
             self._catch_up_to = commit
 
     async def run_for_ever(self) -> None:
@@ -92,7 +92,7 @@
         replication = self._replication
         raft = replication.raft
         if raft.settled:
-            self.note_contact(raft.contact, raft.commit)
+            self.note_contact(raft.contact, raft.commit_index)
         caught_up = self._catch_up_to is not None and replication.machine.index >= self._catch_up_to
         return Facts(
             founded=bool(self._bootstrap.origin),
--- a/stoatrouter/peering/bootstrap.py
+++ b/stoatrouter/peering/bootstrap.py
@@ -76,9 +76,9 @@
         Raises:
             TimeoutError: The disk did not take the promise in time.
         """
-        before = self._founding.promised
+        before = self._founding.promised_to
         answer = self._founding.promise(founder)
-        if self._founding.promised != before:
+        if self._founding.promised_to != before:
             async with asyncio.timeout(PROMISE_TIMEOUT.total_seconds()):
                 await self._store_promise(answer.founder)
         return msgspec.msgpack.encode(answer)
@@ -98,9 +98,9 @@
         """Ask the voters for their promises until a fleet has begun, where this head is its founder."""
         while not self.origin:
             await asyncio.sleep(FOUNDING_INTERVAL.total_seconds())
-            if not self._founding.founds or not self._replication.disk_writable:
+            if not self._founding.is_founder or not self._replication.disk_writable:
                 continue
-            if self._founding.promised != self._me.identity:
+            if self._founding.promised_to != self._me.identity:
                 with contextlib.suppress(TimeoutError):
                     await self.promise(self._me)
                 continue
@@ -112,7 +112,7 @@
     def _count_promises(self, promises: list[Promised]) -> Founded | None:
         """Take in promises; the founding, once all voters have promised."""
         for promised in promises:
-            founded = self._founding.heard(promised)
+            founded = self._founding.receive(promised)
             if founded is not None:
                 return founded
         return None
--- a/stoatrouter/peering/follower.py
+++ b/stoatrouter/peering/follower.py
@@ -101,7 +101,7 @@
         """Poll one voter; whether it answered and is connected to a majority."""
         machine = self._replication.machine
         asked_at = self._now()
-        fetch = calls.Fetch(machine.index, self._replication.raft.log.term(machine.index) or 0)
+        fetch = calls.Fetch(machine.index, self._replication.raft.log.term_at(machine.index) or 0)
         try:
             reply = await self._streams.request(name, calls.FETCH, msgspec.msgpack.encode(fetch))
             fetched = msgspec.msgpack.decode(reply.body, type=calls.Fetched)
@@ -110,19 +110,19 @@
         if not self._bootstrap.may_learn_from(fetched.origin) or self._bootstrap.adopt_missed(fetched):
             return False
         self._learn(fetched, asked_at)
-        return fetched.in_touch
+        return fetched.majority_connected
 
     def _learn(self, fetched: calls.Fetched, asked_at: timedelta) -> None:
         """Take in an answer to a poll that was sent at this time."""
         self._bootstrap.join(fetched.origin)
         self._replication.learn(fetched)
-        if not fetched.in_touch:
+        if not fetched.majority_connected:
             return
         self._turn -= 1  # stay with a voter that serves
         self.leader = fetched.leader
         contact = MajorityContact()
         if fetched.majority_age is not None:
-            contact.learned(asked_at, fetched.held_for, fetched.majority_age)
+            contact.record_report(asked_at, fetched.waited, fetched.majority_age)
         self._monitor.note_contact(contact, fetched.commit)
         self._monitor.refresh()
 
--- a/stoatrouter/peering/follower_feed.py
+++ b/stoatrouter/peering/follower_feed.py
@@ -50,13 +50,13 @@
             origin,
             self._monitor.current().changes,
             raft.leader.name if raft.leader else None,
-            commit=raft.commit,
+            commit=raft.commit_index,
             voters=raft.voters,
             majority_age=self._monitor.contact.age(self._now()),
-            held_for=self._now() - arrived_at,
+            waited=self._now() - arrived_at,
         )
-        if fetch.after and raft.log.term(fetch.after) == fetch.after_term:
-            entries = raft.log.since(fetch.after + 1, raft.commit)
+        if fetch.after and raft.log.term_at(fetch.after) == fetch.after_term:
+            entries = raft.log.entries_from(fetch.after + 1, raft.commit_index)
             fetched = msgspec.structs.replace(
                 fetched, prev_index=fetch.after, prev_term=fetch.after_term, entries=entries
             )
@@ -71,5 +71,5 @@
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LONG_POLL_TIMEOUT.total_seconds()):
-                while raft.commit <= after and raft is self._replication.raft:
+                while raft.commit_index <= after and raft is self._replication.raft:
                     await self._replication.changed.wait()
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -15,7 +15,7 @@
 
 from stoatrouter.config import Config
 from stoatrouter.peering.fleet import Fleet
-from stoatrouter.peering.operators import Operators
+from stoatrouter.peering.head_calls import HeadCalls
 from stoatrouter.peering.services import Call, ServingHead, add_credit, add_rules, persisted_version
 from stoatrouter.peering.settings import HeadsSettings, load_heads
 from stoatrouter.peering.tasks import cancel_tasks
@@ -55,7 +55,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         parts: dict[str, Part] = {}
         self.fleet = Fleet(settings, head.conf.seed, parts)
-        self.calls: list[Call] = [Operators(self.fleet).call]
+        self.calls: list[Call] = [HeadCalls(self.fleet).call]
         self.credit = add_credit(settings, head, self.fleet, parts, self.calls)
         self.rules = add_rules(settings, head, self.fleet, parts, self.calls, started_with)
         self.fleet.restore_stored()
--- a/stoatrouter/peering/replication.py
+++ b/stoatrouter/peering/replication.py
@@ -1,7 +1,7 @@
 """The replication loop of one head: runs the effects of agreement/raft.py, and who waits for their outcome.
 
 Decides nothing: what is accepted, committed and applied, and in which order, is `Raft`'s to say. A message
-that must not go out before a write is on the disk waits for it here (`Durable`).
+that must not go out before a write is on the disk waits for it here (`Persist`).
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
     Accepted,
     AnyMessage,
     Apply,
+    CommittedReceived,
     Compact,
-    Disk,
     DiskFailed,
-    Durable,
     Effect,
     Entry,
     Event,
-    Forgot,
-    Learnt,
+    LeaderChanged,
+    LogLost,
+    Persist,
+    PersistentState,
     Propose,
     Read,
-    Readable,
+    ReadConfirmed,
     Received,
     Rejected,
     Restore,
-    Role,
     Send,
     Snapshot,
     Tick,
     Voter,
     Write,
-    Wrote,
+    WriteCompleted,
 )
 from stoatrouter.peering import calls
 from stoatrouter.peering.disk_writer import DiskWriter
@@ -107,7 +107,7 @@
         """
         self.machine = machine
         self.raft = Raft(me, stored.disk, seed, timing, now=now())
-        self.raft.voiceless = not stored.writable
+        self.raft.abstains = not stored.writable
         self.disk_writable = stored.writable
         self.changed = asyncio.Event()
         self.restore_listeners: list[Callable[[], None]] = []
@@ -164,7 +164,7 @@
         self._step(Propose(self._now(), request_id, body, kind))
         rejected = self._rejected.pop(request_id, None)
         if rejected is not None:
-            raise ProposalRejected(rejected.why)
+            raise ProposalRejected(rejected.reason)
         return self._accepted.pop(request_id)
 
     async def command(self, command: Command, within: timedelta) -> bytes:
@@ -214,7 +214,7 @@
     def learn(self, fetched: calls.Fetched) -> None:
         """Take in the committed entries that a voter has answered a poll with."""
         self._step(
-            Learnt(
+            CommittedReceived(
                 self._now(),
                 fetched.prev_index,
                 fetched.prev_term,
@@ -241,7 +241,7 @@
         write = Write(term, None, cut_from=1, snapshot=snapshot, keep_from=snapshot.index + 1, origin=origin)
 
         def on_written() -> None:
-            disk = Disk(term, None, snapshot)
+            disk = PersistentState(term, None, snapshot)
             self.raft = Raft(before.me, disk, before.seed, before.timing, now=self._now())
             self._restore(snapshot)
             done()
@@ -272,7 +272,7 @@
         match effect:
             case Send():
                 self._send(effect.to, effect.message)
-            case Durable():
+            case Persist():
                 self._writer.put(effect.write, lambda: self._on_written(effect))
             case Apply():
                 self._apply(effect.entries)
@@ -282,18 +282,18 @@
                 self._accepted[effect.id] = effect
             case Rejected():
                 self._reject(effect)
-            case Readable():
+            case ReadConfirmed():
                 self._resolve_read(effect)
-            case Role():
-                self._report_role(effect)
-            case Forgot():
-                report_forgotten(effect)
+            case LeaderChanged():
+                self._report_leader(effect)
+            case LogLost():
+                report_log_lost(effect)
 
-    def _on_written(self, durable: Durable) -> None:
+    def _on_written(self, durable: Persist) -> None:
         """Send what has waited for a write, which is on the disk."""
         for send in durable.then:
             self._send(send.to, send.message)
-        self._step(Wrote(self._now(), durable.number))
+        self._step(WriteCompleted(self._now(), durable.number))
 
     def _on_disk_failure(self, reason: str) -> None:
         """Give up this head's vote: its disk takes no writes any more."""
@@ -337,7 +337,7 @@
         else:
             proposal.answer.set_exception(EntryOverwritten())
 
-    def _resolve_read(self, readable: Readable) -> None:
+    def _resolve_read(self, readable: ReadConfirmed) -> None:
         index = self._reads.get(readable.id)
         if index is not None and not index.done():
             index.set_result(readable.index)
@@ -348,7 +348,7 @@
         if index is None:
             self._rejected[rejected.id] = rejected
         elif not index.done():
-            index.set_exception(ProposalRejected(rejected.why))
+            index.set_exception(ProposalRejected(rejected.reason))
 
     def _report_applied(self) -> None:
         """Wake those who wait for an index to be applied."""
@@ -356,21 +356,21 @@
         self.changed = asyncio.Event()
         self._on_change()
 
-    def _report_role(self, role: Role) -> None:
+    def _report_leader(self, change: LeaderChanged) -> None:
         logger.info(
             "heads: term {term}, {leader} leads",
             event="heads.role",
-            term=role.term,
-            leader=role.leader or "nobody known",
+            term=change.term,
+            leader=change.leader or "nobody known",
         )
         self._on_change()
 
 
-def report_forgotten(forgot: Forgot) -> None:
+def report_log_lost(lost: LogLost) -> None:
     """Log that this head's disk is older than what it acknowledged."""
     logger.error(
         "heads: the disk holds {held} of {acknowledged} entries acknowledged: it votes no more",
         event="heads.forgot",
-        held=forgot.last_on_disk,
-        acknowledged=forgot.acknowledged,
+        held=lost.last_on_disk,
+        acknowledged=lost.acknowledged,
     )
--- a/stoatrouter/peering/services.py
+++ b/stoatrouter/peering/services.py
@@ -68,7 +68,7 @@
         return None
     from stoatrouter.credit.ledger import Ledger
     from stoatrouter.peering.credit import PART, CreditService
-    from stoatrouter.peering.creditcalls import CreditCalls
+    from stoatrouter.peering.credit_calls import CreditCalls
 
     ledger = parts[PART] = Ledger()
     scheduler = head.engine.reducer.scheduler
@@ -77,7 +77,7 @@
         fleet,
         ledger,
         scheduler.settings.classes,
-        scheduler.background,
+        scheduler.background_classes,
         head.engine.clock.now,
     )
     head.engine.reducer.gate = service.gate
@@ -109,12 +109,13 @@
     """
     if settings.rules is None or head.http_tables is None:
         return None
-    from stoatrouter.history.register import Register
-    from stoatrouter.peering.rulecalls import RuleCalls
-    from stoatrouter.peering.rules import PART, RulesService
+    from stoatrouter.history.rule_history import RuleHistory
+    from stoatrouter.peering.rule_calls import RuleCalls
+    from stoatrouter.peering.rule_rollout import PART
+    from stoatrouter.peering.rules import RulesService
 
-    register = parts[PART] = Register()
-    service = RulesService(settings.rules, fleet, register, head.http_tables, started_with)
+    history = parts[PART] = RuleHistory()
+    service = RulesService(settings.rules, fleet, history, head.http_tables, started_with)
     calls.append(RuleCalls(service).call)
     return service
 
@@ -131,9 +132,9 @@
     """
     if settings.rules is None or http is None:
         return StartingRules(0, http)
-    from stoatrouter.peering.rules import kept_rules
+    from stoatrouter.peering.rule_store import RuleStore
 
-    found = kept_rules(settings)
-    if found is None:
+    stored = RuleStore(settings.folder).load()
+    if stored is None:
         return StartingRules(0, http)
-    return StartingRules(found[0], msgspec.structs.replace(http, rules=found[1]))
+    return StartingRules(stored.number, msgspec.structs.replace(http, rules=stored.root))
--- a/stoatrouter/peering/settings.py
+++ b/stoatrouter/peering/settings.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from stoatrouter.agreement.state import Timing as AgreementTiming
-from stoatrouter.config import Config, ConfigError, address
-from stoatrouter.membership.detector import Timing as DetectorTiming
+from stoatrouter.config import Config, ConfigError, parse_address
+from stoatrouter.membership.detector_records import Timing as DetectorTiming
 from stoatrouter.peering.envelope import read_secret
 from stoatrouter.settings import SettingsError, load
 
@@ -141,7 +141,7 @@
         raise ConfigError(f"bad settings of the heads:\n{error}") from None
     check_file(path, file, conf)
     for stream_address in file.streams.values():
-        address(stream_address)
+        parse_address(stream_address)
     return HeadsSettings(
         name=conf.name,
         fleet=file.fleet,
--- a/stoatrouter/peering/storage.py
+++ b/stoatrouter/peering/storage.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from stoatrouter.agreement.records import Disk, Entry, Snapshot, Write
+from stoatrouter.agreement.records import Entry, PersistentState, Snapshot, Write
 from stoatrouter.config import ConfigError
 from stoatrouter.peering.errors import CorruptDatabase, StorageClosed
 from stoatrouter.peering.write_mark import WriteMark
@@ -45,7 +45,7 @@
 
     identity: str  # of the disk; a new one wherever what was promised may be lost
     boot: int  # how often a process began with this disk
-    disk: Disk
+    disk: PersistentState
     origin: str  # of the fleet this disk belongs to; "": of none
     promised: str  # the founder it was promised to; "": to none
     reset_reason: str | None = None  # why the identity is new, where there was one before
@@ -95,7 +95,7 @@
             # Guards the start of a head whose disk is full or read-only.
             self.close()
             reason = f"the disk takes no writes: {error}"
-            return StoredState(secrets.token_hex(16), 0, Disk(), "", "", reason, writable=False)
+            return StoredState(secrets.token_hex(16), 0, PersistentState(), "", "", reason, writable=False)
 
     def _lock_folder(self) -> None:
         """Guard against two processes of one head, which would vote twice under one identity.
@@ -165,7 +165,7 @@
         voted = meta.get("voted", b"").decode() or None
         origin = meta.get("origin", b"").decode()
         promised = meta.get("promised", b"").decode()
-        return StoredState(identity, boot, Disk(term, voted, snapshot, entries), origin, promised)
+        return StoredState(identity, boot, PersistentState(term, voted, snapshot, entries), origin, promised)
 
     def _check_acknowledged(self, mark: WriteMark) -> None:
         """Raise CorruptDatabase where the database is older than what this head acknowledged."""
@@ -207,7 +207,7 @@
             connection.execute("INSERT INTO meta VALUES (?, ?)", (key, value.encode()))
         connection.commit()
         mark.set(0)
-        return StoredState(identity, 1, Disk(), "", "", reset_reason)
+        return StoredState(identity, 1, PersistentState(), "", "", reset_reason)
 
     # -- a running head -----------------------------------------------------------------------------------
     def write(self, write: Write) -> None:
@@ -221,7 +221,7 @@
         with self._transaction() as connection:
             if write.term is not None:
                 set_meta(connection, "term", str(write.term))
-                set_meta(connection, "voted", write.voted or "")
+                set_meta(connection, "voted", write.voted_for or "")
             if write.cut_from is not None:
                 connection.execute("DELETE FROM entries WHERE at >= ?", (write.cut_from,))
             insert_entries(connection, write.entries)
--- a/stoatrouter/policy/interface.py
+++ b/stoatrouter/policy/interface.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of the decision module, in the plain terms of the field.
+"""What goes into and comes out of the decision module: settings, events and actions.
 
 All times are whole microseconds. Settings are fixed for the life of a scheduler; events come in, actions
 go out. Nothing in this file decides anything.
@@ -8,35 +8,34 @@
 
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
-from typing import Any
 
 
 class Effect(Enum):
-    """What repeating a request does."""
+    """What a repeat of a request does."""
 
-    SAFE = "safe"  # repeating is harmless
-    KEYED = "keyed"  # a group of nodes discards repeats for a while
+    SAFE = "safe"  # nothing: a repeat is harmless
+    IDEMPOTENT = "keyed"  # by an idempotency key: a group of nodes discards repeats for a while
     UNSAFE = "unsafe"  # a repeat takes effect again
 
 
 class Group(Enum):
-    """Which nodes discard a keyed request's repeats."""
+    """Which nodes discard the repeats of a request with an idempotency key."""
 
     ALL = "all"
-    ZONE = "zone"
-    SHARD = "shard"
+    ZONE = "zone"  # those of the zone that has seen it
+    SHARD = "shard"  # those of the shard that has seen it
 
 
 class Phase(Enum):
-    """What the node list says of a node."""
+    """What the endpoint list says of a node."""
 
     ON = "on"
-    DRAINING = "draining"
+    DRAINING = "draining"  # accepts work for a grace only
     GONE = "gone"
 
 
 class ListKind(Enum):
-    """What a message of the node list is."""
+    """What a message of the endpoint list is."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -49,12 +48,12 @@
 
     ERROR = 0
     OK = 1
-    FULL = 2
+    FULL = 2  # the node's queue is full: it never ran
     TIMEOUT = 3
     CONNECT_FAILED = 4
-    RESET = 5
+    RESET = 5  # the connection broke after the request was sent
     CANCELLED = 6
-    MOOT = 7
+    MOOT = 7  # the node does not hold the data or is gone, or the request is over: it never ran
     NOT_BEGUN = 8  # on sockets: with a connection in hand, what had been decided held no longer
 
     @property
@@ -68,16 +67,16 @@
     """One class of requests."""
 
     name: str
-    worth: float
-    aim: int
-    deadline: int
-    late_worth: float = 0.0
+    priority_weight: float
+    latency_objective: int  # microseconds from the arrival
+    deadline: int  # microseconds from the arrival: the longest that a client waits
+    late_weight_factor: float = 0.0  # of the priority weight once the objective is missed
     effect: Effect = Effect.SAFE
     group: Group = Group.ALL
-    repeat_window: int = 0
+    repeat_window: int = 0  # microseconds: how long repeats of an idempotent request are discarded
     writes: bool = False
-    in_turn: bool = False
-    stream: bool = False
+    ordered_by_key: bool = False  # one request of a key at a time, in order of arrival
+    stream: bool = False  # answers are streamed
 
     def __post_init__(self) -> None:
         """Check the class's figures.
@@ -85,10 +84,10 @@
         Raises:
             ValueError: where a time is not positive, or a priority weight is negative.
         """
-        if self.aim <= 0 or self.deadline <= 0 or self.repeat_window < 0:
+        if self.latency_objective <= 0 or self.deadline <= 0 or self.repeat_window < 0:
             raise ValueError(f"class {self.name!r}: times must be positive")
-        if self.worth < 0 or self.late_worth < 0:
-            raise ValueError(f"class {self.name!r}: worth must not be negative")
+        if self.priority_weight < 0 or self.late_weight_factor < 0:
+            raise ValueError(f"class {self.name!r}: priority weights must not be negative")
 
 
 @dataclass(slots=True, frozen=True)
@@ -97,12 +96,12 @@
 
     name: str
     usual_rate: float
-    reserve: float = 0.0
-    share: float = 1.0
-    price: float = 1.0
-    limit: float = 0.0  # 0: none
-    burst: float = 0.0
-    tolerance: float = 0.0
+    reserve: float = 0.0  # a rate that is served first
+    weight: float = 1.0  # in weighted fair queueing of what goes beyond the reserve
+    price: float = 1.0  # of a unit; it scales the priority weight
+    limit: float = 0.0  # the highest rate; 0: none
+    burst: float = 0.0  # units: the capacity of the limit's token bucket
+    tolerance: float = 0.0  # units: how far below empty the bucket may sink
 
     def __post_init__(self) -> None:
         """Check the plan's figures.
@@ -110,74 +109,74 @@
         Raises:
             ValueError: where a figure is negative.
         """
-        if min(self.usual_rate, self.reserve, self.share, self.limit, self.burst, self.tolerance) < 0:
+        if min(self.usual_rate, self.reserve, self.weight, self.limit, self.burst, self.tolerance) < 0:
             raise ValueError(f"plan {self.name!r}: figures must not be negative")
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures of the rules; None where a rule asks for nothing."""
+    """The figures of the rules, times in microseconds; None where a rule asks for nothing."""
 
     answer_slack: int = 0
-    drain_grace: int = 0
-    cold_from: float = 1.0
-    cold_time: int = 0
-    cold_units: float = 0.0  # units within fall_time, from all hosts, that a cold node always bears
-    fall_time: int = 0
-    fall_multiple: float = 1.0  # of what a cold node can do now, over fall_time: sent more, it falls over
-    ask_within: int | None = None
-    key_rest: int | None = None
-    budget_time: int | None = None
-    budget_free: float = 0.0
-    budget_share: float = 0.0
-    taken_on_arrival: bool = False  # a request takes its units of a limit where an attempt comes to a node
+    drain_grace: int = 0  # how long a draining node still accepts work
+    warm_up_from: float = 1.0  # the part of its capacity that a node has at its start
+    warm_up_time: int = 0  # from a node's start until it has its whole capacity
+    warm_up_units: float = 0.0  # within overload_window, from all hosts, that a warming-up node always bears
+    overload_window: int = 0  # over which a node's overload is counted
+    overload_multiple: float = 1.0  # of what a node can do in overload_window; beyond it, it fails
+    poll_within: int | None = None
+    key_hold_down: int | None = None  # how long a key waits after an attempt of unknown outcome
+    retry_budget_window: int | None = None  # the sliding window of the retry budget
+    retry_budget_min: float = 0.0  # retries that are always allowed within the window
+    retry_budget_ratio: float = 0.0  # retries allowed beyond these, for each arrival within the window
+    charged_on_arrival: bool = False  # units are charged to a limit once an attempt arrives at a node
 
     def __post_init__(self) -> None:
         """Check the rules' figures.
 
         Raises:
-            ValueError: where a time is negative, or `cold_from` is not above 0 and at most 1.
+            ValueError: where a time is negative, or `warm_up_from` is not above 0 and at most 1.
         """
         times = (
             self.answer_slack,
             self.drain_grace,
-            self.cold_time,
-            self.fall_time,
-            self.ask_within or 0,
-            self.key_rest or 0,
-            self.budget_time or 0,
+            self.warm_up_time,
+            self.overload_window,
+            self.poll_within or 0,
+            self.key_hold_down or 0,
+            self.retry_budget_window or 0,
         )
         if min(times) < 0:
             raise ValueError("rules: times must not be negative")
-        if not 0 < self.cold_from <= 1:
-            raise ValueError("rules: cold_from must be above 0 and at most 1")
+        if not 0 < self.warm_up_from <= 1:
+            raise ValueError("rules: warm_up_from must be above 0 and at most 1")
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a scheduler is told at its start."""
+    """All that a scheduler is given at its start."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     rules: Rules = field(default_factory=Rules)
-    hosts: int = 1
-    me: int = 0
+    hosts: int = 1  # that share the nodes
+    host_index: int = 0  # of this host among them, from 0
     zone: int = 0
-    tick: int = 1000
-    max_attempts: int = 1
-    parallel_attempts: bool = False
+    tick: int = 1000  # microseconds: the clock's resolution
+    max_attempts: int = 1  # of one request
+    parallel_attempts: bool = False  # whether requests may be hedged
     may_cancel: bool = False
-    may_probe: bool = False
-    takes_advice: bool = False
-    max_advice: int = 0
-    list_on_request: bool = False
-    share_worth: float = 1.0  # part of the worth inside the share, beyond the reserve
-    beyond_worth: float = 1.0  # part of the worth beyond both
-    mean_units: float = 1.0
-    max_units: float = 1.0
-    meter_period: int = 0
-    meters_others: bool = False
-    report_fields: tuple[str, ...] = ()  # what load reports of nodes tell
+    health_checks: bool = False  # whether nodes may be asked for load reports
+    accepts_retry_after: bool = False  # whether clients heed a Retry-After
+    max_retry_after: int = 0  # microseconds
+    must_subscribe: bool = False  # whether watch events must be asked for
+    quota_weight_factor: float = 1.0  # of the priority weight inside the quota, beyond the reserve
+    excess_weight_factor: float = 1.0  # of the priority weight beyond both
+    mean_units: float = 1.0  # of a request
+    max_units: float = 1.0  # of a request
+    meter_period: int = 0  # microseconds
+    meters_others: bool = False  # whether answers name the units that other hosts were served
+    report_fields: tuple[str, ...] = ()  # of nodes' load reports
 
     def __post_init__(self) -> None:
         """Check the settings.
@@ -190,29 +189,29 @@
             raise ValueError("settings: at least one class and one plan are needed")
         if self.hosts < 1 or self.max_attempts < 1:
             raise ValueError("settings: hosts and max_attempts must be at least 1")
-        if self.tick < 0 or self.meter_period < 0 or self.max_advice < 0:
+        if self.tick < 0 or self.meter_period < 0 or self.max_retry_after < 0:
             raise ValueError("settings: times must not be negative")
 
 
 @dataclass(slots=True, frozen=True)
 class NodeEntry:
-    """One line of the node list."""
+    """One endpoint of the endpoint list."""
 
     node: str
     shard: int
     zone: int = 0
     phase: Phase = Phase.ON
     weight: float = 1.0
-    up_since: int = 0  # 0: long ago
+    up_since: int = 0  # microseconds on the host's clock; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
-class NodeList:
-    """The node list, or changes to it."""
+class EndpointList:
+    """The endpoint list, or a watch event with changes to it."""
 
     kind: ListKind
     entries: tuple[NodeEntry, ...] = ()
-    since: int | None = None  # from when it may have counted as told; None: from now
+    since: int | None = None  # from when its phases may have counted; None: from now
 
 
 @dataclass(slots=True, frozen=True)
@@ -221,15 +220,15 @@
 
     request: str
     volume: str
-    plan: int
-    request_class: int
+    plan: int  # index in the settings
+    request_class: int  # index in the settings
     shard: int  # -1: a new object, any node takes it
-    time_left: int
+    time_left: int  # microseconds until its client leaves
     units: float = 1.0
     hosts: int = 1  # through how many hosts the volume's requests come
     key: str | None = None
-    repeat: bool = False
-    write: bool = False
+    repeat: bool = False  # the client sent it before
+    write: bool = False  # it changes data, though its class does not say so
 
 
 @dataclass(slots=True, frozen=True)
@@ -240,10 +239,10 @@
     attempt: int
     node: str
     outcome: Outcome
-    took: int
-    finished: bool
+    took: int  # microseconds
+    finished: bool  # the request has its final answer by this
     volume_percent: int = 0  # 1 + percent of the plan's usual rate served in a finished period; 0: none
-    units_by_others: float = 0.0
+    units_by_others: float = 0.0  # of the volume, served to other hosts since the last answer
     load: dict[str, float] | None = None
 
 
@@ -257,12 +256,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeEnded:
-    """What a probe of a node found."""
+class HealthCheckEnded:
+    """The outcome of a health check of a node."""
 
     node: str
     outcome: Outcome
-    took: int
+    took: int  # microseconds
     load: dict[str, float] | None = None
 
 
@@ -280,7 +279,9 @@
     token: int
 
 
-Event = NodeList | RequestArrived | AttemptEnded | StreamStarted | ProbeEnded | ClientGone | TimerFired
+Event = (
+    EndpointList | RequestArrived | AttemptEnded | StreamStarted | HealthCheckEnded | ClientGone | TimerFired
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -289,15 +290,15 @@
 
     request: str
     node: str
-    timeout: int
+    timeout: int  # microseconds
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
-    """Final answer: turned away, trying again is harmless."""
+class Reject:
+    """Final answer: rejected before it could take effect twice; a retry is harmless."""
 
     request: str
-    retry_in: int = 0
+    retry_after: int = 0  # microseconds; 0: at once, or not known
 
 
 @dataclass(slots=True, frozen=True)
@@ -319,70 +320,20 @@
 class SetTimer:
     """Ask for a TimerFired with this token."""
 
-    after: int
+    after: int  # microseconds
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for the changes of the node list from now on."""
+    """Ask for watch events of the endpoint list from now on."""
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeNode:
-    """Ask a node for its load."""
+class CheckHealth:
+    """Ask a node for its load report."""
 
     node: str
 
 
-Action = Send | Refuse | Fail | CancelAttempt | SetTimer | Subscribe | ProbeNode
-
-
-# What a scheduler keeps of a request while it has it: a record, filled in by the decision module.
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One sending of a request; outcome is None while it is out; node is the module's own record."""
-
-    node: Any
-    sent: int
-    outcome: Outcome | None = None
-
-    def may_have_run(self) -> bool:
-        """Whether this attempt can have had an effect."""
-        return self.outcome is None or not self.outcome.never_ran
-
-
-@dataclass(slots=True, eq=False)
-class Request:
-    """A request this host owes an answer for, or that still has an attempt out."""
-
-    id: str
-    kind: RequestClass
-    volume: Any
-    units: float
-    key: str | None
-    shard: int
-    aim: int
-    deadline: int
-    write: bool
-    half: int = 0  # from when a refusal comes too late to be of use, if nothing was written to a node
-    wait_until: int = 0
-    rest: int = 0  # until when its key rests once it is closed
-    node: Any = None
-    attempts: list[Attempt] = field(default_factory=list)
-    done: bool = False
-    charged: bool = False  # its units are off the limit's store
-    streaming: bool = False
-
-    def unsent(self) -> bool:
-        """Whether no attempt of it has come to a node."""
-        came_to_none = (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.NOT_BEGUN)
-        return all(a.outcome in came_to_none for a in self.attempts)
-
-    def came(self) -> bool:
-        """Whether the last byte of an attempt may have come to a node."""
-        return any(a.outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_BEGUN) for a in self.attempts)
-
-    def out(self) -> bool:
-        """Whether an attempt is out."""
-        return any(a.outcome is None for a in self.attempts)
+Action = Send | Reject | Fail | CancelAttempt | SetTimer | Subscribe | CheckHealth
