--- a/stoatrouter/lab/fleet/exhaustive.py
+++ b/stoatrouter/lab/fleet/exhaustive.py
@@ -237,22 +237,27 @@
     level = [first]
     for done in range(depth):
         next_level: list[ClusterState] = []
-        for state in level:
-            for action in state.actions():
-                successor = state.after(action)
-                key = successor.key()
-                if key in seen:
-                    continue
-                seen.add(key)
-                next_level.append(successor)
-                if len(seen) >= max_states:
-                    return SearchResult(len(seen), done)
+        for state in successors(level, seen):
+            next_level.append(state)
+            if len(seen) >= max_states:
+                return SearchResult(len(seen), done)
         level = next_level
         if not level:
             break
     return SearchResult(len(seen), depth)
 
 
+def successors(level: list[ClusterState], seen: set[bytes]) -> Iterator[ClusterState]:
+    """Yield the states one action after those of a level that are not seen yet, and count them as seen."""
+    for state in level:
+        for action in state.actions():
+            successor = state.after(action)
+            key = successor.key()
+            if key not in seen:
+                seen.add(key)
+                yield successor
+
+
 def initial_state(voters: int, make_raft: Callable[..., Raft], crashes: int) -> ClusterState:
     """Return the state of voters that have just been founded."""
     everybody = tuple(Voter(f"h{i}", f"h{i}/0") for i in range(voters))
--- a/stoatrouter/lab/fleet/stories.py
+++ b/stoatrouter/lab/fleet/stories.py
@@ -5,10 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
+from typing import Any
 
 from stoatrouter.agreement.raft import Raft
-from stoatrouter.credit.escrow import HeadEscrow
-from stoatrouter.credit.ledger import Ledger
 from stoatrouter.lab.fleet import faults
 from stoatrouter.lab.fleet.credit import CreditFleet
 from stoatrouter.lab.fleet.credit_account import ACCOUNT
@@ -22,6 +21,7 @@
 SETTLE_TIME = 12 * SECOND  # without faults, before voters are checked
 CREDIT_SETTLE_TIME = 20 * SECOND
 SLOW_DISK_DELAY = timedelta(milliseconds=250)
+ROUGH_INTERVAL = timedelta(milliseconds=400)  # between faults, in the mean
 CLIENTS = 3
 CLIENT_INTERVAL = SECOND / 10
 LOAD_INTERVAL = timedelta(milliseconds=25)
@@ -61,7 +61,7 @@
     """Run voters under faults, with clients and changes of voters.
 
     Args:
-        seed: Everything that is random; half of the seeds have slow disks and faults in quick succession.
+        seed: Everything that is random.
         heads: How many machines there are.
         make_raft: Builds a head's reducer.
         span: How long faults and clients go on.
@@ -74,33 +74,41 @@
         InvariantViolated: An invariant does not hold.
         AssertionError: One of the program's own assertions fails.
     """
-    names = [f"h{i}" for i in range(heads)]
-    world = World(seed, names)
-    is_rough = seed % 4 >= 2
-    fleet = VoterFleet(world, 3 if seed % 2 else min(5, heads), make_raft)
-    if is_rough:
-        fleet.max_disk_delay = SLOW_DISK_DELAY
-    drawn = draw_faults(seed, names, span, is_rough)
-    faults.schedule(world, drawn if script is None else script, fleet.kill, fleet.start)
+    fleet = make_voter_fleet(seed, heads, make_raft)
+    world = fleet.world
+    drawn = draw_faults(seed, world.names, span) if script is None else script
+    faults.schedule(world, drawn, fleet.kill, fleet.start)
     for client in range(1, CLIENTS + 1):
         run_client(fleet, client, CLIENT_INTERVAL, span)
     change_voters(fleet, span)
     world.run(span)
     fleet.max_disk_delay = MAX_DISK_DELAY
-    restart_all(fleet, names)
+    restart_all(fleet, world.names)
     world.run(span + SETTLE_TIME)
     fleet.check_converged()
-    history = fleet.history
-    reads = history.check_reads(fleet.committed_values())
-    return AgreementResult(
-        world.digest.hexdigest(), world.events, len(history.acknowledged), reads, fleet.voter_changes
-    )
+    reads = fleet.history.check_reads(fleet.committed_values())
+    acknowledged = len(fleet.history.acknowledged)
+    return AgreementResult(world.digest.hexdigest(), world.events, acknowledged, reads, fleet.voter_changes)
+
+
+def is_rough(seed: int) -> bool:
+    """Whether a run has slow disks, and faults in quick succession: half of the seeds have."""
+    return seed % 4 >= 2
+
+
+def make_voter_fleet(seed: int, heads: int, make_raft: Callable[..., Raft]) -> VoterFleet:
+    """Make the machines of a run, three or five of them voters."""
+    world = World(seed, [f"h{i}" for i in range(heads)])
+    fleet = VoterFleet(world, 3 if seed % 2 else min(5, heads), make_raft)
+    if is_rough(seed):
+        fleet.max_disk_delay = SLOW_DISK_DELAY
+    return fleet
 
 
-def draw_faults(seed: int, names: list[str], span: timedelta, is_rough: bool) -> list[Fault]:
+def draw_faults(seed: int, names: list[str], span: timedelta) -> list[Fault]:
     """Draw the faults of a run of voters."""
-    if is_rough:
-        return faults.draw(seed, names, span, ROUGH_KINDS, timedelta(milliseconds=400), SECOND)
+    if is_rough(seed):
+        return faults.draw(seed, names, span, ROUGH_KINDS, ROUGH_INTERVAL, SECOND)
     return faults.draw(seed, names, span)
 
 
@@ -113,16 +121,7 @@
 
 
 def run_credit(
-    seed: int,
-    heads: int = 5,
-    span: timedelta = 20 * SECOND,
-    wipes: bool = True,
-    customers: int = 2,
-    returned: bool = False,
-    make_escrow: Callable[..., HeadEscrow] = HeadEscrow,
-    make_ledger: Callable[[], Ledger] = Ledger,
-    charged_if_unsent: bool = False,
-    uneven: bool = False,
+    seed: int, heads: int = 5, span: timedelta = 20 * SECOND, wipes: bool = True, **options: Any
 ) -> CreditFleet:
     """Run credit under faults, so little of it that accounts run empty again and again.
 
@@ -131,12 +130,7 @@
         heads: How many heads there are, beside the account.
         span: How long faults and clients go on.
         wipes: Whether heads may lose their disks.
-        customers: Passed on to `CreditFleet`, as all that follow.
-        returned: Customers get back what failed heads held.
-        make_escrow: Builds a head's escrow.
-        make_ledger: Builds the account's ledger.
-        charged_if_unsent: Charge also requests that never reached a node.
-        uneven: Customers come through one head above all.
+        options: Passed on to `CreditFleet`.
 
     Returns:
         The fleet at the end of the run.
@@ -144,9 +138,8 @@
     Raises:
         InvariantViolated: An invariant does not hold.
     """
-    names = [*(f"h{i}" for i in range(heads)), ACCOUNT]
-    world = World(seed, names)
-    fleet = CreditFleet(world, customers, returned, make_escrow, make_ledger, charged_if_unsent, uneven)
+    world = World(seed, [*(f"h{i}" for i in range(heads)), ACCOUNT])
+    fleet = CreditFleet(world, **options)
     schedule_credit_run(fleet, seed, span, wipes)
     world.run(span)
     restart_all(fleet, fleet.names)
--- a/stoatrouter/lab/histories/linear.py
+++ b/stoatrouter/lab/histories/linear.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Hashable, Iterable
+import itertools
+from collections.abc import Callable, Hashable, Iterable, Iterator
 from dataclasses import dataclass
 from typing import Generic, NamedTuple, TypeVar
 
@@ -60,12 +61,7 @@
         done, state, order = stack.pop()  # done: the bits of the calls that have taken effect
         if done | optional == everything:
             return [calls[i] for i in order]
-        left = [i for i in range(len(calls)) if not done >> i & 1]
-        first_return = min(calls[i].returned_at for i in left)
-        for i in left:
-            # what was invoked after another call had returned comes after it
-            if calls[i].invoked_at > first_return:
-                break
+        for i in next_calls(calls, done):
             for successor in model(state, calls[i]):
                 key = (done | 1 << i, successor)
                 if key not in tried:
@@ -74,6 +70,18 @@
     return None
 
 
+def next_calls(calls: list[Call[Operation, Response]], done: int) -> Iterator[int]:
+    """Return the calls that may take effect next: none of the others had returned before their invocation.
+
+    Args:
+        calls: All calls, by their invocation.
+        done: The bits of the calls that have taken effect; not all of them.
+    """
+    left = [i for i in range(len(calls)) if not done >> i & 1]
+    first_return = min(calls[i].returned_at for i in left)
+    return itertools.takewhile(lambda i: calls[i].invoked_at <= first_return, left)
+
+
 # -- the version register of routing rules ----------------------------------------------------------------
 @dataclass(slots=True, frozen=True)
 class RegisterOperation:
--- a/tests/heads/processes.py
+++ b/tests/heads/processes.py
@@ -145,21 +145,19 @@
         **more: str,
     ) -> tuple[int, dict[str, str]]:
         """One request at the platform's front: status (0: none came) and headers."""
+        url = f"http://{self.host}:{self.port}/{kind}/{volume}/7f3a9c21e0b4d655"
+        body = b"x" if method == "PUT" else None
         headers = {
             "Req-Id": name,
             "X-Plan": "premium",
             "Req-Deadline-Ms": str(deadline),
             "X-IO": f"units={units:g},shard=0,hosts=1",
         } | more
+        session = self.fleet.session
         try:
             async with (
                 asyncio.timeout(deadline / 1000 + 1),
-                self.fleet.session.request(
-                    method,
-                    f"http://{self.host}:{self.port}/{kind}/{volume}/7f3a9c21e0b4d655",
-                    headers=headers,
-                    data=b"x" if method == "PUT" else None,
-                ) as response,
+                session.request(method, url, headers=headers, data=body) as response,
             ):
                 await response.read()
                 return response.status, dict(response.headers)
@@ -244,6 +242,12 @@
         """The last lines of each head's log."""
         return "\n".join(f"{head.name}: {head.log_tail()}" for head in self if head.logs.exists())
 
+    async def start_all(self) -> None:
+        """Start all at once, and wait until they are ready and connected."""
+        await asyncio.gather(*(head.start(ready=False) for head in self))
+        await asyncio.gather(*(head.until_ready() for head in self))
+        await self.all_in_touch()
+
     async def kill_all(self) -> None:
         """Kill all that run, and wait until they have ended."""
         started = [head.process for head in self if head.process is not None]
@@ -310,9 +314,7 @@
         fleet.heads = {name: HeadProcess(fleet, name) for name in fleet.names}
         try:
             if start:
-                await asyncio.gather(*(head.start(ready=False) for head in fleet))
-                await asyncio.gather(*(head.until_ready() for head in fleet))
-                await fleet.all_in_touch()
+                await fleet.start_all()
             yield fleet
         finally:
             await fleet.kill_all()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -113,8 +113,16 @@
 }
 
 
+# Steps of a node's script that answer without running a request: status and headers.
+FAULTS: dict[str, tuple[int, dict[str, str]]] = {
+    "decline": (503, {"Srv-Declined": "1"}),
+    "elsewhere": (504, {"Srv-Declined": "1"}),
+    "error": (500, {}),
+}
+
+
 class Node:
-    """A storage node that keeps pieces and does, request by request, what its script says."""
+    """A storage node that stores pieces and does, request by request, what its script says."""
 
     def __init__(self, name: str, shard: int, *script: str) -> None:
         self.name, self.shard, self.script = name, shard, deque(script)
@@ -137,16 +145,13 @@
                 len(body or self.pieces.get(piece(request), b"")),
             )
         )
-        if step == "decline":
-            return web.Response(status=503, headers={"Srv-Declined": "1"})
-        if step == "elsewhere":
-            return web.Response(status=504, headers={"Srv-Declined": "1"})
         if step == "reset":
             request.transport.abort()
         if step == "silent":
             await asyncio.sleep(3600)
-        if step == "error":
-            return web.Response(status=500)
+        if step in FAULTS:
+            status, headers = FAULTS[step]
+            return web.Response(status=status, headers=headers)
         if self.gate is not None:
             await self.gate(request)
         self.ran[request.headers["Req-Id"]] += 1
--- a/tests/reference.py
+++ b/tests/reference.py
@@ -1,5 +1,7 @@
-"""A plain tree-walking reading of the language, written from CEL's definition and apart from the compiler. It
-counts the steps that it takes, by the sizes that values really have."""
+"""A tree-walking interpreter of the language, written from CEL's definition and apart from the compiler.
+
+It counts the steps that it takes, by the sizes that values really have.
+"""
 
 from __future__ import annotations
 
@@ -120,39 +122,51 @@
         if name in ("all", "exists", "exists_one", "filter", "map") and node.receiver is not None:
             return self.macro(node, scope)
         if name == "has":
-            operand = self.of(node.arguments[0].operand, scope)
-            self.step()
-            key = node.arguments[0].field_name
-            return (key.lower() if s.path_of(node.arguments[0].operand) in self.folded else key) in operand
+            return self.has(node, scope)
         if name == "try":
-            self.step()
-            try:
-                return Opt(self.of(node.arguments[0], scope))
-            except Fault:
-                return Opt()
+            return self.attempt(node, scope)
         if name == "optMap":
-            self.step()
-            found = self.of(node.receiver, scope)
-            inner = {**scope, node.arguments[0].name: found.value[0]} if found.value else {}
-            return Opt(self.of(node.arguments[1], inner)) if found.value else found
+            return self.map_optional(node, scope)
         if name == "of" and node.receiver == s.Name(node.at, 1, "optional"):
             self.step()
             return Opt(self.of(node.arguments[0], scope))
-        given = [
-            self.of(part, scope)
-            for part in (*((node.receiver,) if node.receiver is not None else ()), *node.arguments)
-        ]
+        parts = (*((node.receiver,) if node.receiver is not None else ()), *node.arguments)
+        given = [self.of(part, scope) for part in parts]
         self.step()
         if name == "values" and s.path_of(node.receiver) in self.folded:
-            if not isinstance(node.arguments[0], s.Literal):
-                self.step(1 + tenth(len(given[1])))
-            given[1] = given[1].lower()
+            given[1] = self.fold_argument(node, given[1])
         if name == "in" and s.path_of(node.arguments[1]) in self.folded:
-            if not isinstance(node.arguments[0], s.Literal):
-                self.step(1 + tenth(len(given[0])))
-            given[0] = given[0].lower()
+            given[0] = self.fold_argument(node, given[0])
         return OPERATIONS[name](self, *given)
 
+    def has(self, node, scope):
+        select = node.arguments[0]
+        operand = self.of(select.operand, scope)
+        self.step()
+        is_folded = s.path_of(select.operand) in self.folded
+        return (select.field_name.lower() if is_folded else select.field_name) in operand
+
+    def attempt(self, node, scope):
+        """An expression as an optional, none where it ends in an error value."""
+        self.step()
+        try:
+            return Opt(self.of(node.arguments[0], scope))
+        except Fault:
+            return Opt()
+
+    def map_optional(self, node, scope):
+        self.step()
+        found = self.of(node.receiver, scope)
+        if not found.value:
+            return found
+        return Opt(self.of(node.arguments[1], {**scope, node.arguments[0].name: found.value[0]}))
+
+    def fold_argument(self, node, key):
+        """The key in lower case; one that is not a literal costs steps by its length."""
+        if not isinstance(node.arguments[0], s.Literal):
+            self.step(1 + tenth(len(key)))
+        return key.lower()
+
     def macro(self, node, scope):
         items, name = self.of(node.receiver, scope), node.function
         self.step(1 + len(items) + (10 if name in ("filter", "map") else 0))
