--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -194,7 +194,7 @@
 
 
 async def on_and_off(requests: int) -> None:
-    from tests.heads.test_credit_processes import CREDIT, VOLUME, customer
+    from tests.heads.credit_clients import CREDIT, VOLUME, customer
 
     async def prepare(head: object) -> None:
         await customer(head, "acme", VOLUME, paid=10**12)
@@ -212,8 +212,8 @@
 async def agreement_time(commands: int) -> str:
     """How long a top-up takes at the leader and at a head without a vote, and all heads' CPU for one."""
     from benchmarks.heads import used
+    from tests.heads.credit_clients import CREDIT, VOLUME, customer, pay
     from tests.heads.processes import heads_up
-    from tests.heads.test_credit_processes import CREDIT, VOLUME, customer, pay
 
     with tempfile.TemporaryDirectory() as folder:
         async with heads_up(Path(folder), more=CREDIT) as fleet:
