--- a/stoatrouter/peering/credit_calls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -7,7 +7,7 @@
 DELETE /control/credit/customers/NAME              {"by", "why"}: what is out is still settled
 POST   /control/credit/customers/NAME/entries      {"id", "kind", "amount", "by", "why"}
 GET    /control/credit/entries/ID                  whether, and how, an entry was booked
-POST   /control/credit/heads/NAME/write-off        a head is gone for good: what it held is charged
+POST   /control/credit/heads/NAME/write-off        a head is gone for good: its allotments are charged
 """
 
 from __future__ import annotations
@@ -86,7 +86,7 @@
 
 
 # -- answers ----------------------------------------------------------------------------------------------
-class HeldCustomer(msgspec.Struct):
+class LocalCustomerCredit(msgspec.Struct):
     """What this head holds of one customer's credit."""
 
     left: int
@@ -95,7 +95,7 @@
     quota: float = msgspec.field(name="narrowed_to")  # 1 to 0: less while the balance is under the low water
 
 
-class HeldCredit(msgspec.Struct):
+class LocalCredit(msgspec.Struct):
     """What this head holds of all customers' credit."""
 
     state: str
@@ -103,7 +103,7 @@
     charged: int  # since the head's start
     refused: int  # requests, since the head's start
     reservations: int  # how many
-    customers: dict[str, HeldCustomer]
+    customers: dict[str, LocalCustomerCredit]
 
 
 class AllotmentAnswer(msgspec.Struct):
@@ -163,7 +163,7 @@
         """Answer one call by the parts of its path below the root."""
         match method, parts:
             case "GET", []:
-                return self.held_credit()
+                return self.local_credit()
             case "GET", ["customers", name]:
                 return await self.read_account(name)
             case "PUT", ["customers", name]:
@@ -178,11 +178,11 @@
                 return await self.write_off(name)
         raise UnknownCallError
 
-    def held_credit(self) -> HeldCredit:
+    def local_credit(self) -> LocalCredit:
         """What this head holds of each customer's credit."""
         escrow = self.service.escrow
         customers = {
-            name: HeldCustomer(
+            name: LocalCustomerCredit(
                 left=sum(allotment.available for allotment in account.allotments),
                 allotments=len(account.allotments),
                 balance=account.balance,
@@ -190,7 +190,7 @@
             )
             for name, account in sorted(escrow.accounts.items())
         }
-        return HeldCredit(
+        return LocalCredit(
             state=self.service.fleet.availability.state.value,
             draws=escrow.reachable,
             charged=escrow.charged,
