--- a/tests/test_mechanism.py
+++ b/tests/test_node_control.py
@@ -1,4 +1,4 @@
-"""The design's mechanism: average, controller, throttleable set, window."""
+"""What is known of a node: average of protected reads, controller, throttleable volumes, window."""
 
 from __future__ import annotations
 
--- a/tests/test_paces.py
+++ b/tests/test_paced_nodes.py
@@ -1,4 +1,4 @@
-"""Windows below one as paces, slow answers, and what a node's queue tells."""
+"""Nodes with a window below one: pace, slow answers, and what a health check of the queue changes."""
 
 from __future__ import annotations
 
--- a/tests/test_size.py
+++ b/tests/test_policy_file_limits.py
@@ -1,4 +1,4 @@
-"""The operators read the module aloud: it has limits."""
+"""The policy files keep their limits: lines of a file, length of a line, and the page of terms in the first."""
 
 import tomllib
 from pathlib import Path
--- a/tests/test_rules.py
+++ b/tests/test_rule_enforcement.py
@@ -1,4 +1,4 @@
-"""Each of the seven rules has a guard; these fail when it is taken out."""
+"""Each of the seven rules of a send is enforced; these tests fail where one is taken out."""
 
 from __future__ import annotations
 
--- a/tests/test_guard.py
+++ b/tests/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The guard that every send passes, and the order of what is held, asked directly."""
+"""The rules that every send meets, and the order in which waiting requests are sent, asked directly."""
 
 from __future__ import annotations
 
