--- a/tests/test_policy_file_limits.py
+++ b/tests/test_policy_file_limits.py
@@ -1,4 +1,4 @@
-"""The policy files keep their limits: lines of a file, length of a line, and the page of terms in the first."""
+"""The policy files keep their limits: length of a file and of a line, and the page of terms in the first."""
 
 import tomllib
 from pathlib import Path
