--- a/tests/test_request_histories.py
+++ b/tests/test_request_histories.py
@@ -98,8 +98,8 @@
 }
 
 
-# A story shows a fault where its draws and the machine's pace bring one about: a client that leaves, say, while
-# a retry of its request is to come. On a crowded machine one story has too few of them, so more are played.
+# A story shows a fault where its draws and the machine's pace bring one about: a client that leaves before a
+# retry, say. On a crowded machine one story has too few of them, so more are played.
 STORIES = range(1, 7)
 
 
