--- a/stoatrouter/__main__.py
+++ b/stoatrouter/__main__.py
@@ -11,15 +11,15 @@
 
     command(prog_name="stoatrouter")
 
-from stoatrouter.net.hangup import hangups
+from stoatrouter.net.sighup import hangup_signal
 
 if __name__ == "__main__":
-    hangups.install_handler()  # before the imports below: they take most of a start
+    hangup_signal.install_handler()  # before the imports below: they take most of a start
 
-from stoatrouter.net.early import announcement
+from stoatrouter.net.startup_notification import startup_notification
 
 if __name__ == "__main__":
-    announcement.connect(os.environ.get("TMPDIR"))
+    startup_notification.connect(os.environ.get("TMPDIR"))
     gc.disable()  # what they make is kept, and looking for garbage in it takes a third of their time
 
 import asyncio
@@ -71,7 +71,7 @@
     gc.set_threshold(*GARBAGE)
     head = Head(conf, objects, http, heads)
     loop.add_signal_handler(signal.SIGHUP, head.reload, os.environ)
-    if hangups.received:  # after the file was read, perhaps
+    if hangup_signal.received:  # after the file was read, perhaps
         head.reload(os.environ)
     await head.start()
     await stop.wait()
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -19,12 +19,12 @@
 from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
-from stoatrouter.net.early import announcement
 from stoatrouter.net.engine import Engine
-from stoatrouter.net.generations import Generations
+from stoatrouter.net.handover import Handover
 from stoatrouter.net.listener import Drain, Listener, shutdown_deadlines
 from stoatrouter.net.loop_monitor import monitor_loop
 from stoatrouter.net.nodes import NodeClient
+from stoatrouter.net.startup_notification import startup_notification
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.optional_fronts import (
     HttpFrontParts,
@@ -132,7 +132,7 @@
         front = PlatformFront(self.engine, conf.settings, self.drain, self.body_capacity)
         self.platform = Listener(front.handle, self.drain, front.refuse)
         self._build_optional_parts(objects, http, heads)
-        self.generations = Generations(
+        self.handover = Handover(
             self.engine, self.watch, self.clients, self.drain, conf.folder, self.stop_accepting, self.accept
         )
         self._build_management()
@@ -202,8 +202,8 @@
         if self.heads is not None:
             await self.heads.start()
         await self.accept()
-        announcement.end()
-        await self.generations.listen()
+        startup_notification.close()
+        await self.handover.listen()
         self._start_background_tasks()
         logger.info(
             "start: {name} listens on {address}", event="start", name=self.conf.name, address=self.conf.listen
@@ -212,7 +212,7 @@
     async def _start_watch(self) -> None:
         """Take the node list over from the previous process, or restore it and wait for discovery."""
         loop = asyncio.get_running_loop()
-        if await self.generations.take_over():
+        if await self.handover.take_over():
             self.background.append(loop.create_task(self.watch.run()))
             return
         self.engine.reducer.administrative_state = self.engine.state_file.read()
@@ -224,7 +224,7 @@
         loop = asyncio.get_running_loop()
         self.background += [
             loop.create_task(self.clients.keep_swept()),
-            loop.create_task(self.generations.follow()),
+            loop.create_task(self.handover.follow()),
             loop.create_task(self.management_clients.keep_swept()),
             loop.create_task(monitor_loop(self.engine, self.clients)),
             *(loop.create_task(service.log_periodically()) for service in self.tables),
@@ -268,7 +268,7 @@
             *(listener.stop(lambda: self.engine.busy, times.take_for) for listener in self.listeners)
         )
         self.drain.stop_sending_away()
-        await self.generations.close()
+        await self.handover.close()
         if self.heads is not None:
             await self.heads.close()
         for service in self.tables:
--- a/stoatrouter/net/clients.py
+++ b/stoatrouter/net/clients.py
@@ -15,7 +15,7 @@
 
 from stoatrouter.net import client_table
 from stoatrouter.net.client_table import LINGER, ClientTable, State
-from stoatrouter.net.presence import unread
+from stoatrouter.net.disconnects import has_unread_bytes
 
 Refuse = Callable[[bytes], bytes | None]
 
@@ -73,7 +73,7 @@
         Closing over unread bytes would reset the connection and lose that request.
         """
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
-        if sock is None or not unread(sock):
+        if sock is None or not has_unread_bytes(sock):
             self.end()
 
     def unread_for(self) -> float:
--- a/stoatrouter/net/presence.py
+++ b/stoatrouter/net/disconnects.py
@@ -1,6 +1,6 @@
 """Whether a request's client is still connected, asked of the system at the moment it matters.
 
-A connection whose reading is paused, or whose loop lags, has not yet been told that its client has left.
+A connection whose reading is paused, or whose loop lags, has not yet been notified that its client has left.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 import socket
 from contextvars import ContextVar
 
-# the connection that the present task works for; tasks made by it know it too
-CLIENT: ContextVar[asyncio.Transport | None] = ContextVar("client", default=None)
+# the connection that the present task works for; tasks that it creates inherit it
+CLIENT_TRANSPORT: ContextVar[asyncio.Transport | None] = ContextVar("client", default=None)
 ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-def gone(client: asyncio.Transport | None) -> bool:
+def has_disconnected(client: asyncio.Transport | None) -> bool:
     """Whether the client has closed or reset its connection, even behind unread bytes.
 
     False for a request without a connection.
@@ -30,7 +30,7 @@
     return any(events & ENDED for _, events in poll.poll(0))
 
 
-def unread(sock: socket.socket) -> bool:
+def has_unread_bytes(sock: socket.socket) -> bool:
     """Whether bytes have arrived that were not read, from a peer that is still connected."""
     if sock.fileno() < 0:
         return False
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -14,9 +14,9 @@
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.net.clock import Clock
+from stoatrouter.net.disconnects import CLIENT_TRANSPORT, has_disconnected
 from stoatrouter.net.errors import BrokenOff
 from stoatrouter.net.nodes import NodeClient
-from stoatrouter.net.presence import CLIENT, gone
 from stoatrouter.net.replies import Reply
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.policy.interface import ListKind, Outcome
@@ -69,7 +69,7 @@
             return effects[0].answer
         waiter: asyncio.Future[model.Answer] = self.loop.create_future()
         self.waiters[request.id] = waiter
-        self.client_transports[request.id] = CLIENT.get()
+        self.client_transports[request.id] = CLIENT_TRANSPORT.get()
         try:
             self.run_all(effects)
             return await waiter
@@ -225,7 +225,7 @@
     def may_begin(self, effect: model.SendAttempt) -> bool:
         """Whether an attempt may still be sent, asked once it has a connection and before its first byte."""
         client = self.client_transports.get(effect.request.id)
-        if gone(client):
+        if has_disconnected(client):
             # Guards nodes against work for nobody: the notice of the client's end is still on its way here.
             assert client is not None
             client.abort()
--- a/stoatrouter/net/generations.py
+++ b/stoatrouter/net/handover.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+from collections import Counter
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 
@@ -13,18 +14,33 @@
 from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.discovery import Watch
 from stoatrouter.net.engine import Engine
+from stoatrouter.net.handover_socket import (
+    HOLDINGS_INTERVAL,
+    VERSION,
+    HandoverSocket,
+    Predecessor,
+    send_line,
+)
 from stoatrouter.net.listener import Drain
-from stoatrouter.net.state import read_administrative_state, read_node, write_administrative_state, write_node
-from stoatrouter.net.succession import HOLDINGS_EVERY, VERSION, Predecessor, State, Succession, send_line
-
-# After each word of the other process: clients move over all at once, to a process that opens all anew.
+from stoatrouter.net.state_format import (
+    Holdings,
+    JsonObject,
+    read_administrative_state,
+    read_holdings,
+    read_node,
+    write_administrative_state,
+    write_holdings,
+    write_node,
+)
+
+# After each message of the other process: clients move over all at once, to a process that opens all anew.
 UNSETTLED = timedelta(seconds=1)
 # A start is due within 6 s and takes one or two.
 STARTING = timedelta(seconds=4)
 
 
-class Generations:
-    """This process between the previous and the next one."""
+class Handover:
+    """The handover from the previous process to this one, and from this one to the next."""
 
     def __init__(
         self,
@@ -47,34 +63,28 @@
             stop_accepting: Stops the listeners from accepting connections.
             resume_accepting: Makes them accept connections again.
         """
-        self.engine, self.watch, self.clients, self.drain = engine, watch, clients, drain
-        self.stop_accepting, self.resume_accepting = stop_accepting, resume_accepting
-        self.succession = Succession(folder)
-        self.clients_most, self.nodes_most = clients.most, engine.nodes.pool.most
+        self.engine = engine
+        self.watch = watch
+        self.clients = clients
+        self.drain = drain
+        self.stop_accepting = stop_accepting
+        self.resume_accepting = resume_accepting
+        self.socket = HandoverSocket(folder)
+        # the limits of both processes together
+        self.clients_most = clients.most
+        self.nodes_most = engine.nodes.pool.most
         self.predecessor: Predecessor | None = None
         self.takeover_tasks: set[asyncio.Task[None]] = set()
 
     # -- the new process ----------------------------------------------------------------------------------
     async def take_over(self) -> bool:
         """Take over from the previous process; False where there is none or its state is unreadable."""
-        self.predecessor = await self.succession.take_over()
+        self.predecessor = await self.socket.take_over()
         if self.predecessor is None:
             return False
+        state = self.predecessor.state
         try:
-            state = self.predecessor.state
-            nodes = tuple(read_node(node) for node in state["nodes"])
-            self.engine.put(
-                model.TakenOver(
-                    self.engine.clock.now(),
-                    nodes,
-                    read_administrative_state(state["by_hand"]),
-                    state["module"],
-                )
-            )
-            self.watch.generation = state["generation"]
-            if state["out_of_service"]:
-                self.drain.out_of_service()
-            self.apply_holdings(state["holds"])
+            self.apply_state(state)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             logger.error(
                 "upgrade: what the old process told cannot be read: {error}",
@@ -89,27 +99,42 @@
         )
         return True
 
+    def apply_state(self, state: JsonObject) -> None:
+        """Apply the state of the previous process.
+
+        Raises KeyError, TypeError, ValueError or AttributeError where another version wrote it.
+        """
+        nodes = tuple(read_node(node) for node in state["nodes"])
+        administrative_state = read_administrative_state(state["by_hand"])
+        self.engine.put(
+            model.TakenOver(self.engine.clock.now(), nodes, administrative_state, state["module"])
+        )
+        self.watch.generation = state["generation"]
+        if state["out_of_service"]:
+            self.drain.out_of_service()
+        self.apply_holdings(read_holdings(state["holds"]))
+
     async def follow(self) -> None:
-        """Follow what the previous process still holds, to its end; returns at once where there is none."""
+        """Follow the holdings of the previous process to its end; returns at once where there is none."""
         if self.predecessor is not None:
             await self.predecessor.follow(self.apply_holdings)
 
-    def apply_holdings(self, holds: State) -> None:
-        """Reduce this process's limits by what the previous one still holds, as both count as one head."""
-        self.clients.most = max(1, self.clients_most - int(holds.get("clients", 0)))
-        self.clients.busy_elsewhere = int(holds.get("busy", 0))
+    def apply_holdings(self, holdings: Holdings) -> None:
+        """Reduce this process's limits by the holdings of the previous one, as both count as one head."""
+        self.clients.most = max(1, self.clients_most - holdings.clients)
+        self.clients.busy_elsewhere = holdings.busy
         self.clients.press(UNSETTLED)
-        self.engine.nodes.pool.set_limit(max(1, self.nodes_most - int(holds.get("connections", 0))))
-        self.engine.put(model.AttemptsElsewhere(self.engine.clock.now(), dict(holds.get("out", {}))))
+        self.engine.nodes.pool.set_limit(max(1, self.nodes_most - holdings.connections))
+        self.engine.put(model.AttemptsElsewhere(self.engine.clock.now(), holdings.attempts))
 
     # -- the old process ----------------------------------------------------------------------------------
     async def listen(self) -> None:
         """Let the next process find this one."""
-        await self.succession.listen(self.on_connection)
+        await self.socket.listen(self.on_connection)
 
     def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Leave a starting process some of this host's time, and wait for its question."""
-        self.clients.press(STARTING)  # it says so as it starts, long before it asks
+        """Leave a starting process some of this host's time, and serve its request for the state."""
+        self.clients.press(STARTING)  # it connects as it starts, long before it requests the state
         task = asyncio.get_running_loop().create_task(self.serve_takeover(reader, writer))
         self.takeover_tasks.add(task)
         task.add_done_callback(self.takeover_tasks.discard)
@@ -138,23 +163,8 @@
         self.clients.press(UNSETTLED)
         await self.stop_accepting()
         try:
-            known = self.engine.hand_over()
-            await send_line(
-                writer,
-                {
-                    "v": VERSION,
-                    "generation": self.watch.generation,
-                    "out_of_service": self.drain.out,
-                    "nodes": [write_node(node) for node in known.nodes],
-                    "by_hand": write_administrative_state(known.administrative_state),
-                    "module": known.module,
-                    "holds": self.holds(),
-                },
-            )
-            ended = asyncio.ensure_future(reader.read())
-            while not ended.done():
-                await asyncio.wait([ended], timeout=HOLDINGS_EVERY.total_seconds())
-                await send_line(writer, self.holds())
+            await send_line(writer, self.state())
+            await self.report_holdings(reader, writer)
         except OSError as error:
             logger.warning(
                 "upgrade: the new process broke off: {error}", event="upgrade.broke_off", error=repr(error)
@@ -162,27 +172,54 @@
         except Exception:
             # Guards against a fault on the way: without this, nobody would accept clients.
             logger.exception("upgrade: handing over failed", event="upgrade.fault")
+        await self.take_back()
+
+    def state(self) -> JsonObject:
+        """The state for the new process; from now on this process only finishes its requests."""
+        state = self.engine.hand_over()
+        return {
+            "v": VERSION,
+            "generation": self.watch.generation,
+            "out_of_service": self.drain.out,
+            "nodes": [write_node(node) for node in state.nodes],
+            "by_hand": write_administrative_state(state.administrative_state),
+            "module": state.module,
+            "holds": write_holdings(self.holdings()),
+        }
+
+    async def report_holdings(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send the holdings every HOLDINGS_INTERVAL until the new process closes the connection.
+
+        Raises OSError where the connection breaks.
+        """
+        ended = asyncio.ensure_future(reader.read())
+        try:
+            while not ended.done():
+                await asyncio.wait([ended], timeout=HOLDINGS_INTERVAL.total_seconds())
+                await send_line(writer, write_holdings(self.holdings()))
+        finally:
+            ended.cancel()
+
+    async def take_back(self) -> None:
+        """Accept clients again, as the new process is gone."""
         logger.warning("upgrade: the new process is gone, this one serves on", event="upgrade.taken_back")
         self.engine.put(model.TakenBack(self.engine.clock.now(), self.engine.state_file.read()))
         self.drain.handed_over = False
         await self.resume_accepting()
         await self.listen()
 
-    def holds(self) -> State:
-        """What this process still holds, as the new one needs it to keep the limits of both."""
-        out: dict[str, int] = {}
-        for node in self.engine.reducer.nodes_in_flight():
-            out[node] = out.get(node, 0) + 1
-        return {
-            "clients": len(self.clients),
-            "connections": len(self.engine.nodes.pool.alive),
-            "out": out,
-            "busy": self.clients.open,
-        }
+    def holdings(self) -> Holdings:
+        """What this process still has open, as the new one needs it to keep the limits of both."""
+        return Holdings(
+            clients=len(self.clients),
+            connections=len(self.engine.nodes.pool.alive),
+            attempts=dict(Counter(self.engine.reducer.nodes_in_flight())),
+            busy=self.clients.open,
+        )
 
     async def close(self) -> None:
         """Stop listening for new processes and cancel what is under way with them."""
-        await self.succession.close()
+        await self.socket.close()
         for task in list(self.takeover_tasks):
             task.cancel()
         await asyncio.gather(*self.takeover_tasks, return_exceptions=True)
--- a/stoatrouter/net/succession.py
+++ b/stoatrouter/net/handover_socket.py
@@ -1,7 +1,8 @@
 """The protocol between two processes of one head, over a Unix-domain socket in $TMPDIR.
 
-The new process connects and asks. The old one stops accepting and sends its state in one line, then, line by
-line, what it still holds. The end of the connection tells each that the other is gone.
+The new process connects and requests the state. The old one stops accepting and sends its state in one
+line, then, line by line, its holdings (state_format.Holdings). The end of the connection notifies each that
+the other is gone.
 """
 
 from __future__ import annotations
@@ -18,21 +19,20 @@
 
 from loguru import logger
 
-from stoatrouter.net.early import NAME, short_path
+from stoatrouter.net.startup_notification import SOCKET_NAME, short_path
+from stoatrouter.net.state_format import Holdings, JsonObject, read_holdings
 
 VERSION = 1
 # A new process is due to serve within 6 s: an old one that says nothing is left alone after this time.
 ANSWER_WITHIN = timedelta(seconds=2)
-HOLDINGS_EVERY = timedelta(milliseconds=25)
+HOLDINGS_INTERVAL = timedelta(milliseconds=25)
 LARGEST_LINE = 16 * 1024 * 1024
 
-State = dict[str, Any]
-
 
 class Predecessor:
     """The previous process, as the new one sees it."""
 
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, state: State) -> None:
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, state: JsonObject) -> None:
         """Keep the connection to the previous process and what it handed over.
 
         Args:
@@ -40,13 +40,15 @@
             writer: The connection's writing end.
             state: What the previous process handed over, as JSON data.
         """
-        self.reader, self.writer, self.state = reader, writer, state
+        self.reader = reader
+        self.writer = writer
+        self.state = state
 
-    async def follow(self, on_holdings: Callable[[State], None]) -> None:
-        """Report what the previous process still holds, and at its end that it holds nothing."""
+    async def follow(self, on_holdings: Callable[[Holdings], None]) -> None:
+        """Report the holdings of the previous process, and at its end that it has none."""
         try:
             while line := await self.reader.readline():
-                on_holdings(json.loads(line))
+                on_holdings(read_holdings(json.loads(line)))
         except (OSError, ValueError) as error:
             logger.warning(
                 "upgrade: the old process cannot be followed: {error}",
@@ -55,11 +57,11 @@
             )
         finally:
             self.writer.close()
-            on_holdings({})
+            on_holdings(Holdings())
         logger.info("upgrade: the old process is gone", event="upgrade.old_gone")
 
 
-class Succession:
+class HandoverSocket:
     """The socket at which the next process finds this one."""
 
     def __init__(self, folder: str | None) -> None:
@@ -72,13 +74,15 @@
         self.server: asyncio.Server | None = None
 
     async def take_over(self) -> Predecessor | None:
-        """Ask the previous process to hand over; None where there is none or it does not answer."""
-        if self.folder is None or not (Path(self.folder) / NAME).exists():
+        """Request the state of the previous process; None where there is none or it does not answer."""
+        if self.folder is None or not (Path(self.folder) / SOCKET_NAME).exists():
             return None
         try:
             async with asyncio.timeout(ANSWER_WITHIN.total_seconds()):
                 with short_path(self.folder) as short:
-                    reader, writer = await asyncio.open_unix_connection(f"{short}/{NAME}", limit=LARGEST_LINE)
+                    reader, writer = await asyncio.open_unix_connection(
+                        f"{short}/{SOCKET_NAME}", limit=LARGEST_LINE
+                    )
                 writer.write(json.dumps({"take": VERSION}).encode() + b"\n")
                 state = json.loads(await reader.readline())
                 if state["v"] != VERSION:
@@ -103,13 +107,13 @@
                 short_path(self.folder) as short,
                 contextlib.closing(socket.socket(socket.AF_UNIX)) as listening_socket,
             ):
-                temporary = Path(short) / (NAME + ".new")
+                temporary = Path(short) / (SOCKET_NAME + ".new")
                 temporary.unlink(missing_ok=True)
                 listening_socket.bind(str(temporary))
                 self.server = await asyncio.start_unix_server(
                     on_connection, sock=listening_socket.dup(), limit=LARGEST_LINE
                 )
-                os.replace(temporary, Path(short) / NAME)  # never without one that answers
+                os.replace(temporary, Path(short) / SOCKET_NAME)  # never without one that answers
         except OSError as error:
             logger.error(
                 "upgrade: a new process will not find this one: {error}",
@@ -124,7 +128,7 @@
             self.server = None
 
 
-async def send_line(writer: asyncio.StreamWriter, state: State) -> None:
+async def send_line(writer: asyncio.StreamWriter, state: JsonObject) -> None:
     """Send a state as one line of JSON; raises OSError where the other process is gone."""
     writer.write(json.dumps(state).encode() + b"\n")
     await writer.drain()
--- a/stoatrouter/net/listener.py
+++ b/stoatrouter/net/listener.py
@@ -16,7 +16,7 @@
 
 from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.clients import Refuse, Server
-from stoatrouter.net.presence import CLIENT
+from stoatrouter.net.disconnects import CLIENT_TRANSPORT
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 Response = TypeVar("Response", bound=web.StreamResponse)
@@ -154,7 +154,7 @@
         self.drain = drain
 
         async def serve(request: web.BaseRequest) -> web.StreamResponse:
-            CLIENT.set(request.transport)
+            CLIENT_TRANSPORT.set(request.transport)
             return await handler(request)
 
         # handler_cancellation: a client that closes its connection has gone, and its request with it
--- a/stoatrouter/net/hangup.py
+++ b/stoatrouter/net/sighup.py
@@ -5,7 +5,7 @@
 import signal
 
 
-class Hangups:
+class HangupSignal:
     """Whether SIGHUP came while the program was still starting."""
 
     def __init__(self) -> None:
@@ -13,14 +13,14 @@
         self.received = False
 
     def install_handler(self) -> None:
-        """Install the handler of SIGHUP, which notes that it came.
+        """Install the handler of SIGHUP, which records that it came.
 
         By default SIGHUP would end the process, and imports alone take half a second.
         """
-        signal.signal(signal.SIGHUP, self._note)
+        signal.signal(signal.SIGHUP, self._record)
 
-    def _note(self, *_: object) -> None:
+    def _record(self, *_: object) -> None:
         self.received = True
 
 
-hangups = Hangups()
+hangup_signal = HangupSignal()
--- a/stoatrouter/net/early.py
+++ b/stoatrouter/net/startup_notification.py
@@ -1,16 +1,17 @@
-"""The announcement of a starting process to the one before it. It imports little, to be early."""
+"""Notifies the previous process that this one is starting. It imports little, to be early."""
 
 from __future__ import annotations
 
 import contextlib
 import os
 import socket
+from collections.abc import Iterator
 
-NAME = "stoatrouter.sock"
+SOCKET_NAME = "stoatrouter.sock"
 
 
 @contextlib.contextmanager
-def short_path(folder: str):
+def short_path(folder: str) -> Iterator[str]:
     """A short path of a folder, as the path of a Unix-domain socket has 107 bytes at most."""
     handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -19,8 +20,8 @@
         os.close(handle)
 
 
-class Announcement:
-    """Tells the previous process that this one is starting."""
+class StartupNotification:
+    """A connection to the previous process, open for as long as this one is starting."""
 
     def __init__(self) -> None:
         """Start without a connection to the previous process."""
@@ -38,16 +39,16 @@
         connection.setblocking(False)
         try:
             with short_path(folder) as short:
-                connection.connect(f"{short}/{NAME}")
+                connection.connect(f"{short}/{SOCKET_NAME}")
             self.connection = connection
         except OSError:
             connection.close()  # there is none
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close the connection: this process now accepts clients, or is about to end."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
 
-announcement = Announcement()
+startup_notification = StartupNotification()
--- a/stoatrouter/net/state_file.py
+++ b/stoatrouter/net/state_file.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from stoatrouter.core.model import AdministrativeState
-from stoatrouter.net.state import read_administrative_state, write_administrative_state
+from stoatrouter.net.state_format import read_administrative_state, write_administrative_state
 
 
 class AdministrativeStateFile:
--- a/stoatrouter/net/state.py
+++ b/stoatrouter/net/state_format.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from typing import Any
 
 from stoatrouter.core.model import AdministrativeState, NodeInfo
@@ -11,7 +12,43 @@
 UNREADABLE = (KeyError, TypeError, AttributeError, OverflowError, ValueError)
 
 
-def write_administrative_state(administrative_state: AdministrativeState) -> dict[str, Any]:
+JsonObject = dict[str, Any]
+
+
+@dataclass(slots=True, frozen=True)
+class Holdings:
+    """What a process still has open while its successor serves; both count as one head."""
+
+    clients: int = 0  # connections of clients
+    connections: int = 0  # to nodes
+    attempts: dict[str, int] = field(default_factory=dict)  # in flight, by node
+    busy: int = 0  # connections of clients with a request open
+
+
+def write_holdings(holdings: Holdings) -> JsonObject:
+    """The holdings as plain data, which read_holdings reads."""
+    return {
+        "clients": holdings.clients,
+        "connections": holdings.connections,
+        "out": holdings.attempts,
+        "busy": holdings.busy,
+    }
+
+
+def read_holdings(data: Any) -> Holdings:
+    """Read what write_holdings wrote; what is missing counts as nothing.
+
+    Raises TypeError, ValueError or AttributeError where a figure is malformed.
+    """
+    return Holdings(
+        clients=int(data.get("clients", 0)),
+        connections=int(data.get("connections", 0)),
+        attempts=dict(data.get("out", {})),
+        busy=int(data.get("busy", 0)),
+    )
+
+
+def write_administrative_state(administrative_state: AdministrativeState) -> JsonObject:
     """The administrative state as plain data; times in microseconds since the Unix epoch."""
     return {
         "out": {node: micros(at) for node, at in administrative_state.out.items()},
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from stoatrouter.core.model import AdministrativeState, NodeInfo
-from stoatrouter.net.state import read_node, write_node
 from stoatrouter.net.state_file import AdministrativeStateFile
+from stoatrouter.net.state_format import read_node, write_node
 from stoatrouter.policy.interface import Phase
 
 DATA = Path(__file__).parent / "data"
