--- a/benchmarks/expressions.py
+++ b/benchmarks/expressions.py
@@ -23,7 +23,7 @@
 
 from benchmarks.closures import closures
 from stoatrouter import expressions as ex
-from stoatrouter.matching.inputs import HTTP, read_input
+from stoatrouter.matching.inputs import HTTP_ENVIRONMENT, read_input
 from tests.reference import Reference
 
 REQUEST = (
@@ -124,8 +124,10 @@
 
 
 def one_run(given: Any) -> dict[str, list[tuple[float, float] | None]]:
-    compiled = [ex.load(source, HTTP) for source in REALISTIC]
-    variables = {name: getattr(given, variable.attribute) for name, variable in HTTP.variables.items()}
+    compiled = [ex.load(source, HTTP_ENVIRONMENT) for source in REALISTIC]
+    variables = {
+        name: getattr(given, variable.attribute) for name, variable in HTTP_ENVIRONMENT.variables.items()
+    }
     reference = Reference(variables, ("request.headers",))
     trees = [ex.parse(source) for source in REALISTIC]
     closed = [closures(program.checked) for program in compiled]
@@ -209,7 +211,9 @@
             ]
             report[way]["times_compiled"] = statistics.median(ratios)
             print(f"{way}: {statistics.median(ratios):.0f} times the compiled form (least {min(ratios):.0f})")
-    loads = sorted(timed(lambda source=source: ex.load(source, HTTP), 1, 5)[0] for source in REALISTIC)
+    loads = sorted(
+        timed(lambda source=source: ex.load(source, HTTP_ENVIRONMENT), 1, 5)[0] for source in REALISTIC
+    )
     print(f"load of one: median {statistics.median(loads):.0f} us, slowest {loads[-1]:.0f} us")
     for module in ("stoatrouter.expressions", "celpy"):
         took, memory = cold_start(module)
--- a/benchmarks/fuzz_expressions.py
+++ b/benchmarks/fuzz_expressions.py
@@ -28,7 +28,7 @@
     chosen = options.parse_args()
     with atheris.instrument_imports(include=["stoatrouter.expressions", "stoatrouter.settings"]):
         from stoatrouter import expressions as ex
-        from stoatrouter.matching.inputs import HTTP, read_input
+        from stoatrouter.matching.inputs import HTTP_ENVIRONMENT, read_input
         from stoatrouter.matching.records import Rules
         from stoatrouter.settings import SettingsError, load_data, load_text
     given = read_input("GET", "/scores/a?x=1", ((b"Host", b"h"), (b"X-Team", b"feed")), "10.0.0.1", 5)
@@ -45,7 +45,7 @@
 
     def one(data: bytes) -> None:
         try:
-            program = ex.load(data.decode("utf-8", "replace"), HTTP)
+            program = ex.load(data.decode("utf-8", "replace"), HTTP_ENVIRONMENT)
         except ex.ExpressionError as error:
             counts["refused"] += 1
             if not error.problems:
--- a/stoatrouter/cli/config_check.py
+++ b/stoatrouter/cli/config_check.py
@@ -56,10 +56,10 @@
 
 def check_team(file: Path, config_path: Path | None) -> list[Fault]:
     """Check a team's file by its form alone; its expressions are read with the operator's file."""
-    from stoatrouter.matching.files import TEAM
+    from stoatrouter.matching.files import TEAM_DEFINITION
     from stoatrouter.matching.records import Team
 
-    load(file, Team, TEAM)
+    load(file, Team, TEAM_DEFINITION)
     return []
 
 
--- a/stoatrouter/cli/rules/examples.py
+++ b/stoatrouter/cli/rules/examples.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from stoatrouter.matching.conjuncts import PATH, PREFIX, Condition, Constraint
-from stoatrouter.matching.inputs import Input, Unreadable, read_input
+from stoatrouter.matching.inputs import Input, UnreadableRequestError, read_input
 from stoatrouter.matching.table import CompiledScope
 
 ANY_LABEL = "any"  # in place of the star of a host
@@ -54,7 +54,7 @@
     for rule in home.rules:
         try:
             requests.append(example_request(home, rule.condition))
-        except Unreadable:
+        except UnreadableRequestError:
             continue
     return requests
 
@@ -63,7 +63,7 @@
     """A request of a scope that meets the constraints of a condition.
 
     Raises:
-        Unreadable: A front would reject it before any rule.
+        UnreadableRequestError: A front would reject it before any rule.
     """
     draft = Draft(home.scope.hosts[0].replace("*", ANY_LABEL))
     for constraint in condition.constraints:
--- a/stoatrouter/cli/rules/explain.py
+++ b/stoatrouter/cli/rules/explain.py
@@ -12,7 +12,7 @@
 from stoatrouter.cli.tables import load_table
 from stoatrouter.matching.decisions import Refusal
 from stoatrouter.matching.explain import Explanation, decision_data, explain
-from stoatrouter.matching.inputs import Input, Unreadable, read_input
+from stoatrouter.matching.inputs import Input, UnreadableRequestError, read_input
 from stoatrouter.matching.samples import read_sample
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
@@ -60,7 +60,7 @@
         request = read_request(request_text, headers, peer, size, request_class)
     except SettingsError as error:
         exit_with_faults(error, as_json)
-    except Unreadable as error:
+    except UnreadableRequestError as error:
         echo_unreadable(error, as_json)
         return
     if objects is not None:
@@ -77,7 +77,7 @@
     """The request that the options describe.
 
     Raises:
-        Unreadable: A front would reject it before any rule.
+        UnreadableRequestError: A front would reject it before any rule.
         CommandError: The options describe no request.
     """
     if text.startswith("{"):
@@ -108,7 +108,7 @@
     """The recorded request that LOG:LINE refers to.
 
     Raises:
-        Unreadable: A front would reject it before any rule.
+        UnreadableRequestError: A front would reject it before any rule.
         CommandError: There is no such line, or no request in it.
     """
     name, _, line = reference.rpartition(":")
@@ -131,7 +131,7 @@
         setattr(request, name, value)
 
 
-def echo_unreadable(error: Unreadable, as_json: bool) -> None:
+def echo_unreadable(error: UnreadableRequestError, as_json: bool) -> None:
     """Print how a front would answer a request that no rule sees."""
     if as_json:
         echo_json({"unreadable": error.status, "reason": str(error)})
--- a/stoatrouter/cli/tables.py
+++ b/stoatrouter/cli/tables.py
@@ -12,8 +12,8 @@
 from stoatrouter.core.spans import span
 from stoatrouter.expressions.environment import Environment
 from stoatrouter.fronts.http.settings import vocabulary
-from stoatrouter.matching.files import Files, Sources, Tables
-from stoatrouter.matching.inputs import HTTP, OBJECTS
+from stoatrouter.matching.files import RuleFileReader, RuleSources, TableLoader
+from stoatrouter.matching.inputs import HTTP_ENVIRONMENT, OBJECT_ENVIRONMENT
 from stoatrouter.matching.table import Table
 from stoatrouter.matching.vocabulary import Bucket, KnownClass, Vocabulary
 from stoatrouter.settings import Fault, load
@@ -30,7 +30,7 @@
     """
 
     table: Table
-    sources: Sources
+    sources: RuleSources
     environment: Environment
     names_checked: bool
 
@@ -54,12 +54,12 @@
     """
     configured = configured_vocabulary(config_path)
     words = assumed_vocabulary(path) if configured is None else configured
-    environment: Environment = HTTP
+    environment: Environment = HTTP_ENVIRONMENT
     buckets = None
     if objects is not None:
-        environment = OBJECTS
+        environment = OBJECT_ENVIRONMENT
         buckets = load_buckets(objects)
-    table, sources = Tables(path, words, environment, buckets).load()
+    table, sources = TableLoader(path, words, environment, buckets).load()
     return LoadedTable(table, sources, environment, configured is not None)
 
 
@@ -84,7 +84,7 @@
     Raises:
         SettingsError: All errors of the files.
     """
-    scopes = Files().read(path).operator.record.scopes.values()
+    scopes = RuleFileReader().read(path).operator.record.scopes.values()
     classes = sorted({name for scope in scopes for name in scope.classes})
     plans = sorted({name for scope in scopes for name in scope.plans})
     known = tuple(KnownClass(name, False, ASSUMED_DEADLINE) for name in classes)
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -23,7 +23,7 @@
     retry_after_field,
 )
 from stoatrouter.matching.decisions import Decision, Refusal
-from stoatrouter.matching.inputs import Input, Unreadable, read_input
+from stoatrouter.matching.inputs import Input, UnreadableRequestError, read_input
 from stoatrouter.matching.matcher import Matcher
 from stoatrouter.net.bodies import Body, BodyCapacity
 from stoatrouter.net.engine import Engine
@@ -99,7 +99,7 @@
             if self.drain.overloaded():
                 return self.reject_crowded(request, translated.request_class)
             body = await self.read_body(request)
-        except (BadRequest, Unreadable) as error:
+        except (BadRequest, UnreadableRequestError) as error:
             reason = error.reason if isinstance(error, BadRequest) else str(error)
             return close_after(web.Response(status=error.status, text=f"{reason}\n"))
         except NoCapacity:
@@ -176,7 +176,7 @@
 
 
 def read_request(request: web.BaseRequest) -> Input:
-    """Parse a request into the input of rules; raises Unreadable or BadRequest."""
+    """Parse a request into the input of rules; raises UnreadableRequestError or BadRequest."""
     if request.method == "CONNECT" or "Upgrade" in request.headers:
         raise BadRequest("tunnels and upgrades are not served", 501)
     check_expectation(request)
--- a/stoatrouter/fronts/objects/rules.py
+++ b/stoatrouter/fronts/objects/rules.py
@@ -17,7 +17,7 @@
 from stoatrouter.fronts.objects.settings import PLAN_BY_RULES, Bucket, ObjectSettings
 from stoatrouter.fronts.objects.store import CallTerms, PieceTerms
 from stoatrouter.matching.decisions import Decision, Refusal
-from stoatrouter.matching.inputs import Input, Unreadable, read_input
+from stoatrouter.matching.inputs import Input, UnreadableRequestError, read_input
 from stoatrouter.matching.matcher import Matcher
 from stoatrouter.policy import interface as api
 
@@ -89,7 +89,7 @@
             request.remote or "0.0.0.0",
             -1 if size is None else size,
         )
-    except Unreadable as error:
+    except UnreadableRequestError as error:
         raise ObjectError(ErrorCode.INVALID_REQUEST, str(error)) from None
 
 
--- a/stoatrouter/fronts/wiring.py
+++ b/stoatrouter/fronts/wiring.py
@@ -8,8 +8,8 @@
 from stoatrouter.expressions.environment import Environment
 from stoatrouter.fronts.http.settings import HttpSettings, idempotency_windows, vocabulary
 from stoatrouter.fronts.objects.settings import ObjectSettings
-from stoatrouter.matching.files import Tables
-from stoatrouter.matching.inputs import HTTP, OBJECTS
+from stoatrouter.matching.files import TableLoader
+from stoatrouter.matching.inputs import HTTP_ENVIRONMENT, OBJECT_ENVIRONMENT
 from stoatrouter.matching.samples import Sampler
 from stoatrouter.matching.vocabulary import Bucket
 from stoatrouter.net.recorder import Recorder
@@ -39,12 +39,15 @@
         name: Bucket(bucket.volume, plans[bucket.plan] if bucket.plan >= 0 else None)
         for name, bucket in objects.buckets.items()
     }
-    return create_service(conf, create_tables(conf, objects.rules, OBJECTS, buckets), shadow=None)
+    return create_service(conf, create_tables(conf, objects.rules, OBJECT_ENVIRONMENT, buckets), shadow=None)
 
 
 def create_tables(
-    conf: Config, path: Path, environment: Environment = HTTP, buckets: dict[str, Bucket] | None = None
-) -> Tables:
+    conf: Config,
+    path: Path,
+    environment: Environment = HTTP_ENVIRONMENT,
+    buckets: dict[str, Bucket] | None = None,
+) -> TableLoader:
     """Create the loader of a rule file's tables, with the vocabulary of this configuration.
 
     Args:
@@ -53,10 +56,10 @@
         environment: What expressions may use: the HTTP front's requests or the object front's calls.
         buckets: The buckets that rules may name; None for the HTTP front.
     """
-    return Tables(path, vocabulary(conf), environment, buckets)
+    return TableLoader(path, vocabulary(conf), environment, buckets)
 
 
-def create_service(conf: Config, tables: Tables, shadow: Tables | None) -> TableService:
+def create_service(conf: Config, tables: TableLoader, shadow: TableLoader | None) -> TableService:
     """Create the service that puts tables in force and in shadow; raises ConfigError for faulty rules."""
     try:
         return TableService(tables, shadow, idempotency_windows(conf.settings))
--- a/stoatrouter/matching/files.py
+++ b/stoatrouter/matching/files.py
@@ -10,21 +10,21 @@
 from stoatrouter.expressions.environment import Environment
 from stoatrouter.matching.cache import Cache
 from stoatrouter.matching.diagnostics import Diagnostic, TableError
-from stoatrouter.matching.inputs import HTTP
-from stoatrouter.matching.loader import Loader
+from stoatrouter.matching.inputs import HTTP_ENVIRONMENT
 from stoatrouter.matching.records import Rule, Rules, Team
 from stoatrouter.matching.table import Table
+from stoatrouter.matching.table_compiler import TableCompiler
 from stoatrouter.matching.vocabulary import Bucket, Vocabulary
 from stoatrouter.settings import Fault, Loaded, Place, SettingsError, load
 
 # Definitions of the schema, settings/schemas/rules.cue.
-RULES = "rules.#Rules"
-TEAM = "rules.#Team"
+RULES_DEFINITION = "rules.#Rules"
+TEAM_DEFINITION = "rules.#Team"
 EPOCH_LENGTH = 12  # hex digits
 
 
 @dataclass(slots=True, frozen=True)
-class Sources:
+class RuleSources:
     """The files of a table as they were read: the operator's, and the teams' by scope."""
 
     operator: Loaded[Rules]
@@ -62,16 +62,16 @@
         )
 
 
-class Files:
+class RuleFileReader:
     """Reads rule files; a team's file is read again only where it has changed."""
 
     def __init__(self) -> None:
         """Start without any file read."""
         self.teams: dict[Path, Loaded[Team]] = {}
 
-    def read(self, path: Path) -> Sources:
+    def read(self, path: Path) -> RuleSources:
         """Read an operator's rule file and the team files that it names; raises SettingsError."""
-        operator: Loaded[Rules] = load(path, Rules, RULES)
+        operator: Loaded[Rules] = load(path, Rules, RULES_DEFINITION)
         faults: list[Fault] = []
         teams: dict[str, Loaded[Team]] = {}
         for name, scope in operator.record.scopes.items():
@@ -90,18 +90,18 @@
         if faults:
             raise SettingsError(*faults)
         self.teams = {path: team for path, team in self.teams.items() if team in teams.values()}
-        return Sources(operator, teams)
+        return RuleSources(operator, teams)
 
     def read_team(self, path: Path) -> Loaded[Team]:
         """Read a team's file, again only if it has changed; raises SettingsError."""
         team = self.teams.get(path)
         if team is None or not team.unchanged():
-            team = self.teams[path] = load(path, Team, TEAM)
+            team = self.teams[path] = load(path, Team, TEAM_DEFINITION)
         return team
 
 
 @dataclass(slots=True)
-class Tables:
+class TableLoader:
     """Loads the tables of one rule file; what has not changed is taken from the previous one.
 
     Attributes:
@@ -115,17 +115,17 @@
 
     path: Path
     vocabulary: Vocabulary
-    environment: Environment = HTTP
+    environment: Environment = HTTP_ENVIRONMENT
     buckets: Mapping[str, Bucket] | None = None
-    files: Files = field(default_factory=Files)
+    files: RuleFileReader = field(default_factory=RuleFileReader)
     cache: Cache = field(default_factory=Cache)
 
-    def load(self) -> tuple[Table, Sources]:
+    def load(self) -> tuple[Table, RuleSources]:
         """Load the table of the files as they are now; raises SettingsError with all faults."""
         sources = self.files.read(self.path)
         rules: dict[str, Sequence[Rule]] = {name: team.record.rules for name, team in sources.teams.items()}
         try:
-            loader = Loader(self.vocabulary, self.environment, self.cache, self.buckets)
+            loader = TableCompiler(self.vocabulary, self.environment, self.cache, self.buckets)
             return loader.load(sources.operator.record, rules, sources.epoch), sources
         except TableError as error:
             raise SettingsError(*map(sources.locate, error.errors)) from None
--- a/stoatrouter/matching/inputs.py
+++ b/stoatrouter/matching/inputs.py
@@ -32,7 +32,7 @@
 MAX_SIZE = 1 << 53  # bytes of a body
 
 STRING_MAP = t.MapOf(t.STRING, repeated=True)
-HTTP = Environment(
+HTTP_ENVIRONMENT = Environment(
     {
         "request.method": Variable(t.STRING, "method", text_bound(MAX_METHOD, 1)),
         "request.host": Variable(t.STRING, "host", text_bound(MAX_HOST)),
@@ -54,9 +54,9 @@
         "source.ip": Variable(t.IP, "ip", Bound()),
     }
 )
-OBJECTS = Environment(
+OBJECT_ENVIRONMENT = Environment(
     {
-        **HTTP.variables,
+        **HTTP_ENVIRONMENT.variables,
         "object.bucket": Variable(t.STRING, "bucket", text_bound(63)),
         "object.key": Variable(t.STRING, "key", text_bound(1024)),
         "object.operation": Variable(t.STRING, "operation", text_bound(32, 1)),
@@ -72,7 +72,7 @@
 CONTROL_CHARACTER = re.compile("[\x00-\x1f\x7f]")
 
 
-class Unreadable(Exception):
+class UnreadableRequestError(Exception):
     """A request that is rejected before rules are tried."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -171,13 +171,13 @@
     size: int = -1,
     request_class: str = "",
 ) -> Input:
-    """Parse a request; raises Unreadable where it is malformed, ambiguous or exceeds a bound.
+    """Parse a request; raises UnreadableRequestError where it is malformed, ambiguous or exceeds a bound.
 
     Method, target and header lines are as they came, `peer` is the client's address, `size` the stated
     length of the body in bytes or -1, `request_class` what the front would give without rules, if any.
     """
     if not METHOD_PATTERN.fullmatch(method):
-        raise Unreadable(400, "the method is no token")
+        raise UnreadableRequestError(400, "the method is no token")
     request = Input()
     request.method = method
     request.size = size
@@ -185,7 +185,7 @@
     request.peer = peer
     request.headers = read_fields(fields)
     if "host" in request.headers.lists:
-        raise Unreadable(400, "more than one Host")
+        raise UnreadableRequestError(400, "more than one Host")
     host, path_and_query = split_target(target, request.headers.get("host", ""))
     request.host = read_host(host)
     read_path_and_query(request, path_and_query)
@@ -193,26 +193,30 @@
 
 
 def split_target(target: str, host: str) -> Target:
-    """Split a target in origin or absolute form; the latter's host precedes Host. Raises Unreadable."""
+    """Split a target in origin or absolute form; the host of the absolute form overrides the Host field.
+
+    Raises:
+        UnreadableRequestError: The target is malformed.
+    """
     if not TARGET_PATTERN.fullmatch(target):
-        raise Unreadable(400, "the target has characters that must be escaped")
+        raise UnreadableRequestError(400, "the target has characters that must be escaped")
     if target.startswith("/"):
         return Target(host, target)
     absolute = ABSOLUTE_FORM.fullmatch(target)
     if absolute is None:
-        raise Unreadable(400, "the target is no path")
+        raise UnreadableRequestError(400, "the target is no path")
     path_and_query = absolute[2] if absolute[2].startswith("/") else "/" + absolute[2]
     return Target(absolute[1], path_and_query)
 
 
 def read_path_and_query(request: Input, path_and_query: str) -> None:
-    """Set a request's path and query; raises Unreadable.
+    """Set a request's path and query; raises UnreadableRequestError.
 
     What may be rejected in segments and query is read here, as that must not happen within a rule.
     """
     path, _, query = path_and_query.partition("?")
     if len(path) > MAX_PATH or len(query) > MAX_QUERY or query.count("&") >= MAX_PAIRS:
-        raise Unreadable(414, "the path or the query is too long")
+        raise UnreadableRequestError(414, "the path or the query is too long")
     request.raw_path = path
     request.raw_query = query
     request.path = normalize_path(path) if "%" in path or "." in path else path
@@ -223,7 +227,7 @@
 
 
 def read_fields(lines: Iterable[tuple[bytes, bytes]]) -> Fields:
-    """Read header fields by lower-case name; raises Unreadable.
+    """Read header fields by lower-case name; raises UnreadableRequestError.
 
     Lines of one name are joined by ', ' in their order (RFC 9110, 5.3), those of Cookie by '; ' (RFC 6265).
     Bytes that are not UTF-8 become U+FFFD.
@@ -239,25 +243,29 @@
         values[name] = value
         # Guards the bounds that costs are computed from.
         if len(value) > MAX_FIELD_VALUE:
-            raise Unreadable(431, f"the header field {name[:40]} is too long")
+            raise UnreadableRequestError(431, f"the header field {name[:40]} is too long")
     if len(values) > MAX_FIELDS or any(len(lines) > MAX_FIELDS for lines in lists.values()):
-        raise Unreadable(431, "too many header fields")
+        raise UnreadableRequestError(431, "too many header fields")
     if values.get("cookie", "").count(";") >= MAX_PAIRS:
-        raise Unreadable(431, "too many cookies")
+        raise UnreadableRequestError(431, "too many cookies")
     return Fields(values, lists)
 
 
 @lru_cache(maxsize=1024)
 def read_host(text: str) -> str:
-    """Read a host without its port, in lower case and without a trailing dot; raises Unreadable."""
+    """Return a host in lower case without its port and its trailing dot.
+
+    Raises:
+        UnreadableRequestError: The host is malformed or too long.
+    """
     match = HOST_PATTERN.fullmatch(text)
     if match is None or len(match[1]) > MAX_HOST:
-        raise Unreadable(400, "the host cannot be read")
+        raise UnreadableRequestError(400, "the host cannot be read")
     return match[1].lower().removesuffix(".")
 
 
 def normalize_path(path: str) -> str:
-    """Bring a path to the normal form of RFC 3986, 6.2.2; raises Unreadable.
+    """Bring a path to the normal form of RFC 3986, 6.2.2; raises UnreadableRequestError.
 
     Escapes of unreserved characters are undone, and hex digits are in upper case. Escaped slashes and empty
     segments stay.
@@ -265,44 +273,44 @@
 
     def normalize_escape(escape: re.Match[str]) -> str:
         if escape[1] is None:
-            raise Unreadable(400, "a % in the path is followed by no two hex digits")
+            raise UnreadableRequestError(400, "a % in the path is followed by no two hex digits")
         character = chr(int(escape[1], 16))
         return character if character in UNRESERVED else f"%{escape[1].upper()}"
 
     path = PERCENT_ESCAPE.sub(normalize_escape, path)
     # Guards nodes and rules against two readings of one path: whoever resolves dots would see another one.
     if "/." in path and any(part in (".", "..") for part in path.split("/")):
-        raise Unreadable(400, "the path has dot segments")
+        raise UnreadableRequestError(400, "the path has dot segments")
     return path
 
 
 def read_segments(path: str) -> list[str]:
-    """Split a path in normal form into its unescaped segments; raises Unreadable."""
+    """Split a path in normal form into its unescaped segments; raises UnreadableRequestError."""
     parts = path[1:].split("/") if path != "/" else []
     if len(parts) > MAX_SEGMENTS:
-        raise Unreadable(414, "the path has too many segments")
+        raise UnreadableRequestError(414, "the path has too many segments")
     return [read_segment(part) for part in parts]
 
 
 def read_segment(part: str) -> str:
-    """Unescape one segment of a path; raises Unreadable."""
+    """Unescape one segment of a path; raises UnreadableRequestError."""
     value = unescape(part, 400, "the path") if "%" in part else part
     # Guards keys and logs: nothing that ends a string or a line elsewhere gets through.
     if CONTROL_CHARACTER.search(value):
-        raise Unreadable(400, "the path has control characters")
+        raise UnreadableRequestError(400, "the path has control characters")
     if len(value) > MAX_SEGMENT:
-        raise Unreadable(414, "a segment of the path is too long")
+        raise UnreadableRequestError(414, "a segment of the path is too long")
     return value
 
 
 def unescape(text: str, status: int, subject: str) -> str:
-    """Undo percent escapes, which must be UTF-8; raises Unreadable that names the subject."""
+    """Undo percent escapes, which must be UTF-8; raises UnreadableRequestError that names the subject."""
     if any(escape[1] is None for escape in PERCENT_ESCAPE.finditer(text)):
-        raise Unreadable(status, f"a % in {subject} is followed by no two hex digits")
+        raise UnreadableRequestError(status, f"a % in {subject} is followed by no two hex digits")
     try:
         return unquote_to_bytes(text).decode("utf-8")
     except UnicodeDecodeError:
-        raise Unreadable(status, f"{subject} is not UTF-8") from None
+        raise UnreadableRequestError(status, f"{subject} is not UTF-8") from None
 
 
 def read_query(raw: str) -> Fields:
@@ -315,7 +323,7 @@
 
 
 def unescape_query(text: str) -> str:
-    """Unescape a name or value of a query; raises Unreadable."""
+    """Unescape a name or value of a query; raises UnreadableRequestError."""
     text = text.replace("+", " ")
     return unescape(text, 400, "the query") if "%" in text else text
 
--- a/stoatrouter/matching/matcher.py
+++ b/stoatrouter/matching/matcher.py
@@ -12,7 +12,7 @@
 from stoatrouter.expressions.runtime import stable_hash
 from stoatrouter.matching.decisions import Decision, Refusal
 from stoatrouter.matching.inputs import Input
-from stoatrouter.matching.placements import KeyConflict, PlacementKey, Placements
+from stoatrouter.matching.placements import KeyConflictError, PlacementKey, Placements
 from stoatrouter.matching.table import Table
 
 MAX_DIFFERENCES = 1_000  # pairs of rules whose differences are counted apart
@@ -45,7 +45,7 @@
         """Put a table in force. Placements stay, as they belong to requests and not to tables."""
         self.table = table
 
-    def put_in_shadow(self, table: Table | None) -> None:
+    def set_shadow(self, table: Table | None) -> None:
         """Run another table beside the one in force, or none; counts start again."""
         self.shadow = table
         self.shadowed = 0
@@ -78,7 +78,7 @@
         fingerprint = stable_hash(f"{request.method} {request.raw_query}")
         try:
             earlier = self.placements.find(key, fingerprint, now)
-        except KeyConflict:
+        except KeyConflictError:
             return Refusal(422, "this Idempotency-Key came with another request", decision.scope)
         if earlier is not None:
             decision = earlier
--- a/stoatrouter/matching/placements.py
+++ b/stoatrouter/matching/placements.py
@@ -39,7 +39,7 @@
     until: timedelta
 
 
-class KeyConflict(Exception):
+class KeyConflictError(Exception):
     """An idempotency key came with another request than before."""
 
 
@@ -54,7 +54,7 @@
         """
         self.limit = limit
         self.entries: OrderedDict[tuple[str, str, str], Placement] = OrderedDict()
-        self.forgotten = 0  # evicted while they were still valid
+        self.evicted = 0  # evicted while they were still valid
 
     def find(self, key: tuple[str, str, str], fingerprint: int, now: timedelta) -> Decision | None:
         """Find the decision stored for a key.
@@ -65,14 +65,14 @@
             now: The time since the Unix epoch.
 
         Raises:
-            KeyConflict: The decision was made for another request.
+            KeyConflictError: The decision was made for another request.
         """
         placement = self.entries.get(key)
         if placement is None or placement.until <= now:
             return None
         # Guards data: two requests under one key would be taken for retries of each other.
         if placement.fingerprint != fingerprint:
-            raise KeyConflict
+            raise KeyConflictError
         return placement.decision
 
     def store(
@@ -95,5 +95,5 @@
             if oldest.until > now:
                 if len(self.entries) <= self.limit:
                     return
-                self.forgotten += 1
+                self.evicted += 1
             del self.entries[key]
--- a/stoatrouter/matching/samples.py
+++ b/stoatrouter/matching/samples.py
@@ -54,7 +54,7 @@
 
 
 def read_sample(line: str) -> Input:
-    """Parse a record as service would the request; raises ValueError or Unreadable."""
+    """Parse a record as service would the request; raises ValueError or UnreadableRequestError."""
     try:
         record: dict[str, Any] = json.loads(line)
         fields = [
--- a/stoatrouter/matching/loader.py
+++ b/stoatrouter/matching/table_compiler.py
@@ -10,7 +10,7 @@
 from stoatrouter.matching.conjuncts import Constraint
 from stoatrouter.matching.coverage import Coverage
 from stoatrouter.matching.diagnostics import Diagnostic, TableError
-from stoatrouter.matching.inputs import HTTP
+from stoatrouter.matching.inputs import HTTP_ENVIRONMENT
 from stoatrouter.matching.records import Rule, Rules, Scope
 from stoatrouter.matching.rule_compiler import RuleCompiler
 from stoatrouter.matching.scopes import ScopeIndex, find_collisions
@@ -22,13 +22,13 @@
 DEAREST_SHOWN = 3  # rules that an error about a scope's steps names
 
 
-class Loader(RuleCompiler):
+class TableCompiler(RuleCompiler):
     """One load of one table; it collects errors, and takes what is unchanged from the cache."""
 
     def __init__(
         self,
         vocabulary: Vocabulary,
-        environment: Environment = HTTP,
+        environment: Environment = HTTP_ENVIRONMENT,
         cache: Cache | None = None,
         buckets: Mapping[str, Bucket] | None = None,
     ) -> None:
--- a/stoatrouter/net/tables.py
+++ b/stoatrouter/net/tables.py
@@ -16,7 +16,7 @@
 
 from loguru import logger
 
-from stoatrouter.matching.files import Sources, Tables
+from stoatrouter.matching.files import RuleSources, TableLoader
 from stoatrouter.matching.matcher import Matcher
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
@@ -76,9 +76,9 @@
 class CompiledTable:
     """A compiled table, where it was read from, and its files as they were read."""
 
-    tables: Tables
+    tables: TableLoader
     table: Table
-    sources: Sources
+    sources: RuleSources
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,14 +86,16 @@
     """The tables loaded from the operator's files: the one to put in force, and the one in shadow, if any."""
 
     table: Table
-    sources: Sources
+    sources: RuleSources
     shadow: Table | None
 
 
 class TableService:
     """Loads tables and puts them in force, one at a time."""
 
-    def __init__(self, tables: Tables, shadow: Tables | None, windows: dict[int, timedelta]) -> None:
+    def __init__(
+        self, tables: TableLoader, shadow: TableLoader | None, windows: dict[int, timedelta]
+    ) -> None:
         """Load the tables and put them in force at once.
 
         Args:
@@ -108,12 +110,12 @@
         self.shadow = shadow
         loaded = self.load()
         self.matcher = Matcher(self.log_in_force(loaded.table, loaded.sources), windows)
-        self.matcher.put_in_shadow(loaded.shadow)
+        self.matcher.set_shadow(loaded.shadow)
         self.reloading: asyncio.Task[None] | None = None
         self.reload_again = False
         self.managed = False  # the table comes from the heads' history, not from this head's files
 
-    def log_in_force(self, table: Table, sources: Sources) -> Table:
+    def log_in_force(self, table: Table, sources: RuleSources) -> Table:
         """Log which table is in force, and its warnings; returns the table."""
         logger.info(
             "rules: table {epoch} with {rules} rules in {scopes} scopes is in force",
@@ -154,7 +156,7 @@
                 logger.exception("rules: loading failed in an unforeseen way", event="rules.fault")
                 continue
             self.matcher.replace(self.log_in_force(loaded.table, loaded.sources))
-            self.matcher.put_in_shadow(loaded.shadow)
+            self.matcher.set_shadow(loaded.shadow)
 
     def log_rejected(self, error: SettingsError) -> None:
         """Log that the files were rejected, and their faults."""
@@ -178,7 +180,7 @@
     async def compile(self, path: Path) -> CompiledTable:
         """Compile a table of other files without putting it in force; raises SettingsError."""
         now = self.tables
-        tables = Tables(path, now.vocabulary, now.environment, now.buckets, cache=now.cache)
+        tables = TableLoader(path, now.vocabulary, now.environment, now.buckets, cache=now.cache)
         table, sources = await in_thread(lambda: without_long_pauses(tables.load))
         return CompiledTable(tables, table, sources)
 
@@ -198,8 +200,8 @@
             if matcher.shadow is not None and differences != logged_differences:
                 self.log_differences()
             logged_differences = differences
-            if matcher.placements.forgotten != forgotten:
-                forgotten = matcher.placements.forgotten
+            if matcher.placements.evicted != forgotten:
+                forgotten = matcher.placements.evicted
                 logger.warning(
                     "rules: {count} placements forgotten before their time",
                     event="rules.forgotten",
--- a/tests/matching_tables.py
+++ b/tests/matching_tables.py
@@ -5,8 +5,8 @@
 from hypothesis import HealthCheck, settings
 
 from stoatrouter.matching.inputs import read_input
-from stoatrouter.matching.loader import Loader
 from stoatrouter.matching.records import Otherwise, Rule, Rules, Scope
+from stoatrouter.matching.table_compiler import TableCompiler
 from tests.rules import APP, FEED, WORDS
 
 DETERMINED = settings(
@@ -28,7 +28,7 @@
 
 def table(*rules, scope=EVERYTHING):
     made = Rules({"all": scope}, Otherwise(404, "no rule matches"))
-    return Loader(WORDS).load(made, {"all": rules}, "epoch")
+    return TableCompiler(WORDS).load(made, {"all": rules}, "epoch")
 
 
 def rule(name, when, **more):
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -18,7 +18,7 @@
 from stoatrouter import expressions as ex
 from stoatrouter.expressions import types as t
 from stoatrouter.expressions.show import format_node
-from stoatrouter.matching.inputs import HTTP, read_input
+from stoatrouter.matching.inputs import HTTP_ENVIRONMENT, read_input
 from tests.reference import Fault, Opt, Reference
 
 REQUEST = read_input(
@@ -36,7 +36,7 @@
     212,
     "score-read",
 )
-VARIABLES = {name: getattr(REQUEST, v.attribute) for name, v in HTTP.variables.items()}
+VARIABLES = {name: getattr(REQUEST, v.attribute) for name, v in HTTP_ENVIRONMENT.variables.items()}
 DETERMINED = settings(
     max_examples=400, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
 )
@@ -62,10 +62,10 @@
 def test_conformance(source, value):
     if value.startswith("!"):
         with pytest.raises(ex.ExpressionError) as refusal:
-            ex.load(source, HTTP)
+            ex.load(source, HTTP_ENVIRONMENT)
         assert value[1:].strip() in str(refusal.value)
         return
-    made = ex.load(source, HTTP).run(REQUEST)
+    made = ex.load(source, HTTP_ENVIRONMENT).run(REQUEST)
     assert made == meant(value) and type(made) is type(meant(value))
 
 
@@ -73,7 +73,7 @@
     with pytest.raises(ex.ExpressionError) as refusal:
         ex.load(
             'request.method == "GET" &&\n  request.headers["X-Team"] == "a" && 1 / size(request.path) == 0 && x',
-            HTTP,
+            HTTP_ENVIRONMENT,
         )
     first, *others = refusal.value.problems
     assert str(first.at) == "2:19" and 'request.headers["x-team"]' in first.what
@@ -172,11 +172,11 @@
     """One generated expression, compiled and by the reference: the same value, and steps within the bound."""
     tree = ex.parse(source)
     try:
-        checked = ex.check(tree, HTTP, None, ROOMY)
+        checked = ex.check(tree, HTTP_ENVIRONMENT, None, ROOMY)
     except ex.ExpressionError as error:
         assert all("may" in problem.what for problem in error.problems), (source, str(error))
         tree = ex.parse(f"try({source})")  # it may fail, and then has to say so to be accepted
-        checked = ex.check(tree, HTTP, None, ROOMY)
+        checked = ex.check(tree, HTTP_ENVIRONMENT, None, ROOMY)
     reference = Reference(VARIABLES, ("request.headers",))
     value = ex.compile_checked(checked).run(REQUEST)
     wanted = reference.of(tree)
@@ -255,7 +255,7 @@
 )
 def test_any_text_is_a_value_or_a_located_refusal(source):
     try:
-        ex.load(source, HTTP).run(REQUEST)
+        ex.load(source, HTTP_ENVIRONMENT).run(REQUEST)
     except ex.ExpressionError as error:
         assert error.problems and all(p.at.line >= 1 and p.at.column >= 1 and p.what for p in error.problems)
 
@@ -284,7 +284,7 @@
 def test_hostile_text_is_refused_or_bounded_in_memory(kind):
     tracemalloc.start()
     try:
-        value = ex.load(HOSTILE[kind], HTTP).run(REQUEST)
+        value = ex.load(HOSTILE[kind], HTTP_ENVIRONMENT).run(REQUEST)
         assert kind in ("parentheses that fit", "alternatives", "backtracking") and value in (
             1,
             True,
@@ -300,7 +300,7 @@
 
 def test_a_pattern_that_backtracks_elsewhere_is_linear_here():
     """Work grows with the text, not with its square: counted in time against itself, with a wide margin."""
-    program = ex.load('request.headers[?"x-long"].orValue("").matches("(a+)+$")', HTTP)
+    program = ex.load('request.headers[?"x-long"].orValue("").matches("(a+)+$")', HTTP_ENVIRONMENT)
 
     def run(length):
         given = read_input("GET", "/", ((b"X-Long", b"a" * length + b"!"),), "10.0.0.1")
@@ -312,20 +312,20 @@
 
 
 def test_no_builtins_are_in_reach():
-    program = ex.load('request.path.split("/").exists(p, p == "open" || p == "__import__")', HTTP)
+    program = ex.load('request.path.split("/").exists(p, p == "open" || p == "__import__")', HTTP_ENVIRONMENT)
     assert program.run.__globals__["__builtins__"] == {}
     with pytest.raises(ex.ExpressionError):
-        ex.load("request.method.__class__", HTTP)
+        ex.load("request.method.__class__", HTTP_ENVIRONMENT)
 
 
 def test_types_say_what_they_are():
-    assert str(ex.load('request.headers[?"a"]', HTTP).type) == "optional_type(string)"
+    assert str(ex.load('request.headers[?"a"]', HTTP_ENVIRONMENT).type) == "optional_type(string)"
     with pytest.raises(ex.ExpressionError, match="this yields int, but bool is wanted here"):
-        ex.load("1", HTTP, t.BOOL)
+        ex.load("1", HTTP_ENVIRONMENT, t.BOOL)
 
 
 def test_addresses_of_both_families():
-    inside = ex.load('cidr("10.0.0.0/8").containsIP(source.ip)', HTTP)
+    inside = ex.load('cidr("10.0.0.0/8").containsIP(source.ip)', HTTP_ENVIRONMENT)
     assert inside.run(read_input("GET", "/", (), "::ffff:10.0.0.9")) is True
     assert inside.run(read_input("GET", "/", (), "fe80::1%lo")) is False
     assert str(REQUEST.ip) == str(ipaddress.ip_address("10.1.2.3"))
@@ -351,7 +351,9 @@
 def test_examples_of_the_page(source, said):
     if said.startswith("refused: "):
         with pytest.raises(ex.ExpressionError, match=re.escape(said.removeprefix("refused: "))):
-            ex.load(source, HTTP)
+            ex.load(source, HTTP_ENVIRONMENT)
     else:
         assert said.startswith("-> "), said
-        assert ex.load(source, HTTP).run(REQUEST) == ex.load(said[3:], HTTP).run(REQUEST)
+        assert ex.load(source, HTTP_ENVIRONMENT).run(REQUEST) == ex.load(said[3:], HTTP_ENVIRONMENT).run(
+            REQUEST
+        )
--- a/tests/test_matcher.py
+++ b/tests/test_matcher.py
@@ -52,16 +52,16 @@
     kept, decision = Placements(limit=10), table(rule("r", "true")).decide(ask())
     for i in range(25):
         kept.store(("h", "/", str(i)), decision, 0, T0, timedelta(seconds=5))
-    assert len(kept.entries) == 10 and kept.forgotten == 15
+    assert len(kept.entries) == 10 and kept.evicted == 15
     assert kept.find(("h", "/", "24"), 0, T0) == decision and kept.find(("h", "/", "3"), 0, T0) is None
     kept.store(("h", "/", "x"), decision, 0, T0 + timedelta(seconds=6), timedelta(seconds=5))
-    assert len(kept.entries) == 1 and kept.forgotten == 15  # those whose time is over are not counted
+    assert len(kept.entries) == 1 and kept.evicted == 15  # those whose time is over are not counted
 
 
 def test_a_shadow_decides_nothing_and_its_differences_are_counted_by_rule():
     reads = rule("reads", 'request.method == "GET"', request_class="score-read")
     matcher = Matcher(table(reads, rule("rest", "true")))
-    matcher.put_in_shadow(table(rule("all", "true")))
+    matcher.set_shadow(table(rule("all", "true")))
     assert matcher.decide(ask(), T0).request_class == 0
     assert matcher.decide(ask(method="PUT"), T0).request_class == 1
     assert matcher.differences == {("all/reads", "all/all"): 1} and matcher.shadowed == 2
--- a/tests/test_matching.py
+++ b/tests/test_matching.py
@@ -14,7 +14,7 @@
 from stoatrouter.matching.conjuncts import split_condition
 from stoatrouter.matching.coverage import Coverage
 from stoatrouter.matching.diagnostics import TableError
-from stoatrouter.matching.files import Tables
+from stoatrouter.matching.files import TableLoader
 from stoatrouter.matching.records import Scope
 from stoatrouter.settings import SettingsError
 from tests.matching_tables import DETERMINED, ask, computed, rule, table
@@ -194,7 +194,7 @@
         app=f'rules: [\n{READS},\n{{name: "x", when: "1", class: "score-read"}}]\nscopes: {{}}',
     )
     with pytest.raises(SettingsError) as refusal:
-        Tables(path, WORDS).load()
+        TableLoader(path, WORDS).load()
     assert "app.cue:4: scopes: there is no such field" in str(refusal.value)  # a team says nothing of scopes
     write_rules(
         tmp_path,
@@ -202,7 +202,7 @@
         app=f'rules: [\n{READS},\n{{name: "x", when: "1", class: "score-read"}}]',
     )
     with pytest.raises(SettingsError) as refusal:
-        Tables(path, WORDS).load()
+        TableLoader(path, WORDS).load()
     text = str(refusal.value)
     assert "rules.cue:5: scopes.app" in text and "claimed by 'feed' as well" in text
     assert "app.cue:3: scopes.app.rules[1].when: 1:1: this yields int, but bool is wanted here" in text
@@ -210,7 +210,7 @@
 
 def test_a_bad_table_changes_nothing_and_a_good_one_all(tmp_path):
     path = write_rules(tmp_path)
-    tables = Tables(path, WORDS)
+    tables = TableLoader(path, WORDS)
     first, _ = tables.load()
     write_rules(tmp_path, feed="rules: [")  # in the middle of being written
     with pytest.raises(SettingsError, match="ends too early"):
@@ -239,5 +239,5 @@
     page = Path(__file__).parents[1] / "docs" / "rules.md"
     blocks = page.read_text().split("```cue\n")[1:]
     operator, team = (block.partition("```")[0] for block in blocks[:2])
-    made, _ = Tables(write_rules(tmp_path, operator, feed=team), WORDS).load()
+    made, _ = TableLoader(write_rules(tmp_path, operator, feed=team), WORDS).load()
     assert made.size >= 4 and not made.warnings
--- a/tests/test_request_reading.py
+++ b/tests/test_request_reading.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stoatrouter.matching.inputs import HTTP, Unreadable, read_input
+from stoatrouter.matching.inputs import HTTP_ENVIRONMENT, UnreadableRequestError, read_input
 from tests.matching_tables import DETERMINED, ask
 
 READING = [
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize(("target", "fields", "status"), UNREADABLE)
 def test_what_has_two_readings_or_is_too_large_is_refused_before_rules(target, fields, status):
-    with pytest.raises(Unreadable) as refusal:
+    with pytest.raises(UnreadableRequestError) as refusal:
         ask(target, fields=fields)
     assert refusal.value.status == status and str(refusal.value)
 
@@ -78,11 +78,11 @@
 def test_any_bytes_are_read_or_refused(target, fields):
     try:
         given = read_input("GET", "/" + target.decode("latin-1"), tuple(fields), "10.0.0.1")
-    except Unreadable as error:
+    except UnreadableRequestError as error:
         assert 400 <= error.status < 500
         return
     # whatever an expression may ask for is there, and within the bounds that costs come from
-    for variable in HTTP.variables.values():
+    for variable in HTTP_ENVIRONMENT.variables.values():
         value = getattr(given, variable.attribute)
         if isinstance(value, str | list | dict):
             assert len(value) <= variable.bound.length
