--- a/stoatrouter/matching/__init__.py
+++ b/stoatrouter/matching/__init__.py
@@ -1,1 +1,4 @@
-"""Rule tables: which rule a request matches, and what that yields for the core. Free of I/O and clock."""
+"""Rule tables: the rule that a request matches and the decision that it yields, without I/O or clock.
+
+The exception is `files`, which reads rule files.
+"""
--- a/stoatrouter/matching/cache.py
+++ b/stoatrouter/matching/cache.py
@@ -1,4 +1,4 @@
-"""What one load of a table leaves for the next: unchanged scopes, and expressions by their source."""
+"""Cache of a table's unchanged scopes and compiled expressions, which the next load of the table reuses."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from stoatrouter.expressions.compiler import compile_many
 from stoatrouter.matching.diagnostics import Diagnostic
 from stoatrouter.matching.records import Rule, Scope
-from stoatrouter.matching.table import CompiledScope, Run
+from stoatrouter.matching.table import CompiledFunction, CompiledScope
 from stoatrouter.matching.vocabulary import Vocabulary
 
 
 class PlanUse(NamedTuple):
-    """The volumes and plans that one rule can yield; a volume must have one plan."""
+    """The volumes and plans that one rule can yield; each volume must have a single plan."""
 
-    place: str  # the rule's path in the file
+    rule_path: str  # such as `scopes.app.rules[1]`
     volumes: frozenset[str]
     plans: frozenset[str]
 
@@ -27,11 +27,11 @@
     """A checked expression and the function that it was compiled to."""
 
     checked: Checked
-    run: Run
+    run: CompiledFunction
 
 
 class ExpressionKey(NamedTuple):
-    """What an expression is cached by; the environment is that of the whole cache."""
+    """Cache key of an expression; the environment is the same for the whole cache."""
 
     source: str
     wanted_type: t.Type | None
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CachedScope:
-    """A scope that was compiled without an error, with what it was compiled from."""
+    """A scope that was compiled without errors, with its source."""
 
     scope: Scope
     rules: tuple[Rule, ...]
@@ -50,18 +50,18 @@
 
 
 class Cache:
-    """The cache of one rule file's tables."""
+    """Cache for successive loads of one rule file."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.expressions: dict[ExpressionKey, Expression] = {}
-        self.used: set[ExpressionKey] = set()  # by the load in progress
+        self.used: set[ExpressionKey] = set()  # keys that the load in progress has used
         self.scopes: dict[str, CachedScope] = {}
         self.environment: Environment | None = None
         self.vocabulary: Vocabulary | None = None
 
     def begin(self, environment: Environment, vocabulary: Vocabulary) -> None:
-        """Begin a load; the cache is cleared where the environment or the vocabulary has changed."""
+        """Begin a load; clear the cache if the environment or the vocabulary has changed."""
         if (environment, vocabulary) != (self.environment, self.vocabulary):
             self.expressions.clear()
             self.scopes.clear()
@@ -69,7 +69,7 @@
         self.vocabulary = vocabulary
 
     def find_scope(self, name: str, scope: Scope, rules: Sequence[Rule]) -> CachedScope | None:
-        """Find a scope that is unchanged since it was compiled; returns None for any other."""
+        """Return the cached scope if it is unchanged since it was compiled, otherwise None."""
         cached = self.scopes.get(name)
         if cached is None or cached.scope != scope or cached.rules != tuple(rules):
             return None
@@ -82,7 +82,7 @@
         warnings: Sequence[Diagnostic],
         plan_uses: Sequence[PlanUse],
     ) -> None:
-        """Store a scope that was compiled without an error, for the next load."""
+        """Store a scope that was compiled without errors, for the next load."""
         self.scopes[compiled.name] = CachedScope(
             compiled.scope, tuple(rules), compiled, tuple(warnings), tuple(plan_uses)
         )
@@ -90,13 +90,13 @@
     def compile(
         self, source: str, wanted_type: t.Type | None, environment: Environment, max_steps: int
     ) -> Expression:
-        """Check and compile an expression, or take it from the cache.
+        """Return a checked and compiled expression, from the cache if it is there.
 
         Args:
             source: The expression's source.
-            wanted_type: The type that it must yield; None: any.
+            wanted_type: The type that it must yield; None allows any type.
             environment: The variables that it may use.
-            max_steps: The most steps that it may take in the worst case.
+            max_steps: The maximum number of steps in the worst case.
 
         Raises:
             ExpressionError: The expression has errors.
@@ -110,8 +110,8 @@
             expression = self.expressions[key] = Expression(checked, compile_many([checked])[0])
         return expression
 
-    def sweep(self, scopes: Iterable[str]) -> None:
-        """Remove expressions that the load in progress did not use, and scopes that are gone."""
+    def remove_unused(self, scopes: Iterable[str]) -> None:
+        """Remove expressions that the load in progress did not use, and scopes that no longer exist."""
         self.expressions = {key: self.expressions[key] for key in self.used if key in self.expressions}
         self.used = set()
         self.scopes = {name: self.scopes[name] for name in scopes if name in self.scopes}
--- a/stoatrouter/matching/conjuncts.py
+++ b/stoatrouter/matching/conjuncts.py
@@ -1,7 +1,7 @@
-"""The literal constraints of a condition, for the index, for coverage and for contradictions.
+"""Extracts the literal constraints of a condition, for the index and the checks for unreachable rules.
 
-A constraint is `dimension in values`, with the dimensions below. Other conjuncts of a condition are compared
-as they are written.
+A constraint has the form `dimension in values`, with the dimensions defined below. Other conjuncts of a
+condition are compared as written.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions.errors import Position
 
-# A dimension is a name with what it is about: ("method", ""), ("header", "x-team"), ("segment", "2") ...
+# A dimension is a kind and an element: ("method", ""), ("header", "x-team"), ("segment", "2") ...
 Dimension = tuple[str, str]
 SCALAR_DIMENSIONS = {
     "request.method": "method",
@@ -23,22 +23,27 @@
     "object.operation": "operation",
 }
 MAP_DIMENSIONS = {"request.headers": "header", "request.query": "query", "request.cookies": "cookie"}
-NOWHERE = Position(1, 1)
-# The expression `size(request.segments)`, which guards compare with a literal.
-SEGMENT_COUNT = s.Call(NOWHERE, 1, "size", (s.Select(NOWHERE, 1, s.Name(NOWHERE, 1, "request"), "segments"),))
+SYNTHETIC_POSITION = Position(1, 1)  # of nodes that no source text contains
+# The expression `size(request.segments)`, which guards of path segments compare with a literal.
+SEGMENT_COUNT = s.Call(
+    SYNTHETIC_POSITION,
+    1,
+    "size",
+    (s.Select(SYNTHETIC_POSITION, 1, s.Name(SYNTHETIC_POSITION, 1, "request"), "segments"),),
+)
 PREFIX: Dimension = ("prefix", "")
 PATH: Dimension = ("path", "")
 
 
 @dataclass(slots=True, frozen=True)
 class Constraint:
-    """A request must have one of these values in a dimension; for PREFIX its path starts with one."""
+    """Requires one of some values in a dimension of a request; for PREFIX, a path that starts with one."""
 
     dimension: Dimension
     values: frozenset[str]
 
     def implies(self, other: Constraint) -> bool:
-        """Whether every request that meets this constraint meets the other."""
+        """Return whether every request that meets this constraint also meets the other."""
         if self.dimension == other.dimension and self.dimension != PREFIX:
             return self.values <= other.values
         if other.dimension == PREFIX and self.dimension in (PREFIX, PATH):
@@ -46,7 +51,7 @@
         return False
 
     def excludes(self, other: Constraint) -> bool:
-        """Whether no request can meet both constraints."""
+        """Return whether no request can meet both constraints."""
         if PREFIX not in (self.dimension, other.dimension):
             return self.dimension == other.dimension and not self.values & other.values
         if not {self.dimension, other.dimension} <= {PREFIX, PATH}:
@@ -58,22 +63,22 @@
 
 
 class Contradiction(NamedTuple):
-    """Two constraints of one condition that no request can meet together."""
+    """Two constraints of one condition that no request can meet at the same time."""
 
     first: Constraint
     second: Constraint
 
 
 class Presence(NamedTuple):
-    """What a guard requires to be present: a field, or a segment of the path up to an index."""
+    """The element that a guard requires to be present: a field, or the path segments up to an index."""
 
     dimension: Dimension
-    segment: int = 0  # the index of the last one, for ("segment", "")
+    segment: int = 0  # for ("segment", ""): the index of the last required segment
 
 
 @dataclass(slots=True, frozen=True)
 class Condition:
-    """A condition in its parts.
+    """A condition, split into its conjuncts.
 
     Attributes:
         constraints: The conjuncts that are literal constraints, in order.
@@ -86,7 +91,7 @@
     is_false: bool = False
 
     def find_contradiction(self) -> Contradiction | None:
-        """Find two constraints that no request can meet together."""
+        """Return two constraints that no request can meet at the same time, or None."""
         for number, second in enumerate(self.constraints):
             for first in self.constraints[:number]:
                 if second.excludes(first):
@@ -94,15 +99,15 @@
         return None
 
     def covers(self, other: Condition) -> bool:
-        """Whether this condition certainly holds wherever the other does.
+        """Return whether this condition provably holds whenever the other one holds.
 
-        False where a proof would need more than the parts.
+        The result is False if a proof would need more than a comparison of the conjuncts.
         """
         implied = all(any(theirs.implies(mine) for theirs in other.constraints) for mine in self.constraints)
         return implied and all(term in other.others or other.guarantees(term) for term in self.others)
 
     def guarantees(self, term: s.Node) -> bool:
-        """Whether a guard holds because a constraint could not be met without it."""
+        """Return whether a guard holds because some constraint cannot be met otherwise."""
         required = find_presence(term)
         if required is None:
             return False
@@ -115,11 +120,11 @@
 
 
 def split_condition(node: s.Node) -> Condition:
-    """Split a condition into constraints and other conjuncts."""
+    """Split a condition into literal constraints and other conjuncts."""
     constraints: list[Constraint] = []
     others: set[s.Node] = set()
     is_false = False
-    for term in conjuncts(node):
+    for term in flatten_conjuncts(node):
         if isinstance(term, s.Literal):
             is_false = is_false or term.value is False  # `true` constrains nothing
         elif (constraint := parse_constraint(term)) is not None:
@@ -129,15 +134,15 @@
     return Condition(tuple(constraints), frozenset(others), is_false)
 
 
-def conjuncts(node: s.Node) -> list[s.Node]:
-    """The terms that must all hold, in order."""
+def flatten_conjuncts(node: s.Node) -> list[s.Node]:
+    """Return the terms of a conjunction in order, with nested conjunctions flattened."""
     if isinstance(node, s.Logic) and node.operator == "&&":
-        return [term for part in node.terms for term in conjuncts(part)]
+        return [term for part in node.terms for term in flatten_conjuncts(part)]
     return [node]
 
 
 def parse_constraint(node: s.Node) -> Constraint | None:
-    """Return the constraint that a conjunct states; None where it states none."""
+    """Return the literal constraint that a conjunct states, or None."""
     match node:
         case s.Call(function="==", arguments=(left, right)):
             return parse_equality(left, right) or parse_equality(right, left)
@@ -151,7 +156,7 @@
 
 
 def parse_equality(subject: s.Node, value: s.Node) -> Constraint | None:
-    """Return the constraint that `subject == value` states; None where it states none."""
+    """Return the constraint that `subject == value` states, or None."""
     text = literal_text(value)
     if text is None:
         return None
@@ -160,7 +165,7 @@
 
 
 def parse_membership(subject: s.Node, texts: list[str | None]) -> Constraint | None:
-    """Return the constraint that `subject in [...]` states; None where an item is no string literal."""
+    """Return the constraint that `subject in [...]` states; None if an item is not a string literal."""
     values = frozenset(text for text in texts if text is not None)
     if len(values) == 0 or None in texts:
         return None
@@ -172,7 +177,7 @@
 
 
 def find_dimension(node: s.Node, value: str) -> Dimension | None:
-    """Find the dimension that an expression reads where it then equals `value`; None where it reads none."""
+    """Return the dimension whose value an expression yields when it equals `value`; None if there is none."""
     path = s.path_of(node)
     if path in SCALAR_DIMENSIONS:
         return SCALAR_DIMENSIONS[path], ""
@@ -186,14 +191,14 @@
             receiver=s.Index(operand=operand, index=index, optional=True),
             arguments=(default,),
         ):
-            # With the default equal to the value, a missing one matches too: no constraint of the field.
+            # If the default equals the value, a request without the field matches too: no constraint.
             fallback = literal_text(default)
             return element_dimension(operand, index) if fallback is not None and fallback != value else None
     return None
 
 
 def element_dimension(operand: s.Node, index: s.Node) -> Dimension | None:
-    """The dimension that an index into a map or into the path's segments reads; None for any other."""
+    """Return the dimension that an index into a map or the path segments reads; None for other operands."""
     name = literal_text(index)
     if name is not None:
         return map_dimension(operand, name)
@@ -203,7 +208,7 @@
 
 
 def map_dimension(operand: s.Node, name: str) -> Dimension | None:
-    """The dimension of a name in a map of the request; header fields are in lower case."""
+    """Return the dimension of a name in a map of the request; header names are lowercased."""
     path = s.path_of(operand)
     if path not in MAP_DIMENSIONS:
         return None
@@ -211,7 +216,7 @@
 
 
 def find_presence(node: s.Node) -> Presence | None:
-    """Find what a guard requires to be present; None where it is no guard."""
+    """Return what a guard requires to be present; None if the node is not a guard."""
     match node:
         case s.Call(function="in", arguments=(key, mapping)):
             name = literal_text(key)
@@ -220,12 +225,12 @@
         case s.Call(function="has", arguments=(s.Select(operand=mapping, field_name=name),), receiver=None):
             dimension = map_dimension(mapping, name)
             return None if dimension is None else Presence(dimension)
-        case s.Call(function=operator, arguments=(measured, s.Literal(kind="int", value=int(least)))):
+        case s.Call(function=operator, arguments=(measured, s.Literal(kind="int", value=int(minimum)))):
             if operator in (">", ">=") and measured == SEGMENT_COUNT:
-                return Presence(("segment", ""), least if operator == ">" else least - 1)
+                return Presence(("segment", ""), minimum if operator == ">" else minimum - 1)
     return None
 
 
 def literal_text(node: s.Node) -> str | None:
-    """The text of a string literal; None for any other node."""
+    """Return the text of a string literal; None for other nodes."""
     return node.value if isinstance(node, s.Literal) and isinstance(node.value, str) else None
--- a/stoatrouter/matching/decisions.py
+++ b/stoatrouter/matching/decisions.py
@@ -1,4 +1,4 @@
-"""What a table yields for a request: a decision, or a refusal."""
+"""Results of a rule table for a request: a decision or a refusal."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """What the core's request is to be.
+    """The properties that the core's request gets.
 
     Attributes:
         scope: The scope that the request belongs to.
         rule: The rule that matched.
-        request_class: The number of its class in the vocabulary.
-        volume: 16 hex digits; empty where the front knows the volume.
-        plan: The number of its plan in the vocabulary; -1 where the front knows the plan.
+        request_class: The index of its class in the vocabulary.
+        volume: 16 hex digits; empty if the front determines the volume.
+        plan: The index of its plan in the vocabulary; -1 if the front determines the plan.
         key: 16 hex digits.
-        shard: The shard that holds the key; -1: any.
+        shard: The shard that holds the key; -1 for any shard.
         units: Units of work, at least 1.
-        hosts: Through how many heads requests of the volume come.
-        repeat: Whether the client says that this is a retry.
-        deadline: The time that the request has.
+        hosts: The number of heads through which requests of the volume come.
+        repeat: Whether the client marks the request as a retry.
+        deadline: The time allowed for the request.
     """
 
     scope: str
@@ -45,7 +45,7 @@
         status: The HTTP status, 400 to 599.
         reason: The text of the answer.
         scope: The scope that the request belongs to, if any.
-        rule: The rule that refuses; None where no rule matched.
+        rule: The rule that refuses; None if no rule matched.
     """
 
     status: int
--- a/stoatrouter/matching/diagnostics.py
+++ b/stoatrouter/matching/diagnostics.py
@@ -1,4 +1,4 @@
-"""Diagnostics of a table: the errors for which it is rejected, and warnings."""
+"""Diagnostics of a rule table: errors, which reject it, and warnings."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Diagnostic:
-    """An error of a table, or a warning.
+    """An error or a warning about a table.
 
     Attributes:
         path: The field's path in the rule file, such as `scopes.app.rules[1].when`.
         what: What is wrong.
-        remedy: What would be right; empty where that is plain.
+        remedy: How to correct it; empty if that is obvious.
         at: Line and column within an expression; empty for other fields.
     """
 
@@ -23,19 +23,19 @@
     at: str = ""
 
     def __str__(self) -> str:
-        """The diagnostic on one line, for logs and exceptions."""
+        """Return the diagnostic on one line, for logs and exceptions."""
         position = f"{self.at}: " if self.at else ""
         return f"{self.path}: {position}{self.what}" + (f" ({self.remedy})" if self.remedy else "")
 
 
 class TableError(Exception):
-    """A table was rejected."""
+    """A table was rejected because of errors."""
 
     def __init__(self, errors: Sequence[Diagnostic]) -> None:
-        """Reject a table for all of its errors at once.
+        """Collect all errors of a rejected table.
 
         Args:
-            errors: The errors, in any order; each is reported once, sorted by path.
+            errors: The errors in any order; they are sorted by path, without duplicates.
         """
         self.errors = tuple(sorted(set(errors)))
         super().__init__("; ".join(map(str, self.errors)))
--- a/stoatrouter/matching/explain.py
+++ b/stoatrouter/matching/explain.py
@@ -1,6 +1,6 @@
-"""Why a request is decided as it is: the rules that were tried, the conjunct that failed, the result.
+"""Explains a decision: the rules that were tried, the conjunct of each that failed, and the result.
 
-It uses the same parsing and the same table as in service.
+Requests are parsed and matched by the same code and table as in production.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
 from stoatrouter.expressions.show import show
-from stoatrouter.matching.conjuncts import conjuncts
+from stoatrouter.matching.conjuncts import flatten_conjuncts
 from stoatrouter.matching.decisions import Decision, Refusal
 from stoatrouter.matching.inputs import Input
 from stoatrouter.matching.matcher import are_equivalent, rule_label
 from stoatrouter.matching.table import CompiledRule, CompiledScope, Table
 
-MAX_EXAMPLES = 5  # requests that are named of each difference
-UNLIMITED = Limits(steps=1 << 40)  # the rule was checked against its limits when it was loaded
+MAX_EXAMPLES = 5  # requests listed for each difference
+UNLIMITED_STEPS = Limits(steps=1 << 40)  # the limits of the rule were checked when it was loaded
 
 
 @dataclass(slots=True, frozen=True)
 class TriedRule:
-    """A rule that was tried; `failed` is its first conjunct that does not hold, None where all do."""
+    """A rule that was tried; `failed` is its first conjunct that does not hold, None if all hold."""
 
     rule: str
     failed: str | None
-    steps: int  # of its condition, in the worst case
+    steps: int  # cost of its condition in the worst case
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,10 +39,10 @@
 
     Attributes:
         scope: The scope that it belongs to, if any.
-        rules: How many rules that scope has.
+        rules: The number of rules in that scope.
         tried: The rules that were tried, in order.
         decision: The result.
-        steps: Steps in the worst case, of all that was tried.
+        steps: Worst-case cost of all conditions that were tried and of the values yielded.
     """
 
     scope: str | None
@@ -53,45 +53,47 @@
 
 
 def explain(table: Table, request: Input, environment: Environment) -> Explanation:
-    """Decide a request and record how."""
+    """Decide a request and record how the decision was made."""
     match = table.match(request)
     decision = table.decide_match(match, request)
     scope, rule = match
     if scope is None:
         return Explanation(None, 0, (), decision, 0)
-    tried = tuple(find_tried(scope, rule, request, environment))
+    tried = tuple(find_tried_rules(scope, rule, request, environment))
     steps = sum(each.steps for each in tried) + (rule.yield_cost if rule is not None else 0)
     return Explanation(scope.name, len(scope.rules), tried, decision, steps)
 
 
-def find_tried(
+def find_tried_rules(
     scope: CompiledScope, matched: CompiledRule | None, request: Input, environment: Environment
 ) -> Iterator[TriedRule]:
     """Yield the rules of a scope that were tried for a request, in order, up to the one that matched."""
     for position in scope.tree.find(request):
         rule = scope.rules[position]
-        failed = None if rule is matched else find_failed(parse(rule.rule.when), request, environment)
+        failed = (
+            None if rule is matched else find_failed_conjunct(parse(rule.rule.when), request, environment)
+        )
         yield TriedRule(rule.name, failed, rule.cost)
         if rule is matched:
             return
 
 
-def find_failed(when: s.Node, request: Input, environment: Environment) -> str | None:
-    """Find the first conjunct that does not hold, as source text.
+def find_failed_conjunct(when: s.Node, request: Input, environment: Environment) -> str | None:
+    """Return the source text of the first conjunct that does not hold.
 
-    Each is tried behind those before it, which may guard it.
+    Each conjunct is evaluated together with those before it, as they may guard it against errors.
     """
-    terms = conjuncts(when)
+    terms = flatten_conjuncts(when)
     for count in range(1, len(terms) + 1):
         node = terms[0] if count == 1 else s.Logic(when.at, when.depth + 1, "&&", tuple(terms[:count]))
-        program = compile_checked(check(node, environment, t.BOOL, UNLIMITED))
+        program = compile_checked(check(node, environment, t.BOOL, UNLIMITED_STEPS))
         if not program.run(request):
             return show(terms[count - 1])
     return None
 
 
 class DecisionPair(NamedTuple):
-    """What two tables decide of one request."""
+    """The decisions of two tables on one request."""
 
     old: Decision | Refusal
     new: Decision | Refusal
@@ -99,14 +101,14 @@
 
 @dataclass(slots=True)
 class Difference:
-    """Requests that two tables decide differently, by the rules that decided.
+    """Requests that two tables decide differently, for one pair of deciding rules.
 
     Attributes:
-        old: The scope and rule of the old table.
-        new: Likewise of the new table.
+        old: The scope and rule that decided in the old table.
+        new: The scope and rule that decided in the new table.
         example: The decisions on the first of the requests.
-        count: How many requests there are.
-        lines: The lines of the first MAX_EXAMPLES of them in the log.
+        count: The number of requests.
+        lines: The line numbers in the log of the first MAX_EXAMPLES requests.
     """
 
     old: str
@@ -119,11 +121,11 @@
 def find_differences(
     old: Table, new: Table, requests: Iterable[tuple[int, Input | Exception]]
 ) -> tuple[list[Difference], Counter[str]]:
-    """Find the differences between two tables on recorded requests, as `samples.read_samples` yields them.
+    """Compare two tables on recorded requests, as `samples.read_samples` yields them.
 
     Returns:
-        The differences, that with the most requests first, and counts of `requests`, `changed` ones and
-        `unreadable` lines.
+        The differences in descending order of their requests, and counts of `requests`, `changed` requests
+        and `unreadable` lines.
     """
     found: dict[tuple[str, str], Difference] = {}
     counts: Counter[str] = Counter()
@@ -145,7 +147,7 @@
 
 
 def decision_data(decision: Decision | Refusal, table: Table) -> dict[str, Any]:
-    """A decision as data for output."""
+    """Return a decision as JSON-compatible data, for output."""
     if isinstance(decision, Refusal):
         return {
             "refused": decision.status,
--- a/stoatrouter/matching/files.py
+++ b/stoatrouter/matching/files.py
@@ -1,4 +1,4 @@
-"""Rule files: read, checked and compiled to a table. This is the I/O of the package."""
+"""Reads rule files and compiles them to a table; the only module of the package that does I/O."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 
 @dataclass(slots=True, frozen=True)
 class RuleSources:
-    """The files of a table as they were read: the operator's, and the teams' by scope."""
+    """The files of a table as they were read: the operator's file, and the teams' files by scope."""
 
     operator: Loaded[Rules]
     teams: dict[str, Loaded[Team]]
 
     @property
     def files(self) -> tuple[Path, ...]:
-        """All files that were read."""
+        """Return all files that were read."""
         return (*self.operator.files, *(file for team in self.teams.values() for file in team.files))
 
     @property
     def epoch(self) -> str:
-        """A short digest of the files' contents; equal contents have the same one."""
+        """Return a short digest of the files' names and contents; equal files have the same one."""
         digests = {file.name: digest for file, digest in self.operator.digests.items()}
         for team in self.teams.values():
             digests |= {file.name: digest for file, digest in team.digests.items()}
         return hashlib.sha256(repr(sorted(digests.items())).encode()).hexdigest()[:EPOCH_LENGTH]
 
     def find_place(self, path: str) -> Place:
-        """Find the file and line of a path of the table."""
+        """Return the file and line of a path of the table."""
         match path.split(".", 2):
             case ["scopes", scope, rest] if scope in self.teams and rest.startswith("rules"):
                 return self.teams[scope].place(rest)
@@ -52,7 +52,7 @@
                 return self.operator.place(path)
 
     def locate(self, diagnostic: Diagnostic) -> Fault:
-        """Give a diagnostic its file and line."""
+        """Return a diagnostic as a fault with file and line."""
         position = f"{diagnostic.at}: " if diagnostic.at else ""
         return Fault(
             self.find_place(diagnostic.path),
@@ -63,10 +63,10 @@
 
 
 class RuleFileReader:
-    """Reads rule files; a team's file is read again only where it has changed."""
+    """Reads rule files; a team's file is read again only if it has changed."""
 
     def __init__(self) -> None:
-        """Start without any file read."""
+        """Create a reader that has not read any file."""
         self.teams: dict[Path, Loaded[Team]] = {}
 
     def read(self, path: Path) -> RuleSources:
@@ -82,7 +82,7 @@
                 faults.append(
                     Fault(place, f"scopes.{name}", "it has rules and a file", "leave one of them out")
                 )
-            # Guards the operator's part: a team's file is read by itself and can say nothing of scopes.
+            # A team's file is unified with its own schema, so that it cannot change the operator's scopes.
             try:
                 teams[name] = self.read_team(path.parent / scope.file)
             except SettingsError as error:
@@ -93,7 +93,7 @@
         return RuleSources(operator, teams)
 
     def read_team(self, path: Path) -> Loaded[Team]:
-        """Read a team's file, again only if it has changed; raises SettingsError."""
+        """Return a team's file, read again only if it has changed; raises SettingsError."""
         team = self.teams.get(path)
         if team is None or not team.unchanged():
             team = self.teams[path] = load(path, Team, TEAM_DEFINITION)
@@ -102,15 +102,15 @@
 
 @dataclass(slots=True)
 class TableLoader:
-    """Loads the tables of one rule file; what has not changed is taken from the previous one.
+    """Loads the tables of one rule file, reusing the unchanged parts of the previous load.
 
     Attributes:
         path: The operator's rule file.
         vocabulary: The classes, plans and bounds of the settings.
-        environment: What expressions may use.
+        environment: The variables that expressions may use.
         buckets: The buckets of the object front; None for the HTTP front.
-        files: Files that were read, and need not be read again.
-        cache: Expressions and scopes that were compiled.
+        files: The reader, which keeps the team files it has read.
+        cache: Compiled expressions and scopes.
     """
 
     path: Path
@@ -121,7 +121,7 @@
     cache: Cache = field(default_factory=Cache)
 
     def load(self) -> tuple[Table, RuleSources]:
-        """Load the table of the files as they are now; raises SettingsError with all faults."""
+        """Load the table from the current contents of the files; raises SettingsError with all faults."""
         sources = self.files.read(self.path)
         rules: dict[str, Sequence[Rule]] = {name: team.record.rules for name, team in sources.teams.items()}
         try:
--- a/stoatrouter/matching/index.py
+++ b/stoatrouter/matching/index.py
@@ -1,8 +1,8 @@
-"""An index of rules: a decision tree over literal constraints, so that not all rules are tried.
+"""Index of rules: a decision tree over literal constraints, which avoids trying every rule.
 
-Each node looks at one dimension. A rule stands below the values that it requires there, or in the rest if it
-requires none. The result is positions in the list, in order; the first rule that matches wins, exactly as if
-all were tried.
+Each node tests one dimension. A rule is placed below the values that it requires in that dimension, or in the
+rest if it requires none. A look-up returns positions in the list of rules in ascending order; the first rule
+that matches wins, exactly as if all rules were tried.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 from stoatrouter.matching.conjuncts import PATH, PREFIX, Condition, Dimension
 
-MAX_LEAF_RULES = 4  # so few rules are tried in turn: a look-up costs about as much
-MAX_DEPTH = 12  # nodes, one below the other
-MAX_CANDIDATES = 16  # criteria that are compared at one node, those that the most rules share
-Read = Callable[[Any], str | None]
-# What a node looks at: a dimension, or so many first characters of the path.
+MAX_LEAF_RULES = 4  # trying so few rules in turn costs about as much as a look-up
+MAX_DEPTH = 12  # levels of nodes
+MAX_CANDIDATES = 16  # criteria compared at one node: those that the most rules share
+DimensionReader = Callable[[Any], str | None]
+# What a node tests: a dimension, or the prefix of the path with this many characters.
 Criterion = Dimension | int
 MAP_ATTRIBUTES = {"header": "headers", "query": "query", "cookie": "cookies"}
 
 
-def create_reader(dimension: Dimension) -> Read:
-    """Create the function that reads a dimension of a request; it returns None where there is no value."""
+def create_reader(dimension: Dimension) -> DimensionReader:
+    """Create the function that returns a request's value in a dimension, or None if there is none."""
     kind, name = dimension
     if kind == "segment":
         position = int(name)
@@ -38,44 +38,44 @@
 
 @dataclass(slots=True, frozen=True)
 class Leaf:
-    """A few rules that are tried in turn."""
+    """A few rules, which are tried in turn."""
 
     positions: tuple[int, ...]
 
     def find(self, request: Any) -> Sequence[int]:
-        """Find the positions of the rules to try."""
+        """Return the positions of the rules to try."""
         return self.positions
 
     def max_steps(self, costs: Sequence[int]) -> int:
-        """The steps of trying all of these rules; `costs` are the steps of each rule of the list."""
+        """Return the steps to try all rules of the leaf; `costs` holds the steps of each rule of the list."""
         return sum(costs[position] for position in self.positions)
 
 
 @dataclass(slots=True, frozen=True)
-class ByValue:
-    """A node that looks up the one value of a dimension."""
+class ValueNode:
+    """A node that looks up the value of a dimension."""
 
-    read: Read
+    read: DimensionReader
     children: dict[str, Tree]
     rest: Tree
 
     def find(self, request: Any) -> Sequence[int]:
-        """Find the positions of the rules to try, in the order of the list."""
-        child = self.children.get(self.read(request))  # type: ignore[arg-type]  # None is no key
+        """Return the positions of the rules to try, in ascending order."""
+        child = self.children.get(self.read(request))  # type: ignore[arg-type]  # None is never a key
         if child is None:
             return self.rest.find(request)
         return merge(child.find(request), self.rest.find(request))
 
     def max_steps(self, costs: Sequence[int]) -> int:
-        """The most steps that a request may take below this node."""
+        """Return the maximum number of steps of a request at and below this node."""
         return branch_steps(self.children.values(), self.rest, costs)
 
 
 @dataclass(slots=True, frozen=True)
-class ByPrefix:
+class PrefixNode:
     """A node that looks up the first `length` characters of the path.
 
-    Constraints of a complete path stand below its prefix as well.
+    Rules that require a complete path are placed below the prefix of that path too.
     """
 
     length: int
@@ -83,27 +83,27 @@
     rest: Tree
 
     def find(self, request: Any) -> Sequence[int]:
-        """Find the positions of the rules to try, in the order of the list."""
+        """Return the positions of the rules to try, in ascending order."""
         child = self.children.get(request.path[: self.length])
         if child is None:
             return self.rest.find(request)
         return merge(child.find(request), self.rest.find(request))
 
     def max_steps(self, costs: Sequence[int]) -> int:
-        """The most steps that a request may take below this node."""
+        """Return the maximum number of steps of a request at and below this node."""
         return branch_steps(self.children.values(), self.rest, costs)
 
 
-Tree = Leaf | ByValue | ByPrefix
+Tree = Leaf | ValueNode | PrefixNode
 
 
 def branch_steps(children: Iterable[Tree], rest: Tree, costs: Sequence[int]) -> int:
-    """The most steps that a request may take at a node: the look-up, one child and the rest."""
+    """Return the maximum number of steps of a request at a node: the look-up, one child and the rest."""
     return 1 + rest.max_steps(costs) + max((child.max_steps(costs) for child in children), default=0)
 
 
 def merge(first: Sequence[int], second: Sequence[int]) -> Sequence[int]:
-    """Merge two lists of positions in ascending order."""
+    """Merge two ascending lists of positions."""
     if not first or not second:
         return first or second
     return sorted((*first, *second))
@@ -121,9 +121,9 @@
 
     Args:
         conditions: All conditions.
-        positions: The positions of those in the subtree, ascending.
+        positions: The positions of the conditions in the subtree, ascending.
         used: The criteria of the nodes above.
-        depth: How many nodes there are above.
+        depth: The number of nodes above.
     """
     if len(positions) <= MAX_LEAF_RULES or depth >= MAX_DEPTH:
         return Leaf(positions)
@@ -135,14 +135,14 @@
     children = {value: build_subtree(conditions, group, used, depth + 1) for value, group in groups.items()}
     remaining = build_subtree(conditions, rest, used, depth + 1)
     if isinstance(criterion, int):
-        return ByPrefix(criterion, children, remaining)
-    return ByValue(create_reader(criterion), children, remaining)
+        return PrefixNode(criterion, children, remaining)
+    return ValueNode(create_reader(criterion), children, remaining)
 
 
 def group_by(
     conditions: Sequence[Condition], positions: Sequence[int], criterion: Criterion
 ) -> tuple[dict[str, tuple[int, ...]], tuple[int, ...]]:
-    """Group rules by the values that they require, with the rest that requires none."""
+    """Group rules by the values that they require; return the groups and the rules that require none."""
     groups: dict[str, list[int]] = {}
     rest: list[int] = []
     for position in positions:
@@ -155,7 +155,7 @@
 
 
 def required_values(condition: Condition, criterion: Criterion) -> frozenset[str] | None:
-    """The values below which a rule stands; None where it requires nothing by this criterion."""
+    """Return the values that a rule requires by a criterion; None if it requires none."""
     for constraint in condition.constraints:
         if isinstance(criterion, int):
             is_path = constraint.dimension in (PREFIX, PATH)
@@ -169,9 +169,9 @@
 def choose_criterion(
     conditions: Sequence[Condition], positions: Sequence[int], used: frozenset[Criterion]
 ) -> Criterion | None:
-    """Choose the criterion that leaves the fewest rules in the worst case; None where none helps.
+    """Return the criterion that leaves the fewest rules in the worst case; None if none leaves fewer.
 
-    Lengths of prefixes are tried as they occur.
+    The prefix lengths tried are those that occur in the conditions.
     """
     shared_by: Counter[Criterion] = Counter()
     for position in positions:
@@ -181,14 +181,14 @@
     for criterion, _ in shared_by.most_common(MAX_CANDIDATES):
         if criterion in used:
             continue
-        left = count_left(conditions, positions, criterion)
+        left = count_remaining(conditions, positions, criterion)
         if left < fewest:
             best, fewest = criterion, left
     return best
 
 
 def condition_criteria(condition: Condition) -> set[Criterion]:
-    """The criteria by which a rule can be told from others."""
+    """Return the criteria that distinguish a rule from others."""
     criteria: set[Criterion] = set()
     for constraint in condition.constraints:
         if constraint.dimension == PREFIX:
@@ -198,8 +198,8 @@
     return criteria
 
 
-def count_left(conditions: Sequence[Condition], positions: Sequence[int], criterion: Criterion) -> int:
-    """Count the rules that a criterion leaves in the worst case: the largest group and the rest."""
+def count_remaining(conditions: Sequence[Condition], positions: Sequence[int], criterion: Criterion) -> int:
+    """Count the rules that a criterion leaves in the worst case: the largest group plus the rest."""
     group_sizes: Counter[str] = Counter()
     rest = 0
     for position in positions:
--- a/stoatrouter/matching/inputs.py
+++ b/stoatrouter/matching/inputs.py
@@ -1,7 +1,7 @@
-"""How a request is parsed for rules, in service, by `explain` and for recorded requests alike.
+"""Parses a request for rules: in the fronts, in `explain` and for recorded requests alike.
 
-It is documented in docs/rules.md, "How a request is read". A request that can be read in more than one way,
-or exceeds the bounds that costs are computed from, is rejected here before any rule is tried.
+The parsing is documented in docs/rules.md, "How a request is read". A request that is ambiguous, or exceeds
+the bounds from which costs are computed, is rejected here before any rule is tried.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 from stoatrouter.expressions.environment import Environment, Variable
 from stoatrouter.expressions.runtime import Address, Fields
 
-# Bounds in characters.
-MAX_METHOD = 32
-MAX_HOST = 255
-MAX_PATH = 2048
-MAX_QUERY = 4096
-MAX_FIELD_VALUE = 8192
-MAX_SEGMENT = 255
-# Bounds in elements.
+# Bounds on lengths, in characters.
+MAX_METHOD_LENGTH = 32
+MAX_HOST_LENGTH = 255
+MAX_PATH_LENGTH = 2048
+MAX_QUERY_LENGTH = 4096
+MAX_FIELD_VALUE_LENGTH = 8192
+MAX_SEGMENT_LENGTH = 255
+# Bounds on numbers of elements.
 MAX_SEGMENTS = 32
 MAX_FIELDS = 64
-MAX_PAIRS = 64  # of a query, or of cookies
-MAX_SIZE = 1 << 53  # bytes of a body
+MAX_PAIRS = 64  # names with values, of a query or of the cookies
+MAX_BODY_SIZE = 1 << 53  # bytes
 
 STRING_MAP = t.MapOf(t.STRING, repeated=True)
 HTTP_ENVIRONMENT = Environment(
     {
-        "request.method": Variable(t.STRING, "method", text_bound(MAX_METHOD, 1)),
-        "request.host": Variable(t.STRING, "host", text_bound(MAX_HOST)),
-        "request.path": Variable(t.STRING, "path", text_bound(MAX_PATH, 1)),
+        "request.method": Variable(t.STRING, "method", text_bound(MAX_METHOD_LENGTH, 1)),
+        "request.host": Variable(t.STRING, "host", text_bound(MAX_HOST_LENGTH)),
+        "request.path": Variable(t.STRING, "path", text_bound(MAX_PATH_LENGTH, 1)),
         "request.segments": Variable(
-            t.ListOf(t.STRING), "segments", list_bound(MAX_SEGMENTS, text_bound(MAX_SEGMENT))
+            t.ListOf(t.STRING), "segments", list_bound(MAX_SEGMENTS, text_bound(MAX_SEGMENT_LENGTH))
         ),
         "request.headers": Variable(
             t.MapOf(t.STRING, folded=True, repeated=True),
             "headers",
-            list_bound(MAX_FIELDS, text_bound(MAX_FIELD_VALUE)),
+            list_bound(MAX_FIELDS, text_bound(MAX_FIELD_VALUE_LENGTH)),
         ),
-        "request.query": Variable(STRING_MAP, "query", list_bound(MAX_PAIRS, text_bound(MAX_QUERY))),
+        "request.query": Variable(STRING_MAP, "query", list_bound(MAX_PAIRS, text_bound(MAX_QUERY_LENGTH))),
         "request.cookies": Variable(
-            STRING_MAP, "cookies", list_bound(MAX_PAIRS, text_bound(MAX_FIELD_VALUE))
+            STRING_MAP, "cookies", list_bound(MAX_PAIRS, text_bound(MAX_FIELD_VALUE_LENGTH))
         ),
-        "request.size": Variable(t.INT, "size", int_bound(-1, MAX_SIZE)),
+        "request.size": Variable(t.INT, "size", int_bound(-1, MAX_BODY_SIZE)),
         "request.class": Variable(t.STRING, "request_class", text_bound(64)),
         "source.ip": Variable(t.IP, "ip", Bound()),
     }
@@ -73,14 +73,14 @@
 
 
 class UnreadableRequestError(Exception):
-    """A request that is rejected before rules are tried."""
+    """A request is rejected before rules are tried."""
 
     def __init__(self, status: int, reason: str) -> None:
         """Reject a request.
 
         Args:
-            status: The HTTP status of the answer, a 4xx.
-            reason: What is wrong with the request; the text of the answer.
+            status: The HTTP status of the answer, 4xx.
+            reason: What is wrong with the request; the body of the answer.
         """
         super().__init__(reason)
         self.status = status
@@ -88,25 +88,25 @@
 
 
 class Input:
-    """A request as expressions see it; attributes of LAZY_ATTRIBUTES are computed on first use.
+    """The variables of a request for expressions; those in LAZY_ATTRIBUTES are computed on first use.
 
     Attributes:
-        method: The method, as it came.
-        host: In lower case, without port and trailing dot.
-        path: In normal form (`normalize_path`).
-        raw_path: As it came, without the query.
-        raw_query: As it came, without the `?`.
+        method: The method as received.
+        host: The host in lower case, without port and trailing dot.
+        path: The path in normal form (`normalize_path`).
+        raw_path: The path as received, without the query.
+        raw_query: The query as received, without the `?`.
         headers: Header fields by lower-case name.
-        size: The stated length of the body in bytes; -1 where none is stated.
-        request_class: The class that the front would give without rules; empty where there is none.
-        peer: The client's address, as text.
-        segments: The unescaped segments of the path.
+        size: The declared length of the body in bytes; -1 if none is declared.
+        request_class: The class that the front assigns without rules; empty if there is none.
+        peer: The client's address as text.
+        segments: The percent-decoded segments of the path.
         query: Names and values of the query.
         cookies: Names and values of cookies.
         ip: The client's address.
         bucket: The bucket of an object call; set by the object front.
-        key: Its key; likewise.
-        operation: Its operation; likewise.
+        key: The key of an object call; set by the object front.
+        operation: The operation of an object call; set by the object front.
     """
 
     __slots__ = (
@@ -146,10 +146,10 @@
     operation: str
 
     def __getattr__(self, name: str) -> Any:
-        """Compute an attribute that is not set yet; only called for those.
+        """Compute and store an attribute; called only for attributes that are not set yet.
 
         Raises:
-            KeyError: The attribute is none of LAZY_ATTRIBUTES.
+            KeyError: The attribute is not in LAZY_ATTRIBUTES.
         """
         value = LAZY_ATTRIBUTES[name](self)
         setattr(self, name, value)
@@ -157,7 +157,7 @@
 
 
 class Target(NamedTuple):
-    """A request target in origin form, with the host that it came with (RFC 9112, 3.2)."""
+    """A request target in origin form, with the host of the request (RFC 9112, 3.2)."""
 
     host: str
     path_and_query: str
@@ -171,10 +171,10 @@
     size: int = -1,
     request_class: str = "",
 ) -> Input:
-    """Parse a request; raises UnreadableRequestError where it is malformed, ambiguous or exceeds a bound.
+    """Parse a request; raises UnreadableRequestError if it is malformed, ambiguous or exceeds a bound.
 
-    Method, target and header lines are as they came, `peer` is the client's address, `size` the stated
-    length of the body in bytes or -1, `request_class` what the front would give without rules, if any.
+    Method, target and header lines are as received, `peer` is the client's address, `size` the declared
+    length of the body in bytes or -1, `request_class` the class that the front assigns without rules, if any.
     """
     if not METHOD_PATTERN.fullmatch(method):
         raise UnreadableRequestError(400, "the method is no token")
@@ -212,25 +212,26 @@
 def read_path_and_query(request: Input, path_and_query: str) -> None:
     """Set a request's path and query; raises UnreadableRequestError.
 
-    What may be rejected in segments and query is read here, as that must not happen within a rule.
+    Segments and query that may be malformed are parsed here and not on first use, as the evaluation of a rule
+    must not reject the request.
     """
     path, _, query = path_and_query.partition("?")
-    if len(path) > MAX_PATH or len(query) > MAX_QUERY or query.count("&") >= MAX_PAIRS:
+    if len(path) > MAX_PATH_LENGTH or len(query) > MAX_QUERY_LENGTH or query.count("&") >= MAX_PAIRS:
         raise UnreadableRequestError(414, "the path or the query is too long")
     request.raw_path = path
     request.raw_query = query
     request.path = normalize_path(path) if "%" in path or "." in path else path
-    if "%" in path or len(path) > MAX_SEGMENT or path.count("/") > MAX_SEGMENTS:
+    if "%" in path or len(path) > MAX_SEGMENT_LENGTH or path.count("/") > MAX_SEGMENTS:
         request.segments = read_segments(request.path)
     if "%" in query:
         request.query = read_query(query)
 
 
 def read_fields(lines: Iterable[tuple[bytes, bytes]]) -> Fields:
-    """Read header fields by lower-case name; raises UnreadableRequestError.
+    """Return header fields by lower-case name; raises UnreadableRequestError.
 
-    Lines of one name are joined by ', ' in their order (RFC 9110, 5.3), those of Cookie by '; ' (RFC 6265).
-    Bytes that are not UTF-8 become U+FFFD.
+    Lines with the same name are joined by ', ' in their order (RFC 9110, 5.3), those of Cookie by '; '
+    (RFC 6265). Bytes that are not UTF-8 become U+FFFD.
     """
     values: dict[str, str] = {}
     lists: dict[str, tuple[str, ...]] = {}
@@ -241,8 +242,8 @@
             lists[name] = (*lists.get(name, (values[name],)), value)
             value = values[name] + ("; " if name == "cookie" else ", ") + value
         values[name] = value
-        # Guards the bounds that costs are computed from.
-        if len(value) > MAX_FIELD_VALUE:
+        # The cost of a rule is computed from this bound.
+        if len(value) > MAX_FIELD_VALUE_LENGTH:
             raise UnreadableRequestError(431, f"the header field {name[:40]} is too long")
     if len(values) > MAX_FIELDS or any(len(lines) > MAX_FIELDS for lines in lists.values()):
         raise UnreadableRequestError(431, "too many header fields")
@@ -259,16 +260,16 @@
         UnreadableRequestError: The host is malformed or too long.
     """
     match = HOST_PATTERN.fullmatch(text)
-    if match is None or len(match[1]) > MAX_HOST:
+    if match is None or len(match[1]) > MAX_HOST_LENGTH:
         raise UnreadableRequestError(400, "the host cannot be read")
     return match[1].lower().removesuffix(".")
 
 
 def normalize_path(path: str) -> str:
-    """Bring a path to the normal form of RFC 3986, 6.2.2; raises UnreadableRequestError.
+    """Return a path in the normal form of RFC 3986, 6.2.2; raises UnreadableRequestError.
 
-    Escapes of unreserved characters are undone, and hex digits are in upper case. Escaped slashes and empty
-    segments stay.
+    Escapes of unreserved characters are decoded, and the hex digits of others put in upper case. Escaped
+    slashes and empty segments are kept.
     """
 
     def normalize_escape(escape: re.Match[str]) -> str:
@@ -278,14 +279,14 @@
         return character if character in UNRESERVED else f"%{escape[1].upper()}"
 
     path = PERCENT_ESCAPE.sub(normalize_escape, path)
-    # Guards nodes and rules against two readings of one path: whoever resolves dots would see another one.
+    # A node that resolves dot segments would see another path than the rules do.
     if "/." in path and any(part in (".", "..") for part in path.split("/")):
         raise UnreadableRequestError(400, "the path has dot segments")
     return path
 
 
 def read_segments(path: str) -> list[str]:
-    """Split a path in normal form into its unescaped segments; raises UnreadableRequestError."""
+    """Split a path in normal form into its percent-decoded segments; raises UnreadableRequestError."""
     parts = path[1:].split("/") if path != "/" else []
     if len(parts) > MAX_SEGMENTS:
         raise UnreadableRequestError(414, "the path has too many segments")
@@ -293,18 +294,18 @@
 
 
 def read_segment(part: str) -> str:
-    """Unescape one segment of a path; raises UnreadableRequestError."""
+    """Percent-decode one segment of a path; raises UnreadableRequestError."""
     value = unescape(part, 400, "the path") if "%" in part else part
-    # Guards keys and logs: nothing that ends a string or a line elsewhere gets through.
+    # Control characters would end a string or a line in keys and logs.
     if CONTROL_CHARACTER.search(value):
         raise UnreadableRequestError(400, "the path has control characters")
-    if len(value) > MAX_SEGMENT:
+    if len(value) > MAX_SEGMENT_LENGTH:
         raise UnreadableRequestError(414, "a segment of the path is too long")
     return value
 
 
 def unescape(text: str, status: int, subject: str) -> str:
-    """Undo percent escapes, which must be UTF-8; raises UnreadableRequestError that names the subject."""
+    """Decode percent escapes as UTF-8; raises an UnreadableRequestError that names the subject."""
     if any(escape[1] is None for escape in PERCENT_ESCAPE.finditer(text)):
         raise UnreadableRequestError(status, f"a % in {subject} is followed by no two hex digits")
     try:
@@ -314,31 +315,31 @@
 
 
 def read_query(raw: str) -> Fields:
-    """Read the names and values of a query in form encoding, where '+' is a space.
+    """Return the names and values of a query in form encoding, where '+' is a space.
 
-    The first value of a name counts; `values` gives all of them.
+    A name maps to its first value; the expression function `values` returns all of them.
     """
     parts = (part for part in raw.split("&") if part)
     return collect_pairs((part.partition("=")[::2] for part in parts), unescape_query)
 
 
 def unescape_query(text: str) -> str:
-    """Unescape a name or value of a query; raises UnreadableRequestError."""
+    """Decode a name or value of a query; raises UnreadableRequestError."""
     text = text.replace("+", " ")
     return unescape(text, 400, "the query") if "%" in text else text
 
 
 def read_cookies(raw: str) -> Fields:
-    """Read the names and values of Cookie (RFC 6265, 5.4); parts without '=' are skipped."""
+    """Return the names and values of a Cookie field (RFC 6265, 5.4); parts without '=' are skipped."""
     parts = (part for part in raw.split(";") if "=" in part)
     return collect_pairs((part.partition("=")[::2] for part in parts), str.strip)
 
 
 def collect_pairs(pairs: Iterable[Sequence[str]], read: Callable[[str], str]) -> Fields:
-    """Collect names with their first values, and all values of names that occur more than once.
+    """Return names with their first values, and all values of names that occur more than once.
 
     Args:
-        pairs: Names and values, encoded.
+        pairs: Encoded names and values.
         read: Decodes a name or a value.
     """
     values: dict[str, str] = {}
@@ -355,7 +356,7 @@
 
 @lru_cache(maxsize=4096)
 def parse_address(peer: str) -> Address:
-    """Parse the address of a connection's peer; an IPv4-mapped IPv6 address is read as IPv4."""
+    """Parse the address of a connection's peer; an IPv4-mapped IPv6 address becomes an IPv4 address."""
     address = ipaddress.ip_address(peer.partition("%")[0])
     if isinstance(address, ipaddress.IPv6Address) and address.ipv4_mapped is not None:
         return address.ipv4_mapped
--- a/stoatrouter/matching/matcher.py
+++ b/stoatrouter/matching/matcher.py
@@ -1,6 +1,6 @@
-"""The tables of one head, in force and in shadow, and counts of their decisions. No I/O, no clock.
+"""Decides requests by the table in force, compares a shadow table and counts decisions. No I/O, no clock.
 
-A request is decided once, by the table in force at that moment, and keeps that decision to its end.
+A request is decided once, by the table in force at that time, and keeps the decision until it ends.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from stoatrouter.matching.placements import KeyConflictError, PlacementKey, Placements
 from stoatrouter.matching.table import Table
 
-MAX_DIFFERENCES = 1_000  # pairs of rules whose differences are counted apart
-OTHER_RULES = ("others", "others")  # the pair that all further differences count under
+MAX_DIFFERENCES = 1_000  # pairs of rules whose differences are counted separately
+OTHER_RULES = ("others", "others")  # the pair under which all further differences are counted
 
 
 @dataclass(slots=True)
@@ -25,12 +25,12 @@
 
     Attributes:
         table: The table in force.
-        windows: For how long nodes know the keys of idempotent classes, by class number; others have none.
-        shadow: The table in shadow, whose decisions are only compared.
-        placements: The decisions for idempotency keys.
-        matched: Requests by scope and rule.
-        differences: Requests that the shadow decides differently, by the rules in force and in shadow.
-        shadowed: Requests that both tables decided.
+        windows: How long nodes remember idempotency keys, by class index; only idempotent classes have one.
+        shadow: The shadow table, whose decisions are only compared.
+        placements: The stored decisions of idempotency keys.
+        matched: Counts of requests by scope and rule.
+        differences: Counts of requests that the shadow table decides differently, by both rules.
+        shadowed: The number of requests that both tables decided.
     """
 
     table: Table
@@ -42,11 +42,11 @@
     shadowed: int = 0
 
     def replace(self, table: Table) -> None:
-        """Put a table in force. Placements stay, as they belong to requests and not to tables."""
+        """Put a table in force. Placements are kept, as they belong to requests and not to tables."""
         self.table = table
 
     def set_shadow(self, table: Table | None) -> None:
-        """Run another table beside the one in force, or none; counts start again."""
+        """Set or remove the shadow table and reset the counts of its comparison."""
         self.shadow = table
         self.shadowed = 0
         self.differences.clear()
@@ -59,7 +59,7 @@
         Args:
             request: The request.
             now: The time since the Unix epoch.
-            idempotency_key: The client's key; requests without one are never placed as an earlier one was.
+            idempotency_key: The client's key, if any; only requests with one reuse an earlier decision.
         """
         match = self.table.match(request)
         decision = self.table.decide_match(match, request)
@@ -68,12 +68,12 @@
         self.matched[(decision.scope or "", decision.rule or "")] += 1
         if idempotency_key is None or match.scope is None:
             return decision
-        return self.place(request, decision, idempotency_key, now)
+        return self.place_as_before(request, decision, idempotency_key, now)
 
-    def place(
+    def place_as_before(
         self, request: Input, decision: Decision | Refusal, idempotency_key: str, now: timedelta
     ) -> Decision | Refusal:
-        """Place an idempotent request as its first attempt was, even where the table has changed since."""
+        """Decide an idempotent request as its first attempt was, even if the table has changed since."""
         key = PlacementKey(request.host, request.path, idempotency_key)
         fingerprint = stable_hash(f"{request.method} {request.raw_query}")
         try:
@@ -87,24 +87,24 @@
         return decision
 
     def compare(self, decision: Decision | Refusal, shadow: Decision | Refusal) -> None:
-        """Count a request that both tables decided, by the rules where they decided differently."""
+        """Count a request that both tables decided, and, if the decisions differ, the pair of rules."""
         self.shadowed += 1
         if are_equivalent(decision, shadow):
             return
         pair = (rule_label(decision), rule_label(shadow))
-        # Guards memory: a pair of large tables has many pairs of rules.
+        # Bounds memory: two large tables have many pairs of rules.
         if pair not in self.differences and len(self.differences) >= MAX_DIFFERENCES:
             pair = OTHER_RULES
         self.differences[pair] += 1
 
 
 def rule_label(decision: Decision | Refusal) -> str:
-    """The scope and rule of a decision, as differences are counted by."""
+    """Return the scope and rule of a decision, as a label for counts of differences."""
     return f"{decision.scope or '-'}/{decision.rule or '-'}"
 
 
 def are_equivalent(first: Decision | Refusal, second: Decision | Refusal) -> bool:
-    """Whether two decisions are the same apart from the names of their rules."""
+    """Return whether two decisions are the same apart from the names of scope and rule."""
     if isinstance(first, Decision) and isinstance(second, Decision):
         return yielded_values(first) == yielded_values(second)
     if isinstance(first, Refusal) and isinstance(second, Refusal):
@@ -113,7 +113,7 @@
 
 
 def yielded_values(decision: Decision) -> tuple[object, ...]:
-    """All that a decision yields for the request, without the names of scope and rule."""
+    """Return the values of a decision without the names of scope and rule."""
     return (
         decision.request_class,
         decision.volume,
--- a/stoatrouter/matching/placements.py
+++ b/stoatrouter/matching/placements.py
@@ -1,9 +1,10 @@
-"""Where idempotent requests were placed: a retry is placed as its first attempt was, under any table.
+"""Stores decisions by idempotency key, so that a retry is decided as its first attempt under any table.
 
-Nodes drop a retry only where the first attempt came to: with another volume, key or shard it would run again.
-So the decision for an idempotency key is stored for the window in which nodes know the key, which its class
-states. Within one process and its bound, a retry that comes in time is placed as the first attempt was. A
-head that starts from nothing, or that had to evict the key (which is counted), places by its table.
+Only the node that received the first attempt recognizes a retry: with another volume, key or shard the
+request would run again. The decision for an idempotency key is therefore stored for the window in which nodes
+remember the key, which the request's class defines. This holds within one process and up to a maximum number
+of keys: a head that starts without state, or that had to evict the key (which is counted), decides by its
+table.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 
 from stoatrouter.matching.decisions import Decision
 
-MAX_PLACEMENTS = 16_384  # beyond, the oldest is evicted and counted
+MAX_PLACEMENTS = 16_384  # beyond this, the oldest is evicted and counted
 
 
 class PlacementKey(NamedTuple):
-    """What a placement is found by.
+    """The key of a placement.
 
-    Not by scope, as a new table may give the path to another one, and not by the idempotency key alone, as
-    clients' keys must not collide.
+    It excludes the scope, as a new table may assign the path to another scope, and includes host and path, as
+    idempotency keys of different clients must not collide.
     """
 
     host: str
@@ -32,45 +33,45 @@
 
 @dataclass(slots=True, frozen=True)
 class Placement:
-    """The decision for a key, the request it was made for, and until when it is valid."""
+    """The decision for a key, a fingerprint of its request, and the end of its validity."""
 
     decision: Decision
-    fingerprint: int  # of method and query: a key names one request
-    until: timedelta
+    fingerprint: int  # hash of method and query; a key belongs to one request
+    expires_at: timedelta  # since the Unix epoch
 
 
 class KeyConflictError(Exception):
-    """An idempotency key came with another request than before."""
+    """An idempotency key was used with a different request before."""
 
 
 class Placements:
-    """Stored placements, the oldest first."""
+    """The stored placements in the order in which they were last stored."""
 
     def __init__(self, limit: int = MAX_PLACEMENTS) -> None:
-        """Start without placements.
+        """Create an empty store.
 
         Args:
-            limit: The most placements that are stored at a time.
+            limit: The maximum number of placements stored at a time.
         """
         self.limit = limit
         self.entries: OrderedDict[tuple[str, str, str], Placement] = OrderedDict()
-        self.evicted = 0  # evicted while they were still valid
+        self.evicted = 0  # placements evicted while they were still valid
 
     def find(self, key: tuple[str, str, str], fingerprint: int, now: timedelta) -> Decision | None:
-        """Find the decision stored for a key.
+        """Return the decision stored for a key; None if there is none or it has expired.
 
         Args:
             key: The request's PlacementKey.
-            fingerprint: A hash of what else identifies the request.
+            fingerprint: A hash of the other properties that identify the request.
             now: The time since the Unix epoch.
 
         Raises:
             KeyConflictError: The decision was made for another request.
         """
         placement = self.entries.get(key)
-        if placement is None or placement.until <= now:
+        if placement is None or placement.expires_at <= now:
             return None
-        # Guards data: two requests under one key would be taken for retries of each other.
+        # Protects data: nodes would take two requests with one key for retries of each other.
         if placement.fingerprint != fingerprint:
             raise KeyConflictError
         return placement.decision
@@ -83,16 +84,16 @@
         now: timedelta,
         window: timedelta,
     ) -> None:
-        """Store a decision for its window from now on; a retry renews it, as nodes count from the latest."""
+        """Store a decision for its window; a retry renews it, as nodes count from the latest attempt."""
         self.entries.pop(key, None)
         self.entries[key] = Placement(decision, fingerprint, now + window)
-        self.sweep(now)
+        self.evict_placements(now)
 
-    def sweep(self, now: timedelta) -> None:
-        """Remove expired placements, and the oldest beyond the limit."""
+    def evict_placements(self, now: timedelta) -> None:
+        """Remove expired placements, and the oldest ones beyond the limit."""
         while self.entries:
             key, oldest = next(iter(self.entries.items()))
-            if oldest.until > now:
+            if oldest.expires_at > now:
                 if len(self.entries) <= self.limit:
                     return
                 self.evicted += 1
--- a/stoatrouter/matching/records.py
+++ b/stoatrouter/matching/records.py
@@ -1,4 +1,4 @@
-"""The contents of rule files as typed records. The schema is settings/schemas/rules.cue."""
+"""Typed records of the contents of rule files. The schema is settings/schemas/rules.cue."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Computed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A value that is computed for each request by an expression."""
+    """A value that an expression computes for each request."""
 
     expr: str
 
@@ -21,7 +21,7 @@
 
 
 class Rule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One rule: its condition, and what it yields. Fields left out default to the scope's."""
+    """One rule: its condition, and the values it yields. Omitted fields default to the scope's."""
 
     name: str
     when: str
@@ -38,7 +38,7 @@
 
 
 class RuleField(StrEnum):
-    """The fields of a rule that yield values, under their names in the file."""
+    """The fields of a rule that yield values, by their names in the file."""
 
     CLASS = "class"
     VOLUME = "volume"
@@ -51,18 +51,18 @@
 
     @property
     def attribute(self) -> str:
-        """The attribute of Rule that holds the field."""
+        """Return the name of the attribute of Rule that holds the field."""
         return "request_class" if self is RuleField.CLASS else self.value
 
 
 class Rights(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Rights that an operator may give to a team beyond its own area."""
+    """Additional rights that an operator may grant to a team."""
 
-    repeat_unsafe_methods: bool = False  # a PUT or POST may get a class that is retried freely
+    repeat_unsafe_methods: bool = False  # PUT and POST may get a class that heads retry freely
 
 
 class Scope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A team's scope: what its rules may use. It is set by the operator, not by the team."""
+    """A team's scope: what its rules may use. The operator defines it, not the team."""
 
     hosts: tuple[str, ...]
     paths: tuple[str, ...]
@@ -84,13 +84,13 @@
 
 
 class Rules(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The operator's part: scopes by name, and what holds for what none of them matches."""
+    """The operator's file: scopes by name, and the answer to requests that none of them matches."""
 
     scopes: dict[str, Scope]
     otherwise: Otherwise
 
 
 class Team(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A team's own file: its rules, and nothing else."""
+    """A team's own file, which holds only its rules."""
 
     rules: tuple[Rule, ...] = ()
--- a/stoatrouter/matching/samples.py
+++ b/stoatrouter/matching/samples.py
@@ -1,4 +1,4 @@
-"""Recorded request heads: which are recorded, what of them is written, how they are read. No I/O."""
+"""Records and parses samples of request heads (request line and header fields), without I/O."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 from stoatrouter.matching.inputs import Input, read_input
 
-MASK = b"***"  # in place of a masked field's value
-MAX_LINE_LENGTH = 65_536  # characters of one record; longer heads are left out
+MASK = b"***"  # replaces the value of a masked field
+MAX_LINE_LENGTH = 65_536  # characters of one record; longer ones are not recorded
 
 
 class Sampler:
-    """Samples the first of every `one_in` request heads and masks the named header fields."""
+    """Records the first of every `one_in` request heads, with the named header fields masked."""
 
     def __init__(self, one_in: int, mask: Iterable[str]) -> None:
-        """Sample from the next request on.
+        """Create a sampler.
 
         Args:
-            one_in: One of so many requests is recorded.
-            mask: The names of header fields whose values are not recorded, in any case.
+            one_in: The number of requests of which one is recorded.
+            mask: The names of header fields whose values are not recorded, in upper or lower case.
         """
         self.one_in = one_in
         self.masked_fields = frozenset(name.lower().encode() for name in mask)
-        self.seen = 0
+        self.request_count = 0
 
     def sample(self, request: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> str | None:
-        """Return the record of a request as a line of JSON; None where it is not in the sample.
+        """Return the record of a request as a line of JSON; None if it is not recorded.
 
         Args:
-            request: The request as rules see it.
-            target: Its target as it came.
-            fields: Its header lines as they came.
+            request: The parsed request.
+            target: Its target as received.
+            fields: Its header lines as received.
         """
-        self.seen += 1
-        if (self.seen - 1) % self.one_in:
+        self.request_count += 1
+        if (self.request_count - 1) % self.one_in:
             return None
         record = {
             "method": request.method,
@@ -54,7 +54,7 @@
 
 
 def read_sample(line: str) -> Input:
-    """Parse a record as service would the request; raises ValueError or UnreadableRequestError."""
+    """Parse a record as a front parses the request; raises ValueError or UnreadableRequestError."""
     try:
         record: dict[str, Any] = json.loads(line)
         fields = [
@@ -71,11 +71,11 @@
 
 
 def read_samples(lines: Iterable[str]) -> Iterator[tuple[int, Input | Exception]]:
-    """Yield all records of a log with their line numbers from 1; an unreadable one as its error."""
+    """Yield the requests of a log with line numbers from 1; for an unreadable record, its error."""
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         try:
             yield number, read_sample(line)
-        except Exception as error:  # noqa: BLE001 - handed on, with its line
+        except Exception as error:  # noqa: BLE001 - passed to the caller with its line
             yield number, error
--- a/stoatrouter/matching/scopes.py
+++ b/stoatrouter/matching/scopes.py
@@ -1,7 +1,8 @@
-"""Scopes: areas of teams by host and path prefix, and what a team's rules may reach.
+"""Assigns requests to scopes by host and path prefix, and checks that rules stay within their scope.
 
-A request belongs to one scope at most: among those that claim its host, the one with the longest path
-prefix. So no team's rules see another's requests, and the order of scopes does not matter.
+A request belongs to at most one scope: among those that claim its host, the one with the longest
+matching path prefix. No team's rules therefore see another team's requests, and the order of scopes does not
+matter.
 """
 
 from __future__ import annotations
@@ -29,18 +30,18 @@
     """Finds the scope of a request by its host and path."""
 
     def __init__(self, scopes: Mapping[str, Scope]) -> None:
-        """Index the claims of scopes; of two equal claims the first counts.
+        """Index the claims of scopes; of two equal claims the first one takes effect.
 
         Args:
             scopes: The scopes by name.
         """
-        self.by_host: dict[str, dict[str, str]] = {}  # the scope's name by host and path prefix
+        self.by_host: dict[str, dict[str, str]] = {}  # scope names by host and path prefix
         for name, scope in scopes.items():
             for host in scope.hosts:
                 for path in scope.paths:
                     self.by_host.setdefault(host, {}).setdefault(path, name)
-        # Lengths of the prefixes of each host, the longest first.
-        self.lengths = {
+        # Prefix lengths of each host in descending order.
+        self.prefix_lengths = {
             host: tuple(sorted({len(path) for path in paths}, reverse=True))
             for host, paths in self.by_host.items()
         }
@@ -48,13 +49,13 @@
         self.wildcards = tuple(sorted(wildcards, key=len, reverse=True))
 
     def find_scope(self, host: str, path: str) -> str | None:
-        """Find the name of the scope that a request belongs to; returns None where no scope claims it.
+        """Return the name of the scope that a request belongs to; None if no scope claims it.
 
-        A host by its name precedes `*.domain`, a longer domain precedes a shorter one, and both precede `*`.
+        An exact host precedes `*.domain`, a longer domain precedes a shorter one, and both precede `*`.
         """
         for claim in self.find_claims(host):
             names = self.by_host[claim]
-            for length in self.lengths[claim]:
+            for length in self.prefix_lengths[claim]:
                 name = names.get(path[:length])
                 if name is not None:
                     return name
@@ -72,7 +73,7 @@
 
 
 def find_collisions(scopes: Mapping[str, Scope]) -> list[Collision]:
-    """Find the hosts with path prefixes that more than one scope claims."""
+    """Return the hosts and path prefixes that more than one scope claims."""
     claims: dict[tuple[str, str], str] = {}
     collisions: list[Collision] = []
     for name, scope in scopes.items():
@@ -84,8 +85,11 @@
     return collisions
 
 
-def find_outside(scope: Scope, condition: Condition) -> str | None:
-    """Describe what of a condition lies outside its scope, so that it never matches; None for nothing."""
+def describe_outside(scope: Scope, condition: Condition) -> str | None:
+    """Describe the first part of a condition that lies outside its scope; None if there is none.
+
+    A rule with such a condition never matches.
+    """
     for constraint in condition.constraints:
         if constraint.dimension == HOST:
             for host in constraint.values:
@@ -99,10 +103,10 @@
 
 
 def reaches_claim(constraint: Constraint, path: str, claim: str) -> bool:
-    """Whether a request that meets a constraint of the path by this value can lie below a claimed prefix."""
+    """Return whether a path that meets a constraint by this value can lie below a claimed prefix."""
     return path.startswith(claim) or (constraint.dimension == PREFIX and claim.startswith(path))
 
 
 def covers_host(claim: str, host: str) -> bool:
-    """Whether a claim of a scope covers a host; `*.domain` covers all hosts below it."""
+    """Return whether a claim of a scope covers a host; `*.domain` covers all hosts below the domain."""
     return claim in (ANY_HOST, host) or (claim.startswith("*.") and host.endswith(claim[1:]))
--- a/stoatrouter/matching/table.py
+++ b/stoatrouter/matching/table.py
@@ -1,4 +1,4 @@
-"""Rule tables: compiled rules by scope, used for every request."""
+"""Rule tables: the compiled rules of all scopes, which decide every request."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from stoatrouter.matching.scopes import ScopeIndex
 from stoatrouter.matching.vocabulary import Vocabulary
 
-PIECE = 64 * 1024  # bytes that count as the largest request there is, as in the object front
+MAX_UNITS_SIZE = 64 * 1024  # bytes from which a request counts as the largest, as in the object front
 MIN_DEADLINE = timedelta(milliseconds=1)
 
-Run = Callable[[Input], Any]
+CompiledFunction = Callable[[Input], Any]
 
 
 @dataclass(slots=True, frozen=True)
 class Value:
-    """A constant, or a compiled expression."""
+    """A constant or a compiled expression."""
 
     constant: Any = None
-    run: Run | None = None
+    run: CompiledFunction | None = None
 
     def evaluate(self, request: Input) -> Any:
-        """The value for a request; raises EvaluationError where an expression fails."""
+        """Return the value for a request; raises EvaluationError if the expression fails."""
         return self.constant if self.run is None else self.run(request)
 
 
@@ -42,15 +42,15 @@
     Attributes:
         name: The rule's name.
         when: The compiled condition.
-        condition: The condition in its parts.
-        cost: Steps of `when` in the worst case.
-        rule: The rule as it stands in the file.
-        values: What it yields, by the field's name in the file.
-        yield_cost: Steps of all values in the worst case.
+        condition: The condition, split into conjuncts.
+        cost: Worst-case steps of `when`.
+        rule: The rule as written in the file.
+        values: The values that it yields, by the field's name in the file.
+        yield_cost: Worst-case steps of all values.
     """
 
     name: str
-    when: Run
+    when: CompiledFunction
     condition: Condition
     cost: int
     rule: Rule
@@ -64,10 +64,10 @@
 
     Attributes:
         name: The scope's name.
-        scope: The scope as it stands in the file.
+        scope: The scope as written in the file.
         rules: Its rules, in order.
         tree: The index of their conditions.
-        max_steps: The most steps that a request of this scope may take.
+        max_steps: The maximum number of steps of a request of this scope.
     """
 
     name: str
@@ -100,16 +100,16 @@
         epoch: str,
         any_node: bool = False,
     ) -> None:
-        """Put the parts of a table together.
+        """Create a table.
 
         Args:
             scopes: The compiled scopes by name.
             scope_index: The index that finds the scope of a request.
             otherwise: The answer to a request that no rule matches.
             vocabulary: The classes and plans that decisions refer to by number.
-            warnings: What was found beside errors.
+            warnings: The warnings of its compilation.
             epoch: A short digest of the files.
-            any_node: Whether a request without a key is a new object, which any node takes.
+            any_node: Whether a request without a key creates a new object, which any node accepts.
         """
         self.scopes = scopes
         self.scope_index = scope_index
@@ -122,11 +122,11 @@
 
     @property
     def size(self) -> int:
-        """How many rules the table has."""
+        """Return the number of rules in the table."""
         return sum(len(scope.rules) for scope in self.scopes.values())
 
     def match(self, request: Input) -> Match:
-        """Find the scope that a request belongs to, and the first of its rules that matches."""
+        """Return the scope that a request belongs to and the first of its rules that matches."""
         name = self.scope_index.find_scope(request.host, request.path)
         if name is None:
             return NO_MATCH
@@ -142,7 +142,7 @@
         return self.decide_match(self.match(request), request)
 
     def decide_match(self, match: Match, request: Input) -> Decision | Refusal:
-        """Decide a request whose match is known."""
+        """Return the decision for a request whose match is known."""
         scope, rule = match
         if scope is None or rule is None:
             return Refusal(self.otherwise.status, self.otherwise.reason, scope.name if scope else None)
@@ -150,7 +150,7 @@
         if refusal is not None:
             return Refusal(refusal.status, refusal.reason, scope.name, rule.name)
         decision = self.evaluate(scope, rule, request)
-        # Guards volumes against a computed one that falls on another team's.
+        # A computed volume may be one that belongs to another team.
         owner = self.volume_owners.get(decision.volume, scope.name)
         if owner != scope.name and decision.volume not in scope.scope.volumes:
             return Refusal(403, "this volume belongs to another scope", scope.name, rule.name)
@@ -160,9 +160,9 @@
         """Evaluate the values that a matched rule yields."""
         values = rule.values
         request_class = self.vocabulary.class_number(values["class"].evaluate(request))
-        assert request_class is not None  # checked at load, for every text that can be yielded
+        assert request_class is not None  # every text that can be yielded was checked at load
         plan = self.vocabulary.plans.index(values["plan"].evaluate(request)) if "plan" in values else -1
-        key = as_hex(values["key"].evaluate(request)) if "key" in values else path_key(request)
+        key = format_hex16(values["key"].evaluate(request)) if "key" in values else path_key(request)
         return Decision(
             scope=scope.name,
             rule=rule.name,
@@ -172,13 +172,13 @@
             shard=self._evaluate_shard(values, request, key),
             units=self._evaluate_units(values, request),
             deadline=self._evaluate_deadline(values, request, request_class),
-            volume=as_hex(values["volume"].evaluate(request)) if "volume" in values else "",
+            volume=format_hex16(values["volume"].evaluate(request)) if "volume" in values else "",
             hosts=rule.rule.hosts or scope.scope.hosts_of_volume,
             repeat=bool(values["repeat"].evaluate(request)) if "repeat" in values else False,
         )
 
     def _evaluate_shard(self, values: Mapping[str, Value], request: Input, key: str) -> int:
-        """The shard that a rule yields, else the key's; -1 where any node takes the request."""
+        """Return the shard that a rule yields, else the key's; -1 if any node accepts the request."""
         if "shard" in values:
             shard: int = values["shard"].evaluate(request)
             return shard
@@ -187,7 +187,7 @@
         return int(key, 16) % shards if shards and not takes_any else -1
 
     def _evaluate_units(self, values: Mapping[str, Value], request: Input) -> float:
-        """The units that a rule yields, else those of the request's size."""
+        """Return the units that a rule yields, else those derived from the request's size."""
         if "units" in values:
             return float(values["units"].evaluate(request))
         return units_of_size(request.size, self.vocabulary.max_units)
@@ -195,7 +195,7 @@
     def _evaluate_deadline(
         self, values: Mapping[str, Value], request: Input, request_class: int
     ) -> timedelta:
-        """The deadline that a rule yields, from MIN_DEADLINE to the class's, else the class's."""
+        """Return the deadline that a rule yields, from MIN_DEADLINE to the class's, else the class's."""
         limit = self.vocabulary.classes[request_class].deadline
         if "deadline" not in values:
             return limit
@@ -204,15 +204,15 @@
 
 
 def path_key(request: Input) -> str:
-    """The key of a request for which a rule yields none: a hash of its path."""
+    """Return the default key of a request: a hash of its path."""
     return hex16(stable_hash(request.path))
 
 
-def as_hex(value: int | str) -> str:
-    """A volume or key as 16 hex digits."""
+def format_hex16(value: int | str) -> str:
+    """Return a volume or key as 16 hex digits."""
     return hex16(value) if isinstance(value, int) else value
 
 
 def units_of_size(size: int, max_units: float) -> float:
-    """Units by the stated size in bytes: PIECE bytes or more count as the largest request."""
-    return min(max_units, float(max(1, -(-int(max_units) * max(size, 0) // PIECE))))
+    """Return units in proportion to the declared size in bytes: `max_units` from MAX_UNITS_SIZE bytes on."""
+    return min(max_units, float(max(1, -(-int(max_units) * max(size, 0) // MAX_UNITS_SIZE))))
--- a/stoatrouter/matching/table_compiler.py
+++ b/stoatrouter/matching/table_compiler.py
@@ -1,4 +1,4 @@
-"""Loads a rule table: all scopes and rules are checked and compiled, or all errors are reported."""
+"""Compiles a rule table: checks and compiles all scopes and rules, or reports all errors."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from stoatrouter.matching.table import CompiledRule, CompiledScope, Table
 from stoatrouter.matching.vocabulary import Bucket, Vocabulary
 
-MAX_RULES = 20_000  # of a table
-MAX_SCOPES = 1_000  # of a table
-DEAREST_SHOWN = 3  # rules that an error about a scope's steps names
+MAX_RULES = 20_000  # in a table
+MAX_SCOPES = 1_000  # in a table
+MAX_RULES_SHOWN = 3  # costliest rules named in an error about a scope's steps
 
 
 class TableCompiler(RuleCompiler):
-    """One load of one table; it collects errors, and takes what is unchanged from the cache."""
+    """Compiles one table; collects errors and takes unchanged scopes and expressions from the cache."""
 
     def __init__(
         self,
@@ -32,12 +32,12 @@
         cache: Cache | None = None,
         buckets: Mapping[str, Bucket] | None = None,
     ) -> None:
-        """Prepare a load.
+        """Create a compiler for one table.
 
         Args:
             vocabulary: The classes, plans and bounds of the settings.
-            environment: What expressions may use.
-            cache: What earlier loads left; None: nothing.
+            environment: The variables that expressions may use.
+            cache: The cache of earlier loads; None creates an empty one.
             buckets: The buckets of the object front; None for the HTTP front.
         """
         super().__init__(vocabulary, environment, Cache() if cache is None else cache, buckets)
@@ -48,11 +48,11 @@
 
         Args:
             rules: The operator's file.
-            teams: The rules of scopes that name a file of their own.
+            teams: The rules of scopes that have a file of their own, by scope.
             epoch: A short digest of all files.
 
         Raises:
-            TableError: The table has errors; it names them all.
+            TableError: The table has errors; the exception holds all of them.
         """
         self.cache.begin(self.environment, self.vocabulary)
         rules_by_scope = {name: teams.get(name, scope.rules) for name, scope in rules.scopes.items()}
@@ -62,7 +62,7 @@
         }
         if self.errors:
             raise TableError(self.errors)
-        self.cache.sweep(compiled)
+        self.cache.remove_unused(compiled)
         return Table(
             {name: scope for name, scope in compiled.items() if scope is not None},
             ScopeIndex(rules.scopes),
@@ -74,10 +74,10 @@
         )
 
     def check_scopes(self, rules: Rules, rules_by_scope: Mapping[str, Sequence[Rule]]) -> None:
-        """Check how many scopes and rules there are, and that no two scopes claim the same.
+        """Check the number of scopes and rules, and that no two scopes claim the same host and path.
 
         Raises:
-            TableError: There are more rules than a load may take time for.
+            TableError: There are more than MAX_RULES rules, which would take too long to load.
         """
         if len(rules.scopes) > MAX_SCOPES:
             self.report("scopes", f"{len(rules.scopes)} scopes", f"{MAX_SCOPES} at most")
@@ -92,7 +92,7 @@
 
     # -- one scope ----------------------------------------------------------------------------------------
     def load_scope(self, name: str, scope: Scope, rules: Sequence[Rule]) -> CompiledScope | None:
-        """Take a scope from the cache, or compile it; returns None where a rule has errors."""
+        """Return a scope from the cache, or compile it; None if a rule has errors."""
         cached = self.cache.find_scope(name, scope, rules)
         if cached is not None:
             self.warnings += cached.warnings
@@ -109,16 +109,19 @@
         return compiled
 
     def compile_scope(self, name: str, scope: Scope, rules: Sequence[Rule]) -> CompiledScope | None:
-        """Check and compile one scope; returns None where a rule has errors, which are recorded."""
+        """Check and compile one scope; record errors and return None if a rule has any."""
         path = f"scopes.{name}"
         self.check_scope(path, scope)
-        places = [f"{path}.rules[{number}]" for number in range(len(rules))]
-        self.check_rule_names(places, rules)
-        results = [self.compile_rule(place, scope, rule) for place, rule in zip(places, rules, strict=True)]
+        rule_paths = [f"{path}.rules[{number}]" for number in range(len(rules))]
+        self.check_rule_names(rule_paths, rules)
+        results = [
+            self.compile_rule(rule_path, scope, rule)
+            for rule_path, rule in zip(rule_paths, rules, strict=True)
+        ]
         compiled = [rule for rule in results if rule is not None]
         if len(compiled) < len(rules):
             return None
-        self.warn_of_idle_rules(places, compiled)
+        self.warn_of_unreachable_rules(rule_paths, compiled)
         tree = index.build([rule.condition for rule in compiled])
         yield_steps = max((rule.yield_cost for rule in compiled), default=0)
         max_steps = tree.max_steps([rule.cost for rule in compiled]) + yield_steps
@@ -127,7 +130,7 @@
         return CompiledScope(name, scope, tuple(compiled), tree, max_steps)
 
     def check_scope(self, path: str, scope: Scope) -> None:
-        """Check that the classes and plans of a scope exist and its paths are prefixes."""
+        """Check that the classes and plans of a scope exist and that its paths are prefixes."""
         for request_class in scope.classes:
             if self.vocabulary.class_number(request_class) is None:
                 known = ", ".join(each.name for each in self.vocabulary.classes)
@@ -140,40 +143,42 @@
             if not prefix.startswith("/"):
                 self.report(f"{path}.paths", f"{prefix!r} is no path prefix", "it starts with /")
 
-    def check_rule_names(self, places: Sequence[str], rules: Sequence[Rule]) -> None:
-        """Check that the names of a scope's rules differ."""
+    def check_rule_names(self, rule_paths: Sequence[str], rules: Sequence[Rule]) -> None:
+        """Check that the names of a scope's rules are unique."""
         first_uses: dict[str, int] = {}
-        for number, (place, rule) in enumerate(zip(places, rules, strict=True)):
+        for number, (rule_path, rule) in enumerate(zip(rule_paths, rules, strict=True)):
             first = first_uses.setdefault(rule.name, number)
             if first != number:
-                self.report(place, f"the name {rule.name!r} stands twice", f"it is that of rules[{first}]")
+                self.report(
+                    rule_path, f"the name {rule.name!r} stands twice", f"it is that of rules[{first}]"
+                )
 
     def report_steps(self, path: str, scope: Scope, max_steps: int, compiled: Sequence[CompiledRule]) -> None:
-        """Record that a request of a scope may take too many steps."""
-        dearest = sorted(compiled, key=lambda rule: -rule.cost)[:DEAREST_SHOWN]
+        """Record an error: a request of the scope may take too many steps."""
+        costliest = sorted(compiled, key=lambda rule: -rule.cost)[:MAX_RULES_SHOWN]
         self.report(
             path,
             f"a request may take {max_steps} steps, {scope.steps} at most",
             "dearest: "
-            + ", ".join(f"{rule.cost} for {rule.name}" for rule in dearest)
+            + ", ".join(f"{rule.cost} for {rule.name}" for rule in costliest)
             + "; conditions on host, method, path or a header keep rules apart",
         )
 
-    def warn_of_idle_rules(self, places: Sequence[str], compiled: Sequence[CompiledRule]) -> None:
+    def warn_of_unreachable_rules(self, rule_paths: Sequence[str], compiled: Sequence[CompiledRule]) -> None:
         """Record warnings for rules that can never match."""
-        for place, rule in zip(places, compiled, strict=True):
+        for rule_path, rule in zip(rule_paths, compiled, strict=True):
             never = f"rule {rule.name!r} never matches"
             contradiction = rule.condition.find_contradiction()
             if rule.condition.is_false:
-                self.warnings.append(Diagnostic(place, f"{never}: its condition is false"))
+                self.warnings.append(Diagnostic(rule_path, f"{never}: its condition is false"))
             elif contradiction is not None:
                 both = " and ".join(map(describe_constraint, contradiction))
-                self.warnings.append(Diagnostic(place, f"{never}: it wants {both}"))
+                self.warnings.append(Diagnostic(rule_path, f"{never}: it wants {both}"))
         for covered in Coverage([rule.condition for rule in compiled]).find_covered():
             name = compiled[covered.rule].name
             covering = compiled[covered.covered_by].name
             what = f"rule {name!r} never matches: {covering!r} before it covers it"
-            self.warnings.append(Diagnostic(places[covered.rule], what, "move it up, or remove one"))
+            self.warnings.append(Diagnostic(rule_paths[covered.rule], what, "move it up, or remove one"))
 
 
 def describe_constraint(constraint: Constraint) -> str:
--- a/stoatrouter/matching/values.py
+++ b/stoatrouter/matching/values.py
@@ -1,6 +1,6 @@
-"""Checks of the values that rules yield: class, plan, volume, key, shard, units, repeat, deadline.
+"""Checks the values that rules yield: class, plan, volume, key, shard, units, repeat, deadline.
 
-Each check proves that every value that can be yielded is allowed, so that no request can meet an error.
+Each check proves that every value that can be yielded is allowed, so that no request fails on one.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from stoatrouter.matching.cache import Cache, Expression
 from stoatrouter.matching.conjuncts import Condition
 from stoatrouter.matching.diagnostics import Diagnostic
-from stoatrouter.matching.outcomes import Outcome, find_outcomes, proves_safe
 from stoatrouter.matching.records import Computed, RuleField, Scope
 from stoatrouter.matching.table import MIN_DEADLINE, Value
 from stoatrouter.matching.vocabulary import Vocabulary
+from stoatrouter.matching.yielded_texts import YieldedText, find_yielded_texts, implies_safe_method
 
 HEX_DIGITS = frozenset("0123456789abcdef")
-HEX_LENGTH = 16  # of a volume or key
-ANY_VOLUME = "*"  # of a scope's volumes: any at all, computed ones too
-MAX_YIELD_STEPS = 2_000  # of one computed value
-MAX_SHARD = (1 << 31) - 1  # where the number of shards is not known
+HEX_LENGTH = 16  # digits of a volume or key
+ANY_VOLUME = "*"  # in a scope's volumes: any volume, including computed ones
+MAX_YIELD_STEPS = 2_000  # steps of one computed value
+MAX_SHARD = (1 << 31) - 1  # used if the number of shards is not known
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,17 +34,17 @@
 
     Attributes:
         value: The value, ready to be evaluated.
-        cost: The steps of evaluating it in the worst case.
-        outcomes: All texts that it can yield; None where they are not known.
+        cost: Worst-case steps of its evaluation.
+        yielded_texts: All texts that it can yield; None if they are not known.
     """
 
     value: Value
     cost: int = 0
-    outcomes: frozenset[Outcome] | None = None
+    yielded_texts: frozenset[YieldedText] | None = None
 
 
 class NumberRange(NamedTuple):
-    """The numbers that a field may have, both ends included, and how diagnostics name them."""
+    """The range of a numeric field, both ends included, with the texts that diagnostics use."""
 
     low: int
     high: int
@@ -56,11 +56,11 @@
     """Checks and compiles the values that rules yield; collects the errors that it finds."""
 
     def __init__(self, vocabulary: Vocabulary, environment: Environment, cache: Cache) -> None:
-        """Check values against the settings' names.
+        """Create a checker for the values of one table.
 
         Args:
             vocabulary: The classes, plans and bounds of the settings.
-            environment: What expressions may use.
+            environment: The variables that expressions may use.
             cache: Compiled expressions of earlier loads.
         """
         self.vocabulary = vocabulary
@@ -75,7 +75,7 @@
     def compile(
         self, path: str, source: str, wanted_type: t.Type | None, max_steps: int
     ) -> Expression | None:
-        """Check and compile an expression of at most `max_steps` steps; returns None where it has errors."""
+        """Check and compile an expression of at most `max_steps` steps; record errors and return None."""
         try:
             return self.cache.compile(source, wanted_type, self.environment, max_steps)
         except ExpressionError as error:
@@ -84,10 +84,10 @@
             ]
             return None
 
-    def find_default(self, place: str, scope: Scope, field: RuleField) -> str | None:
-        """Find the default of a field that a rule leaves out: the only one that its scope allows.
+    def find_default(self, rule_path: str, scope: Scope, field: RuleField) -> str | None:
+        """Return the default of a field that a rule omits: the only value that its scope allows.
 
-        Returns None for fields without a default, and, with an error, where the scope allows several.
+        Returns None for fields without a default, and, with an error, if the scope allows several values.
         """
         match field:
             case RuleField.CLASS:
@@ -100,16 +100,16 @@
                 return None
         if len(allowed) == 1 and allowed[0] != ANY_VOLUME:
             return allowed[0]
-        self.report(place, f"no {field} is given", "this scope has: " + ", ".join(allowed))
+        self.report(rule_path, f"no {field} is given", "this scope has: " + ", ".join(allowed))
         return None
 
     def check_value(
         self, field: RuleField, path: str, scope: Scope, given: Any, condition: Condition
     ) -> CheckedValue | None:
-        """Check and compile the value of a field; returns None where it has errors, which are recorded.
+        """Check and compile the value of a field; record errors and return None if there are any.
 
-        The scope says what is allowed, `given` is what the rule says, a constant or Computed, and the rule's
-        condition says what requests there can be.
+        The scope defines what is allowed, `given` is the rule's value, a constant or Computed, and the rule's
+        condition restricts the requests that are possible.
         """
         match field:
             case RuleField.CLASS:
@@ -133,33 +133,33 @@
     def check_name(
         self, path: str, allowed: Sequence[str], given: str | Computed, subject: str, safe: bool = False
     ) -> CheckedValue | None:
-        """Check a value that must be one of the scope's names, for every request.
+        """Check that a value is one of the scope's names for every request.
 
-        `subject` is what the names are, for errors; `safe` is whether the rule's condition holds for safe
-        methods only.
+        `subject` is the kind of the names, for error messages; `safe` is whether the rule's condition holds
+        for safe methods only.
         """
         if isinstance(given, str):
             if not self.check_allowed(path, allowed, {given}, subject):
                 return None
-            return CheckedValue(Value(given), outcomes=frozenset((Outcome(given, safe),)))
+            return CheckedValue(Value(given), yielded_texts=frozenset((YieldedText(given, safe),)))
         path = f"{path}.expr"
         expression = self.compile(path, given.expr, t.STRING, MAX_YIELD_STEPS)
         if expression is None:
             return None
-        outcomes = find_outcomes(expression.checked.root.node, safe)
-        if outcomes is None:
+        yielded_texts = find_yielded_texts(expression.checked.root.node, safe)
+        if yielded_texts is None:
             self.report(
                 path,
                 f"which {subject} this yields cannot be told before a request comes",
                 "use literals, ?: and maps of literals",
             )
             return None
-        if not self.check_allowed(path, allowed, {outcome.text for outcome in outcomes}, subject):
+        if not self.check_allowed(path, allowed, {yielded.text for yielded in yielded_texts}, subject):
             return None
-        return CheckedValue(Value(run=expression.run), expression.checked.cost, outcomes)
+        return CheckedValue(Value(run=expression.run), expression.checked.cost, yielded_texts)
 
     def check_allowed(self, path: str, allowed: Sequence[str], names: set[str], subject: str) -> bool:
-        """Whether all of some names are the scope's; else the first of the others is reported."""
+        """Return whether the scope has all of some names; report the first one that it does not have."""
         foreign = sorted(names - set(allowed))
         if foreign:
             remedy = "it has: " + ", ".join(allowed)
@@ -169,14 +169,14 @@
     def check_class(
         self, path: str, scope: Scope, given: str | Computed, condition: Condition
     ) -> CheckedValue | None:
-        """Check `class`, and that only safe requests can get one that heads retry freely."""
-        checked = self.check_name(path, scope.classes, given, "class", proves_safe(condition))
+        """Check `class`, and that only safe requests can get a class that heads may retry freely."""
+        checked = self.check_name(path, scope.classes, given, "class", implies_safe_method(condition))
         if checked is None or scope.rights.repeat_unsafe_methods:
             return checked
-        outcomes = checked.outcomes or ()
-        unsafe = sorted({o.text for o in outcomes if not o.safe and self.is_repeatable(o.text)})
+        yielded_texts = checked.yielded_texts or ()
+        unsafe = sorted({o.text for o in yielded_texts if not o.safe and self.is_repeatable(o.text)})
         if unsafe:
-            # Guards data: what a head may retry freely must be idempotent, and a PUT is not.
+            # Protects data: what a head may retry freely must be idempotent, and a PUT is not taken to be.
             self.report(
                 path,
                 f"class {unsafe[0]!r} may be repeated freely, but the condition lets methods through that "
@@ -188,22 +188,22 @@
         return checked
 
     def is_repeatable(self, name: str) -> bool:
-        """Whether requests of a class may be retried freely."""
+        """Return whether requests of a class may be retried freely."""
         number = self.vocabulary.class_number(name)
         return number is not None and self.vocabulary.classes[number].repeatable
 
     def check_volume(self, path: str, scope: Scope, given: str | Computed) -> CheckedValue | None:
-        """Check `volume`: one of the scope's, or any where it has ANY_VOLUME."""
+        """Check `volume`: one of the scope's, or any volume if the scope has ANY_VOLUME."""
         if ANY_VOLUME not in scope.volumes:
             return self.check_name(path, scope.volumes, given, "volume")
         checked = self.check_hex(path, given)
         if checked is not None and checked.value.run is None:
-            outcomes = frozenset((Outcome(checked.value.constant, False),))
-            return CheckedValue(checked.value, checked.cost, outcomes)
+            yielded_texts = frozenset((YieldedText(checked.value.constant, False),))
+            return CheckedValue(checked.value, checked.cost, yielded_texts)
         return checked
 
     def check_hex(self, path: str, given: str | Computed) -> CheckedValue | None:
-        """Check a value of 16 hex digits: a literal, or an int that is formatted as such."""
+        """Check a value of 16 hex digits: a literal, or an int, which is formatted as hex digits."""
         if isinstance(given, str):
             if len(given) != HEX_LENGTH or not set(given) <= HEX_DIGITS:
                 self.report(path, f"{given!r} is not 16 hex digits in lower case")
@@ -231,14 +231,14 @@
         return self.check_number(path, given, NumberRange(-1, high, "shard", f"write hash(...) % {high + 1}"))
 
     def check_units(self, path: str, given: float | Computed) -> CheckedValue | None:
-        """Check `units`: as many as the settings allow one request."""
+        """Check `units`: from 1 to the maximum that the settings allow for one request."""
         most = self.vocabulary.max_units
         return self.check_number(
             path, given, NumberRange(1, int(most), "number of units", f"from 1 to {most:g}")
         )
 
     def check_number(self, path: str, given: float | Computed, allowed: NumberRange) -> CheckedValue | None:
-        """Check a number, or an expression whose bounds prove that it is in range."""
+        """Check that a number, or the bound of an expression, lies in the allowed range."""
         low, high, subject, remedy = allowed
         if not isinstance(given, Computed):
             if not low <= given <= high:
@@ -265,7 +265,7 @@
         return self.check_computed(path, given, t.BOOL)
 
     def check_deadline(self, path: str, given: str | Computed) -> CheckedValue | None:
-        """Check `deadline`: a duration of MIN_DEADLINE or more."""
+        """Check `deadline`: a duration of at least MIN_DEADLINE."""
         if isinstance(given, Computed):
             return self.check_computed(path, given, t.DURATION)
         try:
@@ -279,7 +279,7 @@
         return CheckedValue(Value(deadline))
 
     def check_computed(self, path: str, given: Computed, wanted_type: t.Type) -> CheckedValue | None:
-        """Check an expression of which only the type matters."""
+        """Check an expression whose value is restricted only by its type."""
         expression = self.compile(f"{path}.expr", given.expr, wanted_type, MAX_YIELD_STEPS)
         if expression is None:
             return None
--- a/stoatrouter/matching/vocabulary.py
+++ b/stoatrouter/matching/vocabulary.py
@@ -1,4 +1,4 @@
-"""The names that rules may use: classes, plans and buckets of the settings."""
+"""The names that rules may use: the classes, plans and buckets of the settings."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True, frozen=True)
 class KnownClass:
-    """What a table needs to know of a request class.
+    """The properties of a request class that a table needs.
 
     Attributes:
         name: The class's name in the settings.
         repeatable: Whether its requests are idempotent, so that a head may retry them freely.
-        deadline: The most time that its requests have.
+        deadline: The maximum time allowed for its requests.
     """
 
     name: str
@@ -23,13 +23,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Vocabulary:
-    """The names that rules may use: classes and plans in the order of the settings, and bounds.
+    """The names that rules may use and the bounds of their values, as the settings define them.
 
     Attributes:
-        classes: The request classes; decisions refer to them by position.
-        plans: The plans; decisions refer to them by position.
-        shards: The number of shards; 0 where it is not known.
-        max_units: The most units of work that one request may have.
+        classes: The request classes in the order of the settings; decisions refer to them by index.
+        plans: The plans in the order of the settings; decisions refer to them by index.
+        shards: The number of shards; 0 if it is not known.
+        max_units: The maximum units of work of one request.
     """
 
     classes: tuple[KnownClass, ...]
@@ -38,13 +38,13 @@
     max_units: float
 
     def class_number(self, name: str) -> int | None:
-        """Find the number of a class; returns None where there is no such class."""
+        """Return the index of a class; None if there is no such class."""
         return next((number for number, known in enumerate(self.classes) if known.name == name), None)
 
 
 @dataclass(slots=True, frozen=True)
 class Bucket:
-    """A bucket of the object front: its volume, and its plan unless the table yields that."""
+    """A bucket of the object front: its volume, and its plan unless rules yield the plan."""
 
     volume: str
     plan: str | None
