--- a/stoatrouter/settings/__init__.py
+++ b/stoatrouter/settings/__init__.py
@@ -1,6 +1,6 @@
-"""Operators' files: a strict subset of CUE, unified with the schemas that are shipped, as typed records.
+"""Loads operators' files, in a strict subset of CUE, as typed records checked against the shipped schemas.
 
-What is read and what is left out: docs/settings.md. What this accepts, CUE accepts.
+The supported subset is documented in docs/settings.md. CUE accepts every file that this package accepts.
 """
 
 from stoatrouter.settings.errors import Fault, SettingsError
--- a/stoatrouter/settings/constraints.py
+++ b/stoatrouter/settings/constraints.py
@@ -1,7 +1,7 @@
-"""The constraints on one value: its kinds, bounds and concrete value, and whether they can hold together.
+"""Unifies the constraints on one value: its kinds, bounds and concrete value.
 
-This is unification of scalars as CUE's specification has it ("Types", "Bounds"); what structs and lists hold
-is the evaluation's business.
+This is the unification of scalars of CUE's specification ("Types", "Bounds"); `evaluate` unifies the contents
+of structs and lists.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from stoatrouter.settings import syntax as s
 from stoatrouter.settings.errors import Fault, json_text, truncate
 
-# Kinds by their names in CUE: sets of the basic ones
+# Kinds by their names in CUE, as sets of basic kinds
 BASIC = frozenset(("null", "bool", "int", "float", "string", "struct", "list"))
 KINDS: dict[str, frozenset[str]] = {
     "_": BASIC,
@@ -35,7 +35,7 @@
 KIND_OF_PYTHON_TYPE = {type(None): "null", bool: "bool", int: "int", float: "float", str: "string"}
 MATCHES = "=~"
 MATCHES_NOT = "!~"
-COMPARE: dict[str, Callable[[Any, Any], bool]] = {
+COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
     ">": operator.gt,
     ">=": operator.ge,
     "<": operator.lt,
@@ -44,20 +44,20 @@
     MATCHES: lambda text, pattern: pattern.search(text) is not None,
     MATCHES_NOT: lambda text, pattern: pattern.search(text) is None,
 }
-NO_VALUE = object()  # no concrete value so far; None is CUE's null
-LONGEST_VALUE = 80  # characters of a value in a message
+NO_VALUE = object()  # no concrete value yet; None is CUE's null
+MAX_VALUE_LENGTH = 80  # characters of a value in a message
 
 
 @lru_cache(maxsize=256)
 def compile_pattern(pattern: str, shipped: bool = False) -> Any:
-    """Compile a pattern in RE2's syntax, which is CUE's.
+    """Compile a pattern in RE2's syntax, which CUE uses.
 
-    What the schemas ship is matched by `re`: each call of RE2's releases the interpreter lock for a moment,
-    and many of them in a thread starve the event loop.
+    Patterns of the shipped schemas are matched by `re`: each call of RE2 releases the interpreter lock
+    briefly, and many such calls in a thread starve the event loop.
 
     Raises:
-        re2.error: It is no pattern.
-        TypeError: It is no text.
+        re2.error: The pattern is malformed.
+        TypeError: The pattern is not a string.
     """
     if shipped:
         return re.compile(pattern)
@@ -67,18 +67,18 @@
 
 
 def kind_of_value(value: Any) -> str:
-    """The name of a concrete scalar's kind."""
+    """Return the name of a concrete scalar's kind."""
     return KIND_OF_PYTHON_TYPE[type(value)]
 
 
 def kinds_of_node(node: s.Node) -> frozenset[str] | None:
-    """The kinds that a node can be as far as its text tells; None where it has to be evaluated."""
+    """Return the kinds that a node can have by its syntax alone; None if it has to be evaluated."""
     match node:
         case s.Atom():
             return frozenset((kind_of_value(node.value),))
         case s.Struct():
             return KINDS["struct"]
-        case s.ListOf():
+        case s.ListLiteral():
             return KINDS["list"]
         case s.Reference() if not node.path:
             return KINDS.get(node.name)
@@ -87,16 +87,16 @@
 
 
 class Located(Protocol):
-    """Whatever knows its path in the file; the path is worked out for a fault only."""
+    """An object that knows its path in the file; the path is computed only for faults."""
 
     @property
     def path(self) -> str:
-        """The path from the top of the file."""
+        """Return the path from the top of the file."""
 
 
 @dataclass(slots=True, frozen=True)
 class Statement:
-    """One constraint as text, and where it stands: the evidence in a conflict."""
+    """One constraint as text, with its place; reported if it conflicts with another one."""
 
     text: str
     at: s.Place
@@ -104,36 +104,36 @@
 
 @dataclass(slots=True, frozen=True)
 class Bound:
-    """One bound, with its operand evaluated."""
+    """One bound with an evaluated operand."""
 
     operator: str
     operand: Any
     at: s.Place
 
     def __str__(self) -> str:
-        """The bound in CUE's syntax."""
+        """Return the bound in CUE's syntax."""
         return f"{self.operator}{value_text(self.operand)}"
 
     def admits(self, value: Any) -> bool:
-        """Whether a concrete value lies on the right side; text and number differ, but do not compare."""
+        """Return whether a concrete value meets the bound; a string and a number only satisfy `!=`."""
         if isinstance(self.operand, str) != isinstance(value, str):
             return self.operator == "!="
         if self.operator in (MATCHES, MATCHES_NOT):
-            return COMPARE[self.operator](value, compile_pattern(self.operand, self.at.in_schema))
-        return COMPARE[self.operator](value, self.operand)
+            return COMPARISONS[self.operator](value, compile_pattern(self.operand, self.at.in_schema))
+        return COMPARISONS[self.operator](value, self.operand)
 
 
 class Constraints:
     """All constraints on one value.
 
-    Methods that add one take its place, the list that a fault is appended to where it cannot hold together
-    with those before, and the field that the fault is about.
+    Methods that add a constraint take its place, the list to which a fault is appended if it contradicts
+    earlier constraints, and the field that the fault is about.
     """
 
     __slots__ = ("kinds", "value", "bounds", "statements")
 
     def __init__(self) -> None:
-        """Begin without a constraint: any value of any kind."""
+        """Start without constraints: any value of any kind is allowed."""
         self.kinds = BASIC
         self.value: Any = NO_VALUE
         self.bounds: list[Bound] = []
@@ -141,25 +141,25 @@
 
     @property
     def is_concrete(self) -> bool:
-        """Whether there is one concrete scalar."""
+        """Return whether the value is a concrete scalar."""
         return self.value is not NO_VALUE
 
     @property
     def is_struct(self) -> bool:
-        """Whether it can be nothing but a struct."""
+        """Return whether the value can only be a struct."""
         return self.kinds == KINDS["struct"]
 
     @property
     def may_have_arcs(self) -> bool:
-        """Whether it may have fields or elements."""
+        """Return whether the value may have fields or elements."""
         return "struct" in self.kinds or "list" in self.kinds
 
     def may_be(self, kinds: frozenset[str]) -> bool:
-        """Whether it may be of one of these kinds."""
+        """Return whether the value may have one of these kinds."""
         return bool(self.kinds & kinds)
 
     def add_kind(self, name: str, at: s.Place, faults: list[Fault], where: Located) -> None:
-        """Constrain it to a kind by CUE's name; `uint` is an int that is at least 0."""
+        """Constrain the value to a kind by its CUE name; `uint` is an int of at least 0."""
         self.narrow_kinds(KINDS[name], name, at, faults, where)
         if name == "uint":
             self.add_bound(">=", 0, at, faults, where)
@@ -167,20 +167,20 @@
     def narrow_kinds(
         self, kinds: frozenset[str], text: str, at: s.Place, faults: list[Fault], where: Located
     ) -> None:
-        """Constrain it to some kinds, for the reason that the text gives."""
+        """Constrain the value to some kinds; `text` is the constraint that requires them."""
         if not self.kinds & kinds:
-            faults.append(self.conflict(text, at, where))
+            faults.append(self.conflict_fault(text, at, where))
             return
         self.kinds = self.kinds & kinds
         self.statements.append(Statement(text, at))
 
     def add_value(self, value: Any, at: s.Place, faults: list[Fault], where: Located) -> None:
-        """Constrain it to one concrete scalar; 1 and 1.0 are different ones."""
+        """Constrain the value to one concrete scalar; 1 and 1.0 are different scalars."""
         kind = kind_of_value(value)
         text = value_text(value)
         differs = self.is_concrete and (value != self.value or kind_of_value(self.value) != kind)
         if kind not in self.kinds or differs:
-            faults.append(self.conflict(text, at, where))
+            faults.append(self.conflict_fault(text, at, where))
             return
         self.kinds = frozenset((kind,))
         self.value = value
@@ -188,7 +188,7 @@
         self.check_bounds(faults, where)
 
     def add_bound(self, name: str, operand: Any, at: s.Place, faults: list[Fault], where: Located) -> None:
-        """Constrain it to one side of a value, or to a pattern."""
+        """Constrain the value by a comparison or a pattern."""
         if name in (MATCHES, MATCHES_NOT):
             try:
                 compile_pattern(operand)
@@ -205,16 +205,16 @@
         self.check_bounds(faults, where)
 
     def check_bounds(self, faults: list[Fault], where: Located) -> None:
-        """Record the first bound that a concrete value violates; nothing where there is a fault already."""
+        """Record the first bound that a concrete value violates, unless there is a fault already."""
         if not self.is_concrete or faults:
             return
         for bound in self.bounds:
             if not bound.admits(self.value):
-                faults.append(self.violation(bound, where))
+                faults.append(self.bound_fault(bound, where))
                 return
 
-    def violation(self, bound: Bound, where: Located) -> Fault:
-        """The fault of a value that a bound does not admit."""
+    def bound_fault(self, bound: Bound, where: Located) -> Fault:
+        """Return the fault of a value that violates a bound."""
         text = value_text(self.value)
         value_at = next((entry.at for entry in reversed(self.statements) if entry.text == text), bound.at)
         if not bound.at.in_schema:
@@ -223,8 +223,8 @@
         allowed = " & ".join(dict.fromkeys(schema or [str(bound)]))
         return Fault(value_at, where.path, f"found {text}", f"allowed: {allowed}")
 
-    def conflict(self, text: str, at: s.Place, where: Located) -> Fault:
-        """The fault of a constraint that cannot hold with those before, worded for the operator."""
+    def conflict_fault(self, text: str, at: s.Place, where: Located) -> Fault:
+        """Return the fault of a constraint that contradicts earlier ones, worded for the operator."""
         statements = [*self.statements, Statement(text, at)]
         own = [entry for entry in statements if not entry.at.in_schema]
         schema = [entry.text for entry in statements if entry.at.in_schema]
@@ -239,5 +239,5 @@
 
 
 def value_text(value: Any) -> str:
-    """A scalar as text for a message, cut to `LONGEST_VALUE` characters."""
-    return truncate(json_text(value), LONGEST_VALUE)
+    """Return a scalar as text for a message, truncated to `MAX_VALUE_LENGTH` characters."""
+    return truncate(json_text(value), MAX_VALUE_LENGTH)
--- a/stoatrouter/settings/errors.py
+++ b/stoatrouter/settings/errors.py
@@ -1,4 +1,4 @@
-"""Faults in settings: file, line, the field's path, what was found, and what is allowed."""
+"""Faults in settings, with file, line, path of the field, what was found and what is allowed."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Fault:
-    """One fault of a file, worded for the operator who has to mend it.
+    """One fault of a file, worded for the operator who has to fix it.
 
-    The path is that of the field from the top of the file, empty for the file as a whole; the remedy is what
-    would be right, empty where there is no good guess.
+    The path is that of the field from the top of the file, empty for the file as a whole. The remedy says how
+    to correct the fault; it is empty if that cannot be guessed.
     """
 
     at: Place
@@ -25,25 +25,25 @@
     remedy: str = ""
 
     def __str__(self) -> str:
-        """One line: `file:line: path: what (remedy)`."""
+        """Return one line: `file:line: path: what (remedy)`."""
         path = f"{self.path}: " if self.path else ""
         return f"{self.at}: {path}{self.what}" + (f" ({self.remedy})" if self.remedy else "")
 
 
 class SettingsError(Exception):
-    """Settings that cannot be used; every fault once, in the order of the files."""
+    """Settings are invalid; holds every fault once, sorted by file and line."""
 
     def __init__(self, *faults: Fault) -> None:
-        """Sort the faults by place and drop duplicates."""
+        """Sort the faults by place and remove duplicates."""
         self.faults = tuple(sorted(set(faults)))
         super().__init__("\n".join(map(str, self.faults)))
 
 
 def json_text(value: Any) -> str:
-    """A scalar as it would be written in a file; JSON is a subset of CUE."""
+    """Return a scalar as it would be written in a file; JSON is a subset of CUE."""
     return json.dumps(value, ensure_ascii=False)
 
 
-def truncate(text: str, longest: int) -> str:
-    """A text of at most `longest` characters, an ellipsis included where it was cut."""
-    return text if len(text) <= longest else text[: longest - len(ELLIPSIS)] + ELLIPSIS
+def truncate(text: str, max_length: int) -> str:
+    """Truncate a text to `max_length` characters, including an ellipsis if it was cut."""
+    return text if len(text) <= max_length else text[: max_length - len(ELLIPSIS)] + ELLIPSIS
--- a/stoatrouter/settings/evaluate.py
+++ b/stoatrouter/settings/evaluate.py
@@ -1,8 +1,8 @@
-"""Unification of settings files with each other and with the program's schema, by CUE's rules.
+"""Unifies settings files with each other and with a shipped schema, by CUE's rules.
 
-As in CUE, a field's value is the conjunction of everything declared for it anywhere: a vertex collects
-conjuncts, each with the scope in which its names are looked up. Definitions (#Name) are closed: fields that
-they do not allow are faults. All faults are collected, with their places in the operator's files.
+As in CUE, the value of a field is the conjunction of all its declarations: a vertex collects conjuncts, each
+with the scope in which its names are looked up. Definitions (#Name) are closed: fields that they do not allow
+are faults. All faults are collected, with their places in the operator's files.
 """
 
 from __future__ import annotations
@@ -22,51 +22,51 @@
 from stoatrouter.settings.errors import Fault
 from stoatrouter.settings.vertex import Allowed, Conjunct, Label, Scope, Vertex, is_hidden
 
-MAX_DEPTH = 60  # vertices below each other; deeper ones are a definition within itself
-LONGEST_PATH = 60  # characters of the path in the fault of a definition within itself
-MAX_ALTERNATIVES = 64  # combinations of alternatives that are tried for one field
-STRENGTH = ("", "!", "?")  # marks of a field: the first of these that any declaration has holds
+MAX_DEPTH = 60  # levels of vertices; a deeper one means that a definition contains itself
+MAX_PATH_SHOWN = 60  # characters of the path in the fault of a definition that contains itself
+MAX_COMBINATIONS = 64  # combinations of alternatives tried for one field
+MARK_PRECEDENCE = ("", "!", "?")  # marks of a field; the first one that any declaration has applies
 
 
 @dataclass(slots=True)
 class Expansion:
-    """The conjuncts of a vertex that are still to be applied, and the vertices already referred to."""
+    """The conjuncts of a vertex that are still to be applied, and the vertices already followed."""
 
-    waiting: list[Conjunct]
+    pending: list[Conjunct]
     seen: set[int]
 
     @classmethod
     def of(cls, vertex: Vertex) -> Expansion:
-        """Begin with all conjuncts of a vertex; a reference to itself adds nothing."""
+        """Create an expansion of all conjuncts of a vertex; a reference to the vertex itself adds nothing."""
         return cls(list(vertex.conjuncts), {id(vertex)})
 
-    def add_parts(self, node: s.Unified, conjunct: Conjunct) -> None:
+    def add_parts(self, node: s.Conjunction, conjunct: Conjunct) -> None:
         """Add the parts of a conjunction."""
-        self.waiting += [Conjunct(part, conjunct.scope, conjunct.closers) for part in node.parts]
+        self.pending += [Conjunct(part, conjunct.scope, conjunct.closing_ids) for part in node.parts]
 
 
 class Evaluation:
-    """One evaluation; vertices are expanded on demand."""
+    """One evaluation of settings; vertices are expanded on demand."""
 
     def __init__(self) -> None:
-        """Begin with no definition used."""
+        """Start without any use of a definition."""
         self.definition_uses = 0
 
     # -- from conjuncts to arcs and constraints -----------------------------------------------------------
     def expand(self, vertex: Vertex) -> None:
-        """Evaluate the conjuncts of a vertex; its fields get theirs, but are not expanded."""
+        """Apply the conjuncts of a vertex; its fields get their conjuncts but are not expanded."""
         if vertex.expanded or vertex.expanding:
             return
         if vertex.depth > MAX_DEPTH:
             what = "a definition holds itself, without end"
-            path = vertex.path[:LONGEST_PATH]
+            path = vertex.path[:MAX_PATH_SHOWN]
             vertex.faults.append(Fault(vertex.at, path, what, "make its field optional"))
             vertex.expanded = True
             return
         vertex.expanding = True
         expansion = Expansion.of(vertex)
-        while expansion.waiting:
-            self.apply_conjunct(vertex, expansion.waiting.pop(0), expansion)
+        while expansion.pending:
+            self.apply_conjunct(vertex, expansion.pending.pop(0), expansion)
         if vertex.constraints.may_have_arcs:
             self.unify_lists(vertex)
             self.apply_patterns(vertex)
@@ -75,29 +75,29 @@
         vertex.expanding = False
 
     def apply_conjunct(self, vertex: Vertex, conjunct: Conjunct, expansion: Expansion) -> None:
-        """Apply one conjunct to a vertex; those that follow from it are left to the expansion."""
+        """Apply one conjunct to a vertex; add the conjuncts that follow from it to the expansion."""
         node = conjunct.node
         match node:
-            case s.Unified():
+            case s.Conjunction():
                 expansion.add_parts(node, conjunct)
             case s.Struct():
                 self.apply_struct(vertex, node, conjunct)
-            case s.ListOf():
+            case s.ListLiteral():
                 vertex.lists.append((node, conjunct))
                 vertex.constraints.add_kind("list", node.at, vertex.faults, vertex)
             case s.Disjunction():
                 vertex.disjunctions.append(conjunct)
             case s.Atom():
                 vertex.constraints.add_value(node.value, node.at, vertex.faults, vertex)
-            case s.BoundOf():
+            case s.BoundExpression():
                 operand = self.bound_operand(vertex, node, conjunct)
                 if operand is not None:
                     vertex.constraints.add_bound(node.operator, operand.value, node.at, vertex.faults, vertex)
             case s.Reference():
                 self.follow_reference(vertex, node, conjunct, expansion)
 
-    def bound_operand(self, vertex: Vertex, node: s.BoundOf, conjunct: Conjunct) -> s.Atom | None:
-        """The operand of a bound; None, with a fault recorded, where it is no number or string."""
+    def bound_operand(self, vertex: Vertex, node: s.BoundExpression, conjunct: Conjunct) -> s.Atom | None:
+        """Return the operand of a bound; record a fault and return None if it is not a number or string."""
         if isinstance(node.operand, s.Atom):
             return node.operand
         if isinstance(node.operand, s.Reference):
@@ -110,22 +110,22 @@
         return None
 
     def apply_struct(self, vertex: Vertex, node: s.Struct, conjunct: Conjunct) -> None:
-        """Apply a struct: its fields, its patterns, and what it allows in closed definitions."""
+        """Apply a struct: its fields, its patterns, and the fields that it allows in closed definitions."""
         vertex.constraints.add_kind("struct", node.at, vertex.faults, vertex)
         labels = frozenset(declared.label for declared in node.fields)
         scope = Scope(conjunct.scope, vertex, labels, conjunct.scope.imports)
         for declared in node.fields:
-            value = Conjunct(declared.value, scope, conjunct.closers)
+            value = Conjunct(declared.value, scope, conjunct.closing_ids)
             if declared.mark == "?" and declared.label not in vertex.arcs:
                 vertex.optional.setdefault(declared.label, []).append(value)
                 continue
             vertex.arc(declared.label).conjuncts.append(value)
             before = vertex.marks.get(declared.label, "?")
-            strongest = min(STRENGTH.index(before), STRENGTH.index(declared.mark))
-            vertex.marks[declared.label] = STRENGTH[strongest]
+            strongest = min(MARK_PRECEDENCE.index(before), MARK_PRECEDENCE.index(declared.mark))
+            vertex.marks[declared.label] = MARK_PRECEDENCE[strongest]
         vertex.patterns += [(pattern, conjunct, scope) for pattern in node.patterns]
-        for closer in conjunct.closers:
-            allowed = vertex.allowed.setdefault(closer, Allowed())
+        for closing_id in conjunct.closing_ids:
+            allowed = vertex.allowed.setdefault(closing_id, Allowed())
             allowed.labels.update(labels)
             allowed.patterns += [(pattern.label, scope) for pattern in node.patterns]
             allowed.open = allowed.open or node.open
@@ -133,7 +133,7 @@
     def follow_reference(
         self, vertex: Vertex, node: s.Reference, conjunct: Conjunct, expansion: Expansion
     ) -> None:
-        """Add the conjuncts of what a reference names; those of a definition close the struct."""
+        """Add the conjuncts of the vertex that a reference names; those of a definition close the struct."""
         target = self.resolve(vertex, node, conjunct.scope)
         if target is None:
             return
@@ -143,14 +143,16 @@
         if id(target) in expansion.seen:
             return  # x: x adds nothing to x
         expansion.seen.add(id(target))
-        closers = conjunct.closers
+        closing_ids = conjunct.closing_ids
         if any(name.lstrip("_").startswith("#") for name in (node.name, *node.path)):
             self.definition_uses += 1
-            closers = closers | {self.definition_uses}
-        expansion.waiting += [Conjunct(c.node, c.scope, c.closers | closers) for c in target.conjuncts]
+            closing_ids = closing_ids | {self.definition_uses}
+        expansion.pending += [
+            Conjunct(c.node, c.scope, c.closing_ids | closing_ids) for c in target.conjuncts
+        ]
 
     def resolve(self, vertex: Vertex, node: s.Reference, scope: Scope) -> Vertex | str | None:
-        """What a name refers to: a vertex, or the name of a built-in kind; None with a fault recorded."""
+        """Return the vertex or built-in kind that a name refers to; record a fault if there is none."""
         at: Scope | None = scope
         while at is not None and node.name not in at.names:
             at = at.up
@@ -165,7 +167,7 @@
         return None
 
     def select_path(self, vertex: Vertex, node: s.Reference, target: Vertex) -> Vertex | None:
-        """Go down the path of a reference, field by field; None with a fault recorded."""
+        """Follow the path of a reference field by field; record a fault and return None if one is missing."""
         for name in node.path:
             self.expand(target)
             inner = target.chosen or target
@@ -177,7 +179,7 @@
         return target
 
     def unify_lists(self, vertex: Vertex) -> None:
-        """Combine the lists of a vertex, element by element."""
+        """Unify the lists of a vertex element by element."""
         if not vertex.lists:
             return
         longest = max(len(node.items) for node, _ in vertex.lists)
@@ -188,21 +190,21 @@
             for i in range(longest):
                 item = node.items[i] if i < len(node.items) else node.rest
                 if item is not None:
-                    vertex.arc(i).conjuncts.append(Conjunct(item, conjunct.scope, conjunct.closers))
+                    vertex.arc(i).conjuncts.append(Conjunct(item, conjunct.scope, conjunct.closing_ids))
             for i in range(longest):
                 vertex.marks[i] = ""
 
     def apply_patterns(self, vertex: Vertex) -> None:
-        """Add to fields the conjuncts of the patterns that their names match."""
+        """Add the conjuncts of patterns to the fields whose names match."""
         for pattern, conjunct, scope in vertex.patterns:
             for label, arc in vertex.arcs.items():
                 if not isinstance(label, str) or is_hidden(label):
                     continue
                 if self.matches_pattern(pattern.label, scope, label):
-                    arc.conjuncts.append(Conjunct(pattern.value, scope, conjunct.closers))
+                    arc.conjuncts.append(Conjunct(pattern.value, scope, conjunct.closing_ids))
 
     def matches_pattern(self, pattern: s.Node, scope: Scope, label: str) -> bool:
-        """Whether a field's name unifies with a pattern."""
+        """Return whether a field's name unifies with a pattern."""
         trial = Vertex("", None)
         trial.conjuncts = [Conjunct(s.Atom(pattern.at, label), scope), Conjunct(pattern, scope)]
         self.expand(trial)
@@ -223,16 +225,16 @@
                 break
 
     def is_allowed(self, allowed: Allowed, label: str) -> bool:
-        """Whether one use of a definition allows a field."""
+        """Return whether one use of a definition allows a field."""
         if allowed.open or label in allowed.labels:
             return True
         return any(self.matches_pattern(pattern, scope, label) for pattern, scope in allowed.patterns)
 
     # -- alternatives -------------------------------------------------------------------------------------
     def decide_alternatives(self, vertex: Vertex) -> Vertex:
-        """The vertex with its alternatives decided: the one that fits, or the default of several.
+        """Return the vertex with its alternatives decided: the one that fits, or the default of several.
 
-        Where none fits, or several do, a fault is recorded and the vertex itself is returned.
+        If none fits, or several do, a fault is recorded and the vertex itself is returned.
         """
         if vertex.chosen is not None:
             return vertex.chosen
@@ -248,17 +250,17 @@
         preferred = [candidate for default, candidate in fitting if default]
         preferred = preferred or [candidate for _, candidate in fitting]
         if not preferred:
-            vertex.faults += self.mismatch(vertex)
+            vertex.faults += self.mismatch_faults(vertex)
             vertex.chosen = vertex
         elif len({repr(self.export(candidate, {})) for candidate in preferred}) > 1:
-            vertex.faults.append(self.ambiguity(vertex))
+            vertex.faults.append(self.ambiguity_fault(vertex))
             vertex.chosen = vertex
         else:
             vertex.chosen = preferred[0]
         return vertex.chosen
 
     def combinations(self, vertex: Vertex) -> Iterator[tuple[bool, Vertex]]:
-        """The vertex with each combination of alternatives, and whether it has defaults alone."""
+        """Yield the vertex with each combination of alternatives, and whether all of those are defaults."""
         pending: list[tuple[bool, list[Conjunct]]] = [(True, [])]
         for conjunct in vertex.disjunctions:
             node = conjunct.node
@@ -267,12 +269,12 @@
             pending = [
                 (
                     all_defaults and (default or not has_default),
-                    [*selected, Conjunct(part, conjunct.scope, conjunct.closers)],
+                    [*selected, Conjunct(part, conjunct.scope, conjunct.closing_ids)],
                 )
                 for all_defaults, selected in pending
                 for default, part in node.parts
                 if self.may_fit(vertex, part)
-            ][:MAX_ALTERNATIVES]
+            ][:MAX_COMBINATIONS]
         rest = self.without_disjunctions(vertex)
         for all_defaults, selected in pending:
             candidate = Vertex(vertex.label, vertex.up)
@@ -280,18 +282,18 @@
             yield all_defaults, self.decide_alternatives(candidate)
 
     def may_fit(self, vertex: Vertex, part: s.Node) -> bool:
-        """Whether an alternative may fit by its kind; most do not, and need not be tried."""
+        """Return whether an alternative may fit by its kind; most do not, and so are not tried."""
         kinds = kinds_of_node(part)
         return kinds is None or vertex.constraints.may_be(kinds)
 
     def without_disjunctions(self, vertex: Vertex) -> list[Conjunct]:
-        """All conjuncts of a vertex except alternatives, with references followed."""
+        """Return all conjuncts of a vertex except disjunctions, with references followed."""
         others: list[Conjunct] = []
         expansion = Expansion.of(vertex)
-        while expansion.waiting:
-            conjunct = expansion.waiting.pop(0)
+        while expansion.pending:
+            conjunct = expansion.pending.pop(0)
             node = conjunct.node
-            if isinstance(node, s.Unified):
+            if isinstance(node, s.Conjunction):
                 expansion.add_parts(node, conjunct)
             elif isinstance(node, s.Reference) and node.name not in KINDS:
                 self.follow_reference(Vertex(vertex.label, vertex.up), node, conjunct, expansion)
@@ -299,10 +301,11 @@
                 others.append(conjunct)
         return others
 
-    def mismatch(self, vertex: Vertex) -> list[Fault]:
-        """The faults where no alternative fits.
+    def mismatch_faults(self, vertex: Vertex) -> list[Fault]:
+        """Return the faults of a vertex for which no alternative fits.
 
-        Those of the nearest alternative, where exactly one has all its faults further down.
+        If exactly one alternative has all its faults below the vertex, it is the closest match, and its
+        faults are returned.
         """
         trials = [self.collect_faults(candidate) for _, candidate in self.combinations(vertex)]
         nearest = [faults for faults in trials if all(fault.path != vertex.path for fault in faults)]
@@ -311,8 +314,8 @@
         what = f"found {describe_found(vertex)}"
         return [Fault(vertex.at, vertex.path, what, f"allowed: {describe_allowed(vertex)}")]
 
-    def ambiguity(self, vertex: Vertex) -> Fault:
-        """The fault where several alternatives fit, and none of them is the default."""
+    def ambiguity_fault(self, vertex: Vertex) -> Fault:
+        """Return the fault of a vertex for which several alternatives fit and none is the default."""
         allowed = f"allowed: {describe_allowed(vertex)}"
         if any(is_from_operator(conjunct) for conjunct in vertex.conjuncts):
             return Fault(vertex.at, vertex.path, "more than one alternative fits", allowed)
@@ -320,7 +323,7 @@
 
     # -- faults and plain data ----------------------------------------------------------------------------
     def collect_faults(self, vertex: Vertex) -> list[Fault]:
-        """All faults of a vertex and below it."""
+        """Return all faults of a vertex and of the vertices below it."""
         decided, faults = self.decide(vertex)
         if decided.constraints.is_struct or decided.lists:
             for _, arc in self.exported_arcs(decided, faults):
@@ -332,9 +335,9 @@
         return faults
 
     def collect_data(self, vertex: Vertex, places: dict[str, s.Place]) -> tuple[list[Fault], Any]:
-        """All faults of a vertex, and its plain data where there are none; fills in the place of each path.
+        """Return all faults of a vertex, and its plain data if there are none; add the place of each path.
 
-        Elements of lists are released one by one, so that a file of many rules needs the memory of one.
+        Elements of lists are released one by one, so that a file with many rules needs the memory of one.
         """
         decided, faults = self.decide(vertex)
         places[vertex.path] = vertex.at
@@ -351,14 +354,14 @@
         return faults, fields
 
     def decide(self, vertex: Vertex) -> tuple[Vertex, list[Fault]]:
-        """The vertex with its alternatives decided, and the faults of both."""
+        """Return the vertex with its alternatives decided, and the faults of both vertices."""
         decided = self.decide_alternatives(vertex)
         return decided, [*vertex.faults, *(decided.faults if decided is not vertex else ())]
 
     def exported_arcs(self, vertex: Vertex, faults: list[Fault]) -> Iterator[tuple[Label, Vertex]]:
-        """The fields and elements that have to have a value, except those that have a fault already.
+        """Yield the fields and elements that must have a value, except those that have a fault already.
 
-        A required field that no declaration gives a value is appended to the faults.
+        For a required field without a value, a fault is appended instead.
         """
         faulty = {fault.path for fault in faults}
         for label, arc in list(vertex.arcs.items()):
@@ -372,7 +375,7 @@
             yield label, arc
 
     def export(self, vertex: Vertex, places: dict[str, s.Place]) -> Any:
-        """The plain data of a vertex without faults; fills in the place of each path."""
+        """Return the plain data of a vertex without faults; add the place of each path."""
         decided = self.decide_alternatives(vertex)
         places[vertex.path] = vertex.at
         if decided.constraints.is_struct:
@@ -388,5 +391,5 @@
 
 
 def owner_place(vertex: Vertex) -> s.Place:
-    """The place of the struct or list around a vertex, where the vertex itself has none of the operator's."""
+    """Return the place of the enclosing struct or list, for a vertex that no operator's file sets."""
     return vertex.at if vertex.up is None else vertex.up.at
--- a/stoatrouter/settings/layout.py
+++ b/stoatrouter/settings/layout.py
@@ -1,4 +1,4 @@
-"""CUE's commas: a line's end is one after a token that can end a field (CUE's specification, "Commas")."""
+"""Inserts commas at line ends after tokens that can end a field (CUE's specification, "Commas")."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from lark import Token
 
-MAX_NESTING = 64  # brackets within brackets
+MAX_NESTING = 64  # levels of brackets
 OPENING = ("{", "[", "(")
 CLOSING = ("}", "]", ")")
 ENDING_TYPES = frozenset(
@@ -16,25 +16,25 @@
 
 
 class TooDeepError(Exception):
-    """Brackets are nested deeper than `MAX_NESTING`."""
+    """Brackets are nested more than `MAX_NESTING` levels deep."""
 
     def __init__(self, line: int) -> None:
-        """Keep the line, from 1, of the bracket that is one too many."""
+        """Store the line, counted from 1, of the first bracket beyond the limit."""
         super().__init__(line)
         self.line = line
 
 
 class CommaInserter:
-    """Turns line ends into commas where CUE has them, and drops the others.
+    """Replaces line ends by commas where CUE inserts them, and drops the others.
 
-    It is lark's post-lexer: lark calls `process` between its lexer and its parser, and lets the lexer yield
-    the tokens of `always_accept` wherever they stand.
+    This is a post-lexer for lark: lark calls `process` between its lexer and its parser, and lets the lexer
+    yield the tokens of `always_accept` in any context.
     """
 
     always_accept = ("NEWLINE",)
 
     def process(self, stream: Iterator[Token]) -> Iterator[Token]:
-        """The tokens that the parser is to see.
+        """Yield the tokens for the parser.
 
         Raises:
             TooDeepError: Brackets are nested deeper than `MAX_NESTING`.
@@ -44,7 +44,7 @@
         for token in stream:
             if token.value in OPENING:
                 depth += 1
-                # Guards all that walks trees against brackets without end.
+                # Limits the recursion depth of the code that walks trees.
                 if depth > MAX_NESTING:
                     raise TooDeepError(token.line or 1)
             elif token.value in CLOSING:
@@ -58,5 +58,5 @@
 
 
 def ends_declaration(token: Token) -> bool:
-    """Whether a line that ends with this token ends a field, an import or an element."""
+    """Return whether a line that ends with this token ends a field, an import or an element."""
     return token.type in ENDING_TYPES or token.value in ENDING_TEXTS
--- a/stoatrouter/settings/literals.py
+++ b/stoatrouter/settings/literals.py
@@ -1,15 +1,15 @@
-r"""Literals of settings files: their values, by CUE's specification ("Numeric literals", "String literals").
+r"""Parses literals of settings files by CUE's specification ("Numeric literals", "String literals").
 
-Left out are interpolation, `\(...)`, and escapes within raw strings.
+Interpolation, `\(...)`, and escapes within raw strings are not supported.
 """
 
 from __future__ import annotations
 
 import re
 
-MAX_DIGITS = 300  # characters of a number
-LONGEST_NUMBER = 40  # characters of a number in a message
-SUFFIXES = {
+MAX_DIGITS = 300  # characters of a number without its multiplier
+MAX_NUMBER_SHOWN = 40  # characters of a number in a message
+MULTIPLIERS = {
     "K": 10**3,
     "M": 10**6,
     "G": 10**9,
@@ -19,38 +19,38 @@
     "Gi": 2**30,
     "Ti": 2**40,
 }
-SUFFIXED = re.compile(r"(.*?)([KMGT]i?)?")
+NUMBER_WITH_MULTIPLIER = re.compile(r"(.*?)([KMGT]i?)?")
 ESCAPE = re.compile(r"\\(?:([abfnrtv/\\\"])|u([0-9a-fA-F]{4})|U([0-9a-fA-F]{8})|([\s\S]))")
-ESCAPED = dict(zip('abfnrtv/\\"', '\a\b\f\n\r\t\v/\\"', strict=True))
-NO_CODE_POINT = "110000"  # in hex, one more than Unicode has
+ESCAPE_VALUES = dict(zip('abfnrtv/\\"', '\a\b\f\n\r\t\v/\\"', strict=True))
+INVALID_CODE_POINT = "110000"  # in hex, one more than the highest code point of Unicode
 
 
 class LiteralError(Exception):
-    """A literal that is not accepted: why, and what would be right."""
+    """A literal is not accepted."""
 
     def __init__(self, what: str, remedy: str = "") -> None:
-        """Keep both parts of the message; the remedy is empty where there is no good guess."""
+        """Store what is wrong and how to correct it; the remedy is empty if that cannot be guessed."""
         super().__init__(what)
         self.what = what
         self.remedy = remedy
 
 
 def read_number(literal: str) -> int | float:
-    """The value of a number without a sign, its multiplier (`64Ki`) included.
+    """Return the value of an unsigned number, including its multiplier (`64Ki`).
 
     Raises:
-        LiteralError: It begins with 0, or is longer than `MAX_DIGITS`.
+        LiteralError: The number has a leading zero, or is longer than `MAX_DIGITS`.
     """
     text = literal.replace("_", "")
     if text[:2] == "0x":
         return int(text, 16)
-    found = SUFFIXED.fullmatch(text)
+    found = NUMBER_WITH_MULTIPLIER.fullmatch(text)
     assert found is not None
     digits = found[1]
-    factor = SUFFIXES.get(found[2] or "", 1)
-    # Guards Python's bound on digits, and typing slips: CUE has no numbers that start with 0 either.
+    factor = MULTIPLIERS.get(found[2] or "", 1)
+    # Python limits the digits of an int. Leading zeros are likely typing errors, and CUE rejects them too.
     if len(digits) > MAX_DIGITS or re.match("0[0-9]", digits):
-        raise LiteralError(f"{literal[:LONGEST_NUMBER]} is no number")
+        raise LiteralError(f"{literal[:MAX_NUMBER_SHOWN]} is no number")
     if "." in digits or "e" in digits.lower():
         scaled = float(digits) * factor
         return int(scaled) if factor > 1 and scaled == int(scaled) else scaled
@@ -58,20 +58,20 @@
 
 
 def read_string(literal: str) -> str:
-    """The value of a string in one line, within `"`."""
+    """Return the value of a single-line string in `"`."""
     return unescape(literal[1:-1])
 
 
 def read_multiline(literal: str) -> str:
-    '''The value of a string of several lines, within `"""`.'''
+    '''Return the value of a multi-line string in `"""`.'''
     return unescape(dedent(literal[4:-3]))
 
 
 def read_raw(literal: str) -> str:
-    r"""The value of a string within `#"` and `"#`, in which only `\#` would be an escape.
+    r"""Return the value of a raw string between `#"` and `"#`, in which only `\#` starts an escape.
 
     Raises:
-        LiteralError: It has such an escape.
+        LiteralError: The string has such an escape.
     """
     text = dedent(literal[5:-4]) if literal.startswith('#"""') else literal[2:-2]
     if "\\#" in text:
@@ -80,10 +80,10 @@
 
 
 def dedent(text: str) -> str:
-    """The lines of a multi-line string without the white space that stands before its closing quotes.
+    """Remove from the lines of a multi-line string the white space that precedes its closing quotes.
 
     Raises:
-        LiteralError: A line is indented less, or the closing quotes do not stand alone.
+        LiteralError: A line is indented less, or the closing quotes are not on a line of their own.
     """
     *lines, last = text.split("\n")
     if last.strip(" \t"):
@@ -94,10 +94,10 @@
 
 
 def unescape(text: str) -> str:
-    """A text with its escapes replaced.
+    """Replace the escapes of a text.
 
     Raises:
-        LiteralError: An escape that CUE does not know, a surrogate, or an interpolation.
+        LiteralError: The text has an escape that CUE does not define, a surrogate, or an interpolation.
     """
     return ESCAPE.sub(_unescaped, text) if "\\" in text else text
 
@@ -105,10 +105,10 @@
 def _unescaped(found: re.Match[str]) -> str:
     short, four, eight, other = found.groups()
     if short is not None:
-        return ESCAPED[short]
+        return ESCAPE_VALUES[short]
     if other == "(":
         raise LiteralError("interpolation is not part of the subset that is read here")
-    code_point = int(four or eight or NO_CODE_POINT, 16)
+    code_point = int(four or eight or INVALID_CODE_POINT, 16)
     if other is not None or code_point > 0x10FFFF or 0xD800 <= code_point < 0xE000:
         raise LiteralError(f"unknown escape {found[0]}", 'write \\\\ or use #"..."#')
     return chr(code_point)
--- a/stoatrouter/settings/load.py
+++ b/stoatrouter/settings/load.py
@@ -1,4 +1,4 @@
-"""Settings from files: read, unified with the schema that is shipped, and turned into typed records."""
+"""Loads settings from files, unifies them with a shipped schema and converts them to typed records."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 Record = TypeVar("Record")
 SCHEMAS = Path(__file__).parent / "schemas"
 MODULE_FILE = Path("cue.mod", "module.cue")
-NO_FOLDER = Path("/nonexistent")  # where a text that is no file would stand: nothing can be imported from it
-MAX_FILES = 256  # of one package, and of imports together; a further one is a fault
+NO_DIRECTORY = Path("/nonexistent")  # directory of a text that is not a file; nothing can be imported from it
+MAX_FILES = 256  # files of the package and its imports together; more are a fault
 
 
 @dataclass(slots=True, frozen=True)
 class Loaded(Generic[Record]):
-    """Typed settings, and where in the files each field's path stands."""
+    """Typed settings, with the place of each field's path in the files."""
 
     record: Record
     places: dict[str, s.Place]
-    digests: dict[Path, str]  # SHA-256 of the files as they were read, in hex
+    digests: dict[Path, str]  # hex SHA-256 of the files as they were read
 
     @property
     def files(self) -> tuple[Path, ...]:
-        """All files that were read, the operator's main file first."""
+        """Return all files that were read, the operator's main file first."""
         return tuple(self.digests)
 
     def unchanged(self) -> bool:
-        """Whether the files still hold what was read; False where one cannot be read any more."""
+        """Return whether the files still have the contents that were read; False if one is unreadable."""
         try:
             return all(
                 hashlib.sha256(file.read_bytes()).hexdigest() == digest
@@ -48,7 +48,7 @@
             return False
 
     def place(self, path: str) -> s.Place:
-        """Where a path stands, or what is nearest above it."""
+        """Return the place of a path, or of the nearest path above it."""
         while path not in self.places and path:
             path = path[: max(path.rfind("."), path.rfind("["), 0)]
         return self.places.get(path) or s.Place(str(self.files[0]) if self.files else "", 1)
@@ -56,16 +56,16 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Reads files, each once, and the packages that they import; it collects the faults."""
+    """Reads files, each once, and the packages that they import; collects the faults."""
 
     files: dict[Path, s.File] = field(default_factory=dict)
     digests: dict[Path, str] = field(default_factory=dict)
     faults: list[Fault] = field(default_factory=list)
     packages: dict[Path, Vertex] = field(default_factory=dict)
-    open: list[Path] = field(default_factory=list)  # packages that are being imported, the outermost first
+    importing: list[Path] = field(default_factory=list)  # packages being imported, the outermost first
 
     def read(self, path: Path) -> s.File | None:
-        """The tree of one file; None, with faults recorded, where it cannot be read."""
+        """Return the tree of one file; record faults and return None if it cannot be read."""
         start = s.Place(str(path), 1)
         try:
             if len(self.files) >= MAX_FILES:
@@ -83,38 +83,38 @@
         return None
 
     def read_instance(self, path: Path) -> list[s.File]:
-        """A file, and if it names a package, the files beside it that name the same."""
+        """Return a file and, if it names a package, the other files of that package in its directory."""
         first = self.read(path)
         if first is None:
             return []
         if first.package is None:
             return [first]
-        beside = [other for other in sorted(path.parent.glob("*.cue")) if other != path]
-        return [first, *self.read_package(beside, first.package)]
+        siblings = [other for other in sorted(path.parent.glob("*.cue")) if other != path]
+        return [first, *self.read_package(siblings, first.package)]
 
     def read_package(self, paths: Iterable[Path], package: str) -> list[s.File]:
-        """Those of some files that belong to a package and can be read."""
-        files = (self.read(path) for path in paths if package_of(path) == package)
+        """Return those of some files that belong to a package and can be read."""
+        files = (self.read(path) for path in paths if read_package_name(path) == package)
         return [file for file in files if file is not None]
 
-    def conjuncts(self, files: Iterable[s.File], root: Vertex, folder: Path) -> list[Conjunct]:
-        """The conjuncts of files on a vertex; names of one file's fields are known in all of them."""
+    def conjuncts(self, files: Iterable[s.File], root: Vertex, directory: Path) -> list[Conjunct]:
+        """Return the conjuncts of files on a vertex; each file can refer to the fields of all of them."""
         files = list(files)
         names = frozenset(declared.label for file in files for declared in file.body.fields)
         conjuncts = []
         for file in files:
-            packages = {entry.name: self.import_package(entry, folder) for entry in file.imports}
+            packages = {entry.name: self.import_package(entry, directory) for entry in file.imports}
             imports = {name: vertex for name, vertex in packages.items() if vertex is not None}
             conjuncts.append(Conjunct(file.body, Scope(None, root, names, imports)))
         return conjuncts
 
-    def import_package(self, entry: s.Import, folder: Path) -> Vertex | None:
-        """The package that an import names; None, with a fault recorded, where there is none."""
+    def import_package(self, entry: s.Import, directory: Path) -> Vertex | None:
+        """Return the package that an import names; record a fault and return None if there is none."""
         path, _, package = entry.path.partition(":")
-        target = self.find_package(entry, path, folder)
+        target = self.find_package(entry, path, directory)
         if target is None:
             return None
-        if target in self.open:
+        if target in self.importing:
             self.faults.append(Fault(entry.at, "", f"import {entry.path!r} leads back to itself"))
             return None
         if target not in self.packages:
@@ -124,19 +124,21 @@
                 what = f"import {entry.path!r}: no file of package {package!r} in {target}"
                 self.faults.append(Fault(entry.at, "", what))
             vertex = Vertex("", None)
-            self.open.append(target)
+            self.importing.append(target)
             vertex.conjuncts = self.conjuncts(files, vertex, target)
-            self.open.pop()
+            self.importing.pop()
             self.packages[target] = vertex
         return self.packages[target]
 
-    def find_package(self, entry: s.Import, path: str, folder: Path) -> Path | None:
-        """The folder of an imported package: one below the folder with cue.mod/module.cue.
+    def find_package(self, entry: s.Import, path: str, directory: Path) -> Path | None:
+        """Return the directory of an imported package, below the directory with cue.mod/module.cue.
 
-        None, with a fault recorded, where there is no module, or the path is not one of it.
+        Records a fault and returns None if there is no module, or if the path does not belong to it.
         """
-        root = next((above for above in (folder, *folder.parents) if (above / MODULE_FILE).is_file()), None)
-        module = module_name(root / MODULE_FILE) if root is not None else None
+        root = next(
+            (above for above in (directory, *directory.parents) if (above / MODULE_FILE).is_file()), None
+        )
+        module = read_module_name(root / MODULE_FILE) if root is not None else None
         if root is None or module is None:
             what = f"import {entry.path!r}: there is no cue.mod/module.cue above this file"
             remedy = 'one that says module: "NAME" makes the folders beside cue.mod importable'
@@ -149,8 +151,8 @@
         return root / path.removeprefix(module).lstrip("/")
 
 
-def package_of(path: Path) -> str | None:
-    """The package that a file's first clause names, without parsing the file; None where there is none."""
+def read_package_name(path: Path) -> str | None:
+    """Return the package that a file's first clause names, or None; the file is not parsed."""
     try:
         with path.open(encoding="utf-8", errors="replace") as file:
             for line in file:
@@ -163,8 +165,8 @@
     return None
 
 
-def module_name(path: Path) -> str | None:
-    """The module's path in a cue.mod/module.cue, without its version; None where it names none."""
+def read_module_name(path: Path) -> str | None:
+    """Return the module path in a cue.mod/module.cue, without its version; None if it has none."""
     file = Reader().read(path)
     for declared in file.body.fields if file is not None else ():
         value = declared.value
@@ -174,19 +176,19 @@
 
 
 @lru_cache(maxsize=16)
-def schema(name: str) -> s.File:
-    """A schema that the program ships; the names of its places are in angle brackets."""
+def load_schema(name: str) -> s.File:
+    """Return a shipped schema; its places have file names in angle brackets."""
     path = SCHEMAS / f"{name}.cue"
     return parse(path.read_text(), f"<{path.name}>")
 
 
 def load(path: Path, record: type[Record], definition: str) -> Loaded[Record]:
-    """Read an operator's file, the other files of its package, and what they import.
+    """Load an operator's file, the other files of its package and their imports.
 
     Args:
         path: The operator's file.
-        record: The type to make of it.
-        definition: A shipped schema and the definition in it, like 'rules.#Rules'.
+        record: The type of the result's record.
+        definition: A shipped schema and a definition in it, such as 'rules.#Rules'.
 
     Raises:
         SettingsError: All faults, each with file, line and the field's path.
@@ -197,7 +199,7 @@
 
 
 def load_text(text: str, name: str, record: type[Record], definition: str) -> Loaded[Record]:
-    """Read settings from a text that is no file, with `name` in its faults; it cannot import.
+    """Load settings from a text, which cannot import; `name` is its file name in faults.
 
     Raises:
         SettingsError: All faults, as for `load`.
@@ -208,23 +210,23 @@
     except SettingsError as error:
         reader.faults += error.faults
         files = []
-    return unify(reader, files, NO_FOLDER, record, definition)
+    return unify(reader, files, NO_DIRECTORY, record, definition)
 
 
 def unify(
-    reader: Reader, files: list[s.File], folder: Path, record: type[Record], definition: str
+    reader: Reader, files: list[s.File], directory: Path, record: type[Record], definition: str
 ) -> Loaded[Record]:
-    """Unify files with a definition of a shipped schema, and make a record of the result.
+    """Unify files with a definition of a shipped schema and convert the result to a record.
 
     Raises:
-        SettingsError: All faults of the reader, or else all of the unification.
+        SettingsError: All faults of the reader or, if it has none, all faults of the unification.
     """
     root = Vertex("", None)
-    root.conjuncts = reader.conjuncts(files, root, folder)
+    root.conjuncts = reader.conjuncts(files, root, directory)
     if reader.faults:
         raise SettingsError(*reader.faults)
     name, _, label = definition.partition(".")
-    shipped = schema(name)
+    shipped = load_schema(name)
     shipped_root = Vertex("", None)
     scope = Scope(None, shipped_root, frozenset(declared.label for declared in shipped.body.fields))
     shipped_root.conjuncts = [Conjunct(shipped.body, scope)]
@@ -239,10 +241,10 @@
 
 
 def convert(evaluation: Evaluation, reader: Reader, root: Vertex, record: type[Record]) -> Loaded[Record]:
-    """The record of a vertex.
+    """Convert a vertex to a record.
 
     Raises:
-        SettingsError: All faults of the vertex; or the schema allows what the record's type does not.
+        SettingsError: All faults of the vertex, or the schema allows a value that the record's type does not.
     """
     places: dict[str, s.Place] = {}
     faults, data = evaluation.collect_data(root, places)
@@ -257,14 +259,14 @@
 
 
 def load_data(text: str) -> Any:
-    """The plain data of a text without any schema; for tests and tools.
+    """Return the plain data of a text, evaluated without a schema; for tests and tools.
 
     Raises:
         SettingsError: All faults, with places in a file called `text`.
     """
     reader = Reader()
     root = Vertex("", None)
-    root.conjuncts = reader.conjuncts([parse(text, "text")], root, NO_FOLDER)
+    root.conjuncts = reader.conjuncts([parse(text, "text")], root, NO_DIRECTORY)
     if reader.faults:
         raise SettingsError(*reader.faults)
     faults, data = Evaluation().collect_data(root, {})
--- a/stoatrouter/settings/syntax.py
+++ b/stoatrouter/settings/syntax.py
@@ -1,6 +1,6 @@
-"""The syntax tree of settings files: the part of CUE's grammar that is read (docs/settings.md).
+"""Syntax tree of settings files, for the supported subset of CUE's grammar (docs/settings.md).
 
-Every node knows its place, so that each fault can name a file and a line.
+Every node has its place, so that each fault can name a file and a line.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 from typing import Literal
 
-HIDDEN = ("#", "_")  # what the names of definitions and hidden fields begin with
+HIDDEN = ("#", "_")  # prefixes of the names of definitions and hidden fields
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Place:
-    """A file, by the name it was given, and a line in it, counted from 1.
+    """A file, by the name under which it was opened, and a line in it, counted from 1.
 
     Shipped schemas have names in angle brackets, such as `<rules.cue>`.
     """
@@ -22,18 +22,18 @@
     line: int
 
     def __str__(self) -> str:
-        """The form of compilers' messages, `file:line`."""
+        """Return `file:line`, as in messages of compilers."""
         return f"{self.file}:{self.line}"
 
     @property
     def in_schema(self) -> bool:
-        """Whether this is a place in a shipped schema, not in an operator's file."""
+        """Return whether this is a place in a shipped schema, not in an operator's file."""
         return self.file.startswith("<")
 
 
 @dataclass(slots=True, frozen=True)
 class Node:
-    """Any node of the tree, and where it begins."""
+    """A node of the tree, with the place where it begins."""
 
     at: Place
 
@@ -47,30 +47,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Reference(Node):
-    """A name, and the fields that are selected below it: `shared.limits.steps`."""
+    """A name and the path of fields selected below it: `shared.limits.steps`."""
 
     name: str
     path: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class BoundOf(Node):
-    """A bound: an operator, such as `>=` or `=~`, and the operand that it compares with."""
+class BoundExpression(Node):
+    """A bound: an operator, such as `>=` or `=~`, and its operand."""
 
     operator: str
     operand: Node
 
 
 @dataclass(slots=True, frozen=True)
-class Unified(Node):
-    """A conjunction, `a & b`: a value has to satisfy all parts."""
+class Conjunction(Node):
+    """A conjunction, `a & b`: a value must satisfy all parts."""
 
     parts: tuple[Node, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Disjunction(Node):
-    """Alternatives, `*a | b`, each with whether the star marks it as a default."""
+    """Alternatives, `*a | b`, each with a flag whether a star marks it as a default."""
 
     parts: tuple[tuple[bool, Node], ...]
 
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Pattern(Node):
-    """A pattern constraint `[label]: value`, which holds for each field whose name unifies with the label."""
+    """A pattern constraint `[label]: value`, for each field whose name unifies with the label."""
 
     label: Node
     value: Node
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Struct(Node):
-    """The declarations between braces, or of a whole file; `open` where they end with `...`."""
+    """The declarations between braces or of a whole file; `open` if they end with `...`."""
 
     fields: tuple[Field, ...]
     patterns: tuple[Pattern, ...] = ()
@@ -102,8 +102,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ListOf(Node):
-    """A list; where it is open (`...`), further elements have to satisfy `rest`, if there is one."""
+class ListLiteral(Node):
+    """A list; if it is open (`...`), further elements must satisfy `rest`, if that is given."""
 
     items: tuple[Node, ...]
     rest: Node | None = None
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Import:
-    """One import: the name that it has in the file, the path that it names, and where it stands."""
+    """One import: its name in the file, its path and its place."""
 
     name: str
     path: str
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class File:
-    """One file: its package clause, its imports, and its fields."""
+    """One file: its package clause, its imports and its fields."""
 
     name: str
     package: str | None
--- a/stoatrouter/settings/vertex.py
+++ b/stoatrouter/settings/vertex.py
@@ -1,6 +1,6 @@
-"""The values of an evaluation: which conjuncts each field has, and in which scope their names are looked up.
+"""Values during an evaluation: the conjuncts of each field and the scopes in which names are looked up.
 
-Vertex, arc and conjunct are the terms of CUE's own evaluator.
+Vertex, arc and conjunct are terms of CUE's own evaluator.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class Scope:
-    """Where names are looked up: a struct, and the scopes around it."""
+    """A struct in which names are looked up, and the enclosing scope."""
 
     up: Scope | None
     vertex: Vertex
@@ -30,11 +30,11 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Conjunct:
-    """One constraint on a value; `closers` number the uses of definitions that it comes from."""
+    """One constraint on a value; `closing_ids` identify the uses of definitions that it comes from."""
 
     node: s.Node
     scope: Scope
-    closers: frozenset[int] = frozenset()
+    closing_ids: frozenset[int] = frozenset()
 
 
 @dataclass(slots=True, eq=False)
@@ -46,7 +46,7 @@
     open: bool = False
 
 
-# The slots of a vertex that are filled when they are first read, and with what
+# The slots of a vertex that are filled on first use, with the types of their contents
 LAZY_SLOTS: dict[str, type] = {
     "arcs": dict,
     "optional": dict,
@@ -60,7 +60,7 @@
 
 
 class Vertex:
-    """The value of a field, made of all conjuncts on it."""
+    """The value of a field, which unifies all conjuncts on it."""
 
     __slots__ = (
         "label",
@@ -83,10 +83,10 @@
     )
 
     def __init__(self, label: Label, up: Vertex | None) -> None:
-        """A vertex without conjuncts; the top of a file has an empty label and nothing above it."""
+        """Create a vertex without conjuncts; the root of a file has an empty label and no vertex above it."""
         self.label = label
         self.up = up
-        # all vertices of one evaluation: they refer to each other, and are released together
+        # all vertices of one evaluation: they refer to each other and are released together
         self.family: list[Vertex] = [] if up is None else up.family
         self.family.append(self)
         if isinstance(label, int):
@@ -100,23 +100,23 @@
 
     if TYPE_CHECKING:
         arcs: dict[Label, Vertex]
-        optional: dict[Label, list[Conjunct]]  # conjuncts on fields that are not there so far
+        optional: dict[Label, list[Conjunct]]  # conjuncts on optional fields that do not exist yet
         marks: dict[Label, str]
         disjunctions: list[Conjunct]
         allowed: dict[int, Allowed]
         patterns: list[tuple[s.Pattern, Conjunct, Scope]]
-        lists: list[tuple[s.ListOf, Conjunct]]
+        lists: list[tuple[s.ListLiteral, Conjunct]]
         faults: list[Fault]
 
     def __getattr__(self, name: str) -> Any:
-        """Fill a lazy slot. Most vertices are scalars and never need one, which saves memory."""
+        """Fill a lazy slot. Most vertices are scalars and never need these slots, which saves memory."""
         content = LAZY_SLOTS[name]()
         setattr(self, name, content)
         return content
 
     @property
     def path(self) -> str:
-        """The path of the field from the top of the file, such as `scopes.app.rules[2]`."""
+        """Return the path of the field from the top of the file, such as `scopes.app.rules[2]`."""
         if self.up is None:
             return ""
         above = self.up.path
@@ -127,13 +127,13 @@
 
     @property
     def at(self) -> s.Place:
-        """Where the value stands: in an operator's file if it does, else in the schema."""
+        """Return the place of the value: in an operator's file if one sets it, else in the schema."""
         places = [conjunct.node.at for conjunct in self.conjuncts]
         own = [place for place in places if not place.in_schema]
         return (own or places or [s.Place("", 0)])[0]
 
     def arc(self, label: Label) -> Vertex:
-        """The vertex of a field or element; it is created where it is not there yet."""
+        """Return the vertex of a field or element; create it if it does not exist."""
         arc = self.arcs.get(label)
         if arc is None:
             arc = self.arcs[label] = Vertex(label, self)
@@ -143,8 +143,8 @@
     def release(self) -> None:
         """Drop all references.
 
-        Vertices refer to each other and would be left to the garbage collector, which would stop a serving
-        head for a second after a large file.
+        Vertices refer to each other, so that only the garbage collector would free them, which would stop a
+        serving head for a second after a large file.
         """
         family, self.family = self.family, []
         for vertex in family:
@@ -160,5 +160,5 @@
 
 
 def is_hidden(label: Label) -> bool:
-    """Whether a field is a definition or hidden: it is neither closed nor exported."""
+    """Return whether a field is a definition or hidden, and so exempt from closedness and export."""
     return isinstance(label, str) and label.startswith(s.HIDDEN)
