--- a/stoatrouter/matching/files.py
+++ b/stoatrouter/matching/files.py
@@ -125,7 +125,7 @@
         sources = self.files.read(self.path)
         rules: dict[str, Sequence[Rule]] = {name: team.record.rules for name, team in sources.teams.items()}
         try:
-            loader = TableCompiler(self.vocabulary, self.environment, self.cache, self.buckets)
-            return loader.load(sources.operator.record, rules, sources.epoch), sources
+            compiler = TableCompiler(self.vocabulary, self.environment, self.cache, self.buckets)
+            return compiler.load(sources.operator.record, rules, sources.epoch), sources
         except TableError as error:
             raise SettingsError(*map(sources.locate, error.errors)) from None
