--- a/benchmarks/heads_detector.py
+++ b/benchmarks/heads_detector.py
@@ -127,8 +127,8 @@
     for title, timing, pauses in (
         ("as shipped", Timing(), False),
         ("without asking others", Timing(indirect_checks=0), False),
-        ("heads that pause, local health 4", Timing(local_health=4), True),
-        ("heads that pause, no local health", Timing(local_health=0), True),
+        ("heads that pause, local health 4", Timing(max_local_health=4), True),
+        ("heads that pause, no local health", Timing(max_local_health=0), True),
     ):
         print(f"\n{title}\n\n{HEADING}", flush=True)
         for size in [int(s) for s in given.sizes.split(",") if s]:
--- a/stoatrouter/agreement/availability.py
+++ b/stoatrouter/agreement/availability.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Facts:
+class HeadFacts:
     """What a head knows of itself."""
 
     founded: bool
@@ -29,7 +29,7 @@
     majority_age: timedelta | None  # since a majority was connected, by any report
     votes: bool
     leads: bool
-    disk: bool  # promises can be kept
+    disk_writable: bool  # promises can be kept
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,7 +45,7 @@
 
 
 def availability_of(
-    facts: Facts, cut_off_after: timedelta, waited: timedelta, wait_at_start: timedelta
+    facts: HeadFacts, cut_off_after: timedelta, uptime: timedelta, wait_at_start: timedelta
 ) -> Availability:
     """Decide what a head may do, from the facts it knows of itself.
 
@@ -55,19 +55,19 @@
     Args:
         facts: What the head knows of itself.
         cut_off_after: How long after a majority was last connected the head counts as cut off.
-        waited: How long ago the head started, on its monotonic clock.
+        uptime: How long ago the head started, on its monotonic clock.
         wait_at_start: How long a head that has never heard of a majority waits before it serves.
 
     Returns:
         The rights of the head, and its state as operators see it.
     """
-    votes = facts.votes and facts.disk
+    votes = facts.votes and facts.disk_writable
     if not facts.founded:
         return Availability(
             HeadState.UNFOUNDED, serves=True, changes=False, draws=False, votes=False, ready=True
         )
     if facts.majority_age is None or facts.majority_age > cut_off_after:
-        starting = facts.majority_age is None and waited < wait_at_start
+        starting = facts.majority_age is None and uptime < wait_at_start
         return _without_majority(serves=not starting, votes=votes)
     if not facts.caught_up:
         return Availability(
--- a/stoatrouter/agreement/contact.py
+++ b/stoatrouter/agreement/contact.py
@@ -14,9 +14,9 @@
 from datetime import timedelta
 
 NO_TIME = timedelta(0)
-CLOCK_DRIFT = 1.05  # clocks of two heads run apart by no more
+MAX_CLOCK_DRIFT = 1.05  # clocks of two heads run apart by no more
 ROUND_SPACING = timedelta(milliseconds=10)  # rounds closer than this count from the first of them
-MOST_ROUNDS = 1_024  # remembered; beyond, the oldest are dropped, and a late answer to one proves nothing
+MAX_ROUNDS = 1_024  # remembered; beyond, the oldest are dropped, and a late answer to one proves nothing
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
                 was given no earlier than `asked_at` plus this, slowed by the most drift of clocks.
             age: How long before its answer the answering head knew of a connected majority.
         """
-        self.record(asked_at + max(NO_TIME, wait_at_answerer) / CLOCK_DRIFT - max(NO_TIME, age))
+        self.record(asked_at + max(NO_TIME, wait_at_answerer) / MAX_CLOCK_DRIFT - max(NO_TIME, age))
 
     def age(self, now: timedelta) -> timedelta | None:
         """How long ago a majority was connected; None: it is not known that there ever was one."""
@@ -58,7 +58,7 @@
 class RoundStarts:
     """When the latest rounds of one leader began."""
 
-    starts: deque[Round] = field(default_factory=lambda: deque(maxlen=MOST_ROUNDS))
+    starts: deque[Round] = field(default_factory=lambda: deque(maxlen=MAX_ROUNDS))
 
     def record(self, number: int, now: timedelta) -> None:
         """Remember a round, unless one began just before: that one stands for both."""
--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -21,7 +21,7 @@
     Voter,
     Write,
 )
-from stoatrouter.agreement.state import MOST_UNCOMMITTED, Peer, PendingRead, RaftState, Role
+from stoatrouter.agreement.state import MAX_UNCOMMITTED, Peer, PendingRead, RaftState, Role
 
 RESEND_AFTER_HEARTBEATS = 3  # a batch without an answer is sent again after so many heartbeats
 
@@ -44,7 +44,7 @@
         if not self.leads:
             return [Rejected(event.id, RejectReason.NOT_LEADER)]
         # Guards memory while no majority answers.
-        if self.log.last - self.commit_index >= MOST_UNCOMMITTED:
+        if self.log.last - self.commit_index >= MAX_UNCOMMITTED:
             return [Rejected(event.id, RejectReason.TOO_MANY_UNCOMMITTED)]
         if event.kind == VOTERS and (reason := self._voter_change_fault(event.body)):
             return [Rejected(event.id, reason)]
--- a/stoatrouter/agreement/log.py
+++ b/stoatrouter/agreement/log.py
@@ -9,8 +9,8 @@
 from stoatrouter.agreement.errors import EntryMissing
 from stoatrouter.agreement.records import VOTERS, Entry, Snapshot, Voter
 
-MOST_IN_MESSAGE = 256  # entries in one message
-MOST_BYTES = 4 * 1024 * 1024  # of entries in one message
+MAX_ENTRIES_IN_MESSAGE = 256  # entries in one message
+MAX_BYTES_IN_MESSAGE = 4 * 1024 * 1024  # of entries in one message
 ENTRY_OVERHEAD = 32  # bytes counted for an entry beside its body
 
 
@@ -69,15 +69,15 @@
             raise EntryMissing(index, self.first, self.last)
         return term
 
-    def entries_from(self, index: int, until: int | None = None) -> tuple[Entry, ...]:
+    def entries_from(self, index: int, last_index: int | None = None) -> tuple[Entry, ...]:
         """Entries from an index on, as many as one message may hold (one at the least)."""
         batch: list[Entry] = []
         size = 0
         for entry in self.entries[max(0, index - self.first) :]:
-            if until is not None and entry.index > until or len(batch) >= MOST_IN_MESSAGE:
+            if last_index is not None and entry.index > last_index or len(batch) >= MAX_ENTRIES_IN_MESSAGE:
                 break
             size += len(entry.body) + ENTRY_OVERHEAD
-            if batch and size > MOST_BYTES:
+            if batch and size > MAX_BYTES_IN_MESSAGE:
                 break
             batch.append(entry)
         return tuple(batch)
@@ -91,26 +91,26 @@
         del self.entries[max(0, index - self.first) :]
         self.voter_changes = [entry for entry in self.voter_changes if entry.index < index]
 
-    def compact(self, snapshot: Snapshot, keep: int) -> int:
+    def compact(self, snapshot: Snapshot, max_retained: int) -> int:
         """Take a snapshot and retain some entries before it, for heads a little behind (thesis 5.1).
 
         Args:
             snapshot: The new snapshot; its index is at most the last entry's.
-            keep: How many entries before the snapshot to retain, at most.
+            max_retained: How many entries before the snapshot to retain, at most.
 
         Returns:
             The index of the first entry retained.
         """
-        retained_from = max(self.first, snapshot.index + 1 - keep)
+        retained_from = max(self.first, snapshot.index + 1 - max_retained)
         self.entries = self.entries[retained_from - self.first :]
         self.voter_changes = [entry for entry in self.voter_changes if entry.index > snapshot.index]
         self.snapshot = snapshot
         return retained_from
 
-    def voter_set(self, until: int | None = None) -> VoterSet:
-        """The newest set of voters, committed or not; with `until`, as of that index."""
+    def voter_set(self, last_index: int | None = None) -> VoterSet:
+        """The newest set of voters, committed or not; with `last_index`, as of that index."""
         for entry in reversed(self.voter_changes):
-            if (until is None or entry.index <= until) and entry.index > self.snapshot.index:
+            if (last_index is None or entry.index <= last_index) and entry.index > self.snapshot.index:
                 return VoterSet(entry.index, decode_voters(entry.body))
         return VoterSet(self.snapshot.index, self.snapshot.voters)
 
--- a/stoatrouter/agreement/machine.py
+++ b/stoatrouter/agreement/machine.py
@@ -17,7 +17,7 @@
 
 from stoatrouter.agreement.records import COMMAND, Entry
 
-MOST_ANSWERS = 4_096  # retained; beyond, the oldest are dropped
+MAX_ANSWERS = 4_096  # retained; beyond, the oldest are dropped
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
@@ -79,7 +79,7 @@
         # Guards heads of different versions: all must come to the same, so an unknown part does nothing.
         answer = part.apply(entry.index, command.body) if part is not None else b""
         self.answers[command.id] = answer
-        if len(self.answers) > MOST_ANSWERS:
+        if len(self.answers) > MAX_ANSWERS:
             self.answers.popitem(last=False)
         return CommandAnswer(command.id, answer)
 
--- a/stoatrouter/agreement/replication.py
+++ b/stoatrouter/agreement/replication.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Match:
+class MatchResult:
     """What became of entries that were offered to the log (log matching, thesis 3.5).
 
     Attributes:
@@ -94,7 +94,7 @@
             self.contact.record_report(message.echoed_sent_at, NO_TIME, message.majority_age)
 
     # -- the log ------------------------------------------------------------------------------------------
-    def _match_entries(self, prev_index: int, prev_term: int, entries: tuple[Entry, ...]) -> Match:
+    def _match_entries(self, prev_index: int, prev_term: int, entries: tuple[Entry, ...]) -> MatchResult:
         """Take in entries where they follow on what the log holds (thesis 3.5)."""
         snapshot = self.log.snapshot
         if prev_index < snapshot.index:  # all before is committed, and so equal
@@ -102,23 +102,23 @@
             prev_index = snapshot.index
             prev_term = snapshot.term
         if self.log.term_at(prev_index) != prev_term:
-            return Match(False, min(self.log.last, prev_index - 1))
+            return MatchResult(False, min(self.log.last, prev_index - 1))
         index = entries[-1].index if entries else prev_index
         first_new = next(
             (entry.index for entry in entries if self.log.term_at(entry.index) != entry.term), None
         )
         if first_new is None:
-            return Match(True, index)
+            return MatchResult(True, index)
         cut_from = first_new if first_new <= self.log.last else None
         if cut_from is not None and cut_from <= self.commit_index:
             if __debug__:
                 raise CommittedEntryConflict(cut_from, self.commit_index)
-            return Match(False, self.commit_index)  # in production the sender is not believed
+            return MatchResult(False, self.commit_index)  # in production the sender is not believed
         if cut_from is not None:
             self._truncate_log(cut_from)
         new = [entry for entry in entries if entry.index >= first_new]
         self.log.append(new)
-        return Match(True, index, Write(cut_from=cut_from, entries=tuple(new)))
+        return MatchResult(True, index, Write(cut_from=cut_from, entries=tuple(new)))
 
     def _truncate_log(self, index: int) -> None:
         """Remove the entries from an index on, which a leader's entries conflict with."""
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -24,7 +24,7 @@
 )
 
 NO_TIME = timedelta(0)
-MOST_UNCOMMITTED = 4_096  # entries; beyond, proposals are rejected
+MAX_UNCOMMITTED = 4_096  # entries; beyond, proposals are rejected
 RETAINED_ENTRIES = 512  # entries kept before a snapshot, for heads a little behind
 
 
--- a/stoatrouter/credit/accounts.py
+++ b/stoatrouter/credit/accounts.py
@@ -85,7 +85,7 @@
     heads: dict[str, HeadRegistration]  # by name
 
 
-def allotment_size(account: Account, head: str, wanted: int, least: int) -> int:
+def allotment_size(account: Account, head: str, wanted: int, min_useful: int) -> int:
     """Size the allotment that one head is given.
 
     The head gets what it wants while the account is rich, less the nearer the account is to nothing and
@@ -96,7 +96,7 @@
         account: The customer's account.
         head: The name of the head that asks.
         wanted: What the head asks for, in millionths of a credit unit.
-        least: The smallest amount of use to it (its largest waiting charge), in millionths.
+        min_useful: The smallest amount of use to it (its largest waiting charge), in millionths.
 
     Returns:
         The amount to grant, in millionths of a credit unit; 0 for none.
@@ -105,6 +105,6 @@
     serving.add(head)
     free = max(0, account.free)
     amount = min(wanted, free // (2 * len(serving)))
-    if amount >= least:
+    if amount >= min_useful:
         return amount
-    return least if least <= free else 0
+    return min_useful if min_useful <= free else 0
--- a/stoatrouter/credit/allotment_ages.py
+++ b/stoatrouter/credit/allotment_ages.py
@@ -11,7 +11,7 @@
 
 # The voters count a lease from a moment later than its holder, and for longer by this: clocks that drift
 # apart by up to a twentieth are tolerated.
-CLOCK_DRIFT = 1.05
+MAX_CLOCK_DRIFT = 1.05
 LEASE_MARGIN = timedelta(milliseconds=500)
 
 
@@ -20,7 +20,7 @@
 
     def __init__(self, lease: timedelta) -> None:
         """Know no allotment yet; `lease` is how long a holder may spend one."""
-        self._longest = lease * CLOCK_DRIFT + LEASE_MARGIN
+        self._lease_timeout = lease * MAX_CLOCK_DRIFT + LEASE_MARGIN
         self._known_since: dict[str, timedelta] = {}
 
     def observe(self, outstanding: Set[str], now: timedelta) -> None:
@@ -30,4 +30,4 @@
 
     def overdue(self, now: timedelta) -> list[str]:
         """The allotments that no holder may spend any more."""
-        return [id for id, since in self._known_since.items() if since + self._longest < now]
+        return [id for id, since in self._known_since.items() if since + self._lease_timeout < now]
--- a/stoatrouter/credit/escrow.py
+++ b/stoatrouter/credit/escrow.py
@@ -23,7 +23,7 @@
 from typing import Protocol
 
 from stoatrouter.credit.local_account import (
-    USE_OVER,
+    USE_AVERAGING_SPAN,
     LocalAccount,
     LocalAllotment,
     Rejection,
@@ -32,16 +32,20 @@
 )
 from stoatrouter.credit.records import CustomerReport, Grant, Settlement
 
-RETRY_EXHAUSTED_AFTER = timedelta(milliseconds=250)  # before more is asked of an account that had nothing
-GRANT_EXPECTED_IN = timedelta(milliseconds=100)  # how long an answer to a report takes, about
-REPORT_LOW_EVERY = timedelta(milliseconds=500)  # spending is reported so often under the low-water mark
-MOST_REPORTS = 256  # customers in one report to the account
-IDLE_ACCOUNT_AFTER = 4 * USE_OVER  # an idle local account without allotments is dropped after this
-LOW_STOCK_LEASES = 0.5  # more is asked for once what is available would last less than so many leases
-REFILL_LEASES = 1.5  # and then enough to last so many leases of recent use
+EXHAUSTED_RETRY_DELAY = timedelta(milliseconds=250)  # before more is asked of an account that had nothing
+EXPECTED_GRANT_DELAY = timedelta(milliseconds=100)  # how long an answer to a report takes, about
+LOW_BALANCE_REPORT_INTERVAL = timedelta(
+    milliseconds=500
+)  # spending is reported so often under the low-water mark
+MAX_REPORTS = 256  # customers in one report to the account
+IDLE_ACCOUNT_TIMEOUT = (
+    4 * USE_AVERAGING_SPAN
+)  # an idle local account without allotments is dropped after this
+REFILL_THRESHOLD_LEASES = 0.5  # more is asked for once what is available would last less than so many leases
+REFILL_TARGET_LEASES = 1.5  # and then enough to last so many leases of recent use
 
 
-class Record(Protocol):
+class SpentStore(Protocol):
     """What survives this process: the spent figure of each allotment."""
 
     def begin(self, allotment: str) -> bool:
@@ -62,7 +66,7 @@
     """The escrow of one head: its allotments of each customer's credit, and the reservations of requests."""
 
     lease: timedelta
-    record: Record
+    spent_store: SpentStore
     accounts: dict[str, LocalAccount] = field(default_factory=dict)  # by customer
     reservations: dict[str, Reservation] = field(default_factory=dict)  # by request
     reachable: bool = True  # the account answers, as far as this head knows
@@ -89,7 +93,7 @@
             return None
         account = self._account_of(customer)
         account.count_request(charge, rank, now)
-        allotment = self._find(account, charge, now)
+        allotment = self._find_allotment(account, charge, now)
         if allotment is None:
             self.rejected += 1
             account.count_unmet(charge, now)
@@ -111,7 +115,7 @@
         if charged:
             allotment.spent += reservation.charge
             self.charged += reservation.charge
-            self.record.set(allotment.id, allotment.spent)
+            self.spent_store.set(allotment.id, allotment.spent)
 
     def _account_of(self, customer: str) -> LocalAccount:
         account = self.accounts.get(customer)
@@ -120,7 +124,7 @@
         return account
 
     @staticmethod
-    def _find(account: LocalAccount, charge: int, now: timedelta) -> LocalAllotment | None:
+    def _find_allotment(account: LocalAccount, charge: int, now: timedelta) -> LocalAllotment | None:
         """The allotment to reserve from: the one that expires first."""
         for allotment in account.allotments:
             # Guards the sum: what has expired here may be counted otherwise by the account from now on.
@@ -135,7 +139,7 @@
             return Rejection(None, RejectionReason.UNKNOWN_CUSTOMER)
         if account.exhausted_at is not None and not account.report_pending:
             return Rejection(None, RejectionReason.EXHAUSTED)  # when more is paid in, nobody here knows
-        return Rejection(GRANT_EXPECTED_IN, RejectionReason.ALLOTMENT_REQUESTED)
+        return Rejection(EXPECTED_GRANT_DELAY, RejectionReason.ALLOTMENT_REQUESTED)
 
     # -- requests that wait for an allotment --------------------------------------------------------------
     def may_wait(self, customer: str, charge: int, now: timedelta) -> bool:
@@ -143,7 +147,7 @@
         account = self.accounts.get(customer)
         if account is None:
             return self.reachable
-        if not self.reachable or self._find(account, charge, now) is not None:
+        if not self.reachable or self._find_allotment(account, charge, now) is not None:
             return False
         return account.known and not self._recently_exhausted(account, now)
 
@@ -162,8 +166,8 @@
         self.accounts[customer].waiting -= charge
 
     # -- reports to the account ---------------------------------------------------------------------------
-    def due_reports(self, now: timedelta, most: int = MOST_REPORTS) -> list[CustomerReport]:
-        """The reports that are due, at most `most`; they count as pending until answered or forgotten."""
+    def due_reports(self, now: timedelta, max_reports: int = MAX_REPORTS) -> list[CustomerReport]:
+        """The reports that are due, at most `max_reports`; they are pending until answered or forgotten."""
         reports: list[CustomerReport] = []
         for customer, account in list(self.accounts.items()):
             if account.report_pending:
@@ -172,7 +176,7 @@
             if report is not None:
                 account.report_pending = True
                 reports.append(report)
-                if len(reports) >= most:
+                if len(reports) >= max_reports:
                     break
             elif self._may_be_dropped(account, now):
                 del self.accounts[customer]
@@ -181,7 +185,7 @@
     @staticmethod
     def _may_be_dropped(account: LocalAccount, now: timedelta) -> bool:
         """Whether a customer is idle here, and all is settled."""
-        idle = now - account.used_at > IDLE_ACCOUNT_AFTER
+        idle = now - account.used_at > IDLE_ACCOUNT_TIMEOUT
         return idle and not account.allotments and not account.waiting
 
     def _report(self, account: LocalAccount, now: timedelta) -> CustomerReport | None:
@@ -203,7 +207,7 @@
 
     def _report_is_due(self, account: LocalAccount, now: timedelta) -> bool:
         """Whether spending alone is to be reported now."""
-        every = REPORT_LOW_EVERY if account.funded_fraction() < 1 else self.lease / 2
+        every = LOW_BALANCE_REPORT_INTERVAL if account.funded_fraction() < 1 else self.lease / 2
         return account.answered_at is None or now - account.answered_at >= every
 
     @staticmethod
@@ -211,12 +215,12 @@
         """Whether the account had nothing to grant a moment ago."""
         if account.exhausted_at is None:
             return False
-        return now < account.exhausted_at + RETRY_EXHAUSTED_AFTER
+        return now < account.exhausted_at + EXHAUSTED_RETRY_DELAY
 
     def _wanted(self, account: LocalAccount, now: timedelta) -> int:
         """How much more to ask for, in millionths; 0 for nothing.
 
-        Enough for the recent use over REFILL_LEASES, asked for before what is available runs out.
+        Enough for the recent use over REFILL_TARGET_LEASES, asked for before what is available runs out.
         """
         unknown = not account.known and account.answered_at is not None
         if unknown or self._recently_exhausted(account, now):
@@ -229,10 +233,10 @@
         )
         at_once = max(account.largest_unmet, account.waiting)
         lease = self.lease.total_seconds()
-        needed = max(at_once, math.ceil(account.use_per_second * lease * LOW_STOCK_LEASES))
+        needed = max(at_once, math.ceil(account.use_per_second * lease * REFILL_THRESHOLD_LEASES))
         if usable >= needed or needed <= 0:
             return 0
-        return max(at_once, math.ceil(account.use_per_second * lease * REFILL_LEASES)) - usable
+        return max(at_once, math.ceil(account.use_per_second * lease * REFILL_TARGET_LEASES)) - usable
 
     # -- the account's answers ----------------------------------------------------------------------------
     def apply_grant(self, report: CustomerReport, grant: Grant, asked_at: timedelta, now: timedelta) -> None:
@@ -257,14 +261,14 @@
 
     def _confirm_settlement(self, account: LocalAccount, settlement: Settlement) -> None:
         for allotment in [known for known in account.allotments if known.id == settlement.allotment]:
-            allotment.notified_spent = settlement.spent
+            allotment.acknowledged_spent = settlement.spent
             if settlement.final:
                 account.allotments.remove(allotment)
-                self.record.end(allotment.id)
+                self.spent_store.end(allotment.id)
 
     def _add_allotment(self, account: LocalAccount, grant: Grant, expires_at: timedelta) -> None:
         # Guards the sum: a grant that cannot be recorded is closed by the next report.
-        if not self.record.begin(grant.allotment):
+        if not self.spent_store.begin(grant.allotment):
             return
         account.allotments.append(LocalAllotment(grant.allotment, grant.amount, expires_at))
         account.allotments.sort(key=lambda allotment: allotment.expires_at)
--- a/stoatrouter/credit/gate.py
+++ b/stoatrouter/credit/gate.py
@@ -10,7 +10,7 @@
 from stoatrouter.core import model
 from stoatrouter.core.gate import GateRejection
 from stoatrouter.credit.escrow import HeadEscrow
-from stoatrouter.credit.ledger_knowledge import LedgerKnowledge, UnknownVolumes, reject_unowned
+from stoatrouter.credit.ledger_freshness import LedgerFreshness, UnknownVolumes, reject_unowned
 from stoatrouter.credit.local_account import Rank, Rejection, RejectionReason
 from stoatrouter.credit.records import charge_of
 from stoatrouter.policy import interface as api
@@ -66,7 +66,7 @@
         customer_of: The customer of a volume; None: the ledger, as this head has it, knows none.
         prices: Of one unit of a request, by class.
         ranks: The order in which classes are paced, by class.
-        knowledge: What this head knows of the ledger at this very moment, also after a pause.
+        freshness: What this head knows of the ledger at this very moment, also after a pause.
         unknown_volumes: What becomes of volumes without a known customer while the ledger is not current.
         unowned: What became of them since the start.
     """
@@ -75,7 +75,7 @@
     customer_of: Callable[[str], str | None]
     prices: tuple[int, ...]
     ranks: tuple[int, ...]
-    knowledge: Callable[[], LedgerKnowledge]
+    freshness: Callable[[], LedgerFreshness]
     unknown_volumes: UnknownVolumes = UnknownVolumes.REJECT
     unowned: UnownedCounts = field(default_factory=UnownedCounts)
 
@@ -84,22 +84,22 @@
         customer = self.customer_of(request.volume)
         charge = self._charge_of(request)
         if customer is None:
-            return None if charge <= 0 else self._take_unowned()
+            return None if charge <= 0 else self._admit_unowned()
         rank = self.ranks[request.request_class]
         return rejection_of(self.escrow.reserve(request.id, customer, charge, rank, now))
 
-    def _take_unowned(self) -> GateRejection | None:
+    def _admit_unowned(self) -> GateRejection | None:
         """Admit a request that has a price, of a volume of which no customer is known, or reject it.
 
         Guards the sum: a ledger that is not current may lack the customer whose volume it is, and what is
         served then is never charged. So nothing is free but by a ledger that is known to be current.
         """
-        knowledge = self.knowledge()
-        reason = reject_unowned(knowledge, self.unknown_volumes)
+        freshness = self.freshness()
+        reason = reject_unowned(freshness, self.unknown_volumes)
         if reason is not None:
             self.unowned.rejected += 1
             return rejection_of(Rejection(None, reason))
-        if knowledge is not LedgerKnowledge.CURRENT:
+        if freshness is not LedgerFreshness.CURRENT:
             self.unowned.served += 1
         return None
 
--- a/stoatrouter/credit/ledger.py
+++ b/stoatrouter/credit/ledger.py
@@ -43,8 +43,8 @@
     Settlement,
 )
 
-MOST_ENTRIES = 50_000  # entries whose ids are known; beyond, the oldest are dropped
-MOST_CUSTOMERS = 20_000
+MAX_ENTRIES = 50_000  # entries whose ids are known; beyond, the oldest are dropped
+MAX_CUSTOMERS = 20_000
 CORRECTION = "correction"  # the kind of entry that may be negative (or 0)
 COMMAND_DECODER: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
 
@@ -126,8 +126,8 @@
             return CommandResult(False, "overdraft and low_water are 0 or more")
         account = self.accounts.get(command.name)
         if account is None:
-            if len(self.accounts) >= MOST_CUSTOMERS:
-                return CommandResult(False, f"there are {MOST_CUSTOMERS} customers already")
+            if len(self.accounts) >= MAX_CUSTOMERS:
+                return CommandResult(False, f"there are {MAX_CUSTOMERS} customers already")
             account = self.accounts[command.name] = Account(command.name, [])
         self._assign_volumes(account, sorted(set(command.volumes)))
         account.overdraft = command.overdraft
@@ -165,7 +165,7 @@
         """Book an entry, once under its id; `index` is the command's in the log."""
         booked = self.entries.get(command.id)
         if booked is not None:
-            return self._answer_repeated(booked, command)
+            return self._answer_duplicate(booked, command)
         account = self.accounts.get(command.customer)
         if account is None or not account.open:
             return CommandResult(False, f"there is no customer {command.customer!r}")
@@ -182,11 +182,11 @@
             command.why,
             command.when,
         )
-        if len(self.entries) > MOST_ENTRIES:
+        if len(self.entries) > MAX_ENTRIES:
             self.entries.popitem(last=False)
         return CommandResult(True, balance=account.balance)
 
-    def _answer_repeated(self, booked: Entry, command: BookEntry) -> CommandResult:
+    def _answer_duplicate(self, booked: Entry, command: BookEntry) -> CommandResult:
         """The answer to an entry whose id is booked already: it must be the same entry."""
         account = self.accounts.get(command.customer)
         balance = account.balance if account is not None else 0
@@ -269,7 +269,7 @@
             return Grant(report.customer, "", 0, 0, 0, known=False)
         amount = 0
         if account.open and report.wanted > 0:
-            amount = allotment_size(account, command.head, report.wanted, report.least)
+            amount = allotment_size(account, command.head, report.wanted, report.min_useful)
         if amount > 0:
             account.outstanding[id] = Allotment(account.name, command.head, command.identity, amount)
             self.customer_by_allotment[id] = account.name
--- a/stoatrouter/credit/ledger_knowledge.py
+++ b/stoatrouter/credit/ledger_freshness.py
@@ -13,7 +13,7 @@
 from stoatrouter.credit.local_account import RejectionReason
 
 
-class LedgerKnowledge(StrEnum):
+class LedgerFreshness(StrEnum):
     """What a head knows of the ledger; the values are what operators see."""
 
     NEVER_HEARD = "never heard"  # no fleet yet, or a new disk that has fetched nothing
@@ -42,7 +42,7 @@
     followed_age: timedelta | None
 
 
-def knowledge_of(facts: LedgerFacts, cut_off_after: timedelta) -> LedgerKnowledge:
+def freshness_of(facts: LedgerFacts, cut_off_after: timedelta) -> LedgerFreshness:
     """Say what a head knows of the ledger.
 
     Args:
@@ -50,12 +50,12 @@
         cut_off_after: For how long a copy counts as current after it was last followed.
     """
     if facts.followed_age is None:
-        return LedgerKnowledge.RESTORED if facts.index else LedgerKnowledge.NEVER_HEARD
-    return LedgerKnowledge.CURRENT if facts.followed_age <= cut_off_after else LedgerKnowledge.STALE
+        return LedgerFreshness.RESTORED if facts.index else LedgerFreshness.NEVER_HEARD
+    return LedgerFreshness.CURRENT if facts.followed_age <= cut_off_after else LedgerFreshness.STALE
 
 
-def reject_unowned(knowledge: LedgerKnowledge, unknown_volumes: UnknownVolumes) -> RejectionReason | None:
+def reject_unowned(freshness: LedgerFreshness, unknown_volumes: UnknownVolumes) -> RejectionReason | None:
     """Decide on a request that has a price, of a volume whose customer is not known; None: it is served."""
-    if knowledge is LedgerKnowledge.CURRENT or unknown_volumes is UnknownVolumes.SERVE:
+    if freshness is LedgerFreshness.CURRENT or unknown_volumes is UnknownVolumes.SERVE:
         return None
     return RejectionReason.LEDGER_UNKNOWN
--- a/stoatrouter/credit/local_account.py
+++ b/stoatrouter/credit/local_account.py
@@ -13,10 +13,10 @@
 from stoatrouter.credit.records import Settlement
 
 NO_TIME = timedelta(0)
-USE_OVER = timedelta(seconds=2)  # the span over which recent use is averaged
-LONGEST_ADVICE = timedelta(seconds=5)  # the longest wait that a rejection advises
-ROUNDING = 1e-9  # of a request: what sums of quotas may be off by
-LEAST_REQUEST_RATE = 0.01  # requests a second, so that a wait advised to a rare class stays finite
+USE_AVERAGING_SPAN = timedelta(seconds=2)  # the span over which recent use is averaged
+MAX_RETRY_IN = timedelta(seconds=5)  # the longest wait that a rejection advises
+ROUNDING_TOLERANCE = 1e-9  # of a request: what sums of quotas may be off by
+MIN_REQUEST_RATE = 0.01  # requests a second, so that a wait advised to a rare class stays finite
 
 
 class Rank(IntEnum):
@@ -61,7 +61,7 @@
     expires_at: timedelta
     spent: int = 0
     reserved: int = 0
-    notified_spent: int = 0  # spent, as the account was last notified
+    acknowledged_spent: int = 0  # spent, as the account was last notified
     closing: bool = False  # nothing more is reserved from it
 
     @property
@@ -90,7 +90,7 @@
     largest_unmet: int = 0  # the largest charge that lately found no allotment
     unmet_at: timedelta = NO_TIME  # when it found none
     waiting: int = 0  # the charges of all requests that wait for an allotment now
-    use_per_second: float = 0.0  # millionths, averaged over USE_OVER
+    use_per_second: float = 0.0  # millionths, averaged over USE_AVERAGING_SPAN
     used_at: timedelta = NO_TIME
     request_rates: list[float] = field(default_factory=lambda: [0.0] * len(Rank))  # a second, by rank
     pace_tokens: list[float] = field(default_factory=lambda: [1.0] * len(Rank))  # by rank; 1 admits one
@@ -109,11 +109,11 @@
 
     def count_request(self, charge: int, rank: int, now: timedelta) -> None:
         """Count a request, admitted or not: allotments follow the demand."""
-        periods = (now - self.used_at) / USE_OVER
-        fade = math.exp(-max(0.0, periods))
-        averaged_over = USE_OVER.total_seconds()
-        self.use_per_second = self.use_per_second * fade + charge / averaged_over
-        self.request_rates = [rate * fade for rate in self.request_rates]
+        periods = (now - self.used_at) / USE_AVERAGING_SPAN
+        decay = math.exp(-max(0.0, periods))
+        averaged_over = USE_AVERAGING_SPAN.total_seconds()
+        self.use_per_second = self.use_per_second * decay + charge / averaged_over
+        self.request_rates = [rate * decay for rate in self.request_rates]
         self.request_rates[rank] += 1 / averaged_over
         self.used_at = now
 
@@ -125,7 +125,7 @@
 
     def forget_unmet(self, now: timedelta) -> None:
         """Forget a charge that found no allotment long ago: nobody waits for one any more."""
-        if now - self.unmet_at > USE_OVER:
+        if now - self.unmet_at > USE_AVERAGING_SPAN:
             self.largest_unmet = 0
 
     def pace(self, rank: int) -> Rejection | None:
@@ -138,12 +138,12 @@
         self.pace_tokens[rank] += quota
         # Guards the advice: fractions that add up to a whole may be short of it by a rounding error, and the
         # rest would be a wait of nothing.
-        if self.pace_tokens[rank] >= 1.0 - ROUNDING:
+        if self.pace_tokens[rank] >= 1.0 - ROUNDING_TOLERANCE:
             self.pace_tokens[rank] = max(0.0, self.pace_tokens[rank] - 1.0)
             return None
         missing = (1.0 - self.pace_tokens[rank]) / quota  # requests until the next is admitted
-        wait = timedelta(seconds=missing / max(self.request_rates[rank], LEAST_REQUEST_RATE))
-        return Rejection(min(wait, LONGEST_ADVICE), RejectionReason.PACED)
+        wait = timedelta(seconds=missing / max(self.request_rates[rank], MIN_REQUEST_RATE))
+        return Rejection(min(wait, MAX_RETRY_IN), RejectionReason.PACED)
 
     # -- allotments ---------------------------------------------------------------------------------------
     def allotment_ids(self) -> tuple[str, ...]:
@@ -170,7 +170,7 @@
         return [
             Settlement(allotment.id, allotment.spent, final=False)
             for allotment in self.allotments
-            if allotment.spent > allotment.notified_spent and not allotment.closing
+            if allotment.spent > allotment.acknowledged_spent and not allotment.closing
         ]
 
 
--- a/stoatrouter/credit/records.py
+++ b/stoatrouter/credit/records.py
@@ -69,14 +69,14 @@
             that it granted to this head's identity (its grant never reached the head).
         settlements: What was spent of some of them.
         wanted: How much more the head asks for, in millionths of a credit unit; 0 for nothing.
-        least: The smallest grant of use to the head (its largest waiting charge), in millionths.
+        min_useful: The smallest grant of use to the head (its largest waiting charge), in millionths.
     """
 
     customer: str
     allotments: tuple[str, ...] = ()
     settlements: tuple[Settlement, ...] = ()
     wanted: int = 0
-    least: int = 0
+    min_useful: int = 0
 
 
 class CreditReport(msgspec.Struct, frozen=True, array_like=True, tag="turns"):
--- a/stoatrouter/lab/fleet/contacts.py
+++ b/stoatrouter/lab/fleet/contacts.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from stoatrouter.agreement.availability import Facts, HeadState, availability_of
-from stoatrouter.agreement.contact import CLOCK_DRIFT, MajorityContact
+from stoatrouter.agreement.availability import HeadFacts, HeadState, availability_of
+from stoatrouter.agreement.contact import MAX_CLOCK_DRIFT, MajorityContact
 from stoatrouter.agreement.records import PersistentState, Voter
 from stoatrouter.lab.fleet.errors import InvariantViolated
 from stoatrouter.lab.fleet.voters import VoterFleet
@@ -57,7 +57,7 @@
             return False
         raft = self.heads[name].raft
         age = self.contact(name).age(self.world.clock(name))
-        facts = Facts(True, True, age, raft.votes_here, raft.leads, True)
+        facts = HeadFacts(True, True, age, raft.votes_here, raft.leads, True)
         return availability_of(facts, CUT_OFF_AFTER, WARNING_AFTER, SECOND).state is HeadState.CONNECTED
 
     def poll(self, name: str) -> None:
@@ -142,7 +142,7 @@
         """
         self.update_last_majority()
         for name, last in self.last_majority.items():
-            if self.world.now - last > CUT_OFF_AFTER * CLOCK_DRIFT and self.is_connected(name):
+            if self.world.now - last > CUT_OFF_AFTER * MAX_CLOCK_DRIFT and self.is_connected(name):
                 raise InvariantViolated(
                     f"{name} is in touch at {self.world.now}, the last majority was at {last}"
                 )
--- a/stoatrouter/lab/fleet/credit_ledger.py
+++ b/stoatrouter/lab/fleet/credit_ledger.py
@@ -15,7 +15,7 @@
 from stoatrouter.core import model
 from stoatrouter.credit.gate import Gate
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.ledger_knowledge import LedgerFacts, LedgerKnowledge, UnknownVolumes, knowledge_of
+from stoatrouter.credit.ledger_freshness import LedgerFacts, LedgerFreshness, UnknownVolumes, freshness_of
 from stoatrouter.credit.records import Command, PutCustomer
 from stoatrouter.lab.fleet.credit import LOW_WATER, RANKS, CreditFleet, Reserved
 from stoatrouter.lab.fleet.credit_account import ACCOUNT, CreditAccount
@@ -84,11 +84,11 @@
             self.ledger.apply(len(self.stored), command)
         self.followed_at = max(asked_at, self.followed_at or asked_at)
 
-    def knowledge(self) -> LedgerKnowledge:
+    def freshness(self) -> LedgerFreshness:
         """What the head knows of the ledger at this moment."""
         now = self.world.clock(self.name)
         age = None if self.followed_at is None else now - self.followed_at
-        return knowledge_of(LedgerFacts(len(self.stored), age), CUT_OFF_AFTER)
+        return freshness_of(LedgerFacts(len(self.stored), age), CUT_OFF_AFTER)
 
 
 class OwnedSince(msgspec.Struct, frozen=True):
@@ -124,7 +124,7 @@
         self.copies[name] = copy
         prices, ranks = (UNITS_PRICE,) * RANKS, tuple(range(RANKS))
         self.gates[name] = self.make_gate(
-            head.escrow, copy.ledger.customer_of, prices, ranks, copy.knowledge, self.unknown_volumes
+            head.escrow, copy.ledger.customer_of, prices, ranks, copy.freshness, self.unknown_volumes
         )
 
     # -- customers ----------------------------------------------------------------------------------------
--- a/stoatrouter/membership/backoff.py
+++ b/stoatrouter/membership/backoff.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from random import Random
 
-MOST_DOUBLED = 16  # beyond, the wait is at its bound anyway
+MAX_DOUBLINGS = 16  # beyond, the wait is at its bound anyway
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,16 +17,16 @@
     "Exponential Backoff And Jitter" (Brooker, AWS Architecture Blog, 2015).
 
     Attributes:
-        first: The bound of the wait after the first failure.
-        most: The cap: no bound is longer.
+        initial: The bound of the wait after the first failure.
+        maximum: The cap: no bound is longer.
     """
 
-    first: timedelta = timedelta(milliseconds=200)
-    most: timedelta = timedelta(seconds=10)
+    initial: timedelta = timedelta(milliseconds=200)
+    maximum: timedelta = timedelta(seconds=10)
 
     def bound(self, failures: int) -> timedelta:
         """The longest wait after `failures` failures in a row (from 0): `first` doubled, up to `most`."""
-        return min(self.most, self.first * (1 << min(failures, MOST_DOUBLED)))
+        return min(self.maximum, self.initial * (1 << min(failures, MAX_DOUBLINGS)))
 
     def wait(self, seed: int, failures: int) -> timedelta:
         """The wait after `failures` failures; equal for equal seeds and counts, spread evenly over seeds."""
--- a/stoatrouter/membership/datagram.py
+++ b/stoatrouter/membership/datagram.py
@@ -33,9 +33,9 @@
 )
 from stoatrouter.membership.roster import MemberUpdate, Status
 
-LARGEST_DATAGRAM = 256  # bytes
+MAX_DATAGRAM_BYTES = 256  # bytes
 MAC_BYTES = 16
-LONGEST_NAME = 24  # bytes
+MAX_NAME_BYTES = 24  # bytes
 HEADER = struct.Struct(">BI")  # version and kind, sequence number
 VERSION = 0x10
 INCARNATION_BYTES = 6
@@ -43,7 +43,7 @@
 SEQUENCE_MASK = 0xFFFFFFFF
 KIND_MASK = 0x0F
 VERSION_MASK = 0xF0
-SMALLEST_DATAGRAM = HEADER.size + INCARNATION_BYTES + 2 * LENGTH_BYTES + MAC_BYTES
+MIN_DATAGRAM_BYTES = HEADER.size + INCARNATION_BYTES + 2 * LENGTH_BYTES + MAC_BYTES
 
 
 class Kind(IntEnum):
@@ -76,10 +76,10 @@
 
     def update_capacity(self) -> int:
         """How many bytes are left for piggybacked updates."""
-        return LARGEST_DATAGRAM - SMALLEST_DATAGRAM - len(self.sender.encode()) - len(self.target.encode())
+        return MAX_DATAGRAM_BYTES - MIN_DATAGRAM_BYTES - len(self.sender.encode()) - len(self.target.encode())
 
 
-def seal(data: bytes, secret: bytes, fleet: str) -> bytes:
+def compute_mac(data: bytes, secret: bytes, fleet: str) -> bytes:
     """The MAC over `data`: BLAKE2b keyed by `secret` (its first 64 bytes), 16 bytes.
 
     The fleet's name is hashed into the personalisation, so that a key used twice joins no two fleets.
@@ -96,15 +96,15 @@
     for update in message.updates:
         data += encode_text(update.name) + update.incarnation.to_bytes(INCARNATION_BYTES, "big")
         data += bytes((update.status,))
-    data += seal(data, secret, fleet)
-    assert len(data) <= LARGEST_DATAGRAM, "a datagram over its bound"
+    data += compute_mac(data, secret, fleet)
+    assert len(data) <= MAX_DATAGRAM_BYTES, "a datagram over its bound"
     return data
 
 
 def encode_text(value: str) -> bytes:
-    """A string as UTF-8 with its length in one byte before it; at most LONGEST_NAME bytes."""
+    """A string as UTF-8 with its length in one byte before it; at most MAX_NAME_BYTES bytes."""
     data = value.encode()
-    assert len(data) <= LONGEST_NAME, "a name over its bound"
+    assert len(data) <= MAX_NAME_BYTES, "a name over its bound"
     return bytes((len(data),)) + data
 
 
@@ -114,7 +114,7 @@
     Raises:
         MalformedDatagram: The bytes are not a datagram of this fleet; one of its subclasses names the reason.
     """
-    body = unseal(data, secret, fleet)
+    body = verify_mac(data, secret, fleet)
     first_byte, number = HEADER.unpack_from(body)
     reader = FieldReader(body, HEADER.size)
     try:
@@ -132,7 +132,7 @@
     return Datagram(kind, number, sender, incarnation, target, updates)
 
 
-def unseal(data: bytes, secret: bytes, fleet: str) -> bytes:
+def verify_mac(data: bytes, secret: bytes, fleet: str) -> bytes:
     """A datagram without its MAC, once size and MAC are checked.
 
     Raises:
@@ -140,12 +140,12 @@
         DatagramTooShort: There are fewer bytes than any datagram has.
         ForeignDatagram: The MAC is not that of this fleet and key.
     """
-    if len(data) > LARGEST_DATAGRAM:
-        raise DatagramTooLong(f"{len(data)} bytes; at most {LARGEST_DATAGRAM}")
-    if len(data) < SMALLEST_DATAGRAM:
-        raise DatagramTooShort(f"{len(data)} bytes; at least {SMALLEST_DATAGRAM}")
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise DatagramTooLong(f"{len(data)} bytes; at most {MAX_DATAGRAM_BYTES}")
+    if len(data) < MIN_DATAGRAM_BYTES:
+        raise DatagramTooShort(f"{len(data)} bytes; at least {MIN_DATAGRAM_BYTES}")
     body = data[:-MAC_BYTES]
-    if not hmac.compare_digest(data[-MAC_BYTES:], seal(body, secret, fleet)):
+    if not hmac.compare_digest(data[-MAC_BYTES:], compute_mac(body, secret, fleet)):
         raise ForeignDatagram(f"the MAC does not match fleet {fleet!r} and this key")
     return body
 
@@ -183,8 +183,8 @@
     def read_text(self) -> str:
         """The next string."""
         count = self.read_byte()
-        if count > LONGEST_NAME:
-            raise ValueError(f"a string of {count} bytes; at most {LONGEST_NAME}")
+        if count > MAX_NAME_BYTES:
+            raise ValueError(f"a string of {count} bytes; at most {MAX_NAME_BYTES}")
         return self.read_bytes(count).decode()
 
     def read_updates(self) -> Iterator[MemberUpdate]:
--- a/stoatrouter/membership/detector.py
+++ b/stoatrouter/membership/detector.py
@@ -40,8 +40,8 @@
 from stoatrouter.membership.ping_round import PingRound
 from stoatrouter.membership.roster import GossipQueue, MemberUpdate, Roster, Status, wire_size
 
-MOST_HEADS = 1024  # a bound on the membership list; updates of further names are dropped and counted
-MOST_RELAYED = 256  # pings in flight for others' ping-reqs; beyond, the oldest is forgotten
+MAX_HEADS = 1024  # a bound on the membership list; updates of further names are dropped and counted
+MAX_RELAYED_PINGS = 256  # pings in flight for others' ping-reqs; beyond, the oldest is forgotten
 UNSOLICITED = 0  # the sequence number of an ack that answers no ping
 GOSSIP_FLEET_OFFSET = 9  # log10(count + 9): at least 1 for a fleet of one
 
@@ -71,7 +71,7 @@
 
     number: int  # the ping-req's sequence number, named in the relayed ack
     requester: str  # the address of the head that sent the ping-req
-    useless_at: timedelta  # from when on that head waits for no ack any more
+    expires_at: timedelta  # from when on that head waits for no ack any more
 
 
 @dataclass(slots=True)
@@ -102,7 +102,7 @@
 
     def __post_init__(self) -> None:
         """Seed the draws, and put this head's own update into the list and the gossip."""
-        self.health = LocalHealth(self.timing.local_health)
+        self.health = LocalHealth(self.timing.max_local_health)
         self.rng = random.Random(f"detector/{self.seed}/{self.name}")
         self._publish_own_update()
 
@@ -137,7 +137,7 @@
             effects += self._send_ping_reqs(check)
         if self.next_period_at is None or now >= self.next_period_at:
             effects += self._end_period(now)
-            self.next_period_at = now + self.health.lengthen(self.timing.period)
+            self.next_period_at = now + self.health.scale(self.timing.period)
             effects += self._begin_period(now)
         return effects
 
@@ -145,7 +145,7 @@
         """Forget the pings whose ack would come too late; all wait for as long, so the first go first."""
         while self.relayed_pings:
             number, oldest = next(iter(self.relayed_pings.items()))
-            if now < oldest.useless_at:
+            if now < oldest.expires_at:
                 return
             del self.relayed_pings[number]
 
@@ -175,7 +175,7 @@
         target = self.member_round.next(self.roster.participants(self.name), self.rng)
         if target is not None:
             number = self._next_sequence_number()
-            indirect_at = now + self.health.lengthen(self.timing.ack_within)
+            indirect_at = now + self.health.scale(self.timing.ack_timeout)
             self.health_check = HealthCheck(number, target, indirect_at)
             effects.append(self._ping(target, number))
         # an address at which no member is known: a head that starts, or is back after a split
@@ -214,7 +214,7 @@
         if message.sender == self.name:
             return [DatagramDropped(OWN_NAME)]
         known = self.roster.members.get(message.sender)
-        if known is None and len(self.roster.members) >= MOST_HEADS:
+        if known is None and len(self.roster.members) >= MAX_HEADS:
             return [DatagramDropped(TOO_MANY_HEADS)]
         # Guards against datagrams of an earlier process of that head, late or replayed: they are answered
         # with what is known of the head, so that one whose clock went back can go beyond it.
@@ -250,12 +250,12 @@
         if message.target not in self.roster.addresses:
             return []
         number = self._next_sequence_number()
-        if len(self.relayed_pings) >= MOST_RELAYED:
+        if len(self.relayed_pings) >= MAX_RELAYED_PINGS:
             oldest = next(iter(self.relayed_pings))
             del self.relayed_pings[oldest]
         # no head's health check lasts longer than its longest period
-        useless_at = now + self.timing.period * (1 + self.timing.local_health)
-        self.relayed_pings[number] = RelayedPing(message.number, requester, useless_at)
+        expires_at = now + self.timing.period * (1 + self.timing.max_local_health)
+        self.relayed_pings[number] = RelayedPing(message.number, requester, expires_at)
         return [self._ping(message.target, number)]
 
     def _receive_ack(self, message: Datagram) -> list[Effect]:
@@ -277,19 +277,19 @@
         if known is not None and (known.status is not Status.ALIVE or number == UNSOLICITED):
             first = (known,)
             capacity -= wire_size(known)
-        gossiped = self.gossip.select(capacity, self._most_transmits())
+        gossiped = self.gossip.select(capacity, self._max_transmits())
         updates = first + tuple(update for update in gossiped if update not in first)
         return SendTo(address, Datagram(kind, number, self.name, self.incarnation, target, updates))
 
-    def _most_transmits(self) -> int:
+    def _max_transmits(self) -> int:
         """How many times one update is piggybacked: SWIM's lambda times the logarithm of the fleet (4.1)."""
-        return math.ceil(self.timing.gossip * math.log10(self.roster.count() + GOSSIP_FLEET_OFFSET))
+        return math.ceil(self.timing.gossip_factor * math.log10(self.roster.count() + GOSSIP_FLEET_OFFSET))
 
     # -- membership updates -------------------------------------------------------------------------------
     def _apply_update(self, update: MemberUpdate, now: timedelta) -> list[Effect]:
         if update.name == self.name:
             return self._refute(update)
-        if update.name not in self.roster.members and len(self.roster.members) >= MOST_HEADS:
+        if update.name not in self.roster.members and len(self.roster.members) >= MAX_HEADS:
             return [DatagramDropped(TOO_MANY_HEADS)]
         before = self.roster.status(update.name)
         if not self.roster.apply(update):
@@ -306,7 +306,7 @@
     def _suspicion_timeout(self) -> timedelta:
         """How long a suspect may refute: periods times log2 of the fleet (SWIM section 4.2)."""
         fleet_factor = max(1.0, math.log2(self.roster.count() + 1))
-        return self.health.lengthen(self.timing.period * (self.timing.suspicion * fleet_factor))
+        return self.health.scale(self.timing.period * (self.timing.suspicion_factor * fleet_factor))
 
     def _refute(self, update: MemberUpdate) -> list[Effect]:
         """Refute an update of this head by a higher incarnation, unless it agrees with this head's own."""
@@ -327,5 +327,7 @@
         self._publish_own_update()
         participants = self.roster.participants(self.name)
         chosen = self.rng.sample(participants, min(2 * self.timing.indirect_checks, len(participants)))
-        farewell = Datagram(Kind.ACK, UNSOLICITED, self.name, self.incarnation, updates=(self.own_update,))
-        return [SendTo(self.roster.addresses[name], farewell) for name in chosen]
+        leave_message = Datagram(
+            Kind.ACK, UNSOLICITED, self.name, self.incarnation, updates=(self.own_update,)
+        )
+        return [SendTo(self.roster.addresses[name], leave_message) for name in chosen]
--- a/stoatrouter/membership/detector_records.py
+++ b/stoatrouter/membership/detector_records.py
@@ -23,20 +23,20 @@
 
     Attributes:
         period: SWIM's protocol period: one member is pinged in each.
-        ack_within: How long the ack of the direct ping is awaited before ping-reqs are sent.
+        ack_timeout: How long the ack of the direct ping is awaited before ping-reqs are sent.
         indirect_checks: SWIM's k: how many members are sent a ping-req in this head's place.
-        suspicion: The suspicion timeout in periods, times log2 of the fleet: how long a suspect may refute.
-        gossip: Times log10 of the fleet: how many times one update is piggybacked (SWIM's lambda).
-        local_health: Lifeguard's highest local health score: the most times over that this head's spans are
+        suspicion_factor: Times the period and log2 of the fleet size: how long a suspect may refute.
+        gossip_factor: Times log10 of the fleet: how many times one update is piggybacked (SWIM's lambda).
+        max_local_health: Lifeguard's highest local health score: the most times over that its spans are
             lengthened while it misses acks; 0: never.
     """
 
     period: timedelta = timedelta(milliseconds=500)
-    ack_within: timedelta = timedelta(milliseconds=150)
+    ack_timeout: timedelta = timedelta(milliseconds=150)
     indirect_checks: int = 3
-    suspicion: float = 3.0
-    gossip: float = 4.0
-    local_health: int = 4
+    suspicion_factor: float = 3.0
+    gossip_factor: float = 4.0
+    max_local_health: int = 4
 
 
 # -- events -----------------------------------------------------------------------------------------------
--- a/stoatrouter/membership/follower.py
+++ b/stoatrouter/membership/follower.py
@@ -39,7 +39,7 @@
     Watch,
 )
 
-MOST_BUFFERED = 100_000  # changes of one revision that are buffered until the rest of them has come
+MAX_BUFFERED_CHANGES = 100_000  # changes of one revision that are buffered until the rest of them has come
 
 
 class Follower:
@@ -103,10 +103,10 @@
         self.buffered.clear()  # of a revision that did not come complete: it comes again
         if self.revision is None or self.must_reread:
             self.phase = Phase.READING
-            self.deadline = at + self.limits.read_within
+            self.deadline = at + self.limits.read_timeout
             return [ReadList(self.call, self.endpoint), WakeAt(self.deadline)]
         self.phase = Phase.WATCHING
-        self.deadline = at + self.limits.silence
+        self.deadline = at + self.limits.silence_timeout
         return [Watch(self.call, self.endpoint, self.revision), WakeAt(self.deadline)]
 
     def _reread_list(self, at: timedelta) -> list[Effect]:
@@ -138,7 +138,7 @@
     def _record_activity(self, at: timedelta) -> WakeAt:
         """Record that the stream is alive; returns when it is silent for too long."""
         self.failures = 0
-        self.deadline = at + self.limits.silence
+        self.deadline = at + self.limits.silence_timeout
         return WakeAt(self.deadline)
 
     # -- the list and its changes -------------------------------------------------------------------------
@@ -190,17 +190,17 @@
         known_revision = self._require_revision()
         self.buffered += event.changes
         # Guards memory against a revision that never ends: reading the list is bounded.
-        if len(self.buffered) > MOST_BUFFERED:
+        if len(self.buffered) > MAX_BUFFERED_CHANGES:
             return self._reread_list(event.at)
         if not event.complete:
             return [self._record_activity(event.at)]
-        changes = self._take_new_changes(self.buffered)
+        changes = self._apply_new_changes(self.buffered)
         self.buffered = []
         self.revision = max(known_revision, event.revision)
         notify: list[Effect] = [Notify(self.revision, changes)] if changes else []
         return [*notify, self._record_activity(event.at)]
 
-    def _take_new_changes(self, changes: list[Change]) -> tuple[Change, ...]:
+    def _apply_new_changes(self, changes: list[Change]) -> tuple[Change, ...]:
         """The changes that are newer than all that was notified; they count as notified from now on."""
         known_revision = self._require_revision()
         new_changes = []
--- a/stoatrouter/membership/follower_records.py
+++ b/stoatrouter/membership/follower_records.py
@@ -185,12 +185,12 @@
 
     Attributes:
         endpoints: How many endpoints the registry has; they are numbered from 0.
-        silence: How long a watch may go without an event, progress included, before it is left.
-        read_within: How long a read of the complete list may take.
+        silence_timeout: How long a watch may go without an event, progress included, before it is left.
+        read_timeout: How long a read of the complete list may take.
         backoff: The backoff between failed calls.
     """
 
     endpoints: int = 1
-    silence: timedelta = timedelta(seconds=5)
-    read_within: timedelta = timedelta(seconds=10)
+    silence_timeout: timedelta = timedelta(seconds=5)
+    read_timeout: timedelta = timedelta(seconds=10)
     backoff: Backoff = field(default_factory=Backoff)
--- a/stoatrouter/membership/health.py
+++ b/stoatrouter/membership/health.py
@@ -13,11 +13,11 @@
     A head that misses acks may itself be the slow one: it waits longer before it suspects others.
 
     Attributes:
-        worst: The highest score; 0 switches local health off.
-        score: Missed acks and refutations less health checks that were acked, within 0 and `worst`.
+        max_score: The highest score; 0 switches local health off.
+        score: Missed acks and refutations less health checks that were acked, within 0 and `max_score`.
     """
 
-    worst: int
+    max_score: int
     score: int = 0
 
     def improve(self) -> None:
@@ -26,8 +26,8 @@
 
     def worsen(self) -> None:
         """Count a health check without an ack, or a suspicion of this head."""
-        self.score = min(self.worst, self.score + 1)
+        self.score = min(self.max_score, self.score + 1)
 
-    def lengthen(self, base: timedelta) -> timedelta:
+    def scale(self, base: timedelta) -> timedelta:
         """A timing of this head, as many times over as its health demands."""
         return base * (1 + self.score)
--- a/stoatrouter/membership/roster.py
+++ b/stoatrouter/membership/roster.py
@@ -67,12 +67,12 @@
         """Gossip `update` from now on; it replaces an older update of the same member."""
         self.queued[update.name] = QueuedUpdate(update)
 
-    def select(self, capacity: int, most_transmits: int) -> tuple[MemberUpdate, ...]:
+    def select(self, capacity: int, max_transmits: int) -> tuple[MemberUpdate, ...]:
         """Select updates for one datagram, and count them as transmitted.
 
         Args:
             capacity: How many bytes the datagram has left for updates.
-            most_transmits: How many times each update is transmitted in all.
+            max_transmits: How many times each update is transmitted in all.
         """
         selected: list[MemberUpdate] = []
         for name, queued in sorted(self.queued.items(), key=lambda item: (item[1].transmits, item[0])):
@@ -82,7 +82,7 @@
             capacity -= size
             selected.append(queued.update)
             queued.transmits += 1
-            if queued.transmits >= most_transmits:
+            if queued.transmits >= max_transmits:
                 del self.queued[name]
         return tuple(selected)
 
@@ -123,12 +123,12 @@
         update = self.members.get(name)
         return None if update is None else update.status
 
-    def participants(self, *but: str) -> list[str]:
-        """The names of alive or suspected members whose address is known, without those in `but`, sorted."""
+    def participants(self, *excluded: str) -> list[str]:
+        """The sorted names of alive or suspected members with a known address, without `excluded`."""
         return sorted(
             name
             for name, update in self.members.items()
-            if update.status <= Status.SUSPECT and name in self.addresses and name not in but
+            if update.status <= Status.SUSPECT and name in self.addresses and name not in excluded
         )
 
     def count(self) -> int:
--- a/stoatrouter/peering/availability.py
+++ b/stoatrouter/peering/availability.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from stoatrouter.agreement.availability import Availability, Facts, availability_of
+from stoatrouter.agreement.availability import Availability, HeadFacts, availability_of
 from stoatrouter.agreement.contact import MajorityContact
 from stoatrouter.peering.bootstrap import FleetBootstrap
 from stoatrouter.peering.replication import Replication
@@ -108,18 +108,18 @@
         for watcher in self.watchers:
             watcher()
 
-    def _facts(self) -> Facts:
+    def _facts(self) -> HeadFacts:
         replication = self._replication
         raft = replication.raft
         if raft.settled:
             self.note_contact(raft.contact, raft.commit_index)
         self._record_followed()
         caught_up = self._catch_up_to is not None and replication.machine.index >= self._catch_up_to
-        return Facts(
+        return HeadFacts(
             founded=bool(self._bootstrap.origin),
             caught_up=caught_up,
             majority_age=self.contact.age(self._now()),
             votes=raft.votes_here,
             leads=raft.leads,
-            disk=replication.disk_writable,
+            disk_writable=replication.disk_writable,
         )
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -19,7 +19,7 @@
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.ledger_knowledge import LedgerFacts, LedgerKnowledge, knowledge_of
+from stoatrouter.credit.ledger_freshness import LedgerFacts, LedgerFreshness, freshness_of
 from stoatrouter.credit.records import (
     Command,
     CommandResult,
@@ -75,11 +75,11 @@
             ledger.customer_of,
             settings.prices,
             ranks(classes, background),
-            self.ledger_knowledge,
+            self.ledger_freshness,
             settings.unknown_volumes,
         )
         self.ledger_monitor = LedgerMonitor(
-            self.ledger_knowledge, self.gate.unowned, settings.unknown_volumes, fleet.now
+            self.ledger_freshness, self.gate.unowned, settings.unknown_volumes, fleet.now
         )
         self.begun = False  # the account knows of this process
         self._previously_spent = self.journal.read()  # by an earlier process, by allotment
@@ -95,10 +95,10 @@
         availability = self.fleet.monitor.latest
         self.escrow.reachable = availability is not None and availability.draws
 
-    def ledger_knowledge(self) -> LedgerKnowledge:
+    def ledger_freshness(self) -> LedgerFreshness:
         """What this head knows of the ledger at this moment."""
         facts = LedgerFacts(self.fleet.replication.machine.index, self.fleet.followed_age)
-        return knowledge_of(facts, self.fleet.settings.cut_off_after)
+        return freshness_of(facts, self.fleet.settings.cut_off_after)
 
     # -- requests -----------------------------------------------------------------------------------------
     async def prepare(self, request: model.Request) -> bool:
--- a/stoatrouter/peering/credit_calls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from stoatrouter.credit.ledger_knowledge import LedgerKnowledge
+from stoatrouter.credit.ledger_freshness import LedgerFreshness
 from stoatrouter.credit.records import BookEntry, Command, DropCustomer, PutCustomer, RegisterHead
 from stoatrouter.peering.bounds import (
     MAX_AMOUNT,
@@ -100,7 +100,7 @@
 class LedgerAnswer(msgspec.Struct):
     """What this head knows of the ledger, and what became of requests while it was not current."""
 
-    state: LedgerKnowledge
+    state: LedgerFreshness
     index: int  # up to where the log is applied
     age_ms: int | None  # how long ago it was current; None: not known since the start
     unknown_volumes: str
@@ -219,7 +219,7 @@
         service = self.service
         age = service.fleet.followed_age
         return LedgerAnswer(
-            state=service.ledger_knowledge(),
+            state=service.ledger_freshness(),
             index=service.fleet.replication.machine.index,
             age_ms=None if age is None else age // timedelta(milliseconds=1),
             unknown_volumes=service.settings.unknown_volumes.value,
--- a/stoatrouter/peering/ledger_monitor.py
+++ b/stoatrouter/peering/ledger_monitor.py
@@ -1,6 +1,6 @@
 """Tells the log from when to when a head did not know the ledger, and what became of requests meanwhile.
 
-Decides nothing: what a head knows of the ledger, and what follows, is credit/ledger_knowledge.py's to say.
+Decides nothing: what a head knows of the ledger, and what follows, is credit/ledger_freshness.py's to say.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from stoatrouter.credit.gate import UnownedCounts
-from stoatrouter.credit.ledger_knowledge import LedgerKnowledge, UnknownVolumes
+from stoatrouter.credit.ledger_freshness import LedgerFreshness, UnknownVolumes
 
 REPORT_INTERVAL = timedelta(seconds=5)  # between two lines of one gap: a killed head says no last word
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        knowledge: Callable[[], LedgerKnowledge],
+        freshness: Callable[[], LedgerFreshness],
         counts: UnownedCounts,
         unknown_volumes: UnknownVolumes,
         now: Callable[[], timedelta],
@@ -29,46 +29,46 @@
         """Watch from now on.
 
         Args:
-            knowledge: What the head knows at this moment.
+            freshness: What the head knows at this moment.
             counts: The gate's counts since the head's start.
             unknown_volumes: What becomes of volumes without a known customer in a gap.
             now: The head's monotonic time.
         """
-        self._knowledge = knowledge
+        self._freshness = freshness
         self._counts = counts
         self._unknown_volumes = unknown_volumes
         self._now = now
-        self._known = LedgerKnowledge.CURRENT  # as the log has it
+        self._known = LedgerFreshness.CURRENT  # as the log has it
         self._gap_began_at = now()
         self._reported_at = now()
         self._before_gap = UnownedCounts()
 
     def refresh(self) -> None:
         """Log what has changed since the last look, and a gap that lasts now and then."""
-        knowledge = self._knowledge()
-        if knowledge is not self._known:
-            if knowledge is LedgerKnowledge.CURRENT:
+        freshness = self._freshness()
+        if freshness is not self._known:
+            if freshness is LedgerFreshness.CURRENT:
                 self._report_end()
             else:
-                self._report_gap(knowledge)
-            self._known = knowledge
-        elif knowledge is not LedgerKnowledge.CURRENT:
+                self._report_gap(freshness)
+            self._known = freshness
+        elif freshness is not LedgerFreshness.CURRENT:
             self._report_progress()
 
     def close(self) -> None:
         """Log the counts of a gap that the head's end cuts short."""
-        if self._known is not LedgerKnowledge.CURRENT:
+        if self._known is not LedgerFreshness.CURRENT:
             self._log_gap()
 
-    def _report_gap(self, knowledge: LedgerKnowledge) -> None:
-        if self._known is LedgerKnowledge.CURRENT:
+    def _report_gap(self, freshness: LedgerFreshness) -> None:
+        if self._known is LedgerFreshness.CURRENT:
             self._gap_began_at = self._now()
             self._before_gap = self._counts.copy()
         self._reported_at = self._now()
         logger.info(
             "credit: the ledger is {state}, priced requests of volumes without a known customer: {policy}",
             event="credit.ledger_gap_began",
-            state=knowledge.value,
+            state=freshness.value,
             policy=self._unknown_volumes.value,
         )
 
--- a/stoatrouter/peering/propagation.py
+++ b/stoatrouter/peering/propagation.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from stoatrouter.agreement.contact import CLOCK_DRIFT
+from stoatrouter.agreement.contact import MAX_CLOCK_DRIFT
 from stoatrouter.peering import calls
 from stoatrouter.peering.envelope import Envelope
 from stoatrouter.peering.errors import PeerUnreachable
@@ -87,7 +87,7 @@
             streams: To the voters.
             now: This head's monotonic time.
         """
-        self.span = cut_off_after * CLOCK_DRIFT
+        self.span = cut_off_after * MAX_CLOCK_DRIFT
         self.polls = RecentPolls(self.span)
         self._me = me
         self._replication = replication
--- a/stoatrouter/peering/settings.py
+++ b/stoatrouter/peering/settings.py
@@ -13,7 +13,7 @@
 
 from stoatrouter.agreement.state import Timing as AgreementTiming
 from stoatrouter.config import Config, ConfigError, parse_address
-from stoatrouter.credit.ledger_knowledge import UnknownVolumes
+from stoatrouter.credit.ledger_freshness import UnknownVolumes
 from stoatrouter.membership.detector_records import Timing as DetectorTiming
 from stoatrouter.peering.envelope import read_secret
 from stoatrouter.settings import SettingsError, load
@@ -205,7 +205,7 @@
         parse_span(file.ack_within),
         file.others,
         file.suspicion,
-        local_health=file.local_health,
+        max_local_health=file.local_health,
     )
 
 
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stoatrouter.agreement.availability import Facts, HeadState, availability_of
+from stoatrouter.agreement.availability import HeadFacts, HeadState, availability_of
 from stoatrouter.agreement.founding import Founded, Founding
 from stoatrouter.agreement.log import Log, VoterSet, encode_voters
 from stoatrouter.agreement.raft import Raft
@@ -352,23 +352,23 @@
 @pytest.mark.parametrize(
     ("facts", "waited", "state", "may"),
     [
-        (Facts(False, False, None, False, False, True), 0, HeadState.UNFOUNDED, "serves ready"),
+        (HeadFacts(False, False, None, False, False, True), 0, HeadState.UNFOUNDED, "serves ready"),
         (
-            Facts(True, True, 100 * MS, True, True, True),
+            HeadFacts(True, True, 100 * MS, True, True, True),
             9,
             HeadState.CONNECTED,
             "serves changes draws votes ready",
         ),
         (
-            Facts(True, True, 100 * MS, True, False, False),
+            HeadFacts(True, True, 100 * MS, True, False, False),
             9,
             HeadState.CONNECTED,
             "serves changes draws ready",
         ),
-        (Facts(True, False, 100 * MS, True, False, True), 9, HeadState.CATCHING_UP, "votes"),
-        (Facts(True, True, 9000 * MS, True, False, True), 9, HeadState.CUT_OFF, "serves votes ready"),
-        (Facts(True, False, None, False, False, True), 1, HeadState.CUT_OFF, ""),  # waits at its start
-        (Facts(True, False, None, False, False, True), 9, HeadState.CUT_OFF, "serves ready"),
+        (HeadFacts(True, False, 100 * MS, True, False, True), 9, HeadState.CATCHING_UP, "votes"),
+        (HeadFacts(True, True, 9000 * MS, True, False, True), 9, HeadState.CUT_OFF, "serves votes ready"),
+        (HeadFacts(True, False, None, False, False, True), 1, HeadState.CUT_OFF, ""),  # waits at its start
+        (HeadFacts(True, False, None, False, False, True), 9, HeadState.CUT_OFF, "serves ready"),
     ],
 )
 def test_availability_follows_from_the_facts(facts, waited, state, may):
@@ -383,6 +383,6 @@
     log = Log(Snapshot(0, 0, THREE, b""))
     for index in range(1, 101):
         log.append([Entry(index, 1, VOTERS, encode_voters(THREE[: 1 + index % 3]))])
-    log.compact(Snapshot(99, 1, log.voter_set(99).voters, b""), keep=512)
+    log.compact(Snapshot(99, 1, log.voter_set(99).voters, b""), max_retained=512)
     assert log.voter_set() == VoterSet(100, THREE[:2]) and log.voter_set(99) == VoterSet(99, THREE[:1])
     assert [entry.index for entry in log.voter_changes] == [100]
--- a/tests/heads/test_allotment_ages.py
+++ b/tests/heads/test_allotment_ages.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stoatrouter.credit.allotment_ages import CLOCK_DRIFT, AllotmentAges
+from stoatrouter.credit.allotment_ages import MAX_CLOCK_DRIFT, AllotmentAges
 from stoatrouter.credit.ledger import Ledger
 from stoatrouter.credit.records import (
     BookEntry,
@@ -33,7 +33,7 @@
 )
 
 
-@given(steps, st.floats(1 / CLOCK_DRIFT, CLOCK_DRIFT))
+@given(steps, st.floats(1 / MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT))
 def test_nothing_expires_while_its_holder_may_spend_it(steps, rate):
     """Over snapshots too: `rate` is how fast the holder's clock runs beside the leader's."""
     ages, now = AllotmentAges(LEASE), timedelta(0)
--- a/tests/heads/test_contact.py
+++ b/tests/heads/test_contact.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stoatrouter.agreement import state
-from stoatrouter.agreement.contact import MOST_ROUNDS, MajorityContact, RoundStarts
+from stoatrouter.agreement.contact import MAX_ROUNDS, MajorityContact, RoundStarts
 from stoatrouter.agreement.raft import Raft
 from stoatrouter.agreement.records import Tick
 from stoatrouter.lab.fleet.contact_stories import LOSSES, run_majority_loss
@@ -84,9 +84,9 @@
     for number in range(1, 40):
         starts.record(number, number * MS)
     assert starts.start_of(12) == 11 * MS and starts.start_of(39) == 31 * MS
-    for number in range(100, 100 + 2 * MOST_ROUNDS):
+    for number in range(100, 100 + 2 * MAX_ROUNDS):
         starts.record(number, number * 10 * MS)
-    assert len(starts.starts) == MOST_ROUNDS and starts.start_of(101) is None
+    assert len(starts.starts) == MAX_ROUNDS and starts.start_of(101) is None
 
 
 def test_a_head_that_leads_no_more_holds_no_rounds():
--- a/tests/heads/test_credit.py
+++ b/tests/heads/test_credit.py
@@ -45,7 +45,7 @@
     __slots__ = ()
 
     @staticmethod
-    def _find(account, charge, now):
+    def _find_allotment(account, charge, now):
         return next((a for a in account.allotments if a.available >= charge), None)
 
     def _report(self, account, now):
@@ -72,9 +72,9 @@
     __slots__ = ()
 
     def settle(self, request, charged):
-        record, self.record = self.record, CreditDisk()
+        spent_store, self.spent_store = self.spent_store, CreditDisk()
         super().settle(request, charged)
-        self.record = record
+        self.spent_store = spent_store
 
 
 class FinalSettlementTooEarly(HeadEscrow):
--- a/tests/heads/test_credit_cut_off.py
+++ b/tests/heads/test_credit_cut_off.py
@@ -7,7 +7,7 @@
 `start: X listens` and `in touch` in their logs. A head that was paused for long did the same when it went on.
 
 Why: the gate took "no customer known" for "no customer". It now asks first what the head knows of the ledger
-(`credit/ledger_knowledge.py`); in a head's log `credit.ledger_gap_began` and `credit.ledger_current` say from
+(`credit/ledger_freshness.py`); in a head's log `credit.ledger_gap_began` and `credit.ledger_current` say from
 when to when it did not know, and how many requests that concerned.
 """
 
--- a/tests/heads/test_credit_escrow.py
+++ b/tests/heads/test_credit_escrow.py
@@ -13,7 +13,7 @@
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.ledger_knowledge import LedgerKnowledge
+from stoatrouter.credit.ledger_freshness import LedgerFreshness
 from stoatrouter.credit.local_account import LocalAccount
 from stoatrouter.credit.records import (
     BookEntry,
@@ -122,7 +122,7 @@
         lambda volume: "x" if volume == "v" else None,
         (10, 20, 30),
         ranks(classes, reducer.scheduler.background_classes),
-        lambda: LedgerKnowledge.CURRENT,
+        lambda: LedgerFreshness.CURRENT,
     )
     request = model.Request("r", 0, 1, "v", "k", 0, 2.0, 1, 2 * SECOND, False)
     sent = list(reducer.reduce(model.Arrived(SECOND, request)))
@@ -172,7 +172,7 @@
     conf = head_config(Node("a", 0))
     reducer = Reducer(conf.settings, 1)
     escrow = escrow_with_an_allotment(10, 10)
-    reducer.gate = Gate(escrow, {"v": "x"}.get, (10, 20, 30), (2, 1, 0), lambda: LedgerKnowledge.CURRENT)
+    reducer.gate = Gate(escrow, {"v": "x"}.get, (10, 20, 30), (2, 1, 0), lambda: LedgerFreshness.CURRENT)
     for i, volume in enumerate("vvww"):
         request = model.Request(f"r{i}", 0, 1, volume, "k", 0, 1.0, 1, 2 * SECOND, False)
         effects = reducer.reduce(model.Arrived(SECOND, request))
@@ -235,7 +235,7 @@
         assert escrow.reserve("small", "x", 1, 2, now) is not None
     escrow.reachable = True
     (report,) = escrow.due_reports(now)
-    assert report.least == 1
+    assert report.min_useful == 1
     (grant,) = ledger.apply_report(2, CreditReport("h", "disk", 1, (report,))).grants
     escrow.apply_grant(report, grant, now, now)
     assert escrow.reserve("small", "x", 1, 2, now) is None
--- a/tests/heads/test_credit_ledger.py
+++ b/tests/heads/test_credit_ledger.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stoatrouter.credit.gate import Gate
-from stoatrouter.credit.ledger_knowledge import LedgerKnowledge, UnknownVolumes
+from stoatrouter.credit.ledger_freshness import LedgerFreshness, UnknownVolumes
 from stoatrouter.lab.fleet import stories
 from stoatrouter.lab.fleet.errors import InvariantViolated
 
@@ -26,36 +26,36 @@
 
     __slots__ = ()
 
-    def _take_unowned(self):
+    def _admit_unowned(self):
         return None
 
 
-class MistakesKnowledge(Gate):
-    """One kind of knowledge is taken for a current ledger."""
+class MistakesFreshness(Gate):
+    """One degree of freshness is taken for a current ledger."""
 
     __slots__ = ()
-    mistaken: LedgerKnowledge
+    mistaken: LedgerFreshness
 
-    def _take_unowned(self):
-        knowledge = self.knowledge
-        self.knowledge = lambda: LedgerKnowledge.CURRENT if knowledge() is self.mistaken else knowledge()
-        rejection = super()._take_unowned()
-        self.knowledge = knowledge
+    def _admit_unowned(self):
+        freshness = self.freshness
+        self.freshness = lambda: LedgerFreshness.CURRENT if freshness() is self.mistaken else freshness()
+        rejection = super()._admit_unowned()
+        self.freshness = freshness
         return rejection
 
 
-class TakesRestoredForCurrent(MistakesKnowledge):
+class TakesRestoredForCurrent(MistakesFreshness):
     """What was restored from the disk counts as confirmed."""
 
     __slots__ = ()
-    mistaken = LedgerKnowledge.RESTORED
+    mistaken = LedgerFreshness.RESTORED
 
 
-class TakesStaleForCurrent(MistakesKnowledge):
+class TakesStaleForCurrent(MistakesFreshness):
     """A ledger that was followed once counts as current for ever."""
 
     __slots__ = ()
-    mistaken = LedgerKnowledge.STALE
+    mistaken = LedgerFreshness.STALE
 
 
 @pytest.mark.parametrize(
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -123,7 +123,7 @@
     holder.accounts["acme"] = LocalAccount("acme", held, answered_at=SECOND)
     assert holder.reserve("r2", "acme", 2_000, 2, SECOND) is not None
     (report,) = holder.due_reports(SECOND)
-    assert report.least == 2_000 and report.wanted >= 2_000
+    assert report.min_useful == 2_000 and report.wanted >= 2_000
 
 
 def test_a_grant_for_all_that_wait_is_bounded_by_the_account(tmp_path):
@@ -136,7 +136,7 @@
         holder.add_waiting("acme", CHARGE)
         holder.request_allotment("acme", CHARGE, SECOND)
     reports = tuple(holder.due_reports(SECOND))
-    assert reports[0].wanted == MANY * CHARGE and reports[0].least == CHARGE
+    assert reports[0].wanted == MANY * CHARGE and reports[0].min_useful == CHARGE
     assert msgspec.msgpack.decode(
         ledger.apply(2, msgspec.msgpack.encode(RegisterHead("h0", "h0/0", "", 0, ()))), type=CommandResult
     ).ok
--- a/tests/heads/test_detector.py
+++ b/tests/heads/test_detector.py
@@ -13,7 +13,15 @@
 from stoatrouter.lab.fleet import faults
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
-from stoatrouter.membership.datagram import LARGEST_DATAGRAM, MAC_BYTES, Datagram, Kind, decode, encode, seal
+from stoatrouter.membership.datagram import (
+    MAC_BYTES,
+    MAX_DATAGRAM_BYTES,
+    Datagram,
+    Kind,
+    compute_mac,
+    decode,
+    encode,
+)
 from stoatrouter.membership.detector import Detector
 from stoatrouter.membership.detector_records import DatagramReceived, SendTo, Tick
 from stoatrouter.membership.errors import (
@@ -53,7 +61,7 @@
     fleet.kill("h001")
     assert settle(fleet, 30)
     assert {change.subject for change in fleet.changes} == {"h001"}
-    assert fleet.largest_datagram <= LARGEST_DATAGRAM
+    assert fleet.largest_datagram <= MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
@@ -205,7 +213,7 @@
 @settings(max_examples=200, deadline=None)
 def test_a_datagram_decodes_to_what_was_encoded(message):
     data = encode(message, KEY, "f")
-    assert len(data) <= LARGEST_DATAGRAM and decode(data, KEY, "f") == message
+    assert len(data) <= MAX_DATAGRAM_BYTES and decode(data, KEY, "f") == message
 
 
 @given(st.binary(max_size=300))
@@ -243,9 +251,9 @@
         (b"x" * 300, DatagramTooLong, "too_long"),
         (b"x" * 5, DatagramTooShort, "too_short"),
         (good[:-1] + bytes((good[-1] ^ 1,)), ForeignDatagram, "foreign"),
-        (body + seal(body, KEY, "f"), UnreadableField, "malformed"),
-        (cut + seal(cut, KEY, "f"), UnreadableField, "malformed"),
-        (old + seal(old, KEY, "f"), UnsupportedVersion, "other_version"),
+        (body + compute_mac(body, KEY, "f"), UnreadableField, "malformed"),
+        (cut + compute_mac(cut, KEY, "f"), UnreadableField, "malformed"),
+        (old + compute_mac(old, KEY, "f"), UnsupportedVersion, "other_version"),
     ]
     for data, kind, label in cases:
         with pytest.raises(kind) as raised:
@@ -276,7 +284,7 @@
         DatagramReceived(SECOND, "p", Datagram(Kind.PING_FOR, 1, "8" * 24, 1, "9" * 24))
     ):
         if isinstance(effect, SendTo):
-            assert len(encode(effect.message, KEY, "f")) <= LARGEST_DATAGRAM
+            assert len(encode(effect.message, KEY, "f")) <= MAX_DATAGRAM_BYTES
 
 
 def test_a_flood_of_names_leaves_the_roster_bounded():
@@ -293,7 +301,7 @@
         here.reduce(DatagramReceived(SECOND, name, Datagram(Kind.PING, 1, name, 1)))
     for number in range(100):
         here.reduce(DatagramReceived(SECOND, "b", Datagram(Kind.PING_FOR, number, "b", 1, "c")))
-    waits = here.timing.period * (1 + here.timing.local_health)
+    waits = here.timing.period * (1 + here.timing.max_local_health)
     here.reduce(Tick(SECOND + waits - SECOND / 100))
     assert len(here.relayed_pings) == 100  # the slowest head still waits
     here.reduce(Tick(SECOND + waits))
--- a/tests/heads/test_ledger_knowledge.py
+++ b/tests/heads/test_ledger_freshness.py
@@ -13,11 +13,11 @@
 from stoatrouter.core import model
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate
-from stoatrouter.credit.ledger_knowledge import (
+from stoatrouter.credit.ledger_freshness import (
     LedgerFacts,
-    LedgerKnowledge,
+    LedgerFreshness,
     UnknownVolumes,
-    knowledge_of,
+    freshness_of,
     reject_unowned,
 )
 from stoatrouter.credit.local_account import RejectionReason
@@ -31,35 +31,35 @@
 
 
 @pytest.mark.parametrize(
-    ("facts", "knowledge"),
+    ("facts", "freshness"),
     [
-        (LedgerFacts(0, None), LedgerKnowledge.NEVER_HEARD),
-        (LedgerFacts(7, None), LedgerKnowledge.RESTORED),
-        (LedgerFacts(7, 0 * SECOND), LedgerKnowledge.CURRENT),
-        (LedgerFacts(7, CUT_OFF_AFTER), LedgerKnowledge.CURRENT),
-        (LedgerFacts(7, CUT_OFF_AFTER + timedelta(microseconds=1)), LedgerKnowledge.STALE),
+        (LedgerFacts(0, None), LedgerFreshness.NEVER_HEARD),
+        (LedgerFacts(7, None), LedgerFreshness.RESTORED),
+        (LedgerFacts(7, 0 * SECOND), LedgerFreshness.CURRENT),
+        (LedgerFacts(7, CUT_OFF_AFTER), LedgerFreshness.CURRENT),
+        (LedgerFacts(7, CUT_OFF_AFTER + timedelta(microseconds=1)), LedgerFreshness.STALE),
     ],
 )
-def test_what_is_known(facts, knowledge):
-    assert knowledge_of(facts, CUT_OFF_AFTER) is knowledge
+def test_what_is_known(facts, freshness):
+    assert freshness_of(facts, CUT_OFF_AFTER) is freshness
 
 
-@pytest.mark.parametrize("knowledge", LedgerKnowledge)
-def test_only_a_current_ledger_shows_that_a_volume_is_free(knowledge):
-    rejected = reject_unowned(knowledge, UnknownVolumes.REJECT)
-    assert rejected is (None if knowledge is LedgerKnowledge.CURRENT else RejectionReason.LEDGER_UNKNOWN)
-    assert reject_unowned(knowledge, UnknownVolumes.SERVE) is None
+@pytest.mark.parametrize("freshness", LedgerFreshness)
+def test_only_a_current_ledger_shows_that_a_volume_is_free(freshness):
+    rejected = reject_unowned(freshness, UnknownVolumes.REJECT)
+    assert rejected is (None if freshness is LedgerFreshness.CURRENT else RejectionReason.LEDGER_UNKNOWN)
+    assert reject_unowned(freshness, UnknownVolumes.SERVE) is None
 
 
 @pytest.mark.parametrize("unknown_volumes", UnknownVolumes)
-@pytest.mark.parametrize("knowledge", LedgerKnowledge)
-def test_the_gate_counts_what_it_cannot_know(knowledge, unknown_volumes):
+@pytest.mark.parametrize("freshness", LedgerFreshness)
+def test_the_gate_counts_what_it_cannot_know(freshness, unknown_volumes):
     escrow = HeadEscrow(SECOND, CreditDisk())
-    gate = Gate(escrow, {}.get, PRICES, (0, 0), lambda: knowledge, unknown_volumes)
+    gate = Gate(escrow, {}.get, PRICES, (0, 0), lambda: freshness, unknown_volumes)
     rejection = gate.take(request(0), SECOND)
     free = gate.take(request(1), SECOND)
     assert free is None, "what has no price is served as ever"
-    unknown = knowledge is not LedgerKnowledge.CURRENT
+    unknown = freshness is not LedgerFreshness.CURRENT
     rejects = unknown and unknown_volumes is UnknownVolumes.REJECT
     assert (rejection is not None) is rejects
     if rejection is not None:
--- a/tests/heads/test_propagation.py
+++ b/tests/heads/test_propagation.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from stoatrouter.agreement.contact import CLOCK_DRIFT
+from stoatrouter.agreement.contact import MAX_CLOCK_DRIFT
 from stoatrouter.peering import calls, propagation
 from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.propagation import ChangePropagation, RecentPolls
@@ -83,7 +83,7 @@
     async def story():
         voters = Voters(*others)
         assert await voters.propagation.wait_until_known(INDEX) is known
-        assert known or voters.time >= CUT_OFF_AFTER * CLOCK_DRIFT
+        assert known or voters.time >= CUT_OFF_AFTER * MAX_CLOCK_DRIFT
 
     run(story())
 
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -9,7 +9,7 @@
 
 from stoatrouter.membership import follower_records as f
 from stoatrouter.membership.backoff import Backoff
-from stoatrouter.membership.follower import MOST_BUFFERED, Follower
+from stoatrouter.membership.follower import MAX_BUFFERED_CHANGES, Follower
 from tests.registry_model import RuleBroken, search
 
 DEPTH = 14  # in CI; `python -m benchmarks.follower_search` goes deeper
@@ -126,7 +126,7 @@
     follower = watching(a=b"up")
     assert follower.reduce(f.CredentialsRejected(T, follower.call))[0] == f.RereadCredentials()
     follower = watching(a=b"up")
-    many = tuple(f.Change(f"k{i}", 11, b"up") for i in range(MOST_BUFFERED + 1))
+    many = tuple(f.Change(f"k{i}", 11, b"up") for i in range(MAX_BUFFERED_CHANGES + 1))
     assert (
         isinstance(follower.reduce(f.ChangesReceived(T, follower.call, 11, many, False))[1], f.ReadList)
         and not follower.buffered
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -23,7 +23,7 @@
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.gate import Gate, ranks
 from stoatrouter.credit.ledger import Ledger
-from stoatrouter.credit.ledger_knowledge import LedgerKnowledge
+from stoatrouter.credit.ledger_freshness import LedgerFreshness
 from stoatrouter.credit.records import BookEntry, CreditReport, Expired, PutCustomer
 from stoatrouter.net import loop_monitor
 from stoatrouter.net.client_table import ClientTable
@@ -162,7 +162,7 @@
             self.ledger.customer_of,
             (100, 200, 300),
             ranks(settings.classes, background),
-            lambda: LedgerKnowledge.CURRENT,
+            lambda: LedgerFreshness.CURRENT,
         )
         self.number = 0
 
