--- a/stoatrouter/agreement/availability.py
+++ b/stoatrouter/agreement/availability.py
@@ -1,7 +1,8 @@
-"""What a head may do while it is cut off, or heads see each other differently: one table, as code. No I/O.
+"""Which operations a head may perform, by its connection to the majority of voters. No I/O.
 
-Suspicion alone moves nothing here: no fact below is the detector's. Rights follow from what is agreed on and
-from how long ago a majority was heard, on this head's own monotonic clock. docs/design/heads.md has the rows.
+The failure detector has no influence: a suspicion alone changes no permission. Permissions depend on the
+replicated state and on the time since a majority was heard, on this head's own monotonic clock. The table is
+in docs/design/heads.md.
 """
 
 from __future__ import annotations
@@ -12,54 +13,55 @@
 
 
 class HeadState(Enum):
-    """How a head is connected to the others; the values are what operators see."""
+    """The state of a head's connection to the others; operators see the values."""
 
-    UNFOUNDED = "unfounded"  # no fleet yet: its voters have not all been up together
-    CATCHING_UP = "catching up"  # back, and behind what others have agreed on
-    CONNECTED = "in touch"  # hears a majority
-    CUT_OFF = "cut off"  # hears no majority
+    UNFOUNDED = "unfounded"  # no fleet exists yet: its voters have not all been running at the same time
+    CATCHING_UP = "catching up"  # connected, but has not yet applied all committed entries
+    CONNECTED = "in touch"  # hears a majority of the voters
+    CUT_OFF = "cut off"  # hears no majority of the voters
 
 
 @dataclass(slots=True, frozen=True)
 class HeadFacts:
-    """What a head knows of itself."""
+    """What a head knows about its own state."""
 
-    founded: bool
-    caught_up: bool  # has applied, since its start, what was agreed on when it first heard of it
-    majority_age: timedelta | None  # since a majority was connected, by any report
-    votes: bool
-    leads: bool
-    disk_writable: bool  # promises can be kept
+    founded: bool  # belongs to a fleet
+    caught_up: bool  # has applied all that was committed when it first heard a majority after its start
+    majority_age: timedelta | None  # time since a majority was connected, by the latest report; None: unknown
+    votes: bool  # is a voter and does not abstain
+    leads: bool  # is the leader, as far as it knows
+    disk_writable: bool  # votes and acknowledgements can be stored
 
 
 @dataclass(slots=True, frozen=True)
 class Availability:
-    """What a head may do."""
+    """The operations that a head may perform."""
 
     state: HeadState
-    serves: bool  # requests, with the rules and the credit that it holds
-    changes: bool  # takes changes of rules and accounts to the agreement
-    draws: bool  # asks for new allotments; what it holds it spends until that has expired
+    serves: bool  # serves requests with the rules and allotments that it holds
+    changes: bool  # accepts changes of rules and accounts and proposes them
+    draws: bool  # requests new allotments; those that it holds are usable until they expire
     votes: bool  # its vote counts
-    ready: bool
+    ready: bool  # reports itself as ready through the management interface
 
 
 def availability_of(
     facts: HeadFacts, cut_off_after: timedelta, uptime: timedelta, wait_at_start: timedelta
 ) -> Availability:
-    """Decide what a head may do, from the facts it knows of itself.
+    """Return the operations that a head may perform.
 
-    A head that comes back catches up before it serves by rules that may be old, but where nobody answers it
-    serves the cached ones after `wait_at_start`.
+    A head that restarts catches up before it serves, because its stored rules may be outdated. If no other
+    head answers, it serves with the stored rules after `wait_at_start`.
 
     Args:
-        facts: What the head knows of itself.
-        cut_off_after: How long after a majority was last connected the head counts as cut off.
-        uptime: How long ago the head started, on its monotonic clock.
-        wait_at_start: How long a head that has never heard of a majority waits before it serves.
+        facts: What the head knows about its own state.
+        cut_off_after: The time since a majority was last connected after which the head counts as cut off.
+        uptime: The time since the head started, on its monotonic clock.
+        wait_at_start: How long after its start a head that has not heard of a majority waits before it
+            serves.
 
     Returns:
-        The rights of the head, and its state as operators see it.
+        The head's permissions, and its state as operators see it.
     """
     votes = facts.votes and facts.disk_writable
     if not facts.founded:
--- a/stoatrouter/agreement/errors.py
+++ b/stoatrouter/agreement/errors.py
@@ -1,29 +1,29 @@
-"""What the agreement raises where its own rules are broken: faults of the program, never of a caller."""
+"""Errors for violated invariants of the consensus protocol: defects of the program, never of a caller."""
 
 from __future__ import annotations
 
 
 class AgreementError(AssertionError):
-    """A rule of the agreement does not hold.
+    """An invariant of the consensus protocol is violated.
 
-    An AssertionError, as the searches and stories of the fleet lab take it: nothing in a head handles it.
+    It is an AssertionError because the fleet lab's searches and scenarios expect one; heads do not handle it.
     """
 
 
 class CommittedEntryConflict(AgreementError):
-    """A leader's entry would replace one that is committed (Raft's leader completeness, thesis 3.6.3)."""
+    """A leader's entry conflicts with a committed one (Raft's leader completeness, thesis 3.6.3)."""
 
     def __init__(self, index: int, commit_index: int) -> None:
-        """Name the entry and how far this head has committed."""
+        """Record the index of the entry and this head's commit index."""
         super().__init__(
-            f"a committed entry would go: a leader sends another one at index {index}, and all up to "
-            f"{commit_index} are committed here; a leader of a later term holds all committed entries"
+            f"a leader sent a conflicting entry at index {index}, but entries up to {commit_index} are "
+            "committed here; a leader of a later term must hold all committed entries"
         )
 
 
 class EntryMissing(AgreementError):
-    """An index is asked for that the log does not hold."""
+    """A requested index is not in the log."""
 
     def __init__(self, index: int, first: int, last: int) -> None:
-        """Name the index and the bounds of the log."""
-        super().__init__(f"the log holds no entry at index {index}; it holds those from {first} to {last}")
+        """Record the index and the bounds of the log."""
+        super().__init__(f"the log has no entry at index {index}; its entries are {first} to {last}")
--- a/stoatrouter/agreement/founding.py
+++ b/stoatrouter/agreement/founding.py
@@ -1,11 +1,12 @@
-"""How the voters named in the settings become a fleet, once. No I/O.
-
-The first by name asks all of them to promise that they will be founded by it, under the identity of its disk.
-Only when each has promised, and none belongs to a fleet already, does it name the first voters: their names
-with their identities. A head belongs to one founding for as long as its disk lasts. So two foundings cannot
-both get a majority: each would need the promise of the same head, which gives it again only to a founder that
-asks later and then refuses what the earlier one sends; and a head whose disk is empty has another identity,
-which no founding before names.
+"""Bootstrap of a fleet from the voters named in the settings, at most once per fleet. No I/O.
+
+The voter with the lowest name is the founder. It asks every voter to promise to be founded by it, under the
+identity of its disk. When all have promised and none belongs to a fleet already, it announces the initial
+voters with their names and identities. A head belongs to one founding for the lifetime of its disk.
+
+Two foundings therefore cannot both get a majority. Both would need the promise of the same head. That head
+promises again only to a founder that asks later, and then rejects what the earlier founder sends. A head
+whose disk was wiped has a new identity, which no earlier founding names.
 """
 
 from __future__ import annotations
@@ -18,50 +19,50 @@
 
 
 class Founded(msgspec.Struct, frozen=True, array_like=True):
-    """The beginning of a fleet; its origin is the identity of its founder."""
+    """The announcement of a new fleet."""
 
-    origin: str
+    origin: str  # the founder's identity, which identifies the fleet
     voters: tuple[Voter, ...]
 
     def snapshot(self) -> Snapshot:
-        """The state that the log of this fleet begins with."""
+        """Return the snapshot that the fleet's log starts with."""
         return Snapshot(1, 0, self.voters, b"")
 
 
 class Promised(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a founder: who promises; or to which fleet this head belongs."""
+    """The answer to a founder: the promise of a head, or the fleet that the head already belongs to."""
 
-    voter: Voter
-    origin: str  # "": to none
-    founder: str  # the identity promised to
+    voter: Voter  # the head that answers
+    origin: str  # the fleet that it belongs to; "" for none
+    founder: str  # the identity of the founder that it has promised to
 
 
 @dataclass(slots=True)
 class Founding:
-    """One head's part, until it belongs to a fleet.
+    """The bootstrap state of one head, until it belongs to a fleet.
 
-    What `promise` and `adopt` answer must be durable first.
+    The caller must store the results of `promise` and `adopt` durably before it sends or uses them.
     """
 
     me: Voter
-    names: tuple[str, ...]  # the voters of the settings
-    origin: str = ""
-    promised_to: str = ""  # the identity of a founder
-    answers: dict[str, Promised] = field(default_factory=dict)
+    names: tuple[str, ...]  # the voters named in the settings
+    origin: str = ""  # the fleet that this head belongs to; "" for none
+    promised_to: str = ""  # the identity of the founder that this head has promised to; "" for none
+    answers: dict[str, Promised] = field(default_factory=dict)  # valid promises to this founder, by name
 
     @property
     def is_founder(self) -> bool:
-        """Whether this head is the one that asks the others."""
+        """Return whether this head is the founder and has no fleet yet."""
         return not self.origin and bool(self.names) and self.me.name == min(self.names)
 
     def promise(self, founder: Voter) -> Promised:
-        """Answer a founder; the promise goes to the latest one that asks."""
+        """Answer a founder's request; a later request replaces an earlier promise."""
         if not self.origin and self.names and founder.name == min(self.names) and self.me.name in self.names:
             self.promised_to = founder.identity
         return Promised(self.me, self.origin, self.promised_to)
 
     def receive(self, answer: Promised) -> Founded | None:
-        """Take in an answer to this founder; returns the founding once all have promised to it."""
+        """Process a voter's answer to this founder; return the founding once all voters have promised."""
         if not self.is_founder:
             return None
         if answer.origin or answer.founder != self.me.identity or answer.voter.name not in self.names:
@@ -74,7 +75,10 @@
         return Founded(self.me.identity, tuple(sorted(answer.voter for answer in self.answers.values())))
 
     def adopt(self, founded: Founded) -> bool:
-        """Begin with a founding that names this head's disk and that it promised to; whether it does."""
+        """Join a fleet if the founding names this head's identity and comes from the promised founder.
+
+        Returns whether the head has joined.
+        """
         if self.origin or self.me not in founded.voters or self.promised_to != founded.origin:
             return False
         self.origin = founded.origin
--- a/stoatrouter/agreement/leading.py
+++ b/stoatrouter/agreement/leading.py
@@ -1,4 +1,4 @@
-"""The leader's part: taking proposals, copying entries, counting what a majority has, confirming reads."""
+"""The leader: accepts proposals, replicates entries, advances the commit index and confirms reads."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 )
 from stoatrouter.agreement.state import MAX_UNCOMMITTED, Peer, PendingRead, RaftState, Role
 
-RESEND_AFTER_HEARTBEATS = 3  # a batch without an answer is sent again after so many heartbeats
+RESEND_AFTER_HEARTBEATS = 3  # heartbeat intervals after which an unanswered batch is sent again
 
 
 class Leading(RaftState):
-    """What a head does while it leads. Its state is RaftState's."""
+    """The behaviour of a leader, on the state of RaftState."""
 
     __slots__ = ()
 
@@ -43,7 +43,7 @@
     def _propose(self, event: Propose) -> list[Effect]:
         if not self.leads:
             return [Rejected(event.id, RejectReason.NOT_LEADER)]
-        # Guards memory while no majority answers.
+        # Bounds the memory used while no majority answers.
         if self.log.last - self.commit_index >= MAX_UNCOMMITTED:
             return [Rejected(event.id, RejectReason.TOO_MANY_UNCOMMITTED)]
         if event.kind == VOTERS and (reason := self._voter_change_fault(event.body)):
@@ -52,12 +52,12 @@
         return [Accepted(event.id, self.log.last, self.term), *effects]
 
     def _voter_change_fault(self, body: bytes) -> RejectReason | None:
-        """Why the voters cannot be changed so, now; None where they can (thesis 4.1)."""
+        """Return why a voter change is not allowed at this time; None if it is (thesis 4.1)."""
         current = self.log.voter_set()
         proposed = decode_voters(body)
         if current.set_at > self.commit_index:
             return RejectReason.VOTER_CHANGE_UNDER_WAY
-        # Guards two majorities of different sets: the correction of 2015 to Raft's single changes.
+        # Prevents disjoint majorities of two voter sets: the 2015 correction to single-server changes.
         if not self.settled:
             return RejectReason.LEADER_NOT_SETTLED
         single = len(set(current.voters) ^ set(proposed)) == 1
@@ -77,7 +77,7 @@
 
     # -- replication --------------------------------------------------------------------------------------
     def _broadcast(self) -> list[Effect]:
-        """Send all voters the new entries, or a heartbeat."""
+        """Send new entries, or a heartbeat without any, to all other voters."""
         self.round += 1
         self.round_starts.record(self.round, self.now)
         self._record_majority_contact()  # a leader that is the only voter is the majority
@@ -103,7 +103,7 @@
         return Send(voter, append)
 
     def _next_batch(self, peer: Peer) -> tuple[Entry, ...]:
-        """The entries to send a voter now; none while a batch is under way and not overdue."""
+        """Return the entries to send to a voter; none while an earlier batch is in flight and not overdue."""
         overdue = RESEND_AFTER_HEARTBEATS * self.timing.heartbeat
         under_way = peer.sent_at is not None and self.now < peer.sent_at + overdue
         if peer.next_index > self.log.last or under_way:
@@ -132,7 +132,7 @@
         return effects
 
     def _advance_commit_index(self) -> list[Effect]:
-        """Commit what a majority has on disk. Only entries of the own term count (3.6.2)."""
+        """Commit what a majority has on disk; only an entry of the current term can be counted (3.6.2)."""
         if not self.leads:
             return []
         index = self._reached_by_majority(
@@ -145,13 +145,13 @@
             return []
         effects = self._commit_up_to(index)
         if self.me not in self.voters and self.log.voter_set().set_at <= self.commit_index:
-            self._become_follower(None)  # it led until its own removal was committed
+            self._become_follower(None)  # a removed leader leads until its removal is committed
             return effects + self._reject_pending_reads(RejectReason.NO_LONGER_VOTER)
         return effects + self._broadcast()
 
     @staticmethod
     def _reached_by_majority(values: list[int]) -> int:
-        """The largest value that a majority of the voters has reached; one value for each voter."""
+        """Return the largest value that a majority of the voters has reached, given one value per voter."""
         return sorted(values, reverse=True)[len(values) // 2]
 
     # -- reads (thesis 6.4) -------------------------------------------------------------------------------
@@ -163,7 +163,7 @@
         return effects + self._confirm_reads()
 
     def _confirm_reads(self) -> list[Effect]:
-        """Confirm reads once a majority has answered a round that began after they were asked for."""
+        """Confirm the reads whose heartbeat round, started after the request, a majority has answered."""
         if not self.leads:
             return []
         confirmed_round = self._confirmed_round()
@@ -172,12 +172,12 @@
         return [ReadConfirmed(read.id, read.index) for read in confirmed]
 
     def _confirmed_round(self) -> int:
-        """The latest round that a majority has answered, this head counted."""
+        """Return the latest heartbeat round that a majority has answered, including this head."""
         return self._reached_by_majority(
             [self.round if voter == self.me else self.peers[voter.identity].round for voter in self.voters]
         )
 
     def _record_majority_contact(self) -> None:
-        """Record that a majority answered a round: it was connected when that round began, or later."""
+        """Record a majority contact at the start of the latest round that a majority has answered."""
         if self.leads:
             self.contact.record(self.round_starts.start_of(self._confirmed_round()))
--- a/stoatrouter/agreement/log.py
+++ b/stoatrouter/agreement/log.py
@@ -1,4 +1,4 @@
-"""The log of one head in memory: a snapshot and the entries after it. No I/O; indices count from 1."""
+"""The in-memory log of one head: a snapshot and the entries after it. No I/O; indices start at 1."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from stoatrouter.agreement.errors import EntryMissing
 from stoatrouter.agreement.records import VOTERS, Entry, Snapshot, Voter
 
-MAX_ENTRIES_IN_MESSAGE = 256  # entries in one message
-MAX_BYTES_IN_MESSAGE = 4 * 1024 * 1024  # of entries in one message
-ENTRY_OVERHEAD = 32  # bytes counted for an entry beside its body
+MAX_ENTRIES_IN_MESSAGE = 256
+MAX_BYTES_IN_MESSAGE = 4 * 1024 * 1024  # total size of the entries, in bytes
+ENTRY_OVERHEAD = 32  # bytes counted per entry in addition to its body
 
 
 @dataclass(slots=True, frozen=True)
 class VoterSet:
-    """The voters, and at which index an entry or the snapshot set them."""
+    """A set of voters, and the index of the entry or snapshot that set it."""
 
     set_at: int
     voters: tuple[Voter, ...]
@@ -24,38 +24,44 @@
 
 @dataclass(slots=True)
 class Log:
-    """One head's log: a snapshot, and the entries after it."""
+    """The log of one head.
+
+    Attributes:
+        snapshot: The latest snapshot.
+        entries: Entries in order of their index; some at the snapshot's index or before may be retained.
+        voter_changes: Those of `entries` that change the voters.
+    """
 
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
-    voter_changes: list[Entry] = field(default_factory=list)  # those among the entries
+    voter_changes: list[Entry] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Find the changes of the voters among the entries given (thesis 4.1: the latest one counts)."""
+        """Collect the voter changes among the initial entries (the latest one applies, thesis 4.1)."""
         self.voter_changes = [entry for entry in self.entries if entry.kind == VOTERS]
 
     def append(self, entries: list[Entry]) -> None:
-        """Append entries that follow on the last one."""
+        """Append entries that directly follow the last one."""
         self.entries += entries
         self.voter_changes += [entry for entry in entries if entry.kind == VOTERS]
 
     @property
     def first(self) -> int:
-        """The index of the first entry that the log holds, or would hold."""
+        """Return the index of the first entry in the log; if there is none, the one after the snapshot."""
         return self.entries[0].index if self.entries else self.snapshot.index + 1
 
     @property
     def last(self) -> int:
-        """The index of the last entry."""
+        """Return the index of the last entry, or of the snapshot if there are no entries."""
         return self.entries[-1].index if self.entries else self.snapshot.index
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry."""
+        """Return the term of the last entry, or of the snapshot if there are no entries."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where the log does not hold it."""
+        """Return the term of the entry at an index; None if the log does not hold it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.entries and self.first <= index <= self.last:
@@ -63,14 +69,17 @@
         return None
 
     def require_term_at(self, index: int) -> int:
-        """The term of an entry; raises EntryMissing where the log does not hold it."""
+        """Return the term of the entry at an index; raise EntryMissing if the log does not hold it."""
         term = self.term_at(index)
         if term is None:
             raise EntryMissing(index, self.first, self.last)
         return term
 
     def entries_from(self, index: int, last_index: int | None = None) -> tuple[Entry, ...]:
-        """Entries from an index on, as many as one message may hold (one at the least)."""
+        """Return the entries from an index on that fit into one message: at least one if there is any.
+
+        With `last_index`, no entry after it is returned.
+        """
         batch: list[Entry] = []
         size = 0
         for entry in self.entries[max(0, index - self.first) :]:
@@ -83,23 +92,23 @@
         return tuple(batch)
 
     def entries_between(self, after: int, to: int) -> tuple[Entry, ...]:
-        """The entries after one index, up to another."""
+        """Return the entries after index `after`, up to and including `to`."""
         return tuple(self.entries[max(0, after + 1 - self.first) : max(0, to + 1 - self.first)])
 
     def truncate_from(self, index: int) -> None:
-        """Remove the entries from an index on."""
+        """Remove the entry at an index and all entries after it."""
         del self.entries[max(0, index - self.first) :]
         self.voter_changes = [entry for entry in self.voter_changes if entry.index < index]
 
     def compact(self, snapshot: Snapshot, max_retained: int) -> int:
-        """Take a snapshot and retain some entries before it, for heads a little behind (thesis 5.1).
+        """Install a snapshot, and retain some entries before it for followers slightly behind (thesis 5.1).
 
         Args:
-            snapshot: The new snapshot; its index is at most the last entry's.
-            max_retained: How many entries before the snapshot to retain, at most.
+            snapshot: The new snapshot; its index is at most that of the last entry.
+            max_retained: The maximum number of entries up to the snapshot's index to retain.
 
         Returns:
-            The index of the first entry retained.
+            The index of the first retained entry.
         """
         retained_from = max(self.first, snapshot.index + 1 - max_retained)
         self.entries = self.entries[retained_from - self.first :]
@@ -108,7 +117,7 @@
         return retained_from
 
     def voter_set(self, last_index: int | None = None) -> VoterSet:
-        """The newest set of voters, committed or not; with `last_index`, as of that index."""
+        """Return the latest voter set, committed or not; with `last_index`, the set as of that index."""
         for entry in reversed(self.voter_changes):
             if (last_index is None or entry.index <= last_index) and entry.index > self.snapshot.index:
                 return VoterSet(entry.index, decode_voters(entry.body))
@@ -116,10 +125,10 @@
 
 
 def decode_voters(body: bytes) -> tuple[Voter, ...]:
-    """The voters that an entry names."""
+    """Decode the body of an entry that sets the voters."""
     return msgspec.msgpack.decode(body, type=tuple[Voter, ...])
 
 
 def encode_voters(voters: tuple[Voter, ...]) -> bytes:
-    """The body of an entry that names the voters."""
+    """Encode the body of an entry that sets the voters."""
     return msgspec.msgpack.encode(voters)
--- a/stoatrouter/agreement/machine.py
+++ b/stoatrouter/agreement/machine.py
@@ -1,10 +1,10 @@
-"""The replicated state machine: applies the agreed commands, with the same result at every head. No I/O.
+"""The replicated state machine: applies committed commands with the same result at every head. No I/O.
 
-Its state is made of parts, one per concern, and the latest answer of each command (thesis 6.3).
+The state consists of parts, one for each concern, and the answers to the latest commands (thesis 6.3).
 
 A command's id is an idempotency key: a caller that does not know whether its command was applied sends it
-again under the same id, and is given the first answer. Answers are retained for the latest commands only;
-parts that promise more (credit's entries) retain ids of their own.
+again with the same id and receives the first answer. Answers are retained for the latest commands only;
+parts with stronger guarantees, such as credit's entries, store ids themselves.
 """
 
 from __future__ import annotations
@@ -17,58 +17,58 @@
 
 from stoatrouter.agreement.records import COMMAND, Entry
 
-MAX_ANSWERS = 4_096  # retained; beyond, the oldest are dropped
+MAX_ANSWERS = 4_096  # retained answers; the oldest are dropped
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
-    """A caller's command to one part; its id is an idempotency key."""
+    """A caller's command to one part of the state machine."""
 
-    id: str  # the caller's
-    part: str
+    id: str  # the idempotency key, chosen by the caller
+    part: str  # the name of the part
     body: bytes
     by: str = ""  # the head that accepted it
 
 
 class MachineState(msgspec.Struct, array_like=True):
-    """The state of all parts, as a snapshot has it."""
+    """The state of the machine, as a snapshot stores it."""
 
-    answers: list[tuple[str, bytes]]
-    parts: dict[str, bytes]
+    answers: list[tuple[str, bytes]]  # command id and answer, the oldest first
+    parts: dict[str, bytes]  # encoded state by the part's name
 
 
 class CommandAnswer(NamedTuple):
     """The answer of a part to a command."""
 
-    id: str  # the command's
+    id: str  # the id of the command
     body: bytes
 
 
 class Part(Protocol):
-    """One concern's state. What it does follows from its state and the command alone."""
+    """The state of one concern. Its behaviour depends only on its state and the command."""
 
     def apply(self, index: int, body: bytes) -> bytes:
-        """Apply one command; its answer."""
+        """Apply a committed command and return the encoded answer; `index` is its entry's index."""
         ...
 
     def state(self) -> bytes:
-        """All that was applied, for a snapshot."""
+        """Encode the state for a snapshot."""
         ...
 
     def restore(self, state: bytes) -> None:
-        """Replace the state; b"" is that of a fleet just founded."""
+        """Replace the state by a snapshot's; b"" is the initial state of a new fleet."""
         ...
 
 
 @dataclass(slots=True)
 class Machine:
-    """All parts of the agreed state, and the latest answers."""
+    """The replicated state: all parts, the latest answers, and the index of the last applied entry."""
 
     parts: dict[str, Part]
     answers: OrderedDict[str, bytes] = field(default_factory=OrderedDict)
     index: int = 0
 
     def apply(self, entry: Entry) -> CommandAnswer | None:
-        """Apply an entry; returns the answer where it is a command."""
+        """Apply a committed entry; return the answer if it is a command, else None."""
         self.index = entry.index
         if entry.kind != COMMAND:
             return None
@@ -76,7 +76,7 @@
         if command.id in self.answers:
             return CommandAnswer(command.id, self.answers[command.id])
         part = self.parts.get(command.part)
-        # Guards heads of different versions: all must come to the same, so an unknown part does nothing.
+        # Heads of different versions must reach the same state, so a command to an unknown part is ignored.
         answer = part.apply(entry.index, command.body) if part is not None else b""
         self.answers[command.id] = answer
         if len(self.answers) > MAX_ANSWERS:
@@ -84,12 +84,12 @@
         return CommandAnswer(command.id, answer)
 
     def state(self) -> bytes:
-        """All parts and answers, for a snapshot."""
+        """Encode all parts and answers for a snapshot."""
         parts = {name: part.state() for name, part in self.parts.items()}
         return msgspec.msgpack.encode(MachineState(list(self.answers.items()), parts))
 
     def restore(self, index: int, state: bytes) -> None:
-        """Replace everything by a snapshot's state; b"" is that of a fleet just founded."""
+        """Replace the whole state by a snapshot's; b"" is the initial state of a new fleet."""
         saved = MachineState([], {})
         if state:
             saved = msgspec.msgpack.decode(state, type=MachineState)
@@ -100,5 +100,5 @@
 
 
 def encode(value: object) -> bytes:
-    """A value as bytes of the log, msgpack."""
+    """Encode a value as msgpack, for the log."""
     return msgspec.msgpack.encode(value)
--- a/stoatrouter/agreement/raft.py
+++ b/stoatrouter/agreement/raft.py
@@ -1,12 +1,13 @@
-"""One head's part in the agreement: reduce(event) -> effects. No socket, no file, no clock of its own.
+"""The Raft protocol at one head, as reduce(event) -> effects. No I/O; the time comes with the events.
 
-Raft as published (Ongaro 2014): elections with a pre-vote (9.6), terms, log matching (3.5), commit by
-counting in the own term alone (3.6.2), reads confirmed by a majority (6.4), snapshots (5), voters changed by
-one at a time and only after an entry of the own term is committed (4.1 and its correction). A leader that
-hears no majority for an election's time steps down (6.2), and who hears a leader gives no vote (4.2.3).
+It implements Raft as published (Ongaro 2014): elections with a pre-vote (9.6), terms, log matching (3.5),
+commits counted only in the current term (3.6.2), reads confirmed by a majority (6.4), snapshots (5), and
+voter changes of one voter at a time, only after an entry of the current term is committed (4.1 and its
+correction). A leader that does not hear a majority for two election timeouts steps down (6.2), and a head
+that hears a leader does not vote (4.2.3).
 
-The parts are modules of their own, each a class over the one before: `state`, `leading` (the leader),
-`voting` (elections), `replication` (the follower); here are the entrance, time and the disk.
+The implementation is a chain of classes, each in its own module: `state`, `leading` (the leader), `voting`
+(elections) and `replication` (the follower). This module dispatches events and handles time and the disk.
 """
 
 from __future__ import annotations
@@ -39,12 +40,12 @@
 
 
 class Raft(Replication):
-    """One head: its state, and the one entrance to it."""
+    """The Raft state of one head; all changes go through `reduce`."""
 
     __slots__ = ()
 
     def reduce(self, event: Event) -> list[Effect]:
-        """Take in one event; the effects are to be run in order."""
+        """Process one event; return the effects, to be executed in order."""
         self.now = max(self.now, event.at)
         match event:
             case Tick():
@@ -73,7 +74,7 @@
         return [announcement]
 
     def _receive(self, sender: Voter, message: AnyMessage) -> list[Effect]:
-        # Guards against heads that were removed, or lost their disk: their votes do not count.
+        # Replies of removed heads, or of heads with a lost disk (a new identity), must not be counted.
         if sender not in self.voters and isinstance(message, RequestVoteReply | AppendEntriesReply):
             return []
         match message:
@@ -112,7 +113,7 @@
         if last is None:
             return []
         self.durable_index = max(self.durable_index, last)
-        # the only voter: its own vote is the majority
+        # A single voter has a majority as soon as its own vote is durable.
         if self.role is Role.CANDIDATE and self._has_won_election():
             return self._become_leader()
         return self._advance_commit_index()
@@ -127,7 +128,7 @@
         return [self._persist(Write(snapshot=snapshot, keep_from=retained_from))]
 
     def _abstain(self) -> list[Effect]:
-        """Neither vote nor acknowledge any more; a leader steps down."""
+        """Stop voting and acknowledging after a disk failure; a leader steps down."""
         rejected = self._reject_pending_reads(RejectReason.DISK_FAILED) if self.leads else []
         self.abstains = True
         self.disk_failed = True
--- a/stoatrouter/agreement/records.py
+++ b/stoatrouter/agreement/records.py
@@ -1,7 +1,10 @@
-"""The entries of the log, the messages between voters, and the events and effects of the agreement.
+"""The log's entries, the messages between voters, and the events and effects of the consensus protocol.
 
-Names and rules are those of Raft (Ongaro's thesis, 2014, chapters 3, 4 and 6). What must be durable before a
-message goes out shows in the type: `Persist` holds the messages that wait for it, `Send` waits for nothing.
+Names and rules are those of Raft (Ongaro's thesis, 2014, chapters 3, 4 and 6). The types show which messages
+depend on durable state: `Persist` holds the messages to send after its write, `Send` depends on no write.
+
+Messages and the records in them are encoded as msgpack arrays (`array_like`): field order, types and tags are
+part of the wire and disk formats.
 """
 
 from __future__ import annotations
@@ -11,21 +14,21 @@
 
 import msgspec
 
-# The kinds of entries, as they stand on the wire and on disk.
+# Entry kinds, as encoded on the wire and on disk.
 NOOP = "n"
 COMMAND = "c"
 VOTERS = "v"
 
 
 class Voter(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A head under the identity that its disk gave it; a new disk is another voter."""
+    """A head with the identity of its disk; the same head with a new disk is a different voter."""
 
     name: str
     identity: str
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log (thesis 3.5)."""
+    """A log entry (thesis 3.5)."""
 
     index: int
     term: int
@@ -34,7 +37,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state after all entries up to an index (thesis 5)."""
+    """The state after applying all entries up to an index (thesis 5)."""
 
     index: int
     term: int
@@ -44,50 +47,50 @@
 
 # -- messages -----------------------------------------------------------------------------------------------
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """A message from one voter to another, in a term."""
+    """A message between voters, sent in a term."""
 
     term: int
 
 
 class RequestVote(Message, frozen=True, array_like=True, tag="ask"):
-    """Asks for a vote, or whether it would be given."""
+    """Requests a vote, or a pre-vote."""
 
     last_index: int
     last_term: int
-    pre_vote: bool  # only whether it would be given; nothing is promised (thesis 9.6)
+    pre_vote: bool  # asks only whether a vote would be granted; grants no vote (thesis 9.6)
 
 
 class RequestVoteReply(Message, frozen=True, array_like=True, tag="vote"):
-    """The answer to a RequestVote."""
+    """The reply to a RequestVote."""
 
     granted: bool
     pre_vote: bool
 
 
 class AppendEntries(Message, frozen=True, array_like=True, tag="append"):
-    """The leader's entries, or its heartbeat where there are none."""
+    """Entries from the leader; a heartbeat if there are none."""
 
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
     leader_commit: int
-    round: int  # of asking all voters; a read waits for a majority of one
-    acknowledged: int  # the last index that the receiver reported as on its disk, in this term
-    majority_age: timedelta | None = None  # since a majority was connected, as the leader knows
-    echoed_sent_at: timedelta | None = None  # the latest `sent_at` that the leader has from the receiver
+    round: int  # the heartbeat round; a read is confirmed when a majority has answered its round
+    acknowledged: int  # the last index that the receiver has reported as on its disk, in this term
+    majority_age: timedelta | None = None  # time since a majority was connected, as the leader knows it
+    echoed_sent_at: timedelta | None = None  # the latest `sent_at` that the leader received from the receiver
 
 
 class AppendEntriesReply(Message, frozen=True, array_like=True, tag="appended"):
-    """A follower's answer to entries, a heartbeat or a snapshot."""
+    """A follower's reply to entries, a heartbeat or a snapshot."""
 
     ok: bool
-    match_index: int  # ok: on disk up to here; else where the leader may try next
+    match_index: int  # if ok, the last matching index on disk; else the last index that may match
     round: int
-    sent_at: timedelta | None = None  # on the sender's clock; the leader sends it back
+    sent_at: timedelta | None = None  # on the sender's clock; the leader echoes it
 
 
 class InstallSnapshot(Message, frozen=True, array_like=True, tag="install"):
-    """A snapshot for a follower that is behind the log's beginning."""
+    """A snapshot for a follower that needs entries from before the start of the leader's log."""
 
     snapshot: Snapshot
     round: int
@@ -96,31 +99,31 @@
 AnyMessage = RequestVote | RequestVoteReply | AppendEntries | AppendEntriesReply | InstallSnapshot
 
 
-# -- what a disk holds ------------------------------------------------------------------------------------
+# -- persistent state -------------------------------------------------------------------------------------
 class PersistentState(msgspec.Struct, frozen=True):
-    """What a head finds on its disk: the persistent state of Raft (thesis figure 3.1)."""
+    """The persistent state of Raft, as loaded from a head's disk (thesis figure 3.1)."""
 
     term: int = 0
     voted_for: str | None = None  # the identity that this head voted for in the term
     snapshot: Snapshot = Snapshot(0, 0, (), b"")
     entries: tuple[Entry, ...] = ()
-    commit: int = 0  # entries up to here were committed when the head stopped; perhaps more
+    commit: int = 0  # a lower bound of the commit index when the head stopped
 
 
 class Write(msgspec.Struct, frozen=True):
-    """One transaction on the disk. Whatever is None stays as it is."""
+    """One transaction on the disk; fields that are None leave the stored value unchanged."""
 
     term: int | None = None
-    voted_for: str | None = None  # counts where term is given
-    cut_from: int | None = None  # entries from this index on go first
+    voted_for: str | None = None  # stored only if term is set
+    cut_from: int | None = None  # before `entries` are written, those from this index on are removed
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
-    keep_from: int | None = None  # with a snapshot: entries before this index go
+    keep_from: int | None = None  # with a snapshot: entries before this index are removed
     origin: str | None = None  # the fleet that this disk belongs to from now on
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is written."""
+        """Return whether the transaction changes nothing."""
         return self == EMPTY
 
 
@@ -129,7 +132,7 @@
 
 # -- events -----------------------------------------------------------------------------------------------
 class TimedEvent(msgspec.Struct, frozen=True):
-    """What has happened, and when on this head's monotonic clock."""
+    """An event, and its time on this head's monotonic clock."""
 
     at: timedelta
 
@@ -146,7 +149,7 @@
 
 
 class Propose(TimedEvent, frozen=True):
-    """Asks for an entry to be agreed on."""
+    """Requests that an entry be replicated and committed."""
 
     id: str
     body: bytes
@@ -154,26 +157,26 @@
 
 
 class Read(TimedEvent, frozen=True):
-    """Asks up to which index a read must have applied, confirmed by a majority."""
+    """Requests the index that must be applied before a read, confirmed by a majority."""
 
     id: str
 
 
 class WriteCompleted(TimedEvent, frozen=True):
-    """A write is on the disk."""
+    """The write of a `Persist` effect is durable."""
 
     number: int
 
 
 class Compact(TimedEvent, frozen=True):
-    """What was applied up to an index, as one state: the entries before it may go."""
+    """The applied state at an index: the entries before it may be discarded."""
 
     index: int
     state: bytes
 
 
 class CommittedReceived(TimedEvent, frozen=True):
-    """Entries that are committed, from any voter: how heads without a vote follow."""
+    """Committed entries from any voter; heads without a vote follow the log through these."""
 
     prev_index: int
     prev_term: int
@@ -183,7 +186,7 @@
 
 
 class DiskFailed(TimedEvent, frozen=True):
-    """The disk takes no more writes: what was promised cannot be kept from now on."""
+    """The disk no longer accepts writes: votes and acknowledgements cannot be made durable from now on."""
 
 
 Event = DiskFailed | Tick | Received | Propose | Read | WriteCompleted | Compact | CommittedReceived
@@ -191,14 +194,17 @@
 
 # -- effects ----------------------------------------------------------------------------------------------
 class Send(msgspec.Struct, frozen=True):
-    """May go out at once: nothing in it is a promise."""
+    """Send a message at once: it depends on no unfinished write."""
 
     to: Voter
     message: AnyMessage
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """Write this, after all writes before it; only then send these. `WriteCompleted` follows."""
+    """Perform a write, after all earlier writes, and then send the messages in `then`.
+
+    The caller answers with `WriteCompleted`.
+    """
 
     number: int
     write: Write
@@ -206,19 +212,19 @@
 
 
 class Apply(msgspec.Struct, frozen=True):
-    """Committed entries, in order, each once."""
+    """Apply committed entries to the state machine; each entry is passed once, in order."""
 
     entries: tuple[Entry, ...]
 
 
 class Restore(msgspec.Struct, frozen=True):
-    """All that was applied is replaced by this state."""
+    """Replace the state machine's whole state by a snapshot."""
 
     snapshot: Snapshot
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """A proposal is in the log; it is committed once that entry is applied with the same term."""
+    """A proposal was appended to the log; it is committed once the entry is applied with the same term."""
 
     id: str
     index: int
@@ -226,7 +232,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a proposal or read is rejected. The texts reach callers as they are, so they stay."""
+    """Why a proposal or read is rejected; callers receive the texts, so they must not change."""
 
     NOT_LEADER = "not the leader"
     TOO_MANY_UNCOMMITTED = "too much is not agreed on yet"
@@ -240,29 +246,29 @@
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """A proposal or read that this head cannot take, and why."""
+    """A proposal or read was rejected."""
 
     id: str
     reason: RejectReason
 
 
 class ReadConfirmed(msgspec.Struct, frozen=True):
-    """A majority has confirmed a read: it may be answered once this index is applied (thesis 6.4)."""
+    """A majority confirmed a read: it may be answered once this index is applied (thesis 6.4)."""
 
     id: str
     index: int
 
 
 class LeaderChanged(msgspec.Struct, frozen=True):
-    """Who leads, as this head knows it."""
+    """The leader has changed, as far as this head knows."""
 
     term: int
-    leader: str | None  # a name; None: nobody known
-    is_self: bool
+    leader: str | None  # the leader's name; None if unknown
+    is_self: bool  # whether this head is the leader
 
 
 class LogLost(msgspec.Struct, frozen=True):
-    """This head's disk is older than what it acknowledged: it must not vote under this identity again."""
+    """This head's disk has lost acknowledged entries: it must not vote with this identity again."""
 
     last_on_disk: int
     acknowledged: int
--- a/stoatrouter/agreement/replication.py
+++ b/stoatrouter/agreement/replication.py
@@ -1,4 +1,4 @@
-"""The follower's part: taking in the leader's entries and snapshots, and committed entries from any voter."""
+"""The follower: processes entries and snapshots from the leader, and committed entries from any voter."""
 
 from __future__ import annotations
 
@@ -28,12 +28,13 @@
 
 @dataclass(slots=True, frozen=True)
 class MatchResult:
-    """What became of entries that were offered to the log (log matching, thesis 3.5).
+    """The result of matching received entries against the log (log matching, thesis 3.5).
 
     Attributes:
-        ok: Whether they follow on what the log holds.
-        index: ok: up to where the log agrees with the sender; else where the sender may try next.
-        write: What goes to the disk.
+        ok: Whether the log holds the entry that precedes them.
+        index: If ok, the last index at which the log matches the sender's; else the last that may match,
+            after which the sender retries.
+        write: The write that makes the change of the log durable.
     """
 
     ok: bool
@@ -42,7 +43,7 @@
 
 
 class Replication(Voting):
-    """What a head does as a follower. Its state is RaftState's."""
+    """The behaviour of a follower, on the state of RaftState."""
 
     __slots__ = ()
 
@@ -65,7 +66,7 @@
 
     def _receive_entries(self, sender: Voter, message: AppendEntries, new_term: int | None) -> list[Effect]:
         self._learn_contact(message)
-        # Guards the fleet's promises: a disk that lost what it acknowledged must not be counted again.
+        # A head whose disk lost acknowledged entries must not be counted in a majority again.
         if message.acknowledged > self.log.last:
             self.abstains = True
             return [LogLost(self.log.last, message.acknowledged)]
@@ -76,18 +77,18 @@
         return [persist, *committed]
 
     def _with_term(self, write: Write, new_term: int | None) -> Write:
-        """The write, with the term that begins with it where one does."""
+        """Return the write, extended by the new term and its vote if a term begins with it."""
         if new_term is None:
             return write
         return msgspec.structs.replace(write, term=new_term, voted_for=self.voted_for)
 
     def _learn_contact(self, message: AppendEntries) -> None:
-        """Learn when the leader's majority was connected, from an AppendEntries.
+        """Record the leader's majority contact from an AppendEntries.
 
-        The leader wrote this after it had what this head sent at `echoed_sent_at`, so that moment is when
-        this head asked.
+        The leader sent it after it had received what this head sent at `echoed_sent_at`, so that time counts
+        as the time of this head's request.
         """
-        # Guards against what an earlier process of this head sent, by a clock that may have begun anew.
+        # Ignores times sent by an earlier process of this head, whose clock may have had another origin.
         if message.majority_age is None or message.echoed_sent_at is None:
             return
         if self.started_at <= message.echoed_sent_at <= self.now:
@@ -95,9 +96,9 @@
 
     # -- the log ------------------------------------------------------------------------------------------
     def _match_entries(self, prev_index: int, prev_term: int, entries: tuple[Entry, ...]) -> MatchResult:
-        """Take in entries where they follow on what the log holds (thesis 3.5)."""
+        """Append received entries if they match the log, and remove conflicting ones (thesis 3.5)."""
         snapshot = self.log.snapshot
-        if prev_index < snapshot.index:  # all before is committed, and so equal
+        if prev_index < snapshot.index:  # entries up to the snapshot are committed, so they are equal
             entries = tuple(entry for entry in entries if entry.index > snapshot.index)
             prev_index = snapshot.index
             prev_term = snapshot.term
@@ -113,7 +114,7 @@
         if cut_from is not None and cut_from <= self.commit_index:
             if __debug__:
                 raise CommittedEntryConflict(cut_from, self.commit_index)
-            return MatchResult(False, self.commit_index)  # in production the sender is not believed
+            return MatchResult(False, self.commit_index)  # with python -O the entries are rejected
         if cut_from is not None:
             self._truncate_log(cut_from)
         new = [entry for entry in entries if entry.index >= first_new]
@@ -121,7 +122,7 @@
         return MatchResult(True, index, Write(cut_from=cut_from, entries=tuple(new)))
 
     def _truncate_log(self, index: int) -> None:
-        """Remove the entries from an index on, which a leader's entries conflict with."""
+        """Remove the entries from an index on, because they conflict with a leader's entries."""
         self.log.truncate_from(index)
         self.durable_index = min(self.durable_index, index - 1)
         self.pending_writes = {number: min(last, index - 1) for number, last in self.pending_writes.items()}
@@ -140,7 +141,7 @@
         return [self._persist(write, (Send(sender, reply),)), *effects]
 
     def _replace_log(self, snapshot: Snapshot, new_term: int | None) -> Write:
-        """Replace the log by a snapshot that is further than what is committed here; returns the write."""
+        """Replace the log by a snapshot beyond this head's commit index; return the write."""
         self.log = Log(snapshot)
         self.commit_index = snapshot.index
         self.last_applied = snapshot.index
@@ -150,14 +151,14 @@
 
     # -- from any voter -----------------------------------------------------------------------------------
     def _receive_committed(self, event: CommittedReceived) -> list[Effect]:
-        """Take in committed entries from any voter; so a voter that was removed meanwhile gets them too."""
+        """Process committed entries from any voter; a removed voter follows the log this way too."""
         if self.leads:
             return []
         snapshot = event.snapshot
         if snapshot is not None and snapshot.index <= self.commit_index:
             return []
-        # Guards what is committed against a leader of an older term, who may count this head as a voter that
-        # nobody else knows of: a term that something was agreed on in has begun, so the older one is over.
+        # Enters the term of the committed entries. Otherwise a leader of an older term could overwrite them:
+        # its uncommitted configuration may count this head as a voter that no other head knows of.
         term = max([snapshot.term if snapshot else 0, *(entry.term for entry in event.entries)])
         new_term = term if term > self.term else None
         if snapshot is not None:
--- a/stoatrouter/agreement/state.py
+++ b/stoatrouter/agreement/state.py
@@ -1,4 +1,4 @@
-"""What one head holds of the agreement, and what follows from it alone. No I/O, no clock of its own."""
+"""The Raft state of one head, and operations common to all roles. No I/O; the time comes with the events."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 )
 
 NO_TIME = timedelta(0)
-MAX_UNCOMMITTED = 4_096  # entries; beyond, proposals are rejected
-RETAINED_ENTRIES = 512  # entries kept before a snapshot, for heads a little behind
+MAX_UNCOMMITTED = 4_096  # uncommitted entries; at this number, proposals are rejected
+RETAINED_ENTRIES = 512  # entries retained before a snapshot, for followers slightly behind
 
 
 class Role(Enum):
-    """The part that a head takes in the current term (thesis 3.3, and 9.6 for the pre-vote)."""
+    """The role of a head in the current term (thesis 3.3; 9.6 for the pre-vote)."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -39,32 +39,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Spans of the agreement. A killed leader was replaced in 0.7 and 0.8 s, in two trials on processes."""
+    """Time settings. With the defaults a killed leader was replaced in 0.7 and 0.8 s (two runs on processes).
+
+    Attributes:
+        heartbeat: The interval between heartbeats.
+        election: The minimum election timeout; each one is drawn between this and twice as long.
+    """
 
     heartbeat: timedelta = timedelta(milliseconds=100)
-    election: timedelta = timedelta(milliseconds=600)  # each wait is drawn from this to twice as long
+    election: timedelta = timedelta(milliseconds=600)
 
 
 @dataclass(slots=True)
 class Peer:
-    """What a leader knows of another voter."""
+    """A leader's state about another voter."""
 
-    next_index: int  # the next entry to send it (thesis figure 3.1)
+    next_index: int  # the next entry to send to it (thesis figure 3.1)
     match_index: int = 0  # the last entry known to be on its disk
-    round: int = 0  # the latest round that it has answered
+    round: int = 0  # the latest heartbeat round that it has answered
     heard_at: timedelta = NO_TIME
-    sent_at: timedelta | None = None  # entries are under way
-    answered_at: timedelta | None = None  # on its own clock, as its last answer has it
+    sent_at: timedelta | None = None  # when the unanswered batch of entries was sent; None: no such batch
+    answered_at: timedelta | None = None  # `sent_at` of its latest reply, on its own clock
 
 
 @dataclass(slots=True, frozen=True)
 class PendingRead:
-    """A read that waits until a majority has answered a round.
+    """A read that waits for a majority to answer a heartbeat round.
 
     Attributes:
-        id: The caller's id of the read.
-        index: The commit index when the read was asked for.
-        round: The round of heartbeats that a majority must have answered.
+        id: The read's id, chosen by the caller.
+        index: The commit index when the read was requested.
+        round: The heartbeat round that a majority must answer.
     """
 
     id: str
@@ -74,7 +79,7 @@
 
 @dataclass(slots=True)
 class RaftState:
-    """One head's whole state of the agreement; the names are those of thesis figure 3.1 where it has them."""
+    """The complete Raft state of one head; names are those of thesis figure 3.1 where it has them."""
 
     me: Voter
     disk: PersistentState
@@ -87,16 +92,16 @@
     log: Log = field(init=False)
     role: Role = Role.FOLLOWER
     leader: Voter | None = None
-    abstains: bool = False  # its disk broke a promise: it neither votes nor acknowledges
-    disk_failed: bool = False  # it takes no writes, so none that is asked for ever ends
+    abstains: bool = False  # the disk failed or lost acknowledged entries: no votes, no acknowledgements
+    disk_failed: bool = False  # the disk accepts no writes, so no pending write will complete
     commit_index: int = 0
     last_applied: int = 0
     durable_index: int = 0  # the last entry on this head's disk
-    pending_writes: dict[int, int] = field(default_factory=dict)  # by number: the last index of each
+    pending_writes: dict[int, int] = field(default_factory=dict)  # the last log index, by write number
     last_write_number: int = 0
-    votes: set[str] = field(default_factory=set)  # identities that granted theirs
-    peers: dict[str, Peer] = field(default_factory=dict)  # of a leader, by identity
-    round: int = 0  # of heartbeats, the latest
+    votes: set[str] = field(default_factory=set)  # identities that granted their vote or pre-vote
+    peers: dict[str, Peer] = field(default_factory=dict)  # by identity; only at a leader
+    round: int = 0  # the latest heartbeat round
     round_starts: RoundStarts = field(default_factory=RoundStarts)
     contact: MajorityContact = field(default_factory=MajorityContact)
     started_at: timedelta = field(init=False)
@@ -104,57 +109,60 @@
     election_at: timedelta | None = None
     leader_heard_at: timedelta | None = None
     heartbeat_at: timedelta = NO_TIME
-    announced_leader: LeaderChanged | None = None  # the latest announcement
+    announced_leader: LeaderChanged | None = None  # the latest LeaderChanged effect
     rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        """Take up what the disk holds (term, vote, snapshot, entries) and seed the election timer's draws."""
+        """Load the persistent state and seed the random election timeouts."""
         self.started_at = self.now
         self.rng = random.Random(f"agreement/{self.seed}/{self.me.identity}")
         self.term = self.disk.term
         self.voted_for = self.disk.voted_for
         self.log = Log(self.disk.snapshot, list(self.disk.entries))
-        # A committed entry is never replaced, so what was committed before the start still is.
+        # Committed entries are never replaced, so the stored commit index is still valid.
         self.commit_index = max(self.disk.snapshot.index, min(self.disk.commit, self.log.last))
         self.last_applied = self.commit_index
         self.durable_index = self.log.last
 
     # -- for callers --------------------------------------------------------------------------------------
     def restored_entries(self) -> tuple[Entry, ...]:
-        """The entries after the snapshot that the disk holds as committed: the owner applies them first."""
+        """Return the committed entries after the snapshot on disk, which the caller applies at start."""
         return self.log.entries_between(self.disk.snapshot.index, self.commit_index)
 
     @property
     def durable_commit_index(self) -> int:
-        """Up to where the log is both committed and on this head's disk.
+        """Return the last index that is both committed and on this head's disk.
 
-        Guards a head that starts again: beyond this its disk may hold entries that were never committed, at
-        the indices of committed ones which are still to be written.
+        Only this index may be stored as committed. Beyond it, after a restart the disk may hold entries that
+        were never committed, at indices whose committed entries were not yet written.
         """
         return min(self.commit_index, self.durable_index)
 
     @property
     def voters(self) -> tuple[Voter, ...]:
-        """Who votes, by the log; the latest entry counts, committed or not."""
+        """Return the voters by the latest voter change in the log, committed or not."""
         return self.log.voter_set().voters
 
     @property
     def votes_here(self) -> bool:
-        """Whether this head's vote counts."""
+        """Return whether this head's vote counts."""
         return self.me in self.voters and not self.abstains
 
     @property
     def leads(self) -> bool:
-        """Whether this head leads, as far as it knows."""
+        """Return whether this head is the leader, as far as it knows."""
         return self.role is Role.LEADER
 
     @property
     def settled(self) -> bool:
-        """A leader that has committed an entry of its own term: it knows all that was committed."""
+        """Return whether this head leads and has committed an entry of its term.
+
+        Such a leader knows all committed entries.
+        """
         return self.leads and self.log.term_at(self.commit_index) == self.term
 
     def majority_heard(self, now: timedelta) -> bool:
-        """Whether a leader heard a majority, itself counted, within two election timeouts."""
+        """Return whether this leader heard a majority, including itself, within two election timeouts."""
         heard = sum(
             voter == self.me or self.peers[voter.identity].heard_at + 2 * self.timing.election > now
             for voter in self.voters
@@ -167,7 +175,7 @@
         return 2 * count > len(self.voters)
 
     def _reset_election_timer(self) -> timedelta:
-        """Draw the next election timeout; returns when it is over."""
+        """Draw a new election timeout; return when it expires."""
         base = self.timing.election
         self.election_at = self.now + base + base * self.rng.random()
         return self.election_at
@@ -177,7 +185,7 @@
         self.leader = leader
         self.votes.clear()
         self.peers.clear()
-        self.round_starts.starts.clear()  # they are of a leader alone
+        self.round_starts.starts.clear()  # only a leader has heartbeat rounds
         self._reset_election_timer()
 
     def _reject_pending_reads(self, reason: RejectReason) -> list[Effect]:
--- a/stoatrouter/agreement/voting.py
+++ b/stoatrouter/agreement/voting.py
@@ -1,4 +1,4 @@
-"""Elections: a candidate's part, and the answers to one. Raft with the pre-vote (thesis 3.4, 4.2.3, 9.6)."""
+"""Elections: candidates and voters, with the pre-vote (thesis 3.4, 4.2.3, 9.6)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Voting(Leading):
-    """What a head does to be elected, and to elect others. Its state is RaftState's."""
+    """The behaviour of candidates and voters, on the state of RaftState."""
 
     __slots__ = ()
 
@@ -30,7 +30,7 @@
         self._become_candidate(Role.CANDIDATE)
         self.term += 1
         self.voted_for = self.me.identity
-        # the own vote is a promise too: nobody is asked before it is on the disk
+        # The vote for itself must be durable before others are asked for theirs.
         write = Write(term=self.term, voted_for=self.voted_for)
         return [self._persist(write, self._request_votes(self.term, pre_vote=False))]
 
@@ -61,9 +61,9 @@
 
     # -- the voter ----------------------------------------------------------------------------------------
     def _answer_vote_request(self, sender: Voter, request: RequestVote) -> list[Effect]:
-        """Answer a RequestVote, also from a head not known as a voter (thesis 4.2.2).
+        """Answer a RequestVote, including one from a head that is not known as a voter (thesis 4.2.2).
 
-        A head that does not know of its vote yet gives it all the same: its own log may be behind the change.
+        A head that does not know itself as a voter grants its vote too: its log may lack the voter change.
         """
         if self.abstains or self.leads or self._hears_other_leader(sender):
             return []
@@ -84,8 +84,8 @@
         return [*effects, self._persist(write, (reply,))]
 
     def _hears_other_leader(self, sender: Voter) -> bool:
-        """Whether a leader other than `sender` was heard within the election timeout (thesis 4.2.3)."""
-        # Guards a leader that is heard: a head that was cut off must not end its term.
+        """Return whether another leader than `sender` was heard within the election timeout (4.2.3)."""
+        # A head that was cut off must not end the term of a leader that this head still hears.
         if self.leader_heard_at is None or self.leader is None:
             return False
         return self.now < self.leader_heard_at + self.timing.election and self.leader != sender
@@ -97,7 +97,7 @@
 
     # -- terms --------------------------------------------------------------------------------------------
     def _enter_term(self, term: int) -> list[Effect]:
-        """Enter a later term: no vote is given in it yet, and no leader is known."""
+        """Enter a later term as a follower, without a vote and without a known leader."""
         rejected = self._reject_pending_reads(RejectReason.TERM_ENDED) if self.leads else []
         self.term = term
         self.voted_for = None
--- a/stoatrouter/credit/accounts.py
+++ b/stoatrouter/credit/accounts.py
@@ -1,7 +1,7 @@
-"""The state of each customer's account, as every head agrees on it and as a snapshot stores it.
+"""The replicated state of customers' accounts, as snapshots store it.
 
-Amounts are whole millionths of a credit unit. The structs are encoded as msgpack arrays (`array_like`),
-by the position of their fields, into snapshots on disk: new fields go at the end, with a default.
+Amounts are integers, in millionths of a credit unit. The structs are encoded into snapshots as msgpack arrays
+(`array_like`), by field position: a new field goes at the end, with a default.
 """
 
 from __future__ import annotations
@@ -10,36 +10,36 @@
 
 
 class Allotment(msgspec.Struct, array_like=True):
-    """What one head may spend of a customer's credit."""
+    """A part of a customer's credit that one head may spend."""
 
     customer: str
     head: str
-    identity: str
+    identity: str  # the identity of the head's disk
     amount: int
-    spent: int = 0  # as far as its head has reported
+    spent: int = 0  # as last reported by the head
     expired: bool = False
 
     @property
     def unreported(self) -> int:
-        """What its head may still spend, or may have spent and not reported."""
+        """Return the amount that the head may still spend, or may have spent without a report."""
         return self.amount - self.spent
 
 
 class Account(msgspec.Struct, array_like=True):
-    """One customer's account."""
+    """The account of one customer."""
 
     name: str
     volumes: list[str]
     overdraft: int = 0
-    low_water: int = 0
-    refund_expired: bool = False  # an expired allotment counts as unspent, not as spent
+    low_water: int = 0  # requests are paced while the balance is below it
+    refund_expired: bool = False  # an expired allotment's unreported rest counts as unspent, not as spent
     open: bool = True
     paid: int = 0
     charged: int = 0
     outstanding: dict[str, Allotment] = msgspec.field(default_factory=dict)  # by id
 
     def in_flight(self) -> int:
-        """What heads may still spend, or may have spent and not reported."""
+        """Return the amount that heads may still spend, or may have spent without a report."""
         return sum(
             allotment.unreported
             for allotment in self.outstanding.values()
@@ -48,17 +48,17 @@
 
     @property
     def free(self) -> int:
-        """What may be granted to heads."""
+        """Return the amount that may be granted to heads."""
         return self.paid + self.overdraft - self.charged - self.in_flight()
 
     @property
     def balance(self) -> int:
-        """What is not charged yet, the overdraft counted in."""
+        """Return the amount that is not charged yet, including the overdraft."""
         return self.paid + self.overdraft - self.charged
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's entry: a top-up, correction or refund."""
+    """An entry booked by an operator: a top-up, correction or refund."""
 
     index: int
     id: str
@@ -71,14 +71,14 @@
 
 
 class HeadRegistration(msgspec.Struct, frozen=True, array_like=True):
-    """The identity under which a head's reports are taken, and the number of its latest one."""
+    """The identity under which a head's reports are accepted, and the number of its latest command."""
 
     identity: str
     number: int
 
 
 class LedgerSnapshot(msgspec.Struct, array_like=True):
-    """The ledger's state, as a snapshot has it."""
+    """The ledger's state, as a snapshot stores it."""
 
     accounts: list[Account]
     entries: list[Entry]
@@ -86,17 +86,17 @@
 
 
 def allotment_size(account: Account, head: str, wanted: int, min_useful: int) -> int:
-    """Size the allotment that one head is given.
+    """Return the size of the allotment to grant to a head.
 
-    The head gets what it wants while the account is rich, less the nearer the account is to nothing and
-    the more heads serve the customer: half of what is free stays for the others. The very last goes to
-    whoever can use it for a request.
+    The head gets the requested amount, up to its share of half the free credit; the share is divided between
+    the heads that serve the customer, and the other half stays free for later requests. A head whose share is
+    too small for one request still gets the smallest useful amount while that much is free.
 
     Args:
         account: The customer's account.
-        head: The name of the head that asks.
-        wanted: What the head asks for, in millionths of a credit unit.
-        min_useful: The smallest amount of use to it (its largest waiting charge), in millionths.
+        head: The name of the requesting head.
+        wanted: The requested amount, in millionths of a credit unit.
+        min_useful: The smallest useful amount (the head's largest waiting charge), in millionths.
 
     Returns:
         The amount to grant, in millionths of a credit unit; 0 for none.
--- a/stoatrouter/credit/errors.py
+++ b/stoatrouter/credit/errors.py
@@ -1,19 +1,19 @@
-"""What the credit package raises."""
+"""Errors of the credit package."""
 
 from __future__ import annotations
 
 
 class CreditError(Exception):
-    """The base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class UnknownAllotment(CreditError):
-    """No allotment of this id is outstanding: it was never granted, or has been settled and closed."""
+    """No allotment with this id is outstanding: it was never granted, or was settled and closed."""
 
     def __init__(self, allotment: str) -> None:
-        """Name the allotment."""
+        """Record the allotment's id."""
         super().__init__(
-            f"no allotment {allotment!r} is outstanding: it was never granted, or is settled and closed; "
-            "the ids of those outstanding are in Ledger.customer_by_allotment"
+            f"allotment {allotment!r} is not outstanding: it was never granted, or was settled and closed; "
+            "Ledger.customer_by_allotment lists the outstanding ids"
         )
         self.allotment = allotment
--- a/stoatrouter/credit/escrow.py
+++ b/stoatrouter/credit/escrow.py
@@ -1,18 +1,19 @@
-"""The escrow of one head: reserves each request's charge, and draws and settles allotments. No I/O, no clock.
+"""The escrow of one head: reserves request charges, and requests and settles allotments. No I/O, no clock.
 
-| outcome of a request | charged | why |
+| outcome of a request | charged | reason |
 | --- | --- | --- |
-| served, complete or forwarded as it came | yes | the work was done |
-| rejected or failed, no attempt was ever sent | no | nothing was asked of a node |
-| rejected or failed, each attempt ended as never run (not connected, rejected, moot) | no | the same |
-| rejected or failed, some attempt reset, timed out, ended in an error, or still out | yes | it may have run |
-| client gone, no attempt sent or all never run | no | nothing was done |
-| client gone, an attempt out or ended otherwise | yes | it may have run |
+| served, complete or forwarded as received | yes | the work was done |
+| rejected or failed, no attempt was sent | no | no node received anything |
+| rejected or failed, all attempts ended as never run (not connected, rejected, moot) | no | nothing ran |
+| rejected or failed, an attempt reset, timed out, had an error or is unfinished | yes | it may have run |
+| client disconnected, no attempt sent or all ended as never run | no | no work was done |
+| client disconnected, an attempt is unfinished or ended otherwise | yes | it may have run |
 | rejected by this package | no | it was never admitted |
 
-Once, however many attempts there were. A head spends an allotment until it expires, on its own monotonic
-clock and counted from when it was asked for, which is before the voters count from. What was reserved before
-that is charged to the allotment all the same: its final settlement waits for its reservations.
+A request is charged once, however many attempts it had. A head may spend an allotment until it expires, on
+its own monotonic clock and counted from when the head requested it, which is earlier than the start of the
+leader's count. Charges reserved before the expiry are still charged to the allotment: its final settlement
+waits for its reservations.
 """
 
 from __future__ import annotations
@@ -32,46 +33,47 @@
 )
 from stoatrouter.credit.records import CustomerReport, Grant, Settlement
 
-EXHAUSTED_RETRY_DELAY = timedelta(milliseconds=250)  # before more is asked of an account that had nothing
-EXPECTED_GRANT_DELAY = timedelta(milliseconds=100)  # how long an answer to a report takes, about
-LOW_BALANCE_REPORT_INTERVAL = timedelta(
-    milliseconds=500
-)  # spending is reported so often under the low-water mark
-MAX_REPORTS = 256  # customers in one report to the account
+# The delay before credit is requested again from an account that had none free.
+EXHAUSTED_RETRY_DELAY = timedelta(milliseconds=250)
+EXPECTED_GRANT_DELAY = timedelta(milliseconds=100)  # the approximate duration until a report is answered
+# The interval between reports of spending while the balance is below the low-water mark.
+LOW_BALANCE_REPORT_INTERVAL = timedelta(milliseconds=500)
+MAX_REPORTS = 256  # customers in one command to the ledger
 IDLE_ACCOUNT_TIMEOUT = (
     4 * USE_AVERAGING_SPAN
 )  # an idle local account without allotments is dropped after this
-REFILL_THRESHOLD_LEASES = 0.5  # more is asked for once what is available would last less than so many leases
-REFILL_TARGET_LEASES = 1.5  # and then enough to last so many leases of recent use
+# Credit is requested once the available amount lasts less than this many leases of recent use.
+REFILL_THRESHOLD_LEASES = 0.5
+REFILL_TARGET_LEASES = 1.5  # the requested amount lasts this many leases of recent use
 
 
 class SpentStore(Protocol):
-    """What survives this process: the spent figure of each allotment."""
+    """Storage that survives this process: the spent amount of each allotment."""
 
     def begin(self, allotment: str) -> bool:
-        """Whether there is capacity for it; what cannot be recorded is not spent from."""
+        """Start recording an allotment; return False if there is no capacity, so it must not be used."""
         ...
 
     def set(self, allotment: str, spent: int) -> None:
-        """Record what was spent of it in all."""
+        """Record the total amount spent from an allotment."""
         ...
 
     def end(self, allotment: str) -> None:
-        """Forget it: its final settlement is booked."""
+        """Stop recording an allotment, whose final settlement is booked."""
         ...
 
 
 @dataclass(slots=True)
 class HeadEscrow:
-    """The escrow of one head: its allotments of each customer's credit, and the reservations of requests."""
+    """The allotments of one head, by customer, and the reservations of its requests."""
 
     lease: timedelta
     spent_store: SpentStore
     accounts: dict[str, LocalAccount] = field(default_factory=dict)  # by customer
-    reservations: dict[str, Reservation] = field(default_factory=dict)  # by request
-    reachable: bool = True  # the account answers, as far as this head knows
-    charged: int = 0  # since the start, for figures
-    rejected: int = 0
+    reservations: dict[str, Reservation] = field(default_factory=dict)  # by request id
+    reachable: bool = True  # whether reports can reach the ledger, as far as this head knows
+    charged: int = 0  # total since the start, in millionths of a credit unit; for metrics
+    rejected: int = 0  # rejected requests since the start; for metrics
 
     # -- requests -----------------------------------------------------------------------------------------
     def reserve(
@@ -81,13 +83,13 @@
 
         Args:
             request: The request's id.
-            customer: Whose credit is charged.
-            charge: What the request costs, in millionths of a credit unit; nothing is reserved for 0.
-            rank: The rank of its class (`Rank`).
+            customer: The customer to charge.
+            charge: The price of the request, in millionths of a credit unit; nothing is reserved for 0.
+            rank: The rank of the request's class (`Rank`).
             now: The time on this head's monotonic clock.
 
         Returns:
-            None where the charge is reserved; else why not, and when a retry may help.
+            None if the charge is reserved; else the reason, and when a retry may succeed.
         """
         if charge <= 0:
             return None
@@ -106,7 +108,7 @@
         return None
 
     def settle(self, request: str, charged: bool) -> None:
-        """Charge a request's reservation at its one final answer, or release it."""
+        """Charge or release a request's reservation when the request ends."""
         reservation = self.reservations.pop(request, None)
         if reservation is None:
             return
@@ -125,9 +127,9 @@
 
     @staticmethod
     def _find_allotment(account: LocalAccount, charge: int, now: timedelta) -> LocalAllotment | None:
-        """The allotment to reserve from: the one that expires first."""
+        """Return the first allotment to expire that can cover the charge; None if there is none."""
         for allotment in account.allotments:
-            # Guards the sum: what has expired here may be counted otherwise by the account from now on.
+            # An expired allotment must not be used: the ledger may already count it as spent or refunded.
             if allotment.expires_at > now and allotment.available >= charge:
                 return allotment
         return None
@@ -138,12 +140,12 @@
         if not account.known:
             return Rejection(None, RejectionReason.UNKNOWN_CUSTOMER)
         if account.exhausted_at is not None and not account.report_pending:
-            return Rejection(None, RejectionReason.EXHAUSTED)  # when more is paid in, nobody here knows
+            return Rejection(None, RejectionReason.EXHAUSTED)  # the time of the next payment is unknown
         return Rejection(EXPECTED_GRANT_DELAY, RejectionReason.ALLOTMENT_REQUESTED)
 
-    # -- requests that wait for an allotment --------------------------------------------------------------
+    # -- requests waiting for an allotment ----------------------------------------------------------------
     def may_wait(self, customer: str, charge: int, now: timedelta) -> bool:
-        """Whether a request would find no allotment now, and one may be granted soon."""
+        """Return whether no allotment can cover the charge now, but one may be granted soon."""
         account = self.accounts.get(customer)
         if account is None:
             return self.reachable
@@ -152,22 +154,25 @@
         return account.known and not self._recently_exhausted(account, now)
 
     def request_allotment(self, customer: str, charge: int, now: timedelta) -> None:
-        """Ask, with the next report, for an allotment that is large enough for a charge."""
+        """Request an allotment that is large enough for a charge, with the next report."""
         account = self._account_of(customer)
         account.count_unmet(charge, now)
         account.used_at = max(account.used_at, now)
 
     def add_waiting(self, customer: str, charge: int) -> None:
-        """A request begins to wait: what is asked for is enough for all that wait."""
+        """Count a request as waiting; the requested amount covers all waiting requests."""
         self._account_of(customer).waiting += charge
 
     def remove_waiting(self, customer: str, charge: int) -> None:
-        """A request waits no more, whether an allotment was granted or not."""
+        """Stop counting a request as waiting, whether or not an allotment was granted."""
         self.accounts[customer].waiting -= charge
 
-    # -- reports to the account ---------------------------------------------------------------------------
+    # -- reports to the ledger ----------------------------------------------------------------------------
     def due_reports(self, now: timedelta, max_reports: int = MAX_REPORTS) -> list[CustomerReport]:
-        """The reports that are due, at most `max_reports`; they are pending until answered or forgotten."""
+        """Return the reports that are due, at most `max_reports`, and mark them as pending.
+
+        A report is pending until `apply_grant` or `forget_report` is called. Idle accounts are dropped.
+        """
         reports: list[CustomerReport] = []
         for customer, account in list(self.accounts.items()):
             if account.report_pending:
@@ -184,12 +189,12 @@
 
     @staticmethod
     def _may_be_dropped(account: LocalAccount, now: timedelta) -> bool:
-        """Whether a customer is idle here, and all is settled."""
+        """Return whether a customer is idle at this head and has no allotments or waiting requests."""
         idle = now - account.used_at > IDLE_ACCOUNT_TIMEOUT
         return idle and not account.allotments and not account.waiting
 
     def _report(self, account: LocalAccount, now: timedelta) -> CustomerReport | None:
-        """The report on one customer; None where there is nothing to report yet."""
+        """Return the report for one customer; None if there is nothing to report yet."""
         account.forget_unmet(now)
         idle = now - account.used_at > self.lease / 2
         settlements = account.close_allotments(now, idle)
@@ -206,26 +211,27 @@
         )
 
     def _report_is_due(self, account: LocalAccount, now: timedelta) -> bool:
-        """Whether spending alone is to be reported now."""
+        """Return whether a report that contains only spending is due."""
         every = LOW_BALANCE_REPORT_INTERVAL if account.funded_fraction() < 1 else self.lease / 2
         return account.answered_at is None or now - account.answered_at >= every
 
     @staticmethod
     def _recently_exhausted(account: LocalAccount, now: timedelta) -> bool:
-        """Whether the account had nothing to grant a moment ago."""
+        """Return whether the account had no free credit within the last EXHAUSTED_RETRY_DELAY."""
         if account.exhausted_at is None:
             return False
         return now < account.exhausted_at + EXHAUSTED_RETRY_DELAY
 
     def _wanted(self, account: LocalAccount, now: timedelta) -> int:
-        """How much more to ask for, in millionths; 0 for nothing.
+        """Return the amount to request, in millionths of a credit unit; 0 for none.
 
-        Enough for the recent use over REFILL_TARGET_LEASES, asked for before what is available runs out.
+        Requests enough for REFILL_TARGET_LEASES of recent use, once the available amount falls below
+        REFILL_THRESHOLD_LEASES of it.
         """
         unknown = not account.known and account.answered_at is not None
         if unknown or self._recently_exhausted(account, now):
             return 0
-        # a charge is taken from one allotment: small remainders are of no use to one that found none
+        # A charge is reserved from a single allotment, so remainders smaller than it do not count.
         usable = sum(
             allotment.available
             for allotment in account.allotments
@@ -238,9 +244,9 @@
             return 0
         return max(at_once, math.ceil(account.use_per_second * lease * REFILL_TARGET_LEASES)) - usable
 
-    # -- the account's answers ----------------------------------------------------------------------------
+    # -- the ledger's answers -----------------------------------------------------------------------------
     def apply_grant(self, report: CustomerReport, grant: Grant, asked_at: timedelta, now: timedelta) -> None:
-        """Take in the account's answer to a report that was asked for at `asked_at`."""
+        """Process the ledger's answer to a report that was sent at `asked_at`."""
         account = self.accounts.get(report.customer)
         if account is None:
             return
@@ -267,26 +273,29 @@
                 self.spent_store.end(allotment.id)
 
     def _add_allotment(self, account: LocalAccount, grant: Grant, expires_at: timedelta) -> None:
-        # Guards the sum: a grant that cannot be recorded is closed by the next report.
+        # A grant that cannot be recorded is not used; the next report, which omits it, closes it.
         if not self.spent_store.begin(grant.allotment):
             return
         account.allotments.append(LocalAllotment(grant.allotment, grant.amount, expires_at))
         account.allotments.sort(key=lambda allotment: allotment.expires_at)
 
     def forget_report(self, report: CustomerReport) -> None:
-        """Note that the answer to a report is lost for good.
+        """Stop waiting for the answer to a report.
 
-        What that answer granted, if anything, is closed by the account on the next report, as unknown here.
+        If that answer granted an allotment, the ledger closes it on the next report, which does not list it.
 
         Args:
-            report: The report that was sent to the account.
+            report: The report that was sent.
         """
         account = self.accounts.get(report.customer)
         if account is not None:
             account.report_pending = False
 
     def final_reports(self) -> list[CustomerReport]:
-        """The reports of a head that shuts down; settlements are final where nothing is reserved."""
+        """Close all allotments for a shutdown and return the reports.
+
+        The settlement of an allotment is final if nothing is reserved from it.
+        """
         reports = []
         for account in self.accounts.values():
             for allotment in account.allotments:
--- a/stoatrouter/credit/gate.py
+++ b/stoatrouter/credit/gate.py
@@ -1,4 +1,4 @@
-"""Credit control for the core: reserves and settles each request's charge at this head's escrow. No I/O."""
+"""Credit control for the core: reserves and settles request charges at this head's escrow. No I/O."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def ranks(classes: Sequence[api.RequestClass], background: set[str]) -> tuple[Rank, ...]:
-    """Rank each request class by the order in which classes are paced under a low balance.
+    """Return the rank of each request class: the order in which classes are paced at a low balance.
 
-    The sets are the decision module's own (docs/design/heads.md).
+    Both arguments come from the decision module (docs/design/heads.md).
 
     Args:
         classes: The request classes of the decision module, in their order.
-        background: Names of the classes whose work can wait.
+        background: The names of the background classes, whose requests can wait.
 
     Returns:
         One rank for each class, in the order of `classes`.
@@ -34,7 +34,7 @@
 
 
 def rank_of(request_class: api.RequestClass, background: set[str]) -> Rank:
-    """The rank of one request class."""
+    """Return the rank of one request class."""
     if request_class.name in background:
         return Rank.DEFERRABLE
     return Rank.WRITE if request_class.writes else Rank.PROTECTED_READ
@@ -42,33 +42,34 @@
 
 @dataclass(slots=True)
 class UnownedCounts:
-    """Requests with a price, of volumes without a known customer, while the ledger was not current.
+    """Counts of requests with a price for volumes without a known customer while the ledger is not current.
 
     Attributes:
-        rejected: How many were rejected.
-        served: How many were admitted without a charge.
+        rejected: The number of rejected requests.
+        served: The number of requests admitted without a charge.
     """
 
     rejected: int = 0
     served: int = 0
 
     def copy(self) -> UnownedCounts:
-        """The counts as they are now."""
+        """Return a copy of the counts."""
         return replace(self)
 
 
 @dataclass(slots=True)
 class Gate:
-    """Admits and settles every request of every front.
+    """Admits and settles the requests of all fronts.
 
     Attributes:
-        escrow: Holds this head's allotments of customers' credit.
-        customer_of: The customer of a volume; None: the ledger, as this head has it, knows none.
-        prices: Of one unit of a request, by class.
-        ranks: The order in which classes are paced, by class.
-        freshness: What this head knows of the ledger at this very moment, also after a pause.
-        unknown_volumes: What becomes of volumes without a known customer while the ledger is not current.
-        unowned: What became of them since the start.
+        escrow: This head's allotments of customers' credit.
+        customer_of: Returns the customer of a volume; None if this head's copy of the ledger has none.
+        prices: The price of one unit, by request class.
+        ranks: The rank, by request class.
+        freshness: Returns the freshness of this head's copy of the ledger at the time of the call, so that a
+            paused process does not use an old value.
+        unknown_volumes: How to treat volumes without a known customer while the ledger is not current.
+        unowned: Counts of the requests treated in this way since the start.
     """
 
     escrow: HeadEscrow
@@ -80,7 +81,7 @@
     unowned: UnownedCounts = field(default_factory=UnownedCounts)
 
     def take(self, request: model.Request, now: timedelta) -> GateRejection | None:
-        """Reserve a request's charge; returns the rejection where that is not possible."""
+        """Reserve a request's charge; return a rejection if that is not possible, else None."""
         customer = self.customer_of(request.volume)
         charge = self._charge_of(request)
         if customer is None:
@@ -89,10 +90,10 @@
         return rejection_of(self.escrow.reserve(request.id, customer, charge, rank, now))
 
     def _admit_unowned(self) -> GateRejection | None:
-        """Admit a request that has a price, of a volume of which no customer is known, or reject it.
+        """Admit or reject a request that has a price, for a volume without a known customer.
 
-        Guards the sum: a ledger that is not current may lack the customer whose volume it is, and what is
-        served then is never charged. So nothing is free but by a ledger that is known to be current.
+        A ledger that is not current may lack the volume's customer, and a request served then is never
+        charged. So by default a volume counts as free only if the ledger is known to be current.
         """
         freshness = self.freshness()
         reason = reject_unowned(freshness, self.unknown_volumes)
@@ -108,14 +109,14 @@
         self.escrow.settle(request, may_have_run)
 
     def may_wait(self, request: model.Request, now: timedelta) -> bool:
-        """Whether it is worth a moment's wait for an allotment."""
+        """Return whether a request should wait for an allotment to be granted."""
         customer = self.customer_of(request.volume)
         charge = self._charge_of(request)
         return customer is not None and charge > 0 and self.escrow.may_wait(customer, charge, now)
 
     @contextmanager
     def waiting(self, request: model.Request) -> Iterator[None]:
-        """Count a request among those that wait for an allotment, while the context lasts."""
+        """Count a request as waiting for an allotment for the duration of the context."""
         customer = self.customer_of(request.volume)
         if customer is None:
             yield
@@ -128,7 +129,7 @@
             self.escrow.remove_waiting(customer, charge)
 
     def request_allotment(self, request: model.Request, now: timedelta) -> None:
-        """Ask for an allotment that is large enough for a request that waits."""
+        """Request an allotment that is large enough for a waiting request."""
         customer = self.customer_of(request.volume)
         if customer is not None:
             self.escrow.request_allotment(customer, self._charge_of(request), now)
@@ -138,7 +139,7 @@
 
 
 def rejection_of(rejection: Rejection | None) -> GateRejection | None:
-    """What the core answers and counts for a rejection; None where there is none."""
+    """Return the answer and the counter of a rejection for the core; None for no rejection."""
     if rejection is None:
         return None
     is_unknown = rejection.reason is RejectionReason.LEDGER_UNKNOWN
--- a/stoatrouter/credit/ledger.py
+++ b/stoatrouter/credit/ledger.py
@@ -1,15 +1,19 @@
-"""The account of each customer, the same at every head: what was paid in, charged, and granted to heads.
-
-One sentence for each promise. What is granted, charged and free is together what was paid in plus the
-overdraft, always. An allotment is granted only from what is free, so the sum of what heads charge never
-passes what was paid in plus the overdraft: not by a unit, as long as no disk forgets (docs/design/heads.md
-has what a lost machine adds, and what `refund_expired` does). An entry of one id is booked once. A head's
-final settlement of an allotment is booked once, however late.
-
-An allotment that has expired without a final settlement counts as spent: nobody else can know. Its head, when
-it is back, reports what was spent, and the rest goes back; if that head's disk lost it, all of it is charged,
-and an operator may refund it. Where a customer is marked `refund_expired`, it counts as unspent from its
-expiry on instead; then the sum may be passed by what failed heads had spent and not reported.
+"""The ledger: the replicated accounts of all customers, with payments, charges and allotments to heads.
+
+Invariants:
+
+- Granted, charged and free amounts always add up to the paid amount plus the overdraft.
+- An allotment is granted only from free credit. So the total that heads charge never exceeds the paid amount
+  plus the overdraft, as long as no disk loses data (docs/design/heads.md describes the effects of a lost
+  machine and of `refund_expired`).
+- An entry with one id is booked once.
+- A head's final settlement of an allotment is booked once, however late it arrives.
+
+An allotment that has expired without a final settlement counts as spent, because only its head knows what was
+spent. When that head returns it reports the spent amount, and the rest is released. If the head's disk has
+lost the allotment, all of it is charged, and an operator may refund it. For a customer with `refund_expired`
+the allotment counts as unspent from its expiry instead; the total may then be exceeded by what failed heads
+had spent without reporting it.
 """
 
 from __future__ import annotations
@@ -43,15 +47,15 @@
     Settlement,
 )
 
-MAX_ENTRIES = 50_000  # entries whose ids are known; beyond, the oldest are dropped
+MAX_ENTRIES = 50_000  # entries whose ids are retained; the oldest are dropped
 MAX_CUSTOMERS = 20_000
-CORRECTION = "correction"  # the kind of entry that may be negative (or 0)
+CORRECTION = "correction"  # the only kind of entry whose amount may be 0 or negative
 COMMAND_DECODER: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
 
 
 @dataclass(slots=True)
 class Ledger:
-    """Applies commands. Nothing here depends on when, where or by whom it is run."""
+    """Applies committed commands. The result depends only on the state and the command."""
 
     accounts: dict[str, Account] = field(default_factory=dict)
     entries: OrderedDict[str, Entry] = field(default_factory=OrderedDict)
@@ -60,27 +64,27 @@
     heads: dict[str, HeadRegistration] = field(default_factory=dict)
 
     def customer_of(self, volume: str) -> str | None:
-        """Whose volume it is; None: nobody's."""
+        """Return the customer that a volume belongs to; None if there is none."""
         return self.customer_by_volume.get(volume)
 
     def allotment(self, id: str) -> Allotment:
-        """An outstanding allotment; raises UnknownAllotment where there is none."""
+        """Return an outstanding allotment; raise UnknownAllotment if there is none with this id."""
         account = self._account_of_allotment(id)
         if account is None:
             raise UnknownAllotment(id)
         return account.outstanding[id]
 
     def registered_identity(self, head: str) -> str:
-        """The identity under which a head is registered; "" for none."""
+        """Return the identity under which a head is registered; "" if it is not registered."""
         registration = self.heads.get(head)
         return "" if registration is None else registration.identity
 
     def _account_of_allotment(self, id: str) -> Account | None:
         return self.accounts.get(self.customer_by_allotment.get(id, ""))
 
-    # -- a part of what the heads agree on ----------------------------------------------------------------
+    # -- a part of the replicated state machine -----------------------------------------------------------
     def apply(self, index: int, body: bytes) -> bytes:
-        """Apply one command; returns its answer, encoded."""
+        """Apply one committed command; return the encoded answer."""
         return msgspec.msgpack.encode(self._apply_command(index, COMMAND_DECODER.decode(body)))
 
     def _apply_command(self, index: int, command: Command) -> CommandResult | Grants:
@@ -99,13 +103,13 @@
                 return self.register_head(command)
 
     def state(self) -> bytes:
-        """All accounts, for a snapshot."""
+        """Encode the whole ledger for a snapshot."""
         return msgspec.msgpack.encode(
             LedgerSnapshot(list(self.accounts.values()), list(self.entries.values()), self.heads)
         )
 
     def restore(self, state: bytes) -> None:
-        """Replace everything by a snapshot's state; b"" is that of a fleet just founded."""
+        """Replace the whole ledger by a snapshot's state; b"" is the initial state of a new fleet."""
         snapshot = LedgerSnapshot([], [], {})
         if state:
             snapshot = msgspec.msgpack.decode(state, type=LedgerSnapshot)
@@ -121,7 +125,7 @@
 
     # -- operators ----------------------------------------------------------------------------------------
     def put_customer(self, command: PutCustomer) -> CommandResult:
-        """Create a customer, or change its settings."""
+        """Create a customer, or replace its settings."""
         if command.overdraft < 0 or command.low_water < 0:
             return CommandResult(False, "overdraft and low_water are 0 or more")
         account = self.accounts.get(command.name)
@@ -137,7 +141,7 @@
         return CommandResult(True, balance=account.balance)
 
     def _assign_volumes(self, account: Account, volumes: list[str]) -> None:
-        """Give a customer these volumes and no others; each is taken from whoever had it."""
+        """Set the volumes of a customer; each is removed from the customer that it belonged to."""
         for volume in account.volumes:
             del self.customer_by_volume[volume]
         account.volumes = volumes
@@ -147,7 +151,7 @@
             self.customer_by_volume[volume] = account.name
 
     def drop_customer(self, command: DropCustomer) -> CommandResult:
-        """Close a customer's account; it stays until nothing is outstanding."""
+        """Close a customer's account; it is removed once no allotment is outstanding."""
         account = self.accounts.get(command.name)
         if account is None:
             return CommandResult(False, f"there is no customer {command.name!r}")
@@ -157,12 +161,12 @@
         return CommandResult(True, balance=account.balance)
 
     def _remove_if_settled(self, account: Account) -> None:
-        """Remove a closed account once nothing of it is outstanding."""
+        """Remove a closed account without outstanding allotments."""
         if not account.open and not account.outstanding:
             self.accounts.pop(account.name, None)
 
     def book_entry(self, index: int, command: BookEntry) -> CommandResult:
-        """Book an entry, once under its id; `index` is the command's in the log."""
+        """Book an entry, once for each id; `index` is the log index of the command."""
         booked = self.entries.get(command.id)
         if booked is not None:
             return self._answer_duplicate(booked, command)
@@ -187,7 +191,7 @@
         return CommandResult(True, balance=account.balance)
 
     def _answer_duplicate(self, booked: Entry, command: BookEntry) -> CommandResult:
-        """The answer to an entry whose id is booked already: it must be the same entry."""
+        """Return the answer to an entry whose id was booked before: rejected unless the entry is the same."""
         account = self.accounts.get(command.customer)
         balance = account.balance if account is not None else 0
         same = (
@@ -200,17 +204,17 @@
 
     # -- heads --------------------------------------------------------------------------------------------
     def apply_report(self, index: int, command: CreditReport) -> Grants:
-        """Settle what a head reports of its customers, and grant what it wants, as far as there is credit.
+        """Settle the spending that a head reports, and grant the requested allotments if credit is free.
 
         Args:
-            index: The command's in the log; new allotments are named by it.
+            index: The log index of the command; it is part of the new allotments' ids.
             command: The report.
 
         Returns:
-            One grant for each customer; none where the report is ignored, as repeated, late or under another
-            identity than the registered one.
+            One grant for each customer; none if the report is ignored because it is repeated, late or under
+            another identity than the registered one.
         """
-        # Guards the sum: an older report than the latest one is ignored, in whatever order they come.
+        # A report older than the latest one must not be booked, in whatever order reports arrive.
         if not self._accept_report(command.head, command.identity, command.number):
             return Grants(())
         grants = []
@@ -222,7 +226,10 @@
         return Grants(tuple(grants))
 
     def _accept_report(self, head: str, identity: str, number: int) -> bool:
-        """Whether this is a report of the registered identity, later than its latest one; records it."""
+        """Record a report's number if it is the registered identity's and later than its latest report.
+
+        Returns whether it is.
+        """
         registration = self.heads.get(head, HeadRegistration(identity, -1))
         if identity != registration.identity or number <= registration.number:
             return False
@@ -230,14 +237,14 @@
         return True
 
     def settle(self, identity: str, settlement: Settlement) -> None:
-        """Charge what a head reports as spent. An allotment that is not outstanding was settled before."""
+        """Charge the spending that a head reports; one that is not outstanding was settled before."""
         account = self._account_of_allotment(settlement.allotment)
         if account is None:
             return
         allotment = account.outstanding.get(settlement.allotment)
         if allotment is None or allotment.identity != identity:
             return
-        # Guards the sum: a head spends no more than it was granted, whatever it reports, and takes none back.
+        # Bounds the charge: a report can neither exceed the granted amount nor reduce what was reported.
         spent = max(allotment.spent, min(settlement.spent, allotment.amount))
         account.charged += spent - allotment.spent
         allotment.spent = spent
@@ -245,7 +252,7 @@
             self._close(account, settlement.allotment)
 
     def close_unknown(self, identity: str, customer: str, known: tuple[str, ...]) -> None:
-        """Close allotments that their head does not know of: their grants were lost, so nothing was spent."""
+        """Close the allotments that are not among their head's: the grant was lost, so nothing was spent."""
         account = self.accounts.get(customer)
         if account is None:
             return
@@ -263,7 +270,7 @@
         self._remove_if_settled(account)
 
     def grant(self, id: str, command: CreditReport, report: CustomerReport) -> Grant:
-        """Grant an allotment under this id, as far as there is free credit."""
+        """Grant an allotment with this id if there is free credit."""
         account = self.accounts.get(report.customer)
         if account is None:
             return Grant(report.customer, "", 0, 0, 0, known=False)
@@ -277,7 +284,7 @@
         return Grant(account.name, allotment, amount, account.balance, account.low_water, account.open)
 
     def mark_expired(self, command: Expired) -> CommandResult:
-        """Note that allotments have expired."""
+        """Mark allotments as expired."""
         for id in command.allotments:
             account = self._account_of_allotment(id)
             if account is not None:
@@ -285,23 +292,24 @@
         return CommandResult(True)
 
     def register_head(self, command: RegisterHead) -> CommandResult:
-        """Register a head that started, perhaps with a new disk (a new identity).
+        """Register a head that has started, possibly with a new disk and so with a new identity.
 
-        What an earlier disk of the head had reserved is unknown from now on: it is charged (or refunded, for
-        a customer marked `refund_expired` once it has expired). What this disk does not know of was never
-        spent from, and is closed.
+        The spending of an earlier disk of the head is no longer known: its allotments are charged in full, or
+        refunded if they have expired and their customer has `refund_expired`. Allotments of this identity
+        that are not on its disk were never spent from, and are closed.
 
         Args:
-            command: The head, its disk's identity, the identity it takes over from, and the allotments
-                its disk knows of.
+            command: The head, its disk's identity, the identity that it replaces, and the allotments on its
+                disk.
 
         Returns:
-            `CommandResult(True)`; or `CommandResult(False, identity)` with the registered identity, where the
-            command's is neither that one nor takes over from it (a late command of an earlier disk).
+            `CommandResult(True)`; or `CommandResult(False, identity)` with the registered identity, if the
+            command's identity is not the registered one and does not replace it (a late command of an
+            earlier disk).
         """
         registration = self.heads.get(command.head, HeadRegistration("", -1))
         if command.identity:
-            # Guards a head against its own past: the registration of an earlier disk may come late.
+            # A late registration of an earlier disk must not replace that of the current one.
             if registration.identity not in (command.identity, command.predecessor):
                 return CommandResult(False, registration.identity)
             if command.identity == registration.identity and command.number <= registration.number:
@@ -313,7 +321,7 @@
         return CommandResult(True)
 
     def _close_lost(self, account: Account, command: RegisterHead) -> None:
-        """Close a customer's allotments that the head has lost; those of an earlier disk are charged."""
+        """Close a customer's allotments that the head no longer holds; charge those of an earlier disk."""
         for id, allotment in list(account.outstanding.items()):
             if allotment.head != command.head or id in command.allotments:
                 continue
--- a/stoatrouter/credit/ledger_freshness.py
+++ b/stoatrouter/credit/ledger_freshness.py
@@ -1,7 +1,7 @@
-"""What a head knows of the ledger, and what becomes of volumes without a known customer: one table, as code.
+"""The freshness of a head's copy of the ledger, and the treatment of volumes without a known customer.
 
-No I/O and no clock. A volume is free only where the ledger is known to be current: elsewhere it may have
-become a customer's since. The rows are in docs/design/heads.md.
+No I/O and no clock. A volume counts as free of charge only if the ledger is known to be current; otherwise it
+may have been assigned to a customer since. The decision table is in docs/design/heads.md.
 """
 
 from __future__ import annotations
@@ -14,28 +14,29 @@
 
 
 class LedgerFreshness(StrEnum):
-    """What a head knows of the ledger; the values are what operators see."""
+    """The freshness of a head's copy of the ledger; operators see the values."""
 
-    NEVER_HEARD = "never heard"  # no fleet yet, or a new disk that has fetched nothing
-    RESTORED = "restored"  # as it was committed at the head's last stop, not confirmed since
-    CURRENT = "current"  # all that was committed until a moment ago is applied
-    STALE = "stale"  # it was current, longer ago than `cut_off_after`
+    NEVER_HEARD = "never heard"  # no fleet exists yet, or a new disk has not fetched anything
+    RESTORED = "restored"  # loaded from disk as committed at the head's last stop, not confirmed since
+    CURRENT = "current"  # everything that was committed up to `cut_off_after` ago is applied
+    STALE = "stale"  # it was last current longer than `cut_off_after` ago
 
 
 class UnknownVolumes(Enum):
-    """What operators want of volumes without a known customer where the ledger is not current."""
+    """The setting for volumes without a known customer while the ledger is not current."""
 
     REJECT = "reject"
-    SERVE = "serve"  # free of charge, whoever's they may be
+    SERVE = "serve"  # free of charge, even if the volume belongs to a customer
 
 
 @dataclass(slots=True, frozen=True)
 class LedgerFacts:
-    """What a head knows of its copy of the ledger.
+    """The state of a head's copy of the ledger.
 
     Attributes:
-        index: Up to where the log is applied; 0: nothing ever was.
-        followed_age: How long ago all that was committed by then was applied; None: never since the start.
+        index: The index of the last applied log entry; 0 if there is none.
+        followed_age: The time since the head had last applied everything that was committed at that time;
+            None if it never had since its start.
     """
 
     index: int
@@ -43,11 +44,11 @@
 
 
 def freshness_of(facts: LedgerFacts, cut_off_after: timedelta) -> LedgerFreshness:
-    """Say what a head knows of the ledger.
+    """Return the freshness of a head's copy of the ledger.
 
     Args:
-        facts: What it knows of its copy.
-        cut_off_after: For how long a copy counts as current after it was last followed.
+        facts: The state of the copy.
+        cut_off_after: The maximum `followed_age` of a current copy.
     """
     if facts.followed_age is None:
         return LedgerFreshness.RESTORED if facts.index else LedgerFreshness.NEVER_HEARD
@@ -55,7 +56,7 @@
 
 
 def reject_unowned(freshness: LedgerFreshness, unknown_volumes: UnknownVolumes) -> RejectionReason | None:
-    """Decide on a request that has a price, of a volume whose customer is not known; None: it is served."""
+    """Return why to reject a request with a price for a volume without a known customer; None to serve it."""
     if freshness is LedgerFreshness.CURRENT or unknown_volumes is UnknownVolumes.SERVE:
         return None
     return RejectionReason.LEDGER_UNKNOWN
--- a/stoatrouter/credit/local_account.py
+++ b/stoatrouter/credit/local_account.py
@@ -1,6 +1,6 @@
-"""What one head holds of one customer's credit: its allotments, its reservations, and the pace of requests.
+"""The state of one customer at one head: its allotments, their reservations, and the pacing of requests.
 
-Amounts are whole millionths of a credit unit; times are on the head's monotonic clock.
+Amounts are integers, in millionths of a credit unit; times are on the head's monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from stoatrouter.credit.records import Settlement
 
 NO_TIME = timedelta(0)
-USE_AVERAGING_SPAN = timedelta(seconds=2)  # the span over which recent use is averaged
-MAX_RETRY_IN = timedelta(seconds=5)  # the longest wait that a rejection advises
-ROUNDING_TOLERANCE = 1e-9  # of a request: what sums of quotas may be off by
-MIN_REQUEST_RATE = 0.01  # requests a second, so that a wait advised to a rare class stays finite
+USE_AVERAGING_SPAN = timedelta(seconds=2)  # the time constant of the averages of recent use
+MAX_RETRY_IN = timedelta(seconds=5)  # the longest retry delay that a rejection suggests
+ROUNDING_TOLERANCE = 1e-9  # in requests; the rounding error allowed in sums of quotas
+MIN_REQUEST_RATE = 0.01  # requests per second; keeps the retry delay of a rarely used class finite
 
 
 class Rank(IntEnum):
-    """The order in which request classes are paced under a low balance, the first to narrow first."""
+    """The order in which request classes are paced at a low balance; the lowest rank is paced first."""
 
-    DEFERRABLE = 0  # work that can wait
+    DEFERRABLE = 0  # background work
     WRITE = 1
     PROTECTED_READ = 2
 
 
 class RejectionReason(StrEnum):
-    """Why this head rejects a request's charge; the values are the texts of earlier versions."""
+    """Why this head rejects a request's charge; the texts are those of earlier versions."""
 
     CUT_OFF = "this head is cut off, and what it held is spent or has expired"
     UNKNOWN_CUSTOMER = "there is no such customer"
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """A request whose charge is not reserved.
+    """The rejection of a request whose charge was not reserved.
 
     Attributes:
-        retry_in: After which time a retry may help; None where that is not known.
-        reason: Why.
+        retry_in: The delay after which a retry may succeed; None if unknown.
+        reason: Why the charge was not reserved.
     """
 
     retry_in: timedelta | None
@@ -54,61 +54,61 @@
 
 @dataclass(slots=True)
 class LocalAllotment:
-    """One allotment as this head has it: size, expiry on this head's clock, what is spent and reserved."""
+    """An allotment at the head that holds it; it expires on that head's clock."""
 
     id: str
     amount: int
     expires_at: timedelta
     spent: int = 0
     reserved: int = 0
-    acknowledged_spent: int = 0  # spent, as the account was last notified
-    closing: bool = False  # nothing more is reserved from it
+    acknowledged_spent: int = 0  # the spent amount last acknowledged by the ledger
+    closing: bool = False  # no further charges are reserved from it
 
     @property
     def available(self) -> int:
-        """What may still be reserved from it."""
+        """Return the amount that may still be reserved."""
         return 0 if self.closing else self.amount - self.spent - self.reserved
 
     @property
     def exhausted(self) -> bool:
-        """Whether nothing can be reserved from it any more."""
+        """Return whether all of it is spent or reserved."""
         return self.available <= 0 and self.spent + self.reserved >= self.amount
 
 
 @dataclass(slots=True)
 class LocalAccount:
-    """One customer's account as this head knows it."""
+    """A customer's account as this head knows it."""
 
     customer: str
-    allotments: list[LocalAllotment] = field(default_factory=list)  # the first to expire first
+    allotments: list[LocalAllotment] = field(default_factory=list)  # in order of expiry
     balance: int = 0
     low_water: int = 0
-    known: bool = True
-    answered_at: timedelta | None = None  # when the account last answered
-    exhausted_at: timedelta | None = None  # when the account last had nothing to grant
-    report_pending: bool = False  # a report is sent and not answered
-    largest_unmet: int = 0  # the largest charge that lately found no allotment
-    unmet_at: timedelta = NO_TIME  # when it found none
-    waiting: int = 0  # the charges of all requests that wait for an allotment now
-    use_per_second: float = 0.0  # millionths, averaged over USE_AVERAGING_SPAN
-    used_at: timedelta = NO_TIME
-    request_rates: list[float] = field(default_factory=lambda: [0.0] * len(Rank))  # a second, by rank
-    pace_tokens: list[float] = field(default_factory=lambda: [1.0] * len(Rank))  # by rank; 1 admits one
-
-    # -- the pace of requests -----------------------------------------------------------------------------
+    known: bool = True  # whether the ledger has an open account for the customer
+    answered_at: timedelta | None = None  # when the ledger last answered a report
+    exhausted_at: timedelta | None = None  # when the ledger last had nothing to grant
+    report_pending: bool = False  # a report was sent and not answered
+    largest_unmet: int = 0  # the largest recent charge that no allotment could cover
+    unmet_at: timedelta = NO_TIME  # the time of that charge
+    waiting: int = 0  # the total charge of all requests waiting for an allotment
+    use_per_second: float = 0.0  # millionths of a credit unit, averaged over USE_AVERAGING_SPAN
+    used_at: timedelta = NO_TIME  # the time of the latest request
+    request_rates: list[float] = field(default_factory=lambda: [0.0] * len(Rank))  # per second, by rank
+    pace_tokens: list[float] = field(default_factory=lambda: [1.0] * len(Rank))  # by rank; a request takes 1
+
+    # -- pacing of requests -------------------------------------------------------------------------------
     def funded_fraction(self) -> float:
-        """How far the account is above nothing, of its low-water mark: at 1 requests are not paced."""
+        """Return the balance as a fraction of the low-water mark, 0 to 1; at 1 requests are not paced."""
         if self.answered_at is None or self.low_water <= 0:
             return 1.0
         return max(0.0, min(1.0, self.balance / self.low_water))
 
     def quota(self, rank: int) -> float:
-        """The fraction of a rank's requests that is admitted: the lowest rank narrows first."""
+        """Return the fraction of a rank's requests to admit; it falls for the lowest rank first."""
         ranks = len(Rank)
         return max(0.0, min(1.0, ranks * self.funded_fraction() - (ranks - 1 - rank)))
 
     def count_request(self, charge: int, rank: int, now: timedelta) -> None:
-        """Count a request, admitted or not: allotments follow the demand."""
+        """Count a request, admitted or not; the size of requested allotments follows the demand."""
         periods = (now - self.used_at) / USE_AVERAGING_SPAN
         decay = math.exp(-max(0.0, periods))
         averaged_over = USE_AVERAGING_SPAN.total_seconds()
@@ -118,43 +118,43 @@
         self.used_at = now
 
     def count_unmet(self, charge: int, now: timedelta) -> None:
-        """Count a charge that finds no allotment: what is asked for next is enough for the largest."""
+        """Record a charge that no allotment can cover; the next requested amount covers the largest one."""
         self.forget_unmet(now)
         if charge >= self.largest_unmet:
             self.largest_unmet, self.unmet_at = charge, now
 
     def forget_unmet(self, now: timedelta) -> None:
-        """Forget a charge that found no allotment long ago: nobody waits for one any more."""
+        """Drop an uncovered charge older than USE_AVERAGING_SPAN: no request waits for it any more."""
         if now - self.unmet_at > USE_AVERAGING_SPAN:
             self.largest_unmet = 0
 
     def pace(self, rank: int) -> Rejection | None:
-        """Admit a request by its rank's quota, evenly spread; None where it is admitted."""
+        """Admit the quota of a rank's requests, evenly spread; return None if this one is admitted."""
         quota = self.quota(rank)
         if quota >= 1.0:
             return None
         if quota <= 0.0:
             return Rejection(None, RejectionReason.LOWER_PRIORITY_SHED)
         self.pace_tokens[rank] += quota
-        # Guards the advice: fractions that add up to a whole may be short of it by a rounding error, and the
-        # rest would be a wait of nothing.
+        # Quotas that add up to 1 may fall short of it by a rounding error; without the tolerance the request
+        # would be rejected with a retry delay of almost 0.
         if self.pace_tokens[rank] >= 1.0 - ROUNDING_TOLERANCE:
             self.pace_tokens[rank] = max(0.0, self.pace_tokens[rank] - 1.0)
             return None
-        missing = (1.0 - self.pace_tokens[rank]) / quota  # requests until the next is admitted
+        missing = (1.0 - self.pace_tokens[rank]) / quota  # requests until the next one is admitted
         wait = timedelta(seconds=missing / max(self.request_rates[rank], MIN_REQUEST_RATE))
         return Rejection(min(wait, MAX_RETRY_IN), RejectionReason.PACED)
 
     # -- allotments ---------------------------------------------------------------------------------------
     def allotment_ids(self) -> tuple[str, ...]:
-        """The ids of all allotments, the first to expire first."""
+        """Return the ids of all allotments, in order of expiry."""
         return tuple(allotment.id for allotment in self.allotments)
 
     def close_allotments(self, now: timedelta, idle: bool) -> list[Settlement]:
-        """Close what has expired, is exhausted, or is not needed by an idle customer.
+        """Close allotments that have expired, are exhausted, or belong to an idle customer.
 
         Returns:
-            The final settlements of closing allotments; one that has reservations waits for them.
+            The final settlements of closing allotments without reservations.
         """
         settlements = []
         for allotment in self.allotments:
@@ -166,7 +166,7 @@
         return settlements
 
     def unreported_spending(self) -> list[Settlement]:
-        """Settlements of open allotments that were spent from since the account was last notified."""
+        """Return settlements of open allotments whose spending the ledger has not acknowledged."""
         return [
             Settlement(allotment.id, allotment.spent, final=False)
             for allotment in self.allotments
@@ -176,7 +176,7 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """What one request may be charged, and to which allotment."""
+    """A request's reserved charge, and the allotment that it is reserved from."""
 
     allotment: LocalAllotment
     charge: int
--- a/stoatrouter/credit/records.py
+++ b/stoatrouter/credit/records.py
@@ -1,32 +1,33 @@
-"""The commands that heads send to the accounts, and the answers. Amounts: whole millionths of a credit unit.
+"""The ledger's commands and answers. Amounts are integers, in millionths of a credit unit.
 
-The commands go between heads and into the agreed log on disk, the answers back to the head that asked.
-All are msgpack arrays (`array_like`): fields are encoded by position, never by name, and commands by
-their explicit `tag`. A new field goes at the end, with a default, so that older bytes still decode.
+Commands are sent between heads and stored in the log on disk; answers are sent back to the head that asked.
+All are msgpack arrays (`array_like`): fields are encoded by position, not by name, and commands are
+identified by their explicit `tag`. A new field goes at the end, with a default, so that older bytes still
+decode.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-MILLION = 1_000_000  # of a credit unit
+MILLION = 1_000_000  # millionths in a credit unit
 
 
 class PutCustomer(msgspec.Struct, frozen=True, array_like=True, tag="customer"):
-    """Create a customer, or change its settings. Its volumes are taken from whoever had them."""
+    """Create a customer, or replace its settings; its volumes are removed from other customers."""
 
     name: str
     volumes: tuple[str, ...]
     overdraft: int = 0
-    low_water: int = 0  # under this requests are paced
-    refund_expired: bool = False  # an allotment of a failed head counts as unspent once it has expired
+    low_water: int = 0  # requests are paced while the balance is below it
+    refund_expired: bool = False  # an allotment that has expired unsettled counts as unspent
     by: str = ""
     why: str = ""
     when: str = ""
 
 
 class DropCustomer(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """Close a customer's account: nothing more is granted; outstanding allotments are still settled."""
+    """Close a customer's account: no more grants; outstanding allotments are still settled."""
 
     name: str
     by: str = ""
@@ -35,11 +36,11 @@
 
 
 class BookEntry(msgspec.Struct, frozen=True, array_like=True, tag="book"):
-    """A top-up, correction or refund; its id is an idempotency key."""
+    """Book a top-up, correction or refund."""
 
-    id: str
+    id: str  # the idempotency key
     customer: str
-    amount: int  # more than 0, except in a correction
+    amount: int  # greater than 0, except in a correction
     kind: str
     by: str
     why: str
@@ -47,12 +48,12 @@
 
 
 class Settlement(msgspec.Struct, frozen=True, array_like=True):
-    """What was spent of one allotment.
+    """The spending reported for one allotment.
 
     Attributes:
-        allotment: The id of the allotment, as the grant gave it.
-        spent: What was spent of it in all, in millionths of a credit unit.
-        final: Whether nothing more will be spent of it: the account takes the rest back.
+        allotment: The id of the allotment, from its grant.
+        spent: The total amount spent from it, in millionths of a credit unit.
+        final: Whether nothing more will be spent from it; the rest is then released.
     """
 
     allotment: str
@@ -61,15 +62,15 @@
 
 
 class CustomerReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one head reports of one customer: what was spent, and how much more is wanted.
+    """One head's report for one customer: its spending, and the requested amount.
 
     Attributes:
         customer: The customer's name.
-        allotments: The ids of all its allotments at this head; the account closes, unspent, any other one
-            that it granted to this head's identity (its grant never reached the head).
-        settlements: What was spent of some of them.
-        wanted: How much more the head asks for, in millionths of a credit unit; 0 for nothing.
-        min_useful: The smallest grant of use to the head (its largest waiting charge), in millionths.
+        allotments: The ids of all the customer's allotments at this head; the ledger closes, as unspent, any
+            other one that was granted to this head's identity (its grant never reached the head).
+        settlements: The spending from some of them.
+        wanted: The requested amount, in millionths of a credit unit; 0 for none.
+        min_useful: The smallest useful grant (the head's largest waiting charge), in millionths.
     """
 
     customer: str
@@ -80,12 +81,12 @@
 
 
 class CreditReport(msgspec.Struct, frozen=True, array_like=True, tag="turns"):
-    """What one head reports of its customers, in one command.
+    """The reports of one head for its customers, in one command.
 
     Attributes:
         head: The name of the head.
         identity: The identity of its disk.
-        number: Grows with each command of this identity; a repeated or late one does nothing.
+        number: Increases with each command of this identity; a repeated or late command is ignored.
         reports: One for each customer with something to report.
     """
 
@@ -96,20 +97,20 @@
 
 
 class Expired(msgspec.Struct, frozen=True, array_like=True, tag="expired"):
-    """The leader reports that these allotments have expired."""
+    """Mark allotments as expired; proposed by the leader."""
 
     allotments: tuple[str, ...]
 
 
 class RegisterHead(msgspec.Struct, frozen=True, array_like=True, tag="begin"):
-    """A head started. What it had reserved under an earlier disk is unknown from now on.
+    """Register a head that has started. The spending of an earlier disk of it is no longer known.
 
     Attributes:
         head: The name of the head.
         identity: The identity of its disk; "" for none.
-        predecessor: The identity that it takes over from, as far as it knows; "" for none.
+        predecessor: The identity that it replaces, as far as the head knows; "" for none.
         number: The number of this command, as in `CreditReport`.
-        allotments: The ids of the allotments that its disk knows of.
+        allotments: The ids of the allotments recorded on its disk.
     """
 
     head: str
@@ -124,15 +125,15 @@
 
 # -- answers ----------------------------------------------------------------------------------------------
 class Grant(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to one customer's report: a new allotment, perhaps, and the state of the account.
+    """The answer to one customer's report: a new allotment, if any, and the state of the account.
 
     Attributes:
         customer: The customer's name.
         allotment: The id of the new allotment; "" for none.
         amount: Its size, in millionths of a credit unit.
-        balance: What is not charged yet, the overdraft and outstanding allotments counted in, in millionths.
-        low_water: The customer's low-water mark, in millionths: under it, requests are paced.
-        known: Whether the account is open; False where there is no such customer.
+        balance: The uncharged amount, including the overdraft and outstanding allotments, in millionths.
+        low_water: The customer's low-water mark, in millionths; below it, requests are paced.
+        known: Whether the customer exists and its account is open.
     """
 
     customer: str
@@ -144,7 +145,7 @@
 
 
 class Grants(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a CreditReport: one grant for each customer, in order; none where it was ignored."""
+    """The answer to a CreditReport: one grant for each customer, in order; none if it was ignored."""
 
     grants: tuple[Grant, ...]
 
@@ -154,9 +155,9 @@
 
     Attributes:
         ok: Whether the command was applied.
-        reason: Why not; to RegisterHead, the identity that is registered instead.
+        reason: Why it was not applied; for RegisterHead, the identity that is registered instead.
         balance: The balance of the customer's account, in millionths of a credit unit.
-        repeated: Whether the entry had been booked before.
+        repeated: Whether an entry with the same id was booked before.
     """
 
     ok: bool
@@ -166,7 +167,7 @@
 
 
 def charge_of(units: float, price: int) -> int:
-    """Return what a request costs, in millionths of a credit unit, rounded up.
+    """Return the price of a request, in millionths of a credit unit, rounded up.
 
     Args:
         units: The request's units of work, as the decision module counts them.
--- a/stoatrouter/history/__init__.py
+++ b/stoatrouter/history/__init__.py
@@ -1,6 +1,6 @@
-"""The shared history of routing rules: versions, edits, undo, and when a version is activated.
+"""The replicated history of routing rules: versions, edits, undos and activation.
 
-Pure decisions and state, the same at every head: no socket, no file, no clock. `rule_history` is the state
-machine that the heads' log drives, `activation` the leader's decision about a pending version, `records` the
-commands and their results, `stored_version` the form of the version on a head's disk.
+The package does no I/O and reads no clock. `rule_history` is the state machine to which commands from the
+log are applied, `activation` decides at the leader about a pending version, `records` defines the commands
+and their results, and `stored_version` encodes the version that a head stores on its disk.
 """
--- a/stoatrouter/history/records.py
+++ b/stoatrouter/history/records.py
@@ -1,8 +1,7 @@
-"""Commands to the history of rules, their results, and the versions it holds.
+"""The commands and results of the rule history, and its versions.
 
-Structs are encoded as msgpack arrays (`array_like`), by the position of their fields,
-into the heads' log and its snapshots on disk: new fields go at the end, with a default. A set of rule files
-is handled as one unit, named by its digest.
+Structs are encoded into the log and its snapshots as msgpack arrays (`array_like`), by field position: a new
+field goes at the end, with a default. A set of rule files is handled as a unit and identified by its digest.
 """
 
 from __future__ import annotations
@@ -13,45 +12,45 @@
 
 import msgspec
 
-COMPRESSION_LEVEL = 6  # of zlib
+COMPRESSION_LEVEL = 6  # for zlib
 DIGEST_SIZE = 16  # bytes
 
 
 class RuleSet(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's rule file and the teams' files, as one set."""
+    """The operator's rule file together with the teams' files."""
 
-    root: str  # name of the operator's file
-    files: dict[str, str]  # text by name
+    root: str  # the name of the operator's file
+    files: dict[str, str]  # contents by file name
 
 
 def pack_rule_set(rule_set: RuleSet) -> bytes:
-    """Encode and compress a set; equal sets give equal bytes."""
+    """Encode and compress a rule set; equal sets give equal bytes."""
     files = {name: rule_set.files[name] for name in sorted(rule_set.files)}
     return zlib.compress(msgspec.msgpack.encode(RuleSet(rule_set.root, files)), COMPRESSION_LEVEL)
 
 
 def unpack_rule_set(packed: bytes) -> RuleSet:
-    """Decode a packed set.
+    """Decompress and decode a packed rule set.
 
     Raises:
-        zlib.error: The bytes are not compressed data.
-        msgspec.MsgspecError: They hold no rule set.
+        zlib.error: The bytes are not valid compressed data.
+        msgspec.MsgspecError: The decompressed data is not a rule set.
     """
     return msgspec.msgpack.decode(zlib.decompress(packed), type=RuleSet)
 
 
 def digest_rule_set(rule_set: RuleSet) -> str:
-    """Name a set by its content: the BLAKE2b digest, in hexadecimal, of its root and sorted files."""
+    """Return the BLAKE2b digest of a rule set's root and sorted files, in hexadecimal."""
     files = sorted(rule_set.files.items())
     return hashlib.blake2b(repr((rule_set.root, files)).encode(), digest_size=DIGEST_SIZE).hexdigest()
 
 
 # -- commands ---------------------------------------------------------------------------------------------
 class Edit(msgspec.Struct, frozen=True, array_like=True, tag="edit"):
-    """Asks for a rule set to become the next version."""
+    """Requests that a rule set become the next version."""
 
-    id: str  # the caller's idempotency key
-    base: int  # the version that the edit was made against; 0: none
+    id: str  # the idempotency key, chosen by the caller
+    base: int  # the version that the edit is based on; 0 for none
     digest: str
     packed_rules: bytes
     author: str
@@ -60,16 +59,17 @@
 
 
 class Undo(msgspec.Struct, frozen=True, array_like=True, tag="undo"):
-    """Asks for the rules that were in force before a version, or at a named one."""
+    """Requests the rules that were in force before a version, or those of a given version."""
 
-    id: str  # the caller's idempotency key
+    id: str  # the idempotency key, chosen by the caller
     version: int  # the version to undo
-    to: int  # the version to return to where others have edited since; 0: not named
+    to: int  # the version to restore, needed if there are later edits; 0 if not given
     author: str
     reason: str
     when: str  # ISO 8601, UTC
-    # Whether later versions that cancel each other out count as no edit. Undos in logs of before December
-    # 2026 do not set it: they are applied as they were then, so that every head reaches the same state.
+    # Whether later versions that cancel each other out are not counted as edits. Undos in logs from before
+    # December 2026 do not set it; they must be applied as they were then, so that all heads reach the same
+    # state.
     skip_cancelled: bool = False
 
 
@@ -77,7 +77,7 @@
     """The leader activates the pending version."""
 
     number: int
-    retained_versions: int  # how many versions the history holds from now on
+    retained_versions: int  # the number of versions to retain
 
 
 class Abandon(msgspec.Struct, frozen=True, array_like=True, tag="abandon"):
@@ -95,13 +95,13 @@
     """The result of a command."""
 
     accepted: bool
-    number: int = 0  # the version that the command made or concerned
-    reason: str = ""  # why it was rejected
+    number: int = 0  # the version that the command created or refers to
+    reason: str = ""  # why the command was rejected
     newest: int = 0  # the version in force
 
 
 class VersionKind(enum.StrEnum):
-    """Which command made a version."""
+    """The kind of command that created a version."""
 
     EDIT = "edit"
     UNDO = "undo"
@@ -112,10 +112,10 @@
 
     number: int
     kind: VersionKind
-    id: str  # of the edit or undo that made it
-    digest: str  # of its rule set; "" for an undo that abandoned a pending version
-    base: int  # the version an edit was made against; for an undo, the version in force at that time
-    undoes: int  # the version an undo undoes; 0 for an edit
+    id: str  # the id of the edit or undo
+    digest: str  # the digest of the rule set; "" for an undo that abandoned a pending version
+    base: int  # the version that an edit is based on; for an undo, the version in force at that time
+    undoes: int  # the version that an undo undoes; 0 for an edit
     restores: int  # the version whose rule set an undo restores; 0 for an edit
     author: str
     reason: str
@@ -123,7 +123,7 @@
 
 
 class AbandonedVersion(msgspec.Struct, frozen=True, array_like=True):
-    """A version that never came into force, and why."""
+    """A version that was never in force, and the reason."""
 
     version: Version
     reason: str
--- a/stoatrouter/history/rule_history.py
+++ b/stoatrouter/history/rule_history.py
@@ -1,8 +1,9 @@
 """The versions of the rules as a replicated state machine: every head applies the same commands.
 
-Version numbers only go up; an undo makes a new version. One version at a time is pending: until it is
-activated or abandoned, edits are rejected, as are edits against a version that is not the newest, so of two
-concurrent edits one wins. A command's id is an idempotency key. Undoing the pending version abandons it.
+Version numbers only increase; an undo creates a new version. At most one version is pending. Until it is
+activated or abandoned, further edits are rejected, as are edits that are not based on the newest version, so
+one of two concurrent edits succeeds. A command's id is an idempotency key. Undoing the pending version
+abandons it.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
     VersionKind,
 )
 
-MAX_VERSIONS_NAMED = 20  # in a rejection; of further ones it says how many there are
-MAX_ABANDONED = 200  # abandoned versions that are remembered; beyond, the oldest are forgotten
+MAX_VERSIONS_NAMED = 20  # versions listed in a rejection; only the number of further ones is given
+MAX_ABANDONED = 200  # retained abandoned versions; the oldest are dropped
 
 _COMMAND_DECODER: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
 
 
 class HistorySnapshot(msgspec.Struct, array_like=True):
-    """The state of the history, as a snapshot of the heads' log stores it."""
+    """The state of the history, as a snapshot stores it."""
 
     versions: list[Version]
     packed_rule_sets: dict[str, bytes]
@@ -44,25 +45,25 @@
 
 @dataclass(slots=True)
 class RuleHistory:
-    """All versions that the history holds, the pending one, and those abandoned of late."""
+    """The retained versions, the pending version, and the latest abandoned versions."""
 
-    versions: list[Version] = field(default_factory=list)  # that came into force, the newest last
+    versions: list[Version] = field(default_factory=list)  # activated versions, the newest last
     packed_rule_sets: dict[str, bytes] = field(default_factory=dict)  # by digest
     pending: Version | None = None
-    abandoned: OrderedDict[str, AbandonedVersion] = field(default_factory=OrderedDict)  # by id
-    last_number: int = 0  # the highest number that was assigned
-    last_dropped: int = 0  # the newest version that is past the history's end
+    abandoned: OrderedDict[str, AbandonedVersion] = field(default_factory=OrderedDict)  # by command id
+    last_number: int = 0  # the highest version number that was assigned
+    last_dropped: int = 0  # the newest version that is no longer retained
 
-    # -- a part of the heads' replicated state machine ----------------------------------------------------
+    # -- a part of the replicated state machine -----------------------------------------------------------
     def apply(self, index: int, body: bytes) -> bytes:
-        """Apply one committed command; returns its encoded CommandResult.
+        """Apply one committed command; return the encoded CommandResult.
 
         Args:
-            index: The command's index in the log.
+            index: The log index of the command.
             body: The encoded command.
 
         Raises:
-            msgspec.MsgspecError: The body is no command.
+            msgspec.MsgspecError: The body is not a valid command.
         """
         return msgspec.msgpack.encode(self._dispatch(_COMMAND_DECODER.decode(body)))
 
@@ -91,7 +92,7 @@
         )
 
     def restore(self, state: bytes) -> None:
-        """Replace the whole history by a snapshot's state; b"" is the state of a fleet just founded."""
+        """Replace the whole history by a snapshot's state; b"" is the initial state of a new fleet."""
         snapshot = HistorySnapshot([], {}, None, [], 0, 0)
         if state:
             snapshot = msgspec.msgpack.decode(state, type=HistorySnapshot)
@@ -102,25 +103,25 @@
         self.last_number = snapshot.last_number
         self.last_dropped = snapshot.last_dropped
 
-    # -- look-ups -----------------------------------------------------------------------------------------
+    # -- lookups ------------------------------------------------------------------------------------------
     @property
     def newest(self) -> int:
-        """The number of the version in force; 0: none ever came into force."""
+        """Return the number of the version in force; 0 if no version was ever activated."""
         return self.versions[-1].number if self.versions else 0
 
     def find_version(self, number: int) -> Version | None:
-        """Find a version that came into force; None where the history does not hold it."""
+        """Return a retained activated version; None if there is none with this number."""
         return next((version for version in self.versions if version.number == number), None)
 
     def find_by_id(self, id: str) -> Version | None:
-        """Find the version that an id made; None where it was not accepted or is abandoned."""
+        """Return the version created by a command; None if it was not accepted or is abandoned."""
         if self.pending is not None and self.pending.id == id:
             return self.pending
         return next((version for version in self.versions if version.id == id), None)
 
     # -- commands -----------------------------------------------------------------------------------------
     def edit(self, edit: Edit) -> CommandResult:
-        """Make an edit the pending version, where it was made against the newest one."""
+        """Make an edit the pending version if it is based on the newest version."""
         if (earlier := self._earlier_result(edit.id)) is not None:
             return earlier
         if self.pending is not None:
@@ -132,7 +133,7 @@
         return self._propose(edit, edit.digest, base=edit.base)
 
     def undo(self, undo: Undo) -> CommandResult:
-        """Restore the rules before a version, where nobody has edited since, or those of a named version."""
+        """Restore the rules before a version if there are no later edits, or those of a given version."""
         if (earlier := self._earlier_result(undo.id)) is not None:
             return earlier
         if self.pending is not None:
@@ -144,14 +145,14 @@
         return self._undo_version(undo)
 
     def _return_to(self, undo: Undo) -> CommandResult:
-        """Restore the version that an undo names."""
+        """Restore the version given in an undo."""
         restored = self.find_version(undo.to)
         if restored is None:
             return self._reject(f"version {undo.to} is not in the history{self._history_start()}")
         return self._propose_undo(undo, restored)
 
     def _undo_version(self, undo: Undo) -> CommandResult:
-        """Restore what was in force before the undone version."""
+        """Restore the version that was in force before the undone one."""
         position = next((i for i, v in enumerate(self.versions) if v.number == undo.version), None)
         if position is None:
             return self._reject(f"version {undo.version} is not in the history{self._history_start()}")
@@ -168,15 +169,15 @@
         return self._propose_undo(undo, self.versions[position - 1])
 
     def _changes_since(self, position: int) -> list[Version]:
-        """List what has changed the rules since a version and is not undone.
+        """Return the later versions whose changes of the rules have not been undone.
 
-        An edit whose undo is in force too leaves nothing, nor does anything between them.
+        An edit and its undo are left out, with everything between them.
         """
         origins = self._find_origins()
         changes: dict[int, Version] = {}  # by origin, in order
         for version in self.versions[position:]:
             origin = origins[version.number]
-            if origin in changes:  # what was in force then is in force again
+            if origin in changes:  # the rules of that version are in force again
                 while next(reversed(changes)) != origin:
                     changes.popitem()
             else:
@@ -184,20 +185,21 @@
         return list(changes.values())[1:]
 
     def _find_origins(self) -> dict[int, int]:
-        """Find for each version the edit whose rule set it has.
+        """Return the origin of each version: the edit that introduced its rule set.
 
-        An edit's origin is itself, an undo's that of the version it restores. Equal rule sets of two edits
-        have two origins: undoing one must not undo the other.
+        An edit is its own origin; an undo has the origin of the version that it restores. Two edits with
+        equal rule sets have different origins, because undoing one must not undo the other.
         """
         origins: dict[int, int] = {}
         for version in self.versions:
-            # what is past the history's end stands for itself: then less is known to cancel out, never more
+            # A version that is no longer retained is its own origin. This can only make fewer versions cancel
+            # out, never more.
             restored = origins.get(version.restores, version.restores)
             origins[version.number] = restored if version.kind is VersionKind.UNDO else version.number
         return origins
 
     def _earlier_result(self, id: str) -> CommandResult | None:
-        """The result of an earlier command with the same id; None where there was none."""
+        """Return the result of an earlier command with the same id; None if there was none."""
         version = self.find_by_id(id)
         if version is None and (entry := self.abandoned.get(id)) is not None:
             version = entry.version
@@ -226,7 +228,7 @@
     def _number_version(
         self, command: Edit | Undo, digest: str, base: int, undoes: int, restores: int
     ) -> Version:
-        """Make a version of a command, under the next number."""
+        """Create the version of a command, with the next number."""
         self.last_number += 1
         kind = VersionKind.EDIT if isinstance(command, Edit) else VersionKind.UNDO
         return Version(
@@ -243,7 +245,7 @@
         )
 
     def _cancel_pending(self, pending: Version, undo: Undo) -> CommandResult:
-        """Abandon the pending version on an operator's request; the rules in force stay."""
+        """Abandon the pending version at an operator's request; the rules in force do not change."""
         self._abandon_pending(pending, f"taken back by {undo.author}: {undo.reason}")
         cancelling = self._number_version(undo, "", self.newest, pending.number, self.newest)
         reason = f"version {pending.number} was taken back before it was in force"
@@ -261,7 +263,7 @@
             self.abandoned.popitem(last=False)
 
     def activate(self, command: Activate) -> CommandResult:
-        """Put the pending version in force, and drop the oldest beyond the retained ones."""
+        """Put the pending version in force, and drop the oldest versions that are not to be retained."""
         if self.pending is None or self.pending.number != command.number:
             return self._reject(f"version {command.number} is not being put in force")
         self.versions.append(self.pending)
@@ -288,7 +290,7 @@
 
 
 def name_versions(versions: Sequence[Version]) -> str:
-    """Name versions with their authors for a rejection: the first ones, and how many more there are."""
+    """Return a text for a rejection that lists versions with their authors, limited to the first ones."""
     names = ", ".join(f"{version.number} by {version.author}" for version in versions[:MAX_VERSIONS_NAMED])
     more = len(versions) - MAX_VERSIONS_NAMED
     return f"{names} and {more} more" if more > 0 else names
--- a/stoatrouter/history/stored_version.py
+++ b/stoatrouter/history/stored_version.py
@@ -1,7 +1,8 @@
-"""The file form of the version that a head stores for a start without any other head. No I/O.
+"""The file format of the version that a head stores, to be able to start without any other head. No I/O.
 
-A format mark, a BLAKE2b checksum of the rest, then the version as a msgpack array. Files written by earlier
-releases are read: a new field goes at the end of `StoredVersion` and has a default.
+The file consists of magic bytes, a BLAKE2b checksum of the rest, and the version as a msgpack array. Files
+written by earlier releases must stay readable, so a new field goes at the end of `StoredVersion`, with a
+default.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 
 
 class CorruptVersionError(Exception):
-    """The bytes are not a stored version; the text says where they differ from one."""
+    """The bytes are not a stored version; the message describes the difference."""
 
 
 class StoredVersion(msgspec.Struct, frozen=True, array_like=True):
-    """One version of the rules, as a head stores it."""
+    """A version of the rules, as a head stores it."""
 
     number: int
     digest: str
-    packed_rules: bytes  # by records.pack_rule_set
-    when: str  # it came into force at this head: ISO 8601, UTC
+    packed_rules: bytes  # encoded by records.pack_rule_set
+    when: str  # when it was activated at this head: ISO 8601, UTC
 
 
 def encode_stored_version(version: StoredVersion) -> bytes:
-    """Encode a version with the format's mark and a checksum."""
+    """Encode a version, with the magic bytes and a checksum."""
     body = msgspec.msgpack.encode(version)
     return MAGIC + _checksum(body) + body
 
@@ -38,7 +39,7 @@
     """Decode a stored version.
 
     Raises:
-        CorruptVersionError: The mark, the checksum or the encoded version is damaged.
+        CorruptVersionError: The magic bytes, the checksum or the encoded version is invalid.
     """
     if not data.startswith(MAGIC):
         raise CorruptVersionError(f"it begins with {data[: len(MAGIC)]!r}, a stored version with {MAGIC!r}")
--- a/stoatrouter/membership/__init__.py
+++ b/stoatrouter/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: which heads are alive (a SWIM failure detector) and which nodes a registry lists (a follower).
+"""Membership: a SWIM failure detector for heads, and a follower of the endpoint list in a registry.
 
-No socket, no file, no clock: the callers in stoatrouter/peering run the effects.
+The package does no I/O and reads no clock: the callers, e.g. in stoatrouter/peering, execute the effects.
 """
--- a/stoatrouter/membership/datagram.py
+++ b/stoatrouter/membership/datagram.py
@@ -1,4 +1,4 @@
-"""The detector's messages as bytes: at most 256 of them, with their MAC. No socket, no file, no clock.
+"""Encoding of the detector's messages: datagrams of at most 256 bytes with a MAC. No I/O and no clock.
 
 This is a wire format between heads: the layout, field order, kinds and sizes below must not change.
 
@@ -9,10 +9,10 @@
     11      1+n    the sender's name, UTF-8, 1 to 24 bytes
             1+n    the target of a ping-req; empty otherwise
             ...    membership updates, to the end: 1+n name, 6 incarnation, 1 status
-    end     16     BLAKE2b of all before it, keyed, personalised by the fleet's name
+    end     16     keyed BLAKE2b of everything before it, personalised by the fleet's name
 
-The fleet's name is not sent; a message of another fleet fails its MAC. Names longer than 24 bytes are refused
-where settings are read.
+The fleet's name is not sent; the MAC of a message from another fleet does not verify. The settings loader
+rejects names longer than 24 bytes.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 HEADER = struct.Struct(">BI")  # version and kind, sequence number
 VERSION = 0x10
 INCARNATION_BYTES = 6
-LENGTH_BYTES = 1  # before each string
+LENGTH_BYTES = 1  # the length before each string
 SEQUENCE_MASK = 0xFFFFFFFF
 KIND_MASK = 0x0F
 VERSION_MASK = 0xF0
@@ -47,10 +47,10 @@
 
 
 class Kind(IntEnum):
-    """The kind of a message, in the low half of its first byte (SWIM section 3.1)."""
+    """The kind of a message, in the lower four bits of its first byte (SWIM section 3.1)."""
 
     PING = 0
-    PING_FOR = 1  # SWIM's ping-req, an indirect health check; the name is in lab counts ("ping_for")
+    PING_FOR = 1  # SWIM's ping-req, an indirect health check; counted by this name in the lab ("ping_for")
     ACK = 2
 
 
@@ -63,7 +63,7 @@
         number: The sequence number of the health check, 0 to 2**32 - 1; 0 in unsolicited acks.
         sender: The sending member's name, 1 to 24 bytes of UTF-8.
         incarnation: The sender's incarnation, 0 to 2**48 - 1.
-        target: The member that a ping-req (or the ack relayed for one) is about; empty otherwise.
+        target: The member checked by a ping-req, or by the ack relayed for one; empty otherwise.
         updates: Piggybacked membership updates (SWIM section 4.1).
     """
 
@@ -75,21 +75,22 @@
     updates: tuple[MemberUpdate, ...] = ()
 
     def update_capacity(self) -> int:
-        """How many bytes are left for piggybacked updates."""
+        """Return the number of bytes left for piggybacked updates."""
         return MAX_DATAGRAM_BYTES - MIN_DATAGRAM_BYTES - len(self.sender.encode()) - len(self.target.encode())
 
 
 def compute_mac(data: bytes, secret: bytes, fleet: str) -> bytes:
-    """The MAC over `data`: BLAKE2b keyed by `secret` (its first 64 bytes), 16 bytes.
+    """Return the MAC of `data`: 16 bytes of BLAKE2b, keyed by the first 64 bytes of `secret`.
 
-    The fleet's name is hashed into the personalisation, so that a key used twice joins no two fleets.
+    The personalisation contains a hash of the fleet's name, so that two fleets with the same key reject each
+    other's messages.
     """
     person = hashlib.blake2b(fleet.encode(), digest_size=16).digest()
     return hashlib.blake2b(data, key=secret[:64], person=person, digest_size=MAC_BYTES).digest()
 
 
 def encode(message: Datagram, secret: bytes, fleet: str) -> bytes:
-    """The bytes of a message with its MAC; `updates` must fit into Datagram.update_capacity()."""
+    """Encode a message with its MAC; `updates` must fit into Datagram.update_capacity()."""
     data = HEADER.pack(VERSION | message.kind, message.number & SEQUENCE_MASK)
     data += message.incarnation.to_bytes(INCARNATION_BYTES, "big")
     data += encode_text(message.sender) + encode_text(message.target)
@@ -97,22 +98,22 @@
         data += encode_text(update.name) + update.incarnation.to_bytes(INCARNATION_BYTES, "big")
         data += bytes((update.status,))
     data += compute_mac(data, secret, fleet)
-    assert len(data) <= MAX_DATAGRAM_BYTES, "a datagram over its bound"
+    assert len(data) <= MAX_DATAGRAM_BYTES, "datagram exceeds MAX_DATAGRAM_BYTES"
     return data
 
 
 def encode_text(value: str) -> bytes:
-    """A string as UTF-8 with its length in one byte before it; at most MAX_NAME_BYTES bytes."""
+    """Encode a string as UTF-8 after one byte with its length; it has at most MAX_NAME_BYTES bytes."""
     data = value.encode()
-    assert len(data) <= MAX_NAME_BYTES, "a name over its bound"
+    assert len(data) <= MAX_NAME_BYTES, "name exceeds MAX_NAME_BYTES"
     return bytes((len(data),)) + data
 
 
 def decode(data: bytes, secret: bytes, fleet: str) -> Datagram:
-    """Read a datagram; the MAC is checked before anything inside is used.
+    """Decode a datagram, after its MAC is verified.
 
     Raises:
-        MalformedDatagram: The bytes are not a datagram of this fleet; one of its subclasses names the reason.
+        MalformedDatagram: The bytes are not a datagram of this fleet; the subclass tells the reason.
     """
     body = verify_mac(data, secret, fleet)
     first_byte, number = HEADER.unpack_from(body)
@@ -124,7 +125,7 @@
         target = reader.read_text()
         updates = tuple(reader.read_updates())
     except (ValueError, IndexError) as error:
-        raise UnreadableField(f"a field at or after offset {reader.offset}: {error}") from None
+        raise UnreadableField(f"field at or after offset {reader.offset}: {error}") from None
     if first_byte & VERSION_MASK != VERSION or not sender:
         raise UnsupportedVersion(
             f"version byte {first_byte:#04x} and sender {sender!r}; version {VERSION:#04x} expected"
@@ -133,11 +134,11 @@
 
 
 def verify_mac(data: bytes, secret: bytes, fleet: str) -> bytes:
-    """A datagram without its MAC, once size and MAC are checked.
+    """Check the size and the MAC of a datagram; return it without the MAC.
 
     Raises:
-        DatagramTooLong: There are more bytes than a datagram may have.
-        DatagramTooShort: There are fewer bytes than any datagram has.
+        DatagramTooLong: It has more than MAX_DATAGRAM_BYTES bytes.
+        DatagramTooShort: It has fewer than MIN_DATAGRAM_BYTES bytes.
         ForeignDatagram: The MAC is not that of this fleet and key.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
@@ -152,20 +153,20 @@
 
 @dataclass(slots=True)
 class FieldReader:
-    """Reads the fields of a datagram one after the other.
+    """Reads the fields of a datagram in order.
 
-    Its methods raise IndexError where the data ends early and ValueError where a field cannot be read.
+    Its methods raise IndexError if the data ends early and ValueError if a field is invalid.
 
     Attributes:
         data: The datagram without its MAC.
-        offset: Where the next field begins, in bytes.
+        offset: The offset of the next field, in bytes.
     """
 
     data: bytes
     offset: int
 
     def read_bytes(self, count: int) -> bytes:
-        """The next `count` bytes."""
+        """Read the next `count` bytes."""
         field_bytes = self.data[self.offset : self.offset + count]
         if len(field_bytes) < count:
             raise IndexError(f"{count} bytes expected, {len(field_bytes)} left")
@@ -173,21 +174,21 @@
         return field_bytes
 
     def read_byte(self) -> int:
-        """The next byte as a number."""
+        """Read the next byte as a number."""
         return self.read_bytes(1)[0]
 
     def read_incarnation(self) -> int:
-        """The next 6 bytes as a big-endian number."""
+        """Read the next 6 bytes as a big-endian number."""
         return int.from_bytes(self.read_bytes(INCARNATION_BYTES), "big")
 
     def read_text(self) -> str:
-        """The next string."""
+        """Read the next string."""
         count = self.read_byte()
         if count > MAX_NAME_BYTES:
-            raise ValueError(f"a string of {count} bytes; at most {MAX_NAME_BYTES}")
+            raise ValueError(f"string of {count} bytes; at most {MAX_NAME_BYTES}")
         return self.read_bytes(count).decode()
 
     def read_updates(self) -> Iterator[MemberUpdate]:
-        """The membership updates, to the end of the data."""
+        """Read membership updates up to the end of the data."""
         while self.offset < len(self.data):
             yield MemberUpdate(self.read_text(), self.read_incarnation(), Status(self.read_byte()))
--- a/stoatrouter/membership/detector.py
+++ b/stoatrouter/membership/detector.py
@@ -1,17 +1,20 @@
-"""Who is there among the heads: SWIM's failure detector with suspicion, as reduce(event) -> effects.
-
-No socket, no clock, no randomness of its own: times come with events, draws come from the seed given. After
-SWIM (Das, Gupta, Motivala 2002): in each period one head is pinged, in an order drawn anew each round (4.3);
-without an ack others are sent a ping-req, an indirect health check (4.1); without any ack the member is
-suspected, and taken for failed only if it does not refute within a suspicion timeout that grows with the
-logarithm of the fleet (4.2); membership updates are piggybacked on these messages (4.1), so the load for each
-head is constant. From Lifeguard (Dadgar, Phillips, Currey 2018): a head that misses acks lowers its own local
-health score and waits longer (local health awareness, health.py), and a suspected member is notified in the
-very ping that checks it (buddy system).
-
-A failed head is pinged again once a period, one at a time, so that two halves of a split find each other
-again. The detector's view moves no quota and no right (agreement/availability.py): it only guides who is
-waited for.
+"""SWIM's failure detector with suspicion for the heads, as reduce(event) -> effects.
+
+It does no I/O and reads no clock: times come with the events, and random choices come from the given seed.
+
+From SWIM (Das, Gupta, Motivala 2002): one member is pinged in each period, in a new random order each round
+(4.3). Without an ack, other members are sent a ping-req, an indirect health check (4.1). Without any ack the
+member is suspected; it counts as failed only if it does not refute the suspicion within a timeout that grows
+with the logarithm of the fleet size (4.2). Membership updates are piggybacked on these messages (4.1), so the
+load of each head is constant.
+
+From Lifeguard (Dadgar, Phillips, Currey 2018): a head that misses acks raises its local health score and
+waits longer (local health awareness, health.py), and a suspect is notified in the ping that checks it (buddy
+system).
+
+Addresses without an alive or suspect member, such as those of failed heads, are pinged too, one per period,
+so that the two sides of a healed network partition find each other. The detector's view changes no quota and
+no permission (agreement/availability.py); it only determines which heads are waited for.
 """
 
 from __future__ import annotations
@@ -40,46 +43,47 @@
 from stoatrouter.membership.ping_round import PingRound
 from stoatrouter.membership.roster import GossipQueue, MemberUpdate, Roster, Status, wire_size
 
-MAX_HEADS = 1024  # a bound on the membership list; updates of further names are dropped and counted
-MAX_RELAYED_PINGS = 256  # pings in flight for others' ping-reqs; beyond, the oldest is forgotten
+MAX_HEADS = 1024  # members in the list; updates of further names are dropped and counted
+MAX_RELAYED_PINGS = 256  # pings in flight for others' ping-reqs; the oldest are dropped
 UNSOLICITED = 0  # the sequence number of an ack that answers no ping
 GOSSIP_FLEET_OFFSET = 9  # log10(count + 9): at least 1 for a fleet of one
 
 
 @dataclass(slots=True)
 class HealthCheck:
-    """The health check of the present period: a ping, then ping-reqs (SWIM section 4.1)."""
+    """The health check of the current period: a ping, then ping-reqs (SWIM section 4.1)."""
 
-    number: int  # its sequence number
-    target: str  # the member checked
-    indirect_at: timedelta  # when ping-reqs are due without an ack
+    number: int  # the sequence number
+    target: str  # the checked member's name
+    indirect_at: timedelta  # when to send ping-reqs if no ack was received
     indirect_sent: bool = False
-    acked: bool = False  # direct or relayed
+    acked: bool = False  # directly or by a relayed ack
 
     def needs_ping_reqs(self, now: timedelta) -> bool:
-        """Whether others are to be sent a ping-req now."""
+        """Return whether ping-reqs are due."""
         return not self.acked and not self.indirect_sent and now >= self.indirect_at
 
     def is_answered_by(self, ack: Datagram) -> bool:
-        """Whether `ack` is the target's own, or one that another head relays: that one names the target."""
+        """Return whether an ack is the target's own, or a relayed one that names the target."""
         return ack.number == self.number and self.target in (ack.sender, ack.target)
 
 
 @dataclass(slots=True)
 class RelayedPing:
-    """A ping that this head sends for another's ping-req."""
+    """A ping that this head has sent because of another head's ping-req."""
 
-    number: int  # the ping-req's sequence number, named in the relayed ack
+    number: int  # the ping-req's sequence number, sent back in the relayed ack
     requester: str  # the address of the head that sent the ping-req
-    expires_at: timedelta  # from when on that head waits for no ack any more
+    expires_at: timedelta  # from then on, that head no longer waits for the ack
 
 
 @dataclass(slots=True)
 class Detector:
-    """One head's failure detector.
+    """The failure detector of one head.
 
-    `name` (1 to 24 bytes of UTF-8) and `incarnation` are this head's; `peers` are addresses at which members
-    may be, whose names are learnt from their messages; `seed` seeds the draws of ping order and helpers.
+    `name` (1 to 24 bytes of UTF-8) and `incarnation` are this head's. `peers` are the addresses of possible
+    members, whose names are learned from their messages. `seed` determines the ping order and the members
+    chosen for ping-reqs.
     """
 
     name: str
@@ -89,26 +93,26 @@
     timing: Timing = field(default_factory=Timing)
     roster: Roster = field(default_factory=Roster)
     gossip: GossipQueue = field(default_factory=GossipQueue)
-    suspects: dict[str, timedelta] = field(default_factory=dict)  # when each is taken for failed
+    suspects: dict[str, timedelta] = field(default_factory=dict)  # when each counts as failed, by name
     relayed_pings: dict[int, RelayedPing] = field(default_factory=dict)  # by this head's sequence number
     health_check: HealthCheck | None = None
     member_round: PingRound = field(default_factory=PingRound)  # names of members
-    address_round: PingRound = field(default_factory=PingRound)  # addresses of nobody known
+    address_round: PingRound = field(default_factory=PingRound)  # addresses without a known member
     next_period_at: timedelta | None = None
-    sequence_number: int = 0  # the latest one used
+    sequence_number: int = 0  # the last one used
     health: LocalHealth = field(init=False)
     has_left: bool = False
     rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        """Seed the draws, and put this head's own update into the list and the gossip."""
+        """Seed the random choices, and add this head's own update to the list and the gossip queue."""
         self.health = LocalHealth(self.timing.max_local_health)
         self.rng = random.Random(f"detector/{self.seed}/{self.name}")
         self._publish_own_update()
 
     @property
     def own_update(self) -> MemberUpdate:
-        """The update of this head itself: alive, or left once it has left."""
+        """Return this head's own update, with status alive, or left after a graceful shutdown."""
         return MemberUpdate(self.name, self.incarnation, Status.LEFT if self.has_left else Status.ALIVE)
 
     def _publish_own_update(self) -> None:
@@ -116,7 +120,7 @@
         self.gossip.add(self.own_update)
 
     def reduce(self, event: Event) -> list[Effect]:
-        """Take in one event; returns the effects, in order."""
+        """Process one event; return the effects, in order."""
         match event:
             case Tick():
                 return self._tick(event.at)
@@ -142,7 +146,7 @@
         return effects
 
     def _forget_relayed_pings(self, now: timedelta) -> None:
-        """Forget the pings whose ack would come too late; all wait for as long, so the first go first."""
+        """Drop the pings whose ack would come too late; all have the same timeout, so the oldest go first."""
         while self.relayed_pings:
             number, oldest = next(iter(self.relayed_pings.items()))
             if now < oldest.expires_at:
@@ -178,7 +182,7 @@
             indirect_at = now + self.health.scale(self.timing.ack_timeout)
             self.health_check = HealthCheck(number, target, indirect_at)
             effects.append(self._ping(target, number))
-        # an address at which no member is known: a head that starts, or is back after a split
+        # An address without a known member may belong to a head that has started or was partitioned away.
         address = self.address_round.next(self.roster.unknown_addresses(self.peers), self.rng)
         if address is not None:
             name = self.roster.name_at(address)
@@ -201,7 +205,7 @@
             if self.roster.status(name) is Status.ALIVE
         ]
         chosen = self.rng.sample(helpers, min(self.timing.indirect_checks, len(helpers)))
-        # and one more direct ping: at 20% loss that leaves 3 of 100 checks without an answer where 7 were
+        # The ping is also sent again directly: at 20% packet loss, 3 instead of 7 of 100 checks get no ack.
         effects: list[Effect] = [self._ping(check.target, check.number)]
         for name in chosen:
             address = self.roster.addresses[name]
@@ -216,8 +220,8 @@
         known = self.roster.members.get(message.sender)
         if known is None and len(self.roster.members) >= MAX_HEADS:
             return [DatagramDropped(TOO_MANY_HEADS)]
-        # Guards against datagrams of an earlier process of that head, late or replayed: they are answered
-        # with what is known of the head, so that one whose clock went back can go beyond it.
+        # Ignores delayed or replayed datagrams of an earlier process of that head. The answer contains the
+        # known incarnation, so that a head whose clock was set back can choose a higher one.
         if known is not None and message.incarnation < known.incarnation:
             answer = self._send(event.address, Kind.ACK, UNSOLICITED, recipient=message.sender)
             return [DatagramDropped(OLDER_INCARNATION), answer]
@@ -228,7 +232,7 @@
         return effects
 
     def _apply_updates_of(self, message: Datagram, now: timedelta) -> list[Effect]:
-        """Apply a message's updates; one that has none of its sender shows that the sender is alive."""
+        """Apply a message's updates; a message without an update of its sender shows that it is alive."""
         effects: list[Effect] = []
         if not any(update.name == message.sender for update in message.updates):
             alive = MemberUpdate(message.sender, message.incarnation, Status.ALIVE)
@@ -253,7 +257,7 @@
         if len(self.relayed_pings) >= MAX_RELAYED_PINGS:
             oldest = next(iter(self.relayed_pings))
             del self.relayed_pings[oldest]
-        # no head's health check lasts longer than its longest period
+        # The requester waits for at most its longest possible period.
         expires_at = now + self.timing.period * (1 + self.timing.max_local_health)
         self.relayed_pings[number] = RelayedPing(message.number, requester, expires_at)
         return [self._ping(message.target, number)]
@@ -268,12 +272,12 @@
         return [self._send(relayed.requester, Kind.ACK, relayed.number, target=message.sender)]
 
     def _send(self, address: str, kind: Kind, number: int, target: str = "", recipient: str = "") -> SendTo:
-        """Send a message with as many updates as fit; `recipient` is first notified of its own status."""
+        """Send a message with as many updates as fit; the first one may be that of `recipient` itself."""
         bare = Datagram(kind, number, self.name, self.incarnation, target)
         first: tuple[MemberUpdate, ...] = ()
         capacity = bare.update_capacity()
         known = self.roster.members.get(recipient)
-        # Lifeguard's buddy system: a suspect learns of it in the very ping that checks it.
+        # Lifeguard's buddy system: the ping that checks a suspect tells it about the suspicion.
         if known is not None and (known.status is not Status.ALIVE or number == UNSOLICITED):
             first = (known,)
             capacity -= wire_size(known)
@@ -282,7 +286,7 @@
         return SendTo(address, Datagram(kind, number, self.name, self.incarnation, target, updates))
 
     def _max_transmits(self) -> int:
-        """How many times one update is piggybacked: SWIM's lambda times the logarithm of the fleet (4.1)."""
+        """Return how many times an update is piggybacked: lambda times the log of the fleet size (4.1)."""
         return math.ceil(self.timing.gossip_factor * math.log10(self.roster.count() + GOSSIP_FLEET_OFFSET))
 
     # -- membership updates -------------------------------------------------------------------------------
@@ -304,12 +308,12 @@
         return [StatusChanged(update.name, update.status, update.incarnation)]
 
     def _suspicion_timeout(self) -> timedelta:
-        """How long a suspect may refute: periods times log2 of the fleet (SWIM section 4.2)."""
+        """Return how long a suspect may refute: periods times log2 of the fleet size (SWIM section 4.2)."""
         fleet_factor = max(1.0, math.log2(self.roster.count() + 1))
         return self.health.scale(self.timing.period * (self.timing.suspicion_factor * fleet_factor))
 
     def _refute(self, update: MemberUpdate) -> list[Effect]:
-        """Refute an update of this head by a higher incarnation, unless it agrees with this head's own."""
+        """Refute an update of this head by a higher incarnation, unless it is outdated or agrees."""
         agrees = update.status is Status.ALIVE and update.incarnation == self.incarnation
         if self.has_left or update.incarnation < self.incarnation or agrees:
             return []
@@ -320,7 +324,7 @@
         return []
 
     def _leave(self) -> list[Effect]:
-        """Notify a few members at once that this head leaves; they gossip it on."""
+        """Notify a few members that this head leaves; they gossip it to the others."""
         if self.has_left:
             return []
         self.has_left = True
--- a/stoatrouter/membership/detector_records.py
+++ b/stoatrouter/membership/detector_records.py
@@ -1,4 +1,4 @@
-"""The failure detector's timing, its events and its effects."""
+"""The failure detector's time settings, events and effects."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from stoatrouter.membership.datagram import Datagram
 from stoatrouter.membership.roster import Status
 
-# Reasons under which a dropped datagram is counted (peering/datagrams.py); operators see them.
+# Labels under which dropped datagrams are counted (peering/datagrams.py); operators see them.
 OWN_NAME = "own_name"
 TOO_MANY_HEADS = "too_many_heads"
 OLDER_INCARNATION = "older_incarnation"
@@ -16,19 +16,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Timings of the detector (SWIM section 4; Lifeguard section 4.1).
+    """Time settings of the detector (SWIM section 4; Lifeguard section 4.1).
 
-    With these, all heads see a killed one as failed after 4 s at 3 heads, 8 s at 20 and 12 s at 100
-    (docs/measurements/heads.md). The settings file's fields are mapped onto these in peering/settings.py.
+    With the defaults, all heads see a killed head as failed after 4 s with 3 heads, 8 s with 20 and 12 s with
+    100 (docs/measurements/heads.md). peering/settings.py maps the fields of the settings file to these.
 
     Attributes:
-        period: SWIM's protocol period: one member is pinged in each.
-        ack_timeout: How long the ack of the direct ping is awaited before ping-reqs are sent.
-        indirect_checks: SWIM's k: how many members are sent a ping-req in this head's place.
-        suspicion_factor: Times the period and log2 of the fleet size: how long a suspect may refute.
-        gossip_factor: Times log10 of the fleet: how many times one update is piggybacked (SWIM's lambda).
-        max_local_health: Lifeguard's highest local health score: the most times over that its spans are
-            lengthened while it misses acks; 0: never.
+        period: SWIM's protocol period; one member is pinged in each period.
+        ack_timeout: How long to wait for the ack of the direct ping before ping-reqs are sent.
+        indirect_checks: SWIM's k: the number of members that are sent a ping-req.
+        suspicion_factor: The suspicion timeout is this many periods times log2 of the fleet size.
+        gossip_factor: SWIM's lambda: each update is piggybacked this many times log10 of the fleet size.
+        max_local_health: Lifeguard's highest local health score, by which this head's timeouts are extended
+            while it misses acks; 0 disables this.
     """
 
     period: timedelta = timedelta(milliseconds=500)
@@ -42,14 +42,14 @@
 # -- events -----------------------------------------------------------------------------------------------
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has passed, to `at` (from an arbitrary origin, never back); it is sent several times a period."""
+    """The time is `at` (monotonic, with any origin); to be sent several times a period."""
 
     at: timedelta
 
 
 @dataclass(slots=True, frozen=True)
 class DatagramReceived:
-    """The datagram `message` was received from the head at `address`, at time `at`."""
+    """The datagram `message` was received from `address` at time `at`."""
 
     at: timedelta
     address: str
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Leaving:
-    """This head stops at time `at` and notifies the others (graceful shutdown)."""
+    """This head starts a graceful shutdown at time `at`."""
 
     at: timedelta
 
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatusChanged:
-    """The status of a member has changed, as seen from here, to `status` at `incarnation`."""
+    """This head's view of a member has changed to `status` at `incarnation`."""
 
     name: str
     status: Status
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DatagramDropped:
-    """A datagram was ignored; `reason` is the label under which it is counted."""
+    """A datagram or update was ignored; `reason` is the label under which it is counted."""
 
     reason: str
 
--- a/stoatrouter/membership/errors.py
+++ b/stoatrouter/membership/errors.py
@@ -1,61 +1,60 @@
-"""What membership raises: bytes that are no datagram of the fleet, and broken rules of the follower."""
+"""Errors of the membership package: invalid datagrams, and violated invariants of the follower."""
 
 from __future__ import annotations
 
 
 class MembershipError(Exception):
-    """The base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class MalformedDatagram(MembershipError):
     """Bytes that are not a datagram of this fleet.
 
-    `str()` of it is the reason under which it is counted (peering/datagrams.py): operators see these
-    labels, so they do not change. Each subclass names one reason; `detail` says what is wrong and what
-    would be right.
+    `str()` of it is the label under which it is counted (peering/datagrams.py). Operators see these labels,
+    so they must not change. Each subclass has one label; `detail` describes the actual and the expected data.
     """
 
     reason = "malformed"
 
     def __init__(self, detail: str = "") -> None:
-        """Record the detail; it is for logs and tests, not for the count's label."""
+        """Record the detail, which is meant for logs and tests and is not part of the label."""
         super().__init__(self.reason)
         self.detail = detail
 
 
 class DatagramTooLong(MalformedDatagram):
-    """More bytes than a datagram may have."""
+    """The data is longer than the largest datagram."""
 
     reason = "too_long"
 
 
 class DatagramTooShort(MalformedDatagram):
-    """Fewer bytes than the smallest datagram has."""
+    """The data is shorter than the smallest datagram."""
 
     reason = "too_short"
 
 
 class ForeignDatagram(MalformedDatagram):
-    """The MAC fails: another fleet, another key, or bytes changed on the way."""
+    """The MAC does not verify: another fleet, another key, or data corrupted in transit."""
 
     reason = "foreign"
 
 
 class UnreadableField(MalformedDatagram):
-    """A field inside a sealed datagram cannot be read: a string too long, not UTF-8, or cut short."""
+    """A field of an authenticated datagram is invalid: a string too long, not UTF-8, or truncated."""
 
     reason = "malformed"
 
 
 class UnsupportedVersion(MalformedDatagram):
-    """A version this head does not speak, or a datagram without a sender's name."""
+    """An unsupported version, or a datagram without a sender's name."""
 
     reason = "other_version"
 
 
 class RevisionUnknown(MembershipError):
-    """The follower needs a revision before it has read any list; a fault of the program."""
+    """The follower needs a revision before it has read a list; a defect of the program."""
 
     def __init__(self, phase: str) -> None:
-        """Name the phase that the follower is in."""
-        super().__init__(f"no revision is known while {phase}: a list must be read before it is watched")
+        """Record the follower's phase."""
+        super().__init__(f"no revision is known while {phase}: the list must be read before it is watched")
--- a/stoatrouter/membership/follower.py
+++ b/stoatrouter/membership/follower.py
@@ -1,10 +1,10 @@
 """Follows an endpoint list in a key-value registry without missing, repeating or reordering changes.
 
-It reads the complete list, watches it from that revision on, and resumes the watch after any break, with
-a backoff. It is a state machine, `reduce(event) -> effects`, that knows nothing of protocols (dialects make
-events of them), sockets or clocks. Each call that it asks for has a number; events of a finished call are
-dropped. It caches what it has notified, so that after a resynchronisation only the difference is notified,
-in one step.
+It reads the complete list, watches it from that revision on, and resumes the watch after a failure with a
+backoff. It is a state machine, `reduce(event) -> effects`, without I/O or a clock, and independent of the
+registry's protocol, which a dialect translates to events. Each call has a number; events of ended calls are
+dropped. The follower caches the entries that it has notified, so that after a resynchronisation it notifies
+only the difference, in one step.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
     Watch,
 )
 
-MAX_BUFFERED_CHANGES = 100_000  # changes of one revision that are buffered until the rest of them has come
+MAX_BUFFERED_CHANGES = 100_000  # buffered changes of an incomplete revision
 
 
 class Follower:
-    """Follows one endpoint list; all of its state changes in `reduce` and `accept_older_revision`."""
+    """Follows one endpoint list; its state changes only in `reduce` and `accept_older_revision`."""
 
     def __init__(
         self,
@@ -52,30 +52,30 @@
         cached: Mapping[str, Entry] | None = None,
         revision: int | None = None,
     ) -> None:
-        """Start idle.
+        """Create an idle follower.
 
         Args:
             limits: The settings.
-            seed: Draws the first endpoint and the backoff's jitter; differs between heads.
-            cached: The entries that the core already knows, if any, e.g. from a file.
-            revision: The revision up to which `cached` is complete; None: nothing is cached.
+            seed: Determines the first endpoint and the backoff's jitter; differs between heads.
+            cached: The entries that the core already has, e.g. from a file.
+            revision: The revision at which `cached` is complete; None if nothing is cached.
         """
         self.limits = limits
         self.seed = seed
-        self.notified: dict[str, Entry] = dict(cached or {})  # what the core knows
-        self.revision = revision  # up to which all has been notified; None: nothing is cached
+        self.notified: dict[str, Entry] = dict(cached or {})  # the entries that the core has
+        self.revision = revision  # all changes up to it are notified; None if nothing is cached
         self.phase = Phase.IDLE
         self.call = 0  # the number of the current call
-        self.endpoint = seed % limits.endpoints  # heads spread over the endpoints
-        self.failures = 0  # in a row
-        self.older_revisions: dict[int, int] = {}  # by endpoint, those offered in turn
-        self.buffered: list[Change] = []  # changes of a revision that is not complete yet
-        self.deadline: timedelta | None = None  # when something is overdue, or a backoff is over
+        self.endpoint = seed % limits.endpoints  # distributes the heads over the endpoints
+        self.failures = 0  # consecutive failed calls
+        self.older_revisions: dict[int, int] = {}  # older revisions offered since the last read, by endpoint
+        self.buffered: list[Change] = []  # changes of an incomplete revision
+        self.deadline: timedelta | None = None  # the end of the current timeout or backoff
         self.must_reread = False  # the list must be read before it is watched
 
     def reduce(self, event: Event) -> list[Effect]:
-        """Take in one event; returns the effects to run, in order."""
-        # Guards against events of a call that was given up: they may be older than what is cached by now.
+        """Process one event; return the effects to execute, in order."""
+        # Events of an ended call are dropped: they may be older than the cached entries.
         if isinstance(event, CallEvent) and event.call != self.call:
             return []
         match event:
@@ -98,9 +98,9 @@
 
     # -- calls --------------------------------------------------------------------------------------------
     def _start_call(self, at: timedelta) -> list[Effect]:
-        """Start a read or a watch at the present endpoint."""
+        """Start a read or a watch at the current endpoint."""
         self.call += 1
-        self.buffered.clear()  # of a revision that did not come complete: it comes again
+        self.buffered.clear()  # an incomplete revision is sent again
         if self.revision is None or self.must_reread:
             self.phase = Phase.READING
             self.deadline = at + self.limits.read_timeout
@@ -110,12 +110,12 @@
         return [Watch(self.call, self.endpoint, self.revision), WakeAt(self.deadline)]
 
     def _reread_list(self, at: timedelta) -> list[Effect]:
-        """Give the watch up for a read of the complete list."""
+        """Cancel the watch and read the complete list."""
         self.must_reread = True
         return [CancelCall(self.call), *self._start_call(at)]
 
     def _back_off(self, at: timedelta) -> list[Effect]:
-        """End the call and continue at the next endpoint, after a backoff."""
+        """End the call, and continue at the next endpoint after a backoff."""
         ended_call = self.call
         self.call += 1
         self.buffered.clear()
@@ -127,16 +127,16 @@
         return [CancelCall(ended_call), WakeAt(self.deadline)]
 
     def _tick(self, at: timedelta) -> list[Effect]:
-        """Act on a deadline: a backoff before the next call, or a stream that fell silent."""
+        """Act on an expired deadline: the end of a backoff, or a call or stream that has timed out."""
         if self.deadline is None or at < self.deadline:
             return []
         if self.phase is Phase.WAITING:
             return self._start_call(at)
-        # Guards against a stream that is open and carries nothing: a drain would never come.
+        # A stream may stay open without carrying data; without this timeout a drain would be missed.
         return self._back_off(at)
 
     def _record_activity(self, at: timedelta) -> WakeAt:
-        """Record that the stream is alive; returns when it is silent for too long."""
+        """Record activity of the stream; return the time at which it would be silent for too long."""
         self.failures = 0
         self.deadline = at + self.limits.silence_timeout
         return WakeAt(self.deadline)
@@ -148,10 +148,10 @@
         return self.revision
 
     def _receive_list(self, event: ListRead) -> list[Effect]:
-        """Take in the complete list; only the difference to what was notified is notified."""
+        """Process the complete list; notify only its difference to the notified entries."""
         if self.phase is not Phase.READING:
             return []
-        # Guards what is known against a member that lags, or a registry restored from an old copy.
+        # An older list comes from a lagging registry member, or from a registry restored from a backup.
         if self.revision is not None and event.revision < self.revision:
             return self._leave_lagging_endpoint(event)
         self.older_revisions.clear()
@@ -164,7 +164,7 @@
         return [*notify, *self._start_call(event.at)]
 
     def _difference(self, event: ListRead) -> list[Change]:
-        """The changes from what was notified to a list that was read, by revision and key."""
+        """Return the changes from the notified entries to a list, in order of revision and key."""
         changes = []
         for key, entry in event.entries.items():
             before = self.notified.get(key)
@@ -174,7 +174,7 @@
         return sorted(changes, key=lambda change: (change.revision, change.key))
 
     def _leave_lagging_endpoint(self, event: ListRead) -> list[Effect]:
-        """Leave an endpoint with an older revision; notify OlderRevisionOffered where all are older."""
+        """Leave an endpoint with an older revision; return OlderRevisionOffered once all are older."""
         cached_revision = self._require_revision()
         self.older_revisions[self.endpoint] = event.revision
         effects: list[Effect] = []
@@ -184,12 +184,12 @@
         return [*effects, *self._back_off(event.at)]
 
     def _receive_changes(self, event: ChangesReceived) -> list[Effect]:
-        """Notify the changes of a watch event once the last part of their revision has come."""
+        """Process a watch event; its changes are notified once their last revision is complete."""
         if self.phase is not Phase.WATCHING:
             return []
         known_revision = self._require_revision()
         self.buffered += event.changes
-        # Guards memory against a revision that never ends: reading the list is bounded.
+        # Bounds the memory used for a revision that never completes; the size of a list is bounded.
         if len(self.buffered) > MAX_BUFFERED_CHANGES:
             return self._reread_list(event.at)
         if not event.complete:
@@ -201,22 +201,22 @@
         return [*notify, self._record_activity(event.at)]
 
     def _apply_new_changes(self, changes: list[Change]) -> tuple[Change, ...]:
-        """The changes that are newer than all that was notified; they count as notified from now on."""
+        """Apply the changes that are newer than the notified revision to `notified`, and return them."""
         known_revision = self._require_revision()
         new_changes = []
         for change in sorted(changes, key=lambda change: change.revision):
-            # Guards against a change that is sent again, or late, after a newer one.
+            # Skips a change that is repeated, or delivered late after a newer one.
             if change.revision <= known_revision:
                 continue
             if change.value is not None:
                 self.notified[change.key] = Entry(change.revision, change.value)
             elif self.notified.pop(change.key, None) is None:
-                continue  # set and removed again before it was notified
+                continue  # set and removed before it was notified
             new_changes.append(change)
         return tuple(new_changes)
 
     def _receive_progress(self, event: ProgressReceived) -> list[Effect]:
-        """Advance the revision; an incomplete revision that is buffered does not count yet."""
+        """Advance the revision, unless changes of an incomplete revision are buffered."""
         if self.phase is not Phase.WATCHING:
             return []
         known_revision = self._require_revision()
@@ -226,7 +226,7 @@
 
     # -- operators ------------------------------------------------------------------------------------------
     def accept_older_revision(self, at: timedelta) -> list[Effect]:
-        """Accept the registry's older copy as the list, by an operator's decision."""
+        """Accept an older list from the registry, as decided by an operator."""
         ended_call = self.call
         self.revision = None
         self.must_reread = True
