--- a/stoatrouter/membership/follower_records.py
+++ b/stoatrouter/membership/follower_records.py
@@ -1,4 +1,4 @@
-"""The registry follower's settings, its events and its effects."""
+"""The registry follower's settings, events and effects."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """The value of a key, and the revision (the registry's, from 1) that set it."""
+    """The value of a key, and the registry's revision (from 1) that set it."""
 
     revision: int
     value: bytes
@@ -20,24 +20,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """A key that was set, or removed (None), at a revision."""
+    """A key that was set at a revision, or removed if `value` is None."""
 
     key: str
     revision: int
     value: bytes | None
 
 
-# -- events: what has happened, and when --------------------------------------------------------------------
+# -- events -------------------------------------------------------------------------------------------------
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The program started at time `at`: the first call is due."""
+    """The program started at time `at`."""
 
     at: timedelta
 
 
 @dataclass(slots=True, frozen=True)
 class CallEvent:
-    """An event of a call: the time `at` which it happened, and the call's number."""
+    """An event of a call: its time `at`, and the call's number."""
 
     at: timedelta
     call: int
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListRead(CallEvent):
-    """The complete list, `entries` by key, at one revision; the answer of call number `call`."""
+    """The answer to ReadList: all entries, by key, at one revision."""
 
     revision: int
     entries: Mapping[str, Entry]
@@ -55,7 +55,7 @@
 class ChangesReceived(CallEvent):
     """A watch event: changes of one or more revisions, in order, up to `revision`.
 
-    Not `complete`: the changes of the last revision have not all come yet.
+    If not `complete`, further changes of the last revision follow in another event.
     """
 
     revision: int
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallFailed(CallEvent):
-    """A call failed, or its stream ended; `reason` is for logs."""
+    """A call failed, or its stream ended; `reason` is meant for logs."""
 
     reason: str = ""
 
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has passed; it is due at the time of WakeAt, and does no harm at any other."""
+    """The time is `at`; to be sent at the time of WakeAt, and allowed at any other time."""
 
     at: timedelta
 
@@ -106,10 +106,10 @@
 )
 
 
-# -- effects: what is to be done, in order ------------------------------------------------------------------
+# -- effects, to be executed in order -----------------------------------------------------------------------
 @dataclass(slots=True, frozen=True)
 class ReadList:
-    """Read the complete list at the endpoint numbered `endpoint` (from 0), as call number `call`."""
+    """Read the complete list from the endpoint with index `endpoint`, as call number `call`."""
 
     call: int
     endpoint: int
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Watch an endpoint for all changes after revision `after`."""
+    """Watch an endpoint for changes after revision `after`."""
 
     call: int
     endpoint: int
@@ -133,9 +133,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Notify:
-    """Notify the changes up to `revision` in one step.
+    """Notify the core of the changes up to `revision`, in one step.
 
-    `resynchronised`: they are the difference to a list read again.
+    If `resynchronised`, they are the difference to a newly read list.
     """
 
     revision: int
@@ -145,7 +145,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WakeAt:
-    """Send a Tick at this time; only the latest one counts."""
+    """Send a Tick at this time; replaces any earlier WakeAt."""
 
     at: timedelta
 
@@ -157,10 +157,10 @@
 
 @dataclass(slots=True, frozen=True)
 class OlderRevisionOffered:
-    """Every endpoint offers an older revision, `offered`, than the one cached, `cached_revision`.
+    """Every endpoint offers an older revision than the cached one; `offered` is the latest of them.
 
-    The registry was restored, or is another one. The cached list stays until an operator accepts the older
-    copy.
+    The registry was restored from a backup or replaced. The cached list stays in use until an operator
+    accepts the older one.
     """
 
     cached_revision: int
@@ -171,7 +171,7 @@
 
 
 class Phase(Enum):
-    """The state of the follower: idle, reading the list, watching it, or in a backoff."""
+    """The phase of the follower: idle, reading the list, watching it, or waiting in a backoff."""
 
     IDLE = "idle"
     READING = "reading"
@@ -184,10 +184,10 @@
     """The settings of the follower.
 
     Attributes:
-        endpoints: How many endpoints the registry has; they are numbered from 0.
-        silence_timeout: How long a watch may go without an event, progress included, before it is left.
-        read_timeout: How long a read of the complete list may take.
-        backoff: The backoff between failed calls.
+        endpoints: The number of the registry's endpoints, which are indexed from 0.
+        silence_timeout: How long a watch may go without any event, including progress, before it is ended.
+        read_timeout: The timeout of reading the complete list.
+        backoff: The backoff after failed calls.
     """
 
     endpoints: int = 1
--- a/stoatrouter/membership/health.py
+++ b/stoatrouter/membership/health.py
@@ -1,4 +1,4 @@
-"""How well this head itself hears others: Lifeguard's local health awareness. No I/O, no clock."""
+"""Lifeguard's local health awareness: how well this head itself receives messages. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 class LocalHealth:
     """Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2018, section 4.1).
 
-    A head that misses acks may itself be the slow one: it waits longer before it suspects others.
+    A head that misses acks may itself be the slow one, so it waits longer before it suspects others.
 
     Attributes:
-        max_score: The highest score; 0 switches local health off.
-        score: Missed acks and refutations less health checks that were acked, within 0 and `max_score`.
+        max_score: The highest score; 0 disables local health awareness.
+        score: Missed acks and refutations minus acked health checks, bounded to 0 and `max_score`.
     """
 
     max_score: int
     score: int = 0
 
     def improve(self) -> None:
-        """Count a health check that was acked."""
+        """Count an acked health check."""
         self.score = max(0, self.score - 1)
 
     def worsen(self) -> None:
@@ -29,5 +29,5 @@
         self.score = min(self.max_score, self.score + 1)
 
     def scale(self, base: timedelta) -> timedelta:
-        """A timing of this head, as many times over as its health demands."""
+        """Return a duration multiplied according to the score: by 1 up to 1 + `max_score`."""
         return base * (1 + self.score)
--- a/stoatrouter/membership/ping_round.py
+++ b/stoatrouter/membership/ping_round.py
@@ -1,4 +1,4 @@
-"""Whom to ping next: everybody once a round, in an order drawn anew for each (SWIM section 4.3). No I/O."""
+"""The ping order: each member once a round, in a new random order each round (SWIM section 4.3). No I/O."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(slots=True)
 class PingRound:
-    """One round over names or addresses.
+    """A round of pings over names or addresses.
 
     Attributes:
-        remaining: Those not pinged yet in this round, the next one last.
+        remaining: Those not yet pinged in this round; the last one is next.
     """
 
     remaining: list[str] = field(default_factory=list)
 
     def next(self, candidates: Iterable[str], rng: random.Random) -> str | None:
-        """The next of `candidates`; those gone since the round began are left out. None without any."""
+        """Return the next of `candidates`, starting a new round if needed; None if there is none."""
         present = set(candidates)
         while self.remaining:
             if (candidate := self.remaining.pop()) in present:
