--- a/stoatrouter/cli/tables.py
+++ b/stoatrouter/cli/tables.py
@@ -9,7 +9,7 @@
 
 from stoatrouter import config
 from stoatrouter.cli.output import CommandError
-from stoatrouter.core.spans import span
+from stoatrouter.core.durations import from_microseconds
 from stoatrouter.expressions.environment import Environment
 from stoatrouter.fronts.http.settings import vocabulary
 from stoatrouter.matching.files import Files, Sources, Tables
@@ -18,7 +18,9 @@
 from stoatrouter.matching.vocabulary import Bucket, KnownClass, Vocabulary
 from stoatrouter.settings import Fault, load
 
-ASSUMED_DEADLINE = span(10**9)  # of classes that no configuration describes, in microseconds: no limit
+ASSUMED_DEADLINE = from_microseconds(
+    10**9
+)  # of classes that no configuration describes, in microseconds: no limit
 ASSUMED_UNITS = 1e6  # most units of a request, without a configuration
 
 
--- a/stoatrouter/config.py
+++ b/stoatrouter/config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from stoatrouter.core.spans import micros, span
+from stoatrouter.core.durations import from_microseconds, to_microseconds
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.simhost import read_settings
 
@@ -163,7 +163,7 @@
     """
     raw = data["settings"]
     limits = data.get("limits") or {}
-    connect_timeout = span(raw["Limits"].get("ConnectTimeout") or DEFAULT_CONNECT_TIMEOUT)
+    connect_timeout = from_microseconds(raw["Limits"].get("ConnectTimeout") or DEFAULT_CONNECT_TIMEOUT)
     return Config(
         name=str(data["name"]),
         listen=str(data["listen"]),
@@ -174,11 +174,11 @@
         sockets=int(limits.get("sockets") or DEFAULT_SOCKETS),
         memory_mb=int(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
         connect_timeout=connect_timeout,
-        conn_idle=span(raw["Limits"].get("ConnIdle") or DEFAULT_CONN_IDLE),
+        conn_idle=from_microseconds(raw["Limits"].get("ConnIdle") or DEFAULT_CONN_IDLE),
         max_open=int(raw["Limits"].get("MaxOpen") or DEFAULT_MAX_OPEN),
         shards=int((raw.get("Extra") or {}).get("Shards") or 0),
         zones=tuple(str(zone) for zone in raw.get("Areas") or ()),
-        drain_grace=span(raw["Contract"].get("DrainGrace") or 0),
+        drain_grace=from_microseconds(raw["Contract"].get("DrainGrace") or 0),
         management=data.get("management") or None,
         peers=parse_peers(data.get("peers")),
         peer_listen=data.get("peer_listen") or None,
@@ -201,7 +201,7 @@
 def adapt_to_sockets(settings: api.Settings, connect_timeout: timedelta) -> api.Settings:
     """Adjust the platform's settings to real sockets, where connecting takes time."""
     # Guards the rule on drains: a send decided within the grace may first have to connect.
-    grace = max(0, settings.rules.drain_grace - micros(connect_timeout))
+    grace = max(0, settings.rules.drain_grace - to_microseconds(connect_timeout))
     # Guards the rule on limits: the platform's token bucket stays full until a request arrives, while ours
     # refills from the decision on. What it refills in the time to connect, beyond the slack, is not spent.
     late = max(timedelta(0), connect_timeout - LIMIT_SLACK).total_seconds()
--- a/stoatrouter/core/spans.py
+++ b/stoatrouter/core/durations.py
@@ -8,11 +8,11 @@
 NO_TIME = timedelta(0)
 
 
-def micros(span: timedelta) -> int:
+def to_microseconds(span: timedelta) -> int:
     """A span, or a time since the Unix epoch, in whole microseconds, rounded down."""
     return span // MICROSECOND
 
 
-def span(count: int) -> timedelta:
+def from_microseconds(count: int) -> timedelta:
     """A number of microseconds as a timedelta."""
     return timedelta(microseconds=count)
--- a/stoatrouter/core/gate.py
+++ b/stoatrouter/core/gate.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GateRejection:
+class AdmissionRejection:
     """A request that is not admitted.
 
     Attributes:
@@ -25,7 +25,7 @@
 class Gate(Protocol):
     """Credit control: admits requests, and settles each at its final answer."""
 
-    def take(self, request: Request, now: timedelta) -> GateRejection | None:
+    def take(self, request: Request, now: timedelta) -> AdmissionRejection | None:
         """Reserve what a request costs; returns the rejection where that is not possible."""
 
     def end(self, request: str, may_have_run: bool) -> None:
--- a/stoatrouter/core/invariants.py
+++ b/stoatrouter/core/invariants.py
@@ -8,7 +8,7 @@
 
 from stoatrouter.core.errors import CoreError
 
-broken: Counter[str] = Counter()
+violations: Counter[str] = Counter()
 LOGGED_EACH = 5  # further breaks of the same kind are only counted: a log that floods hides its cause
 
 
@@ -40,8 +40,8 @@
         return True
     if __debug__:
         raise InvariantBroken(what, details)
-    broken[what] += 1
-    if broken[what] <= LOGGED_EACH:
+    violations[what] += 1
+    if violations[what] <= LOGGED_EACH:
         logger.error(
             "invariant broken: {what} {details}", event="invariant.broken", what=what, details=details
         )
--- a/stoatrouter/core/list_times.py
+++ b/stoatrouter/core/list_times.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-COUNTS_AS_NOTIFIED = timedelta(seconds=6)  # the operators' term, whatever else is allowed
+MAX_NOTIFICATION_DELAY = timedelta(seconds=6)  # the operators' term, whatever else is allowed
 MS = timedelta(milliseconds=1)
 
 
@@ -20,24 +20,24 @@
     """The timeouts of one deployment."""
 
     hold: timedelta  # the requested hold of a watch; drawn from three quarters of it up
-    late: timedelta  # past the hold, until the watch counts as silent
+    hold_grace: timedelta  # past the hold, until the watch counts as silent
     connect: timedelta  # for a connection to open
     answer: timedelta  # for the answer to a call that is not held, its connect included
-    brief: timedelta  # the hold that such a call requests
+    short_hold: timedelta  # the hold that such a call requests
     backoff: timedelta  # before the first call after one that failed
     max_backoff: timedelta  # the backoff doubles up to this, where calls cost
     first_answer: timedelta  # for how long a start waits for its first answer
 
     @property
-    def silence(self) -> timedelta:
+    def max_change_delay(self) -> timedelta:
         """The longest time from a change that a watch misses to its arrival.
 
         It includes a first new connection that never opens.
         """
-        return self.hold + self.late + self.backoff + self.connect + 2 * self.backoff + self.answer
+        return self.hold + self.hold_grace + self.backoff + self.connect + 2 * self.backoff + self.answer
 
     @property
-    def outage(self) -> timedelta:
+    def max_recovery_delay(self) -> timedelta:
         """The longest time from discovery's return to its answer, with a call or a backoff just begun."""
         return max(self.answer, self.max_backoff) + self.backoff + self.answer
 
@@ -51,23 +51,23 @@
     """
     if pushed:
         hold = min(500 * MS, max(100 * MS, drain_grace / 4))
-        late = max(100 * MS, hold / 2)
+        hold_grace = max(100 * MS, hold / 2)
         return ListTimes(
             hold,
-            late,
+            hold_grace,
             connect=200 * MS,
             answer=350 * MS,
-            brief=MS,
+            short_hold=MS,
             backoff=50 * MS,
             max_backoff=50 * MS,
             first_answer=500 * MS,
         )
     return ListTimes(
         hold=2500 * MS,
-        late=400 * MS,
+        hold_grace=400 * MS,
         connect=400 * MS,
         answer=2100 * MS,
-        brief=MS,
+        short_hold=MS,
         backoff=100 * MS,
         max_backoff=1500 * MS,
         first_answer=300 * MS,
--- a/stoatrouter/core/nodes.py
+++ b/stoatrouter/core/nodes.py
@@ -8,8 +8,8 @@
 
 from stoatrouter.policy import interface as api
 
-MOST_OUT = 16_384  # nodes; beyond, those that are not listed are forgotten, the first that was out first
-BACK_HELD_FOR = timedelta(hours=1)  # far longer than any node takes to warm up
+MAX_NODES_OUT = 16_384  # nodes; beyond, those that are not listed are forgotten, the first that was out first
+RETURNED_NODE_RETENTION = timedelta(hours=1)  # far longer than any node takes to warm up
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,7 +48,7 @@
         Such a node has started for the decision module when it was put back: forgotten, it would count as
         restarted, and all that was learnt of it would be lost.
         """
-        old = [node for node, (_, back) in self.back.items() if now - back > BACK_HELD_FOR]
+        old = [node for node, (_, back) in self.back.items() if now - back > RETURNED_NODE_RETENTION]
         for node in old:
             entry = listed.get(node)
             if entry is None or entry.started >= self.back[node][0]:
@@ -60,7 +60,7 @@
         Returns:
             Nodes that were out, and count as never taken out from now on.
         """
-        surplus = len(self.out) - MOST_OUT
+        surplus = len(self.out) - MAX_NODES_OUT
         unlisted = [node for node in self.out if node not in listed] if surplus > 0 else []
         forgotten = unlisted[: max(0, surplus)]
         for node in forgotten:
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -11,9 +11,9 @@
 from loguru import logger
 
 from stoatrouter.core import model
+from stoatrouter.core.durations import NO_TIME, from_microseconds, to_microseconds
 from stoatrouter.core.gate import Gate
 from stoatrouter.core.invariants import invariant
-from stoatrouter.core.spans import NO_TIME, micros, span
 from stoatrouter.policy import Scheduler, handover
 from stoatrouter.policy import interface as api
 
@@ -39,7 +39,9 @@
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
         # for what is rejected unseen: as late a Retry-After as the settings let a client be given
-        self.advice = span(settings.max_retry_after if settings.accepts_retry_after else 0)
+        self.default_retry_after = from_microseconds(
+            settings.max_retry_after if settings.accepts_retry_after else 0
+        )
         self.records: dict[str, model.Record] = {}
         self.streams: dict[str, int] = {}  # classes of requests whose answers are still being passed on
         self.nodes: dict[str, model.NodeInfo] = {}  # as listed
@@ -58,7 +60,7 @@
             case model.Arrived():
                 return self._arrived(event.request)
             case model.RejectedByFront():
-                return self._reject(event.request_class, model.Refused(self.advice), "crowded")
+                return self._reject(event.request_class, model.Refused(self.default_retry_after), "crowded")
             case model.AttemptEnded():
                 return self._attempt_ended(event)
             case model.StreamEnded():
@@ -70,7 +72,7 @@
                 return self._list_received(event)
             case model.HealthCheckEnded():
                 return self._decide(
-                    api.HealthCheckEnded(event.node, event.outcome, micros(event.took), event.load)
+                    api.HealthCheckEnded(event.node, event.outcome, to_microseconds(event.took), event.load)
                 )
             case model.ClientLeft():
                 return self._client_left(event.request)
@@ -117,7 +119,7 @@
         record = self.records.get(request)
         if record is None or record.answered or not record.attempts[attempt].in_flight:
             return False
-        return self.scheduler.may_begin(micros(max(at, self.now)), request, attempt)
+        return self.scheduler.may_begin(to_microseconds(max(at, self.now)), request, attempt)
 
     # -- requests -----------------------------------------------------------------------------------------
     def _arrived(self, request: model.Request) -> list[model.Effect]:
@@ -126,7 +128,9 @@
             return self._reject(request.request_class, model.Failed(), "duplicate_id")
         # Guards against a flood: beyond what the settings let a head hold, nothing reaches the module.
         if len(self.records) >= self.max_open:
-            return self._reject(request.request_class, model.Refused(self.advice), "over_max_open")
+            return self._reject(
+                request.request_class, model.Refused(self.default_retry_after), "over_max_open"
+            )
         if self.gate is not None and (rejection := self.gate.take(request, self.now)) is not None:
             return self._reject(request.request_class, rejection.answer, rejection.counter)
         self.records[request.id] = model.Record(request, self.now + request.time_left)
@@ -221,7 +225,7 @@
                 attempt=event.attempt,
                 node=attempt.node,
                 outcome=event.outcome,
-                took=micros(self.now - attempt.sent),
+                took=to_microseconds(self.now - attempt.sent),
                 finished=finished,
                 units_by_others=event.units_by_others,
                 load=event.load,
@@ -246,7 +250,7 @@
         # Guards against a node that left the list between a decision and its sending: it never ran.
         if node is None:
             return self._attempt_ended(model.AttemptEnded(self.now, action.request, number, api.Outcome.MOOT))
-        return [model.SendAttempt(record.request, number, node.address, span(action.timeout))]
+        return [model.SendAttempt(record.request, number, node.address, from_microseconds(action.timeout))]
 
     # -- the node list ------------------------------------------------------------------------------------
     def _list_received(self, event: model.EndpointListReceived) -> list[model.Effect]:
@@ -261,11 +265,11 @@
 
     # -- handover between processes ----------------------------------------------------------------------
     def _hand_over(self) -> list[model.Effect]:
-        module = handover.hand_over(self.scheduler, micros(self.now))
+        module = handover.hand_over(self.scheduler, to_microseconds(self.now))
         return [model.HandoverState(tuple(self.nodes.values()), self.administrative_state, module)]
 
     def _taken_back(self, event: model.TakenBack) -> list[model.Effect]:
-        handover.take_back(self.scheduler, micros(self.now))
+        handover.take_back(self.scheduler, to_microseconds(self.now))
         self.administrative_state = event.administrative_state
         return self._pass_on_nodes(api.ListKind.CHANGES, tuple(self.nodes.values()))
 
@@ -294,7 +298,9 @@
         self, kind: api.ListKind, nodes: tuple[model.NodeInfo, ...], since: timedelta | None = None
     ) -> list[model.Effect]:
         entries = tuple(node_entry(self.administrative_state.effective(node)) for node in nodes)
-        return self._decide(api.EndpointList(kind, entries, micros(self.now if since is None else since)))
+        return self._decide(
+            api.EndpointList(kind, entries, to_microseconds(self.now if since is None else since))
+        )
 
     def _set_administrative_state(self, event: model.SetAdministrativeState) -> list[model.Effect]:
         """Set the administrative state of a node; no effects where the node is not known."""
@@ -325,7 +331,7 @@
     def _decide(self, event: api.Event) -> list[model.Effect]:
         """Put an event to the decision module and turn its actions into effects."""
         try:
-            actions = self.scheduler.handle(micros(self.now), event)
+            actions = self.scheduler.handle(to_microseconds(self.now), event)
         except Exception:
             if __debug__:
                 raise
@@ -343,11 +349,11 @@
             case api.Send():
                 return self._send(action)
             case api.Reject():
-                return self._answer(action.request, model.Refused(span(action.retry_after)))
+                return self._answer(action.request, model.Refused(from_microseconds(action.retry_after)))
             case api.Fail():
                 return self._answer(action.request, model.Failed())
             case api.SetTimer():
-                return [model.SetTimer(span(action.after), action.token)]
+                return [model.SetTimer(from_microseconds(action.after), action.token)]
             case api.CancelAttempt():
                 return [model.CancelAttempt(action.request, action.attempt)]
             case api.CheckHealth() if action.node in self.nodes:
@@ -373,7 +379,7 @@
         plan=request.plan,
         request_class=request.request_class,
         shard=request.shard,
-        time_left=micros(request.time_left),
+        time_left=to_microseconds(request.time_left),
         units=request.units,
         hosts=request.hosts,
         key=request.key,
@@ -384,4 +390,6 @@
 
 def node_entry(node: model.NodeInfo) -> api.NodeEntry:
     """A listed node as the decision module takes it, its start time in microseconds since the epoch."""
-    return api.NodeEntry(node.id, node.shard, node.zone, node.phase, node.weight, micros(node.started))
+    return api.NodeEntry(
+        node.id, node.shard, node.zone, node.phase, node.weight, to_microseconds(node.started)
+    )
--- a/stoatrouter/core/requests.py
+++ b/stoatrouter/core/requests.py
@@ -28,7 +28,7 @@
         body: the body, as bytes, or the network code's stored form of a large one.
         idempotency_key: the client's `Idempotency-Key` header, if any.
         fields: header fields forwarded beside the protocol's own, as (name, value) pairs.
-        passes: whatever a node answers below 500 is the answer, with its status and fields.
+        pass_through: whatever a node answers below 500 is the answer, with its status and fields.
     """
 
     id: str
@@ -48,12 +48,12 @@
     body: Any = b""  # bytes, or the network code's stored form of a large one
     idempotency_key: str | None = None
     fields: tuple[tuple[str, str], ...] = ()  # header fields beside the protocol's own
-    passes: bool = False  # any answer of a node below 500 is the answer, with its status and fields
+    pass_through: bool = False  # any answer of a node below 500 is the answer, with its status and fields
 
 
 @dataclass(slots=True, frozen=True)
 class Head:
-    """The status and header fields of a node's answer, for a front that passes them on."""
+    """The status and header fields of a node's answer, for a front that pass_through them on."""
 
     status: int
     fields: tuple[tuple[str, str], ...]
@@ -66,7 +66,7 @@
     body: bytes
     shard: int = -1
     stream: Any = None  # of a large answer: streamed by the network code
-    head: Head | None = None  # where the request passes it on
+    head: Head | None = None  # where the request pass_through it on
 
 
 @dataclass(slots=True, frozen=True)
--- a/stoatrouter/credit/gate.py
+++ b/stoatrouter/credit/gate.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 
 from stoatrouter.core import model
-from stoatrouter.core.gate import GateRejection
+from stoatrouter.core.gate import AdmissionRejection
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger_knowledge import LedgerKnowledge, UnknownVolumes, reject_unowned
 from stoatrouter.credit.local_account import Rank, Rejection, RejectionReason
@@ -79,7 +79,7 @@
     unknown_volumes: UnknownVolumes = UnknownVolumes.REJECT
     unowned: UnownedCounts = field(default_factory=UnownedCounts)
 
-    def take(self, request: model.Request, now: timedelta) -> GateRejection | None:
+    def take(self, request: model.Request, now: timedelta) -> AdmissionRejection | None:
         """Reserve a request's charge; returns the rejection where that is not possible."""
         customer = self.customer_of(request.volume)
         charge = self._charge_of(request)
@@ -88,7 +88,7 @@
         rank = self.ranks[request.request_class]
         return rejection_of(self.escrow.reserve(request.id, customer, charge, rank, now))
 
-    def _take_unowned(self) -> GateRejection | None:
+    def _take_unowned(self) -> AdmissionRejection | None:
         """Admit a request that has a price, of a volume of which no customer is known, or reject it.
 
         Guards the sum: a ledger that is not current may lack the customer whose volume it is, and what is
@@ -137,9 +137,11 @@
         return charge_of(request.units, self.prices[request.request_class])
 
 
-def rejection_of(rejection: Rejection | None) -> GateRejection | None:
+def rejection_of(rejection: Rejection | None) -> AdmissionRejection | None:
     """What the core answers and counts for a rejection; None where there is none."""
     if rejection is None:
         return None
     is_unknown = rejection.reason is RejectionReason.LEDGER_UNKNOWN
-    return GateRejection(model.Refused(rejection.retry_in), LEDGER_UNKNOWN if is_unknown else OVER_CREDIT)
+    return AdmissionRejection(
+        model.Refused(rejection.retry_in), LEDGER_UNKNOWN if is_unknown else OVER_CREDIT
+    )
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -126,7 +126,9 @@
         """Answer a request that a rule refuses, with Retry-After for RETRY_LATER_STATUSES."""
         reducer = self.engine.reducer
         reducer.tally.add("refused_by_rule")
-        headers = retry_after_field(reducer.advice) if refusal.status in RETRY_LATER_STATUSES else None
+        headers = (
+            retry_after_field(reducer.default_retry_after) if refusal.status in RETRY_LATER_STATUSES else None
+        )
         response = web.Response(status=refusal.status, text=f"{refusal.reason}\n", headers=headers)
         return close_after(response) if request.body_exists else self.drain.mark(response)
 
@@ -157,7 +159,7 @@
             target=origin_form(request.raw_path),
             idempotency_key=key,
             fields=self.forwarded_fields(request),
-            passes=True,
+            pass_through=True,
         )
 
     def forwarded_fields(self, request: web.BaseRequest) -> tuple[tuple[str, str], ...]:
--- a/stoatrouter/fronts/http/settings.py
+++ b/stoatrouter/fronts/http/settings.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from stoatrouter.config import Config, ConfigError, parse_address
-from stoatrouter.core.spans import span
+from stoatrouter.core.durations import from_microseconds
 from stoatrouter.matching.vocabulary import KnownClass, Vocabulary
 from stoatrouter.policy import interface as api
 from stoatrouter.settings import SettingsError, load
@@ -95,7 +95,8 @@
         shards: The number of shards; 0 where it is not known.
     """
     classes = tuple(
-        KnownClass(c.name, c.effect is api.Effect.SAFE, span(c.deadline)) for c in settings.classes
+        KnownClass(c.name, c.effect is api.Effect.SAFE, from_microseconds(c.deadline))
+        for c in settings.classes
     )
     return Vocabulary(classes, tuple(p.name for p in settings.plans), shards, settings.max_units)
 
@@ -106,7 +107,7 @@
     Classes without keys and those without a window are left out.
     """
     return {
-        number: span(c.repeat_window)
+        number: from_microseconds(c.repeat_window)
         for number, c in enumerate(settings.classes)
         if c.effect is api.Effect.IDEMPOTENT and c.repeat_window
     }
--- a/stoatrouter/fronts/objects/store.py
+++ b/stoatrouter/fronts/objects/store.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 
 from stoatrouter.core import model
-from stoatrouter.core.spans import span
+from stoatrouter.core.durations import from_microseconds
 from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 from stoatrouter.fronts.objects.extents import (
     HEADER,
@@ -137,7 +137,7 @@
             shard=address.shard,
             units=self._count_units(size),
             hosts=bucket.hosts,
-            time_left=self._limit_time(span(request_class.deadline)),
+            time_left=self._limit_time(from_microseconds(request_class.deadline)),
             write=request_class.writes,
             method="PUT" if request_class.writes else "GET",
             target=f"/{request_class.name}/{bucket.volume}/{address.piece}",
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -11,9 +11,9 @@
 
 from stoatrouter import config
 from stoatrouter.core.descriptors import divide_descriptors
+from stoatrouter.core.durations import from_microseconds
 from stoatrouter.core.list_times import list_times
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.core.spans import span
 from stoatrouter.fronts.platform import PlatformFront
 from stoatrouter.management.calls import MAX_CALLERS, Management
 from stoatrouter.net.background import start_task
@@ -69,7 +69,7 @@
         conf.connect_timeout,
         conf.conn_idle,
         max_node_connections,
-        span(min(request_class.latency_objective for request_class in conf.settings.classes)),
+        from_microseconds(min(request_class.latency_objective for request_class in conf.settings.classes)),
     )
     return Engine(
         Reducer(conf.settings, conf.seed, conf.max_open),
@@ -267,7 +267,7 @@
         logger.info("stop: asked to, {open} requests open", event="stop.asked", open=self.engine.reducer.open)
         self.serving = False
         longest = max(request_class.deadline for request_class in self.conf.settings.classes)
-        times = shutdown_deadlines(span(longest))
+        times = shutdown_deadlines(from_microseconds(longest))
         self.engine.answer_deadline = self.engine.clock.now() + times.answer_within
         await asyncio.gather(
             *(listener.stop(lambda: self.engine.busy, times.accept_for) for listener in self.listeners)
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -224,8 +224,8 @@
         times = self.times
         hold = times.hold * (0.75 + random.random() / 4)  # so that the calls of all heads do not coincide
         if self.failures or not self.answered.is_set():
-            hold = times.brief
-        timeout = hold + times.late if hold > times.brief else times.answer
+            hold = times.short_hold
+        timeout = hold + times.hold_grace if hold > times.short_hold else times.answer
         query = ""
         if self.generation is not None:
             query = f"?from={self.generation}&hold_ms={hold // timedelta(milliseconds=1)}"
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -88,7 +88,7 @@
                     allow_redirects=False,
                     middlewares=(once_if(may_begin, question_of(request), effect.attempt),),
                 )
-                reply = await read_reply(response, request.passes)
+                reply = await read_reply(response, request.pass_through)
             if reply.stream is not None:
                 response = None  # whoever passes it on closes it
             return reply
--- a/stoatrouter/net/state_format.py
+++ b/stoatrouter/net/state_format.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from stoatrouter.core.durations import from_microseconds, to_microseconds
 from stoatrouter.core.model import AdministrativeState, NodeInfo
-from stoatrouter.core.spans import micros, span
 from stoatrouter.policy.interface import Phase
 
 UNREADABLE = (KeyError, TypeError, AttributeError, OverflowError, ValueError)
@@ -51,9 +51,10 @@
 def write_administrative_state(administrative_state: AdministrativeState) -> JsonObject:
     """The administrative state as plain data; times in microseconds since the Unix epoch."""
     return {
-        "out": {node: micros(at) for node, at in administrative_state.out.items()},
+        "out": {node: to_microseconds(at) for node, at in administrative_state.out.items()},
         "back": {
-            node: [micros(since), micros(until)] for node, (since, until) in administrative_state.back.items()
+            node: [to_microseconds(since), to_microseconds(until)]
+            for node, (since, until) in administrative_state.back.items()
         },
     }
 
@@ -62,9 +63,9 @@
     """Read what write_administrative_state wrote; raises ValueError where it is anything else."""
     try:
         return AdministrativeState(
-            {str(node): span(int(at)) for node, at in data["out"].items()},
+            {str(node): from_microseconds(int(at)) for node, at in data["out"].items()},
             {
-                str(node): (span(int(since)), span(int(until)))
+                str(node): (from_microseconds(int(since)), from_microseconds(int(until)))
                 for node, (since, until) in data["back"].items()
             },
         )
@@ -74,7 +75,15 @@
 
 def write_node(node: NodeInfo) -> list[Any]:
     """A node as a list of plain data, which read_node reads."""
-    return [node.id, node.address, node.shard, node.phase.name, node.zone, node.weight, micros(node.started)]
+    return [
+        node.id,
+        node.address,
+        node.shard,
+        node.phase.name,
+        node.zone,
+        node.weight,
+        to_microseconds(node.started),
+    ]
 
 
 def read_node(data: Any) -> NodeInfo:
@@ -82,7 +91,13 @@
     try:
         name, address, shard, phase, zone, weight, started = data
         return NodeInfo(
-            str(name), str(address), int(shard), Phase[phase], int(zone), float(weight), span(int(started))
+            str(name),
+            str(address),
+            int(shard),
+            Phase[phase],
+            int(zone),
+            float(weight),
+            from_microseconds(int(started)),
         )
     except UNREADABLE as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
--- a/stoatrouter/optional_fronts.py
+++ b/stoatrouter/optional_fronts.py
@@ -65,7 +65,7 @@
         from stoatrouter.fronts.wiring import object_tables
 
         tables = object_tables(conf, objects)
-        rules = CallRules(tables.matcher, conf.settings, engine.clock.now, engine.reducer.advice)
+        rules = CallRules(tables.matcher, conf.settings, engine.clock.now, engine.reducer.default_retry_after)
         apply_rules = rules.apply
     front = ObjectFront(engine.serve_complete, conf.settings, objects, drain, apply_rules)
     return ObjectFrontParts(front, Listener(front.handle, drain), tables)
--- a/stoatrouter/policy/node.py
+++ b/stoatrouter/policy/node.py
@@ -175,7 +175,7 @@
         self.read_latency = min(self.read_latency, self.latency)
         self.shrink_to_quota()
 
-    def control(self, now: int) -> None:
+    def update_delay_step(self, now: int) -> None:
         """Set the delay step: a single-sided PID in incremental (velocity) form.
 
         The error is relative to the objective. At or below the objective, or with old averages, there is no
--- a/stoatrouter/policy/node_index.py
+++ b/stoatrouter/policy/node_index.py
@@ -34,22 +34,22 @@
     def __setitem__(self, key: Key, value: Value) -> None:
         """File a request under its id and mark the node for the index."""
         super().__setitem__(key, value)
-        self.node.mark()
+        self.node.mark_changed()
 
     def __delitem__(self, key: Key) -> None:
         """Remove a request by its id and mark the node; `KeyError` where it is not filed."""
         super().__delitem__(key)
-        self.node.mark()
+        self.node.mark_changed()
 
     def pop(self, *args: Any) -> Any:
         """As of a dict."""
-        self.node.mark()
+        self.node.mark_changed()
         return super().pop(*args)
 
     def clear(self) -> None:
         """As of a dict."""
         super().clear()
-        self.node.mark()
+        self.node.mark_changed()
 
 
 class IndexedNode:
@@ -71,7 +71,7 @@
         self.write_rates: dict[str, float] = {}
         self.throttleable: set[str] = set()
 
-    def mark(self) -> None:
+    def mark_changed(self) -> None:
         """Something changed that a reading or the order by load may hang on."""
         if self.index is not None:
             self.index.changed.add(self)
@@ -85,7 +85,7 @@
     def window(self, value: float) -> None:
         if value != self._window:
             self._window = value
-            self.mark()
+            self.mark_changed()
 
     @property
     def up_since(self) -> int:
@@ -95,7 +95,7 @@
     @up_since.setter
     def up_since(self, value: int) -> None:
         self._up_since = value
-        self.mark()
+        self.mark_changed()
 
     @property
     def phase(self) -> Phase:
@@ -106,7 +106,7 @@
     def phase(self, value: Phase) -> None:
         if value is not self._phase:
             self._phase = value
-            self.mark()
+            self.mark_changed()
             if self.index is not None:
                 self.index.note_phase(self)
 
@@ -125,14 +125,14 @@
         self.gone: dict[int, N] = {}  # no longer listed, not yet forgotten
         self.changed: set[N] = set()  # since changes were last passed on to the three sets below
         self.unranked: set[N] = set()  # whose place in the order by load may be another now
-        self.watched: set[N] = set()  # whom the next reading may change
-        self.written: set[N] = set()  # whose throttleable volumes may change
+        self.to_update: set[N] = set()  # whom the next reading may change
+        self.write_rates_changed: set[N] = set()  # whose throttleable volumes may change
         self.ranked: list[Rank] = []  # of the nodes that are on, in order
         self.ranks: dict[int, Rank] = {}
         self.warming: list[tuple[int, int]] = []  # when a node has warmed up, and its number
         self.warm_ups: set[tuple[int, int]] = set()  # what is in `warming`
-        self.resting: list[tuple[int, int]] = []  # after when a reading may change a node, and its number
-        self.scheduled: set[int] = set()  # the numbers in `resting`
+        self.idle_until: list[tuple[int, int]] = []  # after when a reading may change a node, and its number
+        self.scheduled: set[int] = set()  # the numbers in `idle_until`
 
     # -- which nodes there are ----------------------------------------------------------------------------
     def __setitem__(self, name: str, node: N) -> None:
@@ -159,7 +159,7 @@
             del self.shards[node.shard]
         self.gone.pop(node.number, None)
         self._unrank(node)
-        for group in (self.changed, self.unranked, self.watched, self.written):
+        for group in (self.changed, self.unranked, self.to_update, self.write_rates_changed):
             group.discard(node)
 
     def setdefault(self, name: str, node: N) -> N:
@@ -191,43 +191,44 @@
     def _pass_on_changes(self) -> None:
         if self.changed:
             self.unranked |= self.changed
-            self.watched |= self.changed
-            self.written |= self.changed
+            self.to_update |= self.changed
+            self.write_rates_changed |= self.changed
             self.changed.clear()
 
     # -- for readings -------------------------------------------------------------------------------------
     def due(self, now: int) -> list[N]:
         """The nodes that a reading may change: all others are at rest until they are marked."""
         self._pass_on_changes()
-        while self.resting and self.resting[0][0] < now:
-            number = heappop(self.resting)[1]
+        while self.idle_until and self.idle_until[0][0] < now:
+            number = heappop(self.idle_until)[1]
             self.scheduled.discard(number)
             if number in self.numbered:
-                self.watched.add(self.numbered[number])
-        return sorted(self.watched, key=lambda node: node.number)
+                self.to_update.add(self.numbered[number])
+        return sorted(self.to_update, key=lambda node: node.number)
 
-    def rest(self, node: N, now: int, until: int) -> None:
+    def mark_idle(self, node: N, now: int, until: int) -> None:
         """A reading changes nothing at a node up to a time, as long as nothing is marked there."""
-        self.watched.discard(node)
+        self.to_update.discard(node)
         if until >= now and node.number not in self.scheduled:
             self.scheduled.add(node.number)
-            heappush(self.resting, (until, node.number))
+            heappush(self.idle_until, (until, node.number))
 
     def writers(self) -> list[N]:
         """The nodes whose throttleable volumes may change."""
         self._pass_on_changes()
-        found = list(self.written)
-        self.written = {node for node in found if node.write_rates or node.throttleable}
+        found = list(self.write_rates_changed)
+        self.write_rates_changed = {node for node in found if node.write_rates or node.throttleable}
         return found
 
     # -- by load ------------------------------------------------------------------------------------------
-    def least_loaded(self, now: int, warmth: Callable[[N, int], float], draw: float) -> N | None:
-        """Of the nodes that are on, one whose load over warmth is least; `draw`, 0 to 1, picks among equals.
+    def least_loaded(self, now: int, capacity_fraction: Callable[[N, int], float], draw: float) -> N | None:
+        """Return a node in phase ON with the least load relative to its capacity fraction; None without any.
 
-        `warmth` is at most 1, and the lower the later a node started. So of equal loads the warm come first,
-        then the oldest of those warming up, and a higher load needs no look once a lower score is found.
+        `capacity_fraction` is at most 1, and lower for nodes that started later. At equal load, warm nodes
+        therefore come first, then those warming up, oldest first; nodes of higher load than the best score
+        found so far need not be examined. `draw`, from 0 to 1, chooses among equal scores.
         """
-        self._rank_again(now)
+        self._update_ranking(now)
         ranked = self.ranked
         best = inf
         at = 0
@@ -236,7 +237,7 @@
             load = ranked[at][0]
             end = bisect_left(ranked, (load, inf, 0), at)
             while at < end:
-                score = load / warmth(self.numbered[ranked[at][2]], now)
+                score = load / capacity_fraction(self.numbered[ranked[at][2]], now)
                 if score > best:
                     break
                 after = bisect_left(ranked, (load, ranked[at][1], inf), at)
@@ -259,7 +260,7 @@
         """Drop warm-ups that have ended; while no request is open, bring the order by load up to date too."""
         self._note_warmed_up(now)
         if is_idle:
-            self._rank_again(now)
+            self._update_ranking(now)
 
     def _note_warmed_up(self, now: int) -> None:
         while self.warming and self.warming[0][0] <= now:
@@ -269,7 +270,7 @@
             if number in self.numbered:
                 self.unranked.add(self.numbered[number])
 
-    def _rank_again(self, now: int) -> None:
+    def _update_ranking(self, now: int) -> None:
         self._pass_on_changes()
         self._note_warmed_up(now)
         for node in self.unranked:
--- a/stoatrouter/policy/placement.py
+++ b/stoatrouter/policy/placement.py
@@ -18,7 +18,7 @@
     def __init__(self, state: SchedulerState, slow_start: SlowStart) -> None:
         """Work on the scheduler's state; no data has been put anywhere yet."""
         self.state = state
-        self.warmth = slow_start.warmth
+        self.capacity_fraction = slow_start.capacity_fraction
         # The shard where this host lately put new data, and when (microseconds), by volume and key.
         self.recent_writes: dict[tuple[Volume, str | None], tuple[int, int]] = {}
 
@@ -31,7 +31,7 @@
         # New data goes to a warming-up node last: what it bears is for the reads that no other can serve.
         if shard == ANY_SHARD and zone is None:
             # the draw: with nothing in flight, hosts with little traffic would all find the same node first
-            node = self.state.nodes.least_loaded(now, self.warmth, self.state.random.random())
+            node = self.state.nodes.least_loaded(now, self.capacity_fraction, self.state.random.random())
         request.node = node or self._least_loaded_of(shard, zone, now)
         if request.node is not None:
             request.node.pending[request.id] = None
@@ -51,7 +51,10 @@
         return shard, home.zone if request_class.group is Group.ZONE else None
 
     def _least_loaded_of(self, shard: int, zone: int | None, now: int) -> Node | None:
-        """The least loaded for its warmth of a shard's nodes that accept work; those that are on first."""
+        """Return the shard's least loaded node that accepts work, preferring phase ON over draining.
+
+        Load is relative to the node's capacity fraction; ties are broken at random.
+        """
         draw = self.state.random.random
         accepting = [
             node
@@ -61,7 +64,11 @@
         return min(
             accepting,
             default=None,
-            key=lambda node: (node.phase is not Phase.ON, node.load() / self.warmth(node, now), draw()),
+            key=lambda node: (
+                node.phase is not Phase.ON,
+                node.load() / self.capacity_fraction(node, now),
+                draw(),
+            ),
         )
 
     def note_new_data(self, request: Request, node: Node, now: int) -> None:
--- a/stoatrouter/policy/scheduler.py
+++ b/stoatrouter/policy/scheduler.py
@@ -276,7 +276,7 @@
 
     def _read_node(self, node: Node, now: int) -> None:
         """Run a node's controller, note its silence, and send what waits."""
-        node.control(now)
+        node.update_delay_step(now)
         last_event_at = max(node.answered_at, node.last_sent_at)
         if not node.in_flight and now - last_event_at > AVERAGE_SPAN:
             node.assume_idle(self.state.idle_latency)
@@ -284,7 +284,7 @@
         self.dispatcher.dispatch(node, now)
         if not (node.pending or node.in_flight or node.read_latency > self.state.tightest_objective):
             # until its averages are too old
-            self.state.nodes.rest(node, now, max(node.answered_at, node.last_sent_at) + AVERAGE_SPAN)
+            self.state.nodes.mark_idle(node, now, max(node.answered_at, node.last_sent_at) + AVERAGE_SPAN)
 
     def _cut_if_silent(self, node: Node, now: int) -> None:
         """Take a first attempt that is neither answered nor overtaken as a time-out."""
--- a/stoatrouter/policy/slow_start.py
+++ b/stoatrouter/policy/slow_start.py
@@ -22,7 +22,7 @@
         self.rules = state.rules
         self.requested_shards = RecentKeys(state.rules.overload_window)
 
-    def warmth(self, node: Node, at: int) -> float:
+    def capacity_fraction(self, node: Node, at: int) -> float:
         """The least part of its capacity that a node has at `at`, by what is promised of its warming up."""
         if not node.up_since:
             return 1.0
@@ -32,7 +32,7 @@
         first = self.rules.warm_up_from
         return first + (1 - first) * max(0, age) / self.rules.warm_up_time
 
-    def senders(self, now: int) -> float:
+    def expected_senders(self, now: int) -> float:
         """How many hosts send to a node, as far as this one can tell.
 
         Where this host is asked for few of the nodes, so are the others, and on average all of them together
@@ -63,15 +63,15 @@
     def has_capacity(self, request: Request, node: Node, at: int, now: int) -> bool:
         """Whether this host's part of a warming-up node's capacity takes the request at `at` (microseconds).
 
-        The part is this host's fraction of any window, scaled by the warmth promised. With many hosts that
-        is less than a request: then three quarters are earned over time, with turns by host number for the
-        first.
+        The share is this host's part of the capacity in any overload window, scaled by the promised capacity
+        fraction. With many hosts the share is less than one request; three quarters of it then accrue over
+        time, and the hosts take turns by host number for the first request.
         """
         if self.state.handed_over:
             return False  # all of this host's part is the next process's
         part = self._part(request, node, at, now)
         sent = node.sent_since(at - self.rules.overload_window)
-        if sent + request.units <= part * self.warmth(node, at):
+        if sent + request.units <= part * self.capacity_fraction(node, at):
             return True
         return not sent and self._has_earned(request, node, at, part)
 
@@ -79,7 +79,7 @@
         """This host's part, in units within the overload window, of what the node bears once it is warm."""
         rules = self.rules
         # new data may go to any node, so any host may send it here
-        hosts = self.state.settings.hosts if request.shard == -1 else self.senders(now)
+        hosts = self.state.settings.hosts if request.shard == -1 else self.expected_senders(now)
         # Always borne is what the slowest node bears. One that has answered this host bears more: at least
         # what it does in one place. Harm: if that was easy work, it is sent more than it bears.
         shown = 0.0
@@ -92,7 +92,7 @@
         """Whether the parts of all windows since the node is known have added up to the request."""
         settings = self.state.settings
         windows = (at - node.sends_known_since) / max(1, self.rules.overload_window)
-        mean_warmth = self.warmth(node, (node.sends_known_since + at) // 2)
+        mean_warmth = self.capacity_fraction(node, (node.sends_known_since + at) // 2)
         earned = EARNED_PART * part * windows * mean_warmth
         turn = (settings.host_index + node.up_since // MS) % settings.hosts
         return earned >= node.units_sent + turn / settings.hosts * request.units
--- a/tests/node_stories.py
+++ b/tests/node_stories.py
@@ -75,14 +75,16 @@
     def due(self, now: int) -> list[Any]:
         return list(self.values())
 
-    def rest(self, node: Any, now: int, until: int) -> None:
+    def mark_idle(self, node: Any, now: int, until: int) -> None:
         pass
 
     def writers(self) -> list[Any]:
         return list(self.values())
 
-    def least_loaded(self, now: int, warmth: Callable[[Any, int], float], draw: float) -> Any | None:
-        scores = {node: self.load(node) / warmth(node, now) for node in self.values() if on(node)}
+    def least_loaded(
+        self, now: int, capacity_fraction: Callable[[Any, int], float], draw: float
+    ) -> Any | None:
+        scores = {node: self.load(node) / capacity_fraction(node, now) for node in self.values() if on(node)}
         equal = [node for node, score in scores.items() if score == min(scores.values())]
         return equal[int(draw * len(equal))] if equal else None
 
--- a/tests/test_administrative_state.py
+++ b/tests/test_administrative_state.py
@@ -9,8 +9,8 @@
 import pytest
 
 from stoatrouter.core import model
-from stoatrouter.core.nodes import BACK_HELD_FOR
-from stoatrouter.core.spans import micros
+from stoatrouter.core.durations import to_microseconds
+from stoatrouter.core.nodes import RETURNED_NODE_RETENTION
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.policy.interface import ListKind, Outcome, Phase
 from tests.test_core import MS, START, node, only, reducer, request
@@ -71,7 +71,7 @@
     put(r, False, START + 5 * SECOND)
     r.reduce(model.EndpointListReceived(START + 6 * SECOND, ListKind.FULL, tuple(r.nodes.values())))
     since = START + (2 if restarted else 5) * SECOND
-    assert r.scheduler.nodes["n1"].up_since == micros(since)
+    assert r.scheduler.nodes["n1"].up_since == to_microseconds(since)
     assert sends(r, START + 7 * SECOND, "r")
 
 
@@ -109,7 +109,7 @@
     listed = (node("n1"), replace(node("n2"), shard=1))
     r = reducer(*listed)
     put(r, True), put(r, False, START + SECOND)
-    late = START + 3 * BACK_HELD_FOR
+    late = START + 3 * RETURNED_NODE_RETENTION
     r.reduce(model.Arrived(late, request()))
     r.reduce(model.AttemptEnded(late + MS, "r", 0, Outcome.FULL))
     known = r.scheduler.nodes["n1"]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,9 +12,9 @@
 
 from stoatrouter.config import ConfigError, adapt_to_sockets, parse_address
 from stoatrouter.core import model
+from stoatrouter.core.durations import from_microseconds, to_microseconds
 from stoatrouter.core.invariants import InvariantBroken, invariant
 from stoatrouter.core.reducer import Reducer
-from stoatrouter.core.spans import micros, span
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.interface import ListKind, Outcome, Phase
 from tests.scheduler_driver import CLASSES, PLAN
@@ -106,7 +106,7 @@
     r = reducer(node())
     r.reduce(model.Arrived(START + 10 * MS, request()))
     r.reduce(model.Arrived(START, request("s")))
-    assert r.scheduler.now == micros(START + 10 * MS)
+    assert r.scheduler.now == to_microseconds(START + 10 * MS)
 
 
 def test_every_request_has_its_last_moment_watched():
@@ -135,7 +135,7 @@
 r.scheduler.handle = broken
 assert_not = only(r.reduce(model.Arrived(START, request())), model.GiveAnswer)
 given = only(r.reduce(model.Overdue(START + 2015 * MS, "r")), model.GiveAnswer)
-from stoatrouter.core.invariants import broken as counted
+from stoatrouter.core.invariants import violations as counted
 print(assert_not, given[0].answer, sum(counted.values()), r.tally.counts["decision_failed"])
 """
     done = subprocess.run(
@@ -163,7 +163,10 @@
 
 
 def test_spans_and_counts_are_each_others_inverse():
-    assert micros(span(1_234_567)) == 1_234_567 and micros(timedelta(seconds=1.5)) == 1_500_000
+    assert (
+        to_microseconds(from_microseconds(1_234_567)) == 1_234_567
+        and to_microseconds(timedelta(seconds=1.5)) == 1_500_000
+    )
 
 
 def test_on_sockets_the_grace_of_drains_leaves_time_to_connect():
--- a/tests/test_endpoint_list_and_descriptors.py
+++ b/tests/test_endpoint_list_and_descriptors.py
@@ -17,8 +17,8 @@
 
 from stoatrouter import head as head_module
 from stoatrouter.core.descriptors import divide_descriptors
-from stoatrouter.core.list_times import COUNTS_AS_NOTIFIED, MS, list_times
-from stoatrouter.core.spans import micros
+from stoatrouter.core.durations import to_microseconds
+from stoatrouter.core.list_times import MAX_NOTIFICATION_DELAY, MS, list_times
 from stoatrouter.head import Head
 from stoatrouter.net.discovery import Watch
 from stoatrouter.policy.interface import Phase
@@ -44,7 +44,7 @@
 AT_ONCE = replace(
     list_times(True, 2000 * MS),
     hold=30 * MS,
-    late=30 * MS,
+    hold_grace=30 * MS,
     connect=30 * MS,
     answer=60 * MS,
     first_answer=50 * MS,
@@ -56,10 +56,13 @@
 def test_the_budget_of_the_list_keeps_to_the_term(grace):
     for pushed in (True, False):
         times = list_times(pushed, grace * MS)
-        assert times.silence < COUNTS_AS_NOTIFIED and times.outage < COUNTS_AS_NOTIFIED
+        assert (
+            times.max_change_delay < MAX_NOTIFICATION_DELAY
+            and times.max_recovery_delay < MAX_NOTIFICATION_DELAY
+        )
         assert times.first_answer <= timedelta(seconds=1)
     if grace >= 1000:  # what an agent got at its return counts at once: it is known within the grace
-        assert list_times(True, grace * MS).outage < grace * MS
+        assert list_times(True, grace * MS).max_recovery_delay < grace * MS
 
 
 @pytest.mark.parametrize("pushed", [True, False])
@@ -85,7 +88,7 @@
             await until(lambda: len(heard) == 2 and len(agent.calls) == 4)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        held, brief = AT_ONCE.hold / MS, AT_ONCE.brief / MS
+        held, brief = AT_ONCE.hold / MS, AT_ONCE.short_hold / MS
         asked = [int(call.partition("hold_ms=")[2] or 0) for call in agent.calls]
         assert asked[1] >= 0.7 * held and asked[2] == brief and asked[3] >= 0.7 * held
         assert [phase for phase, _ in heard] == [Phase.ON, Phase.DRAINING]
@@ -140,7 +143,7 @@
                     # counted as told from this process's first moment, so there is no grace
                     assert known in ([(1, Phase.DRAINING)], [(2, Phase.DRAINING)])
                     assert not head.engine.reducer.scheduler.nodes["a"].accepts(
-                        micros(head.engine.clock.now())
+                        to_microseconds(head.engine.clock.now())
                     )
                 else:
                     assert known[0][1] is Phase.ON and len(known) == 1 and head.serving
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -109,14 +109,14 @@
     nodes = [api.NodeEntry(f"n{i}", i) for i in range(100)]
     driver = SchedulerDriver(hosts=100, nodes=nodes, rules=RULES)
     driver.request("r", shard=3)
-    assert driver.scheduler.slow_start.senders(driver.now) == 100
+    assert driver.scheduler.slow_start.expected_senders(driver.now) == 100
     driver.wait(4 * SECOND)
-    few = driver.scheduler.slow_start.senders(driver.now)
+    few = driver.scheduler.slow_start.expected_senders(driver.now)
     assert 1 <= few < 10
     after = Scheduler(driver.scheduler.settings, 2)
     after.handle(driver.now, api.EndpointList(api.ListKind.RESTORED, tuple(nodes)))
     handover.take_over(after, handover.hand_over(driver.scheduler, driver.now))
-    assert after.slow_start.senders(driver.now) == few
+    assert after.slow_start.expected_senders(driver.now) == few
 
 
 # -- heads restarted in the same seconds as nodes
--- a/tests/test_held_memory.py
+++ b/tests/test_held_memory.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from stoatrouter.core import model, nodes
-from stoatrouter.core.nodes import BACK_HELD_FOR
+from stoatrouter.core.nodes import RETURNED_NODE_RETENTION
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.handover import hand_over, take_over
 from stoatrouter.policy.placement import ANY_SHARD
@@ -262,7 +262,7 @@
 def test_nodes_put_back_by_hand_are_forgotten_once_they_are_warm():
     """Guards memory: they were remembered by name for ever, one after each call."""
     r = reducer()
-    interval = BACK_HELD_FOR / 10
+    interval = RETURNED_NODE_RETENTION / 10
     for number in range(200):
         take_out_and_back(r, number, START + number * interval, back=True)
     assert len(r.administrative_state.back) <= 11 and not r.administrative_state.out
@@ -270,7 +270,7 @@
 
 def test_nodes_out_by_hand_that_are_not_listed_are_bounded(monkeypatch):
     """A node that is listed stays out whatever the bound; one put back still warms up."""
-    monkeypatch.setattr(nodes, "MOST_OUT", 8)
+    monkeypatch.setattr(nodes, "MAX_NODES_OUT", 8)
     r = reducer()
     for number in range(20):
         take_out_and_back(r, number, START, back=False)
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -16,7 +16,7 @@
 import pytest
 
 from stoatrouter.core import model
-from stoatrouter.core.nodes import BACK_HELD_FOR
+from stoatrouter.core.nodes import RETURNED_NODE_RETENTION
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.credit.accounts import HeadRegistration
 from stoatrouter.credit.allotment_ages import AllotmentAges
@@ -130,7 +130,7 @@
     driver.put(model.EndpointListReceived(driver.now, ListKind.FULL, (node("n2"),)))
     driver.wait(QUIET)
     assert list(driver.reducer.administrative_state.back) == ["n0", "n1"]
-    driver.now += BACK_HELD_FOR
+    driver.now += RETURNED_NODE_RETENTION
     driver.rest()
     assert not driver.reducer.administrative_state.back
     idle = CoreDriver(Outcome.OK)
--- a/tests/test_node_control.py
+++ b/tests/test_node_control.py
@@ -21,7 +21,7 @@
     for reads in (0.0, THRESHOLD / 2, THRESHOLD):
         node = busy_node(reads)
         node.controller_output, node.delay_step = 9.0, 9
-        node.control(0)
+        node.update_delay_step(0)
         assert node.delay_step == 0
 
 
@@ -29,7 +29,7 @@
     node = busy_node(1.5 * THRESHOLD)
     steps = []
     for _ in range(90):
-        node.control(0)
+        node.update_delay_step(0)
         steps.append(node.delay_step)
     assert steps == sorted(steps) and 0 < steps[0] < MAX_STEP and max(steps) == MAX_STEP
     assert all(isinstance(s, int) for s in steps)
@@ -39,9 +39,9 @@
     node = busy_node(1.5 * THRESHOLD)
     node.in_flight.clear()  # an answer a second ago, nothing out
     for _ in range(30):
-        node.control(1 * SECOND)
+        node.update_delay_step(1 * SECOND)
     assert node.delay_step > 0
-    node.control(5 * SECOND)
+    node.update_delay_step(5 * SECOND)
     assert node.delay_step == 0
 
 
@@ -206,12 +206,12 @@
 def test_windup_on_a_node_that_no_throttling_relieves_lets_writers_go_until_it_recovers():
     node = busy_node(3 * THRESHOLD)
     for _ in range(100):
-        node.control(0)
+        node.update_delay_step(0)
     assert node.delay_step == 0
     node.read_latency = THRESHOLD
-    node.control(0)
+    node.update_delay_step(0)
     node.read_latency = 3 * THRESHOLD
-    node.control(0)
+    node.update_delay_step(0)
     assert node.delay_step > 0
 
 
--- a/tests/test_node_index.py
+++ b/tests/test_node_index.py
@@ -47,17 +47,17 @@
 class SleepsThrough(NodeIndex):
     """A node at rest is not read again once its news is old."""
 
-    def rest(self, node, now, until):
-        self.watched.discard(node)
+    def mark_idle(self, node, now, until):
+        self.to_update.discard(node)
 
 
 class KeepsRanks(NodeIndex):
     """What changes a load is not heard of."""
 
-    def _rank_again(self, now):
+    def _update_ranking(self, now):
         self._pass_on_changes()
         self.unranked = {node for node in self.unranked if node.number not in self.ranks}
-        super()._rank_again(now)
+        super()._update_ranking(now)
 
 
 class ForgetsWriters(NodeIndex):
@@ -65,7 +65,7 @@
 
     def writers(self):
         found = super().writers()
-        self.written.clear()
+        self.write_rates_changed.clear()
         return found
 
 
@@ -98,9 +98,9 @@
 
     looks = 0
 
-    def control(self, now):
+    def update_delay_step(self, now):
         type(self).looks += 1
-        super().control(now)
+        super().update_delay_step(now)
 
     def accepts(self, now):
         type(self).looks += 1
@@ -116,9 +116,9 @@
 
     looks = 0
 
-    def warmth(self, node, at):
+    def capacity_fraction(self, node, at):
         type(self).looks += 1
-        return super().warmth(node, at)
+        return super().capacity_fraction(node, at)
 
 
 def looks_for(count: int, monkeypatch) -> int:
@@ -131,7 +131,9 @@
     story.schedulers = story.schedulers[:1] * 2  # the shipped one alone
     scheduler = story.schedulers[0]
     story.pass_time(6 * SECOND)  # all come to rest
-    scheduler.nodes.least_loaded(story.now, scheduler.slow_start.warmth, 0.0)  # each is ranked once
+    scheduler.nodes.least_loaded(
+        story.now, scheduler.slow_start.capacity_fraction, 0.0
+    )  # each is ranked once
     CountingNode.looks = CountingSlowStart.looks = 0
     now = story.now
     for number in range(400):
@@ -177,10 +179,10 @@
     index = story.schedulers[0].nodes
     assert len(index) == 24 and index.listed() == 2
     story.pass_time(80 * SECOND)
-    index.least_loaded(story.now, story.schedulers[0].slow_start.warmth, 0.5)
+    index.least_loaded(story.now, story.schedulers[0].slow_start.capacity_fraction, 0.5)
     for table in (index, index.numbered, index.ranked, index.ranks):
         assert len(table) == 2
-    assert sum(map(len, index.shards.values())) == 2 and not index.gone and not index.watched
+    assert sum(map(len, index.shards.values())) == 2 and not index.gone and not index.to_update
 
 
 def test_a_start_ahead_of_this_clock_is_held_once_however_often_the_node_is_ranked():
@@ -188,7 +190,7 @@
     index = NodeIndex(6 * SECOND, lambda node: 1.0)
     node = index["n0"] = IndexedNode(api.NodeEntry("n0", 0, up_since=START + 3600 * SECOND))
     for i in range(100):
-        node.mark()
+        node.mark_changed()
         assert index.least_loaded(START + i * SECOND, lambda node, at: 1.0, 0.5) is node
     assert len(index.warming) == 1
     index.forget_old(START + 3606 * SECOND, is_idle=True)
--- a/tests/test_same_question.py
+++ b/tests/test_same_question.py
@@ -86,7 +86,7 @@
 async def ask(nodes: NodeClient, address: str, name: str, what: Ask) -> bytes:
     method, target, body, fields = what
     effect = attempt(address, method, body, target, timedelta(seconds=50))
-    request = replace(effect.request, id=name, fields=fields, passes=True)
+    request = replace(effect.request, id=name, fields=fields, pass_through=True)
     reply = await nodes.attempt(replace(effect, request=request))
     assert reply.outcome is Outcome.OK, (name, what, reply)
     return reply.body
