--- a/stoatrouter/core/descriptors.py
+++ b/stoatrouter/core/descriptors.py
@@ -8,11 +8,15 @@
 
 from dataclasses import dataclass
 
-OPERATORS = 12  # callers at the operators' address (management/calls.py), and some that end for them
-DISCOVERY = 4  # the watch, the one after a change of address, and those that the system has not closed yet
-FILES = 16  # standard streams, the loop's own, listening sockets, the old process, the state file
+OPERATOR_DESCRIPTORS = (
+    12  # callers at the operators' address (management/calls.py), and some that end for them
+)
+DISCOVERY_DESCRIPTORS = (
+    4  # the watch, the one after a change of address, and those that the system has not closed yet
+)
+FILE_DESCRIPTORS = 16  # standard streams, the loop's own, listening sockets, the old process, the state file
 # clients that come before others have ended: client_table.SPARE_CONNECTIONS and two turns of ACCEPT_AT_ONCE
-ACCEPTING = 40
+ACCEPT_DESCRIPTORS = 40
 # Fractions of what remains; at a thousand descriptors and more a margin stays beside them, for large bodies
 # stored in files.
 CLIENTS_FRACTION = 0.58
@@ -26,7 +30,7 @@
 
     clients: int  # connections of clients, with or without a request
     nodes: int  # connections to nodes, in use or idle
-    fixed: int = OPERATORS + DISCOVERY + FILES + ACCEPTING
+    fixed: int = OPERATOR_DESCRIPTORS + DISCOVERY_DESCRIPTORS + FILE_DESCRIPTORS + ACCEPT_DESCRIPTORS
 
     @property
     def total(self) -> int:
--- a/stoatrouter/core/invariants.py
+++ b/stoatrouter/core/invariants.py
@@ -9,7 +9,7 @@
 from stoatrouter.core.errors import CoreError
 
 violations: Counter[str] = Counter()
-LOGGED_EACH = 5  # further breaks of the same kind are only counted: a log that floods hides its cause
+MAX_LOGGED_PER_KIND = 5  # further breaks of the same kind are only counted: a log that floods hides its cause
 
 
 class InvariantBroken(CoreError, AssertionError):
@@ -41,7 +41,7 @@
     if __debug__:
         raise InvariantBroken(what, details)
     violations[what] += 1
-    if violations[what] <= LOGGED_EACH:
+    if violations[what] <= MAX_LOGGED_PER_KIND:
         logger.error(
             "invariant broken: {what} {details}", event="invariant.broken", what=what, details=details
         )
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -18,8 +18,8 @@
 from stoatrouter.policy import interface as api
 
 # Longest wait past the client's deadline before the core answers by itself, should a decision be missing.
-OVERDUE_AFTER = timedelta(milliseconds=15)
-FORGET_EVERY = timedelta(seconds=60)  # how often nodes that were put back long ago are forgotten
+OVERDUE_GRACE = timedelta(milliseconds=15)
+CLEANUP_INTERVAL = timedelta(seconds=60)  # how often nodes that were put back long ago are forgotten
 
 
 class Reducer:
@@ -136,7 +136,7 @@
         self.records[request.id] = model.Record(request, self.now + request.time_left)
         self.tally.add("taken")
         self.counters.active += 1
-        effects: list[model.Effect] = [model.WatchOverdue(request.time_left + OVERDUE_AFTER, request.id)]
+        effects: list[model.Effect] = [model.WatchOverdue(request.time_left + OVERDUE_GRACE, request.id)]
         return effects + self._decide(request_arrived(request))
 
     def _reject(self, request_class: int, answer: model.Answer, why: str) -> list[model.Effect]:
@@ -323,7 +323,7 @@
 
     def _forget_old(self) -> None:
         """Forget nodes that were put back long ago, without waiting for an operator's next call."""
-        if self.now - self.forgotten_at >= FORGET_EVERY:
+        if self.now - self.forgotten_at >= CLEANUP_INTERVAL:
             self.forgotten_at = self.now
             self.administrative_state.forget_back(self.nodes, self.now)
 
--- a/stoatrouter/policy/__init__.py
+++ b/stoatrouter/policy/__init__.py
@@ -1,7 +1,7 @@
-"""The decision module: a pure state machine that decides what is sent, where and when, and what is rejected.
+"""The decision module: a pure state machine that decides what to send, where and when, and what to reject.
 
-It knows nothing of HTTP, sockets or clocks, and imports nothing of the rest of the program. `Scheduler` takes
-events and returns actions; both are defined in `interface.py`.
+It does not depend on HTTP, sockets, clocks or any other package of the program. `Scheduler` takes events and
+returns actions; both are defined in `interface.py`.
 """
 
 from stoatrouter.policy.scheduler import Scheduler
--- a/stoatrouter/policy/dispatch.py
+++ b/stoatrouter/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends what waits at a node by priority, and sheds what cannot be in time. Terms: interface.py."""
+"""Sends a node's pending requests by priority and sheds those that will be late. Terms: interface.py."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from stoatrouter.policy.retry_budget import RetryBudget
 from stoatrouter.policy.send_rules import SendRules
 from stoatrouter.policy.state import SchedulerState
-from stoatrouter.policy.units import SECOND, TINY
+from stoatrouter.policy.units import EPSILON, SECOND
 
-CACHED_KEY_BONUS = 2.0  # on the priority of a key the node has just read: a full step of the order
-EXCESS_MARGIN = 2.0  # on the fair excess: as far beyond its quota a volume counts as within it
-PRESSURE_SPAN = SECOND  # how long after its window was cut a node counts as under pressure
+# Priority factor for a key that the node has just read; a factor of 2 is one full step in the rounded order.
+CACHED_KEY_BONUS = 2.0
+EXCESS_MARGIN = 2.0  # times its fair excess: up to there a volume counts as within its quota
+PRESSURE_PERIOD = SECOND  # how long a node counts as under pressure after its window was cut
 
 
 class Dispatcher:
-    """Decides which of a node's waiting requests are sent now."""
+    """Decides which of a node's pending requests are sent now."""
 
     def __init__(
         self,
@@ -30,7 +31,7 @@
         retry_budget: RetryBudget,
         recently_sent: RecentlySent,
     ) -> None:
-        """Work on the scheduler's state; every send meets `rules` first."""
+        """Use the scheduler's shared state; every send is checked against `rules` first."""
         self.state = state
         self.rules = rules
         self.lifecycle = lifecycle
@@ -38,38 +39,38 @@
         self.recently_sent = recently_sent
 
     def dispatch(self, node: Node, now: int) -> None:
-        """Send what the node's window lets through, and shed what waits in vain."""
+        """Send as many pending requests as the node's window allows, and shed those that will not be sent."""
         if not node.pending or not node.accepts(now):
             return
-        if node.has_capacity(now):  # else what waits need not be ordered
+        if node.has_capacity(now):  # otherwise nothing is sent, and sorting would be wasted
             self._send_by_priority(node, now)
         for request in [r for r in self._waiting(node) if self.should_shed(r, node, now)]:
             self.lifecycle.finish(request, now)
 
     def _waiting(self, node: Node) -> list[Request]:
-        """The requests that wait at a node, in the order in which they came."""
+        """Return the requests pending at a node, in order of arrival."""
         requests = self.state.requests
         return [requests[id] for id in node.pending]
 
     def should_shed(self, request: Request, node: Node, now: int) -> bool:
-        """Whether a waiting request will not be sent any more, as far as is known.
+        """Return whether a pending request cannot be sent in time, as far as is known.
 
-        A token bucket, a warming-up node's part, a pace or whatever else holds it too long: its client hears
-        at once. Harm: if wrong, it counts anew.
+        A token bucket, the slow start of its node, pacing or another rule may delay it too long. Its client
+        is then told at once. If the estimate is wrong, the client's retry counts as a new request.
         """
-        opens_at = max(
-            now, request.wait_until, node.opens_at(now), self.rules.blocked_until(request, node, now)
+        sendable_at = max(
+            now, request.wait_until, node.next_send_at(now), self.rules.blocked_until(request, node, now)
         )
-        if opens_at + self.state.least_latency >= request.deadline:
+        if sendable_at + self.state.min_latency >= request.deadline:
             return True
-        # After half its time an unsent request is late whatever comes, and its client could have tried anew.
-        if opens_at >= request.reject_by and request.reached_no_node():
+        # After half its time an unsent request is late in any case, and its client could have retried.
+        if sendable_at >= request.reject_by and request.reached_no_node():
             return True
-        # late at a node with a pace: its turns are reserved for what can still be in time
-        return node.window < 1 and request.is_late(node, opens_at)
+        # The few sends of a paced node are reserved for requests that can still meet their objective.
+        return node.window < 1 and request.is_late(node, sendable_at)
 
     def _send_by_priority(self, node: Node, now: int) -> None:
-        """Send the highest priority first, as long as the node has capacity."""
+        """Send pending requests in descending priority while the node has capacity."""
         waiting = self._waiting(node)
         fair = excess_per_weight(waiting)
         for request in sorted(waiting, key=lambda r: self.priority(r, node, fair, now), reverse=True):
@@ -77,18 +78,18 @@
                 break
             if request.wait_until > now or self.rules.blocked_until(request, node, now):
                 continue
-            # what is late waits while the node is under pressure, and what is of less priority with it: it
-            # would press too
-            is_pressed = node.in_flight or now < node.window_cut_at + PRESSURE_SPAN
+            # While the node is under pressure, a late request waits, and so does everything of lower
+            # priority, which would add to the pressure.
+            is_pressed = node.in_flight or now < node.window_cut_at + PRESSURE_PERIOD
             if is_pressed and request.is_late(node, now):
                 break
             self._send(request, node, now)
 
     def priority(self, request: Request, node: Node, fair_excess: float, now: int) -> tuple[int, int]:
-        """The order of sending: priority weight per unit still due if sent now, then the nearest objective.
+        """Return the sort key for sending: priority weight due per unit of work, then nearest objective.
 
-        The latency objective stands for the work that a unit of the class is. Weights within a factor of two
-        are as good as equal. `fair_excess` is that of all that wait at the node.
+        The latency objective of a class approximates the work of one of its units. Weights within a factor of
+        two count as equal. `fair_excess` is the excess per weight of all requests pending at the node.
         """
         request_class = request.request_class
         value = request_class.priority_weight * request.volume.plan.price
@@ -98,10 +99,10 @@
             value *= request_class.late_weight_factor
         if request.key is not None and request.key in node.recent_keys:
             value *= CACHED_KEY_BONUS
-        return round(math.log2(value + TINY)), -request.objective_at
+        return round(math.log2(value + EPSILON)), -request.objective_at
 
     def _quota_factor(self, request: Request, fair_excess: float, now: int) -> float:
-        """The part of the priority weight due: all within the reserve, less within or beyond the quota."""
+        """Return the factor on the priority weight: 1 within the reserve, less within or beyond the quota."""
         volume = request.volume.refill(now)
         if volume.reserve >= request.units / 2:
             return 1.0
@@ -110,7 +111,7 @@
         return self.state.settings.excess_weight_factor
 
     def _send(self, request: Request, node: Node, now: int) -> None:
-        """Send a request's next attempt to a node, charging its volume once."""
+        """Send a request's next attempt to a node; its volume is charged for the first attempt only."""
         volume = request.volume.refill(now)
         node.pending.pop(request.id)
         if request.attempts:
@@ -126,7 +127,7 @@
 
 
 def excess_per_weight(waiting: list[Request]) -> float:
-    """The excess per weight of the requests' volumes, each counted once for each of its requests."""
+    """Return the excess per weight of the requests' volumes, counting a volume once for each request."""
     excess = sum(request.volume.excess for request in waiting)
     weights = sum(request.volume.plan.weight for request in waiting)
     return excess / max(1.0, weights)
--- a/stoatrouter/policy/endpoints.py
+++ b/stoatrouter/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list: phases, restarts, the subscription to watch events. Terms: interface.py."""
+"""Applies the endpoint list: phases, restarts and the subscription to watch events. Terms: interface.py."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from stoatrouter.policy.state import SchedulerState
 from stoatrouter.policy.units import SECOND
 
-RESUBSCRIBE_EVERY = 2 * SECOND  # between two attempts to subscribe, before jitter
+RESUBSCRIBE_INTERVAL = 2 * SECOND  # between two attempts to subscribe; jitter is added
 
 
-class EndpointFollower:
-    """Keeps the nodes as the endpoint list has them."""
+class EndpointTracker:
+    """Keeps the scheduler's nodes in step with the endpoint list."""
 
     def __init__(self, state: SchedulerState, placement: Placement) -> None:
-        """Work on the scheduler's state; nothing is subscribed to yet."""
+        """Use the scheduler's shared state; there is no subscription yet."""
         self.state = state
         self.placement = placement
         self.subscribed = False
         self.next_subscribe_at = 0
 
-    def follow(self, event: api.EndpointList, now: int) -> None:
-        """Take the endpoint list or a watch event, and place what is not in flight anew."""
+    def apply_update(self, event: api.EndpointList, now: int) -> None:
+        """Apply the endpoint list or a watch event, and place again all requests that are not in flight."""
         if event.kind is ListKind.UNAVAILABLE:
             self.subscribed = False
             return
@@ -34,7 +34,7 @@
             self._update(entry, now, now if event.since is None else event.since)
         for request in self.state.requests.values():
             if not request.done and not request.in_flight():
-                self.placement.place(request, now)  # sent with the next reading
+                self.placement.place(request, now)  # sent by the next control cycle
 
     def _mark_unlisted_gone(self, entries: tuple[api.NodeEntry, ...]) -> None:
         listed = {entry.node for entry in entries}
@@ -43,7 +43,7 @@
                 node.phase = Phase.GONE
 
     def _update(self, entry: api.NodeEntry, now: int, since: int) -> None:
-        """Take one endpoint: a new node, another phase, or a restart."""
+        """Apply one endpoint: a new node, a change of phase, or a restart."""
         known_since = self._known_since(entry, now)
         node = self.state.nodes.get(entry.node)
         if node is None:
@@ -54,24 +54,25 @@
             node.restart(entry.up_since, known_since)
 
     def _known_since(self, entry: api.NodeEntry, now: int) -> int:
-        """From when this host knows what it sent to a node.
+        """Return from when this host knows what it sent to a new or restarted node (microseconds).
 
-        A restarted host cannot know what it sent before; else the node earned for a window at the most.
+        A host that has just started does not know what it sent before. Otherwise the node accrues capacity
+        for one overload window at most.
         """
         if now > self.state.started_at:
             return max(entry.up_since, now - self.state.rules.overload_window)
         return max(entry.up_since, now)
 
     def _set_phase(self, node: Node, phase: Phase, since: int) -> None:
-        """Change a node's phase; it accepts work for the grace after `since` (microseconds)."""
-        grace = 0  # one that was gone gets none: it may have been listed as draining long before
+        """Change a node's phase; if draining, it accepts work for the grace after `since` (microseconds)."""
+        grace = 0  # none for a node that was gone, which may have been draining for long
         if node.phase is Phase.ON:
             grace = self.state.rules.drain_grace - self.state.settings.tick
         node.phase = phase
         node.drain_ends_at = grace + since
 
     def subscribe_if_due(self, now: int) -> None:
-        """Subscribe where the list must be asked for; after a failure again, later and with jitter."""
+        """Subscribe where the settings require it; retry after an interval with jitter."""
         if self.state.settings.must_subscribe and not self.subscribed and now >= self.next_subscribe_at:
             self.state.actions.append(api.Subscribe())
-            self.next_subscribe_at = now + self.state.jitter(RESUBSCRIBE_EVERY)
+            self.next_subscribe_at = now + self.state.jitter(RESUBSCRIBE_INTERVAL)
--- a/stoatrouter/policy/handover.py
+++ b/stoatrouter/policy/handover.py
@@ -1,10 +1,10 @@
-"""What one process of a host hands to the next: all that the decision module has learnt, as plain data.
+"""Handover of the decision module's state from one process of a host to the next, as plain data.
 
-Together the two keep every limit as one host. What is left of a limit's token bucket is divided between them,
-and only the new one's part refills; a node that warms up gets work from the new one only; its windows count
-what the old one still has in flight.
+Together the two processes keep every limit as one host does. The tokens left in a limit's bucket are divided
+between them, and only the new process's share refills; only the new process sends to nodes that warm up; and
+its windows count the attempts that the old process still has in flight.
 
-The keys of the data are a stored form: a process of another version reads them. An attribute may be renamed,
+The keys of the data are a stored form that a process of another version reads: an attribute may be renamed,
 its key may not.
 """
 
@@ -18,12 +18,12 @@
 from stoatrouter.policy.scheduler import Scheduler
 from stoatrouter.policy.volume import Volume
 
-RETAINED_PART = (
-    0.2  # of the tokens beyond what waits here: the old process's clients come until their answers
-)
-STARTUP_LOSS = (
-    0.3  # seconds of a limit: the new process opens its connections anew, and first sends come late
-)
+# Of the tokens beyond what the pending requests need: clients keep sending to the old process until they have
+# their answers.
+RETAINED_FRACTION = 0.2
+# Seconds' worth of a limit's rate that the new process does not get: it has to open its connections again,
+# and its first sends arrive late.
+STARTUP_LOSS_SECONDS = 0.3
 
 VOLUME_ATTRIBUTES = {  # by key of the data
     "hosts": "hosts",
@@ -58,14 +58,14 @@
 
 
 def hand_over(scheduler: Scheduler, now: int) -> dict[str, Any]:
-    """Give up all but a part of the token buckets, and return what the next process needs.
+    """Give up most of the tokens of limits, and return the state that the next process needs.
 
     Args:
-        scheduler: of the process that ends; it sends nothing more to nodes that warm up.
+        scheduler: of the ending process; from now on it sends nothing to nodes that warm up.
         now: in microseconds.
 
     Returns:
-        Plain data, fit for JSON, under the keys that every version reads.
+        Plain data that can be written as JSON, under the keys that every version reads.
     """
     scheduler.state.handed_over = True
     waiting = waiting_units(scheduler)
@@ -86,7 +86,7 @@
 
 
 def waiting_units(scheduler: Scheduler) -> dict[Volume, float]:
-    """The units of requests that have not been sent yet, by volume."""
+    """Return the units of requests that have not been sent yet, by volume."""
     units: dict[Volume, float] = {}
     for request in scheduler.requests.values():
         if not request.done and not request.attempts:
@@ -95,10 +95,10 @@
 
 
 def volume_state(volume: Volume, waiting: float, now: int) -> dict[str, Any]:
-    """The state of a volume to hand over; what is not retained is taken off its bucket here.
+    """Return the state of a volume to hand over, and take the tokens handed over off its bucket.
 
     Args:
-        volume: the old process's record; from now on its limit does not refill.
+        volume: the old process's record; its limit no longer refills.
         waiting: units of its requests that the old process has yet to send.
         now: in microseconds.
     """
@@ -107,15 +107,15 @@
     if volume.plan.limit:
         left = max(0.0, volume.limit_tokens - volume.limit_floor)
         needed = min(left, waiting)
-        retained = needed + RETAINED_PART * (left - needed)
-        lost = STARTUP_LOSS * volume.plan.limit / volume.hosts
+        retained = needed + RETAINED_FRACTION * (left - needed)
+        lost = STARTUP_LOSS_SECONDS * volume.plan.limit / volume.hosts
         state["store"] = max(volume.limit_floor, volume.limit_tokens - retained - lost)
         volume.limit_tokens = volume.limit_floor + retained
     return state
 
 
 def node_state(node: Node) -> dict[str, Any]:
-    """The state of a node to hand over."""
+    """Return the state of a node to hand over."""
     return {key: getattr(node, attribute) for key, attribute in NODE_ATTRIBUTES.items()} | {
         "shard": node.shard,
         "zone": node.zone,
@@ -128,21 +128,21 @@
 
 
 def take_back(scheduler: Scheduler, now: int) -> None:
-    """Go on after the next process died: the token buckets refill, from what is left of them here."""
+    """Resume after the next process has died: token buckets refill from the tokens left here."""
     scheduler.state.handed_over = False
     for volume in scheduler.volumes.values():
         volume.refill(now).limit_refills = True
 
 
 def take_over(scheduler: Scheduler, data: dict[str, Any]) -> None:
-    """Learn what the process before knew, after its endpoint list; nodes in neither list are left out.
+    """Restore the state of the previous process, once its endpoint list has been applied.
 
     Args:
-        scheduler: of the process that starts.
-        data: what `hand_over` returned, perhaps of another version.
+        scheduler: of the starting process.
+        data: what `hand_over` returned, possibly in a process of another version.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError, IndexError: where the data is of a form not known.
+        KeyError, TypeError, ValueError, AttributeError, IndexError: where the form of the data is unknown.
     """
     settings = scheduler.settings
     scheduler.state.started_at = int(data["born"])
@@ -157,46 +157,46 @@
             setattr(volume, attribute, state[key])
         scheduler.volumes[name] = volume
     try:
-        learn_nodes(scheduler, data["nodes"])
-    finally:  # of what was learnt before an entry that cannot be read, too
-        note_sends(scheduler)
+        restore_nodes(scheduler, data["nodes"])
+    finally:  # also covers the nodes restored before an entry that cannot be read
+        schedule_send_expiry(scheduler)
 
 
-def learn_nodes(scheduler: Scheduler, nodes: dict[str, Any]) -> None:
-    """Read the handed-over nodes; one that is not listed here is taken as gone."""
+def restore_nodes(scheduler: Scheduler, nodes: dict[str, Any]) -> None:
+    """Restore the nodes handed over; one that is not in the endpoint list is added as gone."""
     for name, state in nodes.items():
         node = scheduler.nodes.get(name)
         if node is None:
-            # it is gone from the list, yet what was sent to it counts should it come back
+            # Its sends still count should it be listed again.
             entry = api.NodeEntry(name, state["shard"], state["zone"], api.Phase.GONE)
             node = scheduler.nodes[name] = scheduler.state.new_node(entry, state["known"])
-        learn(node, state)
+        restore_node(node, state)
 
 
-def note_sends(scheduler: Scheduler) -> None:
-    """Have what nodes hold of handed-over sends dropped in time."""
+def schedule_send_expiry(scheduler: Scheduler) -> None:
+    """Have the restored sends and keys of nodes expire in time."""
     sent_to = [node for node in scheduler.nodes.values() if node.recent_sends or node.recent_keys]
-    for node in sorted(sent_to, key=last_send):
-        scheduler.recently_sent.note(node, last_send(node))
+    for node in sorted(sent_to, key=last_sent_time):
+        scheduler.recently_sent.note(node, last_sent_time(node))
 
 
-def last_send(node: Node) -> int:
-    """When a node was last sent to, as far as the process before has handed it over (microseconds)."""
+def last_sent_time(node: Node) -> int:
+    """Return when a node was last sent to, as far as the handed-over state tells (microseconds)."""
     return node.recent_sends[-1][0] if node.recent_sends else node.last_sent_at
 
 
-def learn(node: Node, state: dict[str, Any]) -> None:
-    """Read one node's handed-over state into `node`, unless it restarted since.
+def restore_node(node: Node, state: dict[str, Any]) -> None:
+    """Restore one node's state; of a node that has restarted since, only its recent sends.
 
     Args:
-        node: the taker's node of that name.
-        state: the node's entry in the handed data, under the keys of `NODE_ATTRIBUTES` and the extra keys
-            written by `node_state`; a key missing (written by a version that knew less) leaves the attribute
-            as it is.
+        node: the new process's node of that name.
+        state: the node's entry in the data, under the keys of `NODE_ATTRIBUTES` and the extra keys written by
+            `node_state`; where an older version did not write a key of `NODE_ATTRIBUTES`, the attribute keeps
+            its value.
     """
     node.recent_sends = deque((int(at), float(units)) for at, units in state["sent"])
     if node.up_since != state["up_since"]:
-        return  # it was restarted since
+        return  # the node has restarted since
     for key, attribute in NODE_ATTRIBUTES.items():
         setattr(node, attribute, state.get(key, getattr(node, attribute)))
     node.controller_errors = tuple(state["errors"])
--- a/stoatrouter/policy/key_order.py
+++ b/stoatrouter/policy/key_order.py
@@ -1,15 +1,15 @@
-"""One request at a time within a key, and hold-down after an unknown outcome. Terms: interface.py."""
+"""Per-key ordering: one request at a time, and a hold-down after an unknown outcome. Terms: interface.py."""
 
 from __future__ import annotations
 
 from collections import deque
 
 from stoatrouter.policy.request import Request
-from stoatrouter.policy.units import READ_EVERY
+from stoatrouter.policy.units import CONTROL_INTERVAL
 
 
 class KeyOrder:
-    """Requests of classes that are ordered by key, in order of arrival per key."""
+    """Queues requests of ordered classes by key, in order of arrival."""
 
     def __init__(self) -> None:
         """Start with no request queued and no key held down."""
@@ -17,12 +17,12 @@
         self.hold_down_until: dict[str, int] = {}  # until when a key is held down, in microseconds
 
     def enqueue(self, request: Request) -> None:
-        """Queue a request behind those of its key, if its class is ordered."""
+        """Append a request to the queue of its key, if its class is ordered by key."""
         if request.request_class.ordered_by_key and request.key is not None:
             self.queues.setdefault(request.key, deque()).append(request)
 
     def blocked_until(self, request: Request, now: int) -> int:
-        """From when the order of its key lets a request of an ordered class go; 0: now.
+        """Return from when its key's order allows a request of an ordered class (microseconds); 0: now.
 
         A request's own retries do not wait for the hold-down.
         """
@@ -33,13 +33,13 @@
         is_first = self.queues[key][0] is request
         if is_first and (request.attempts or now >= hold_down_until):
             return 0
-        return max(now + READ_EVERY, hold_down_until)
+        return max(now + CONTROL_INTERVAL, hold_down_until)
 
     def leave(self, request: Request) -> Request | None:
-        """Take a finished request out of its key's queue and hold the key down.
+        """Remove a finished request from its key's queue and hold the key down.
 
         Returns:
-            The request whose turn comes at `hold_down_until` of the key, if there is one.
+            The next request of the key, which may be sent at the key's `hold_down_until`; None without any.
         """
         key = request.key
         if not request.request_class.ordered_by_key or key is None:
@@ -52,6 +52,6 @@
         return queue[0] if queue else None
 
     def forget_old(self, now: int) -> None:
-        """Drop empty queues and hold-downs that are over."""
+        """Drop empty queues and expired hold-downs."""
         self.hold_down_until = {key: until for key, until in self.hold_down_until.items() if until > now}
         self.queues = {key: queue for key, queue in self.queues.items() if queue}
--- a/stoatrouter/policy/lifecycle.py
+++ b/stoatrouter/policy/lifecycle.py
@@ -1,4 +1,4 @@
-"""The end of a request and its timers: the final answer, and what is forgotten. Actions: interface.py."""
+"""Request timers, final answers and removal of finished requests. Actions: interface.py."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 from stoatrouter.policy.state import SchedulerState
 from stoatrouter.policy.volume import Volume
 
-Identity = tuple[Volume, str | None, str, float]  # by which a client's retry of a request is known
+# Volume, key, class and units, by which a client's retry of a request is recognized.
+RequestIdentity = tuple[Volume, str | None, str, float]
 
 
 class RequestLifecycle:
     """Sets requests' timers, answers requests, and closes them."""
 
     def __init__(self, state: SchedulerState, key_order: KeyOrder) -> None:
-        """Work on the scheduler's state; no timer is set yet."""
+        """Use the scheduler's shared state; no timer is set yet."""
         settings = state.settings
         self.state = state
         self.key_order = key_order
         self.max_retry_after = settings.max_retry_after if settings.accepts_retry_after else 0
         self.timers: dict[int, Request] = {}
         self.last_token = 0
-        self.answered: dict[Identity, tuple[int, int]] = {}  # unserved lately: its objective and deadline
+        # Objective and deadline (microseconds) of requests that were recently rejected or failed.
+        self.answered: dict[RequestIdentity, tuple[int, int]] = {}
 
-    def wake_at(self, at: int, request: Request, now: int) -> None:
-        """Set a timer that looks at a request again at `at` (microseconds)."""
+    def set_timer(self, at: int, request: Request, now: int) -> None:
+        """Set a timer to re-examine a request at `at` (microseconds)."""
         self.last_token += 1
         self.timers[self.last_token] = request
         self.state.actions.append(api.SetTimer(max(0, at - now), self.last_token))
@@ -34,20 +36,20 @@
     def objective_at(
         self, event: api.RequestArrived, volume: Volume, kind: api.RequestClass, now: int
     ) -> int:
-        """When an arrived request is to be answered: by its class's objective, and before its client leaves.
+        """Return by when to answer an arrived request: within its objective, before its client leaves.
 
-        A client that comes back with what it was given no service for has not got a new objective.
+        A client's retry of a request that was not served keeps the objective of the first request.
         """
         leaves_at = now + max(0, event.time_left)
         identity = (volume, event.key, kind.name, event.units)
         objective_at, deadline = self.answered.pop(identity, (leaves_at, 0))
-        came_back = event.repeat or leaves_at <= deadline + self.state.least_latency
-        if not came_back:
+        is_client_retry = event.repeat or leaves_at <= deadline + self.state.min_latency
+        if not is_client_retry:
             objective_at = leaves_at
         return min(now + kind.latency_objective, leaves_at, objective_at)
 
     def finish(self, request: Request, now: int) -> None:
-        """Give the final answer: a rejection where a retry is harmless, else a failure."""
+        """Give the final answer: a rejection where a retry is harmless, otherwise a failure."""
         identity = (request.volume, request.key, request.request_class.name, request.units)
         self.answered[identity] = (request.objective_at, request.deadline)
         retry_after = self._retry_after(request, now)
@@ -58,13 +60,13 @@
         self.close(request, now)
 
     def _retry_after(self, request: Request, now: int) -> int:
-        """How long (microseconds) until the volume's limit and the node's pace let such a request through."""
-        node_opens_at = request.node.opens_at(now) if request.node is not None else now
+        """Return how long (microseconds) the volume's limit and the node's pace hold such a request back."""
+        node_available_at = request.node.next_send_at(now) if request.node is not None else now
         available_at = request.volume.available_at(now, request.units)
-        return max(0, min(self.max_retry_after, max(node_opens_at, available_at) - now))
+        return max(0, min(self.max_retry_after, max(node_available_at, available_at) - now))
 
     def close(self, request: Request, now: int) -> None:
-        """Send no more of a request, and forget it once no attempt is in flight."""
+        """Stop sending a request, and remove it once no attempt is in flight."""
         request.done = True
         if request.node is not None:
             request.node.pending.pop(request.id, None)
@@ -73,15 +75,15 @@
         self.state.requests.pop(request.id, None)
         next_in_order = self.key_order.leave(request)
         if next_in_order is not None and request.key is not None:
-            self.wake_at(self.key_order.hold_down_until[request.key], next_in_order, now)
+            self.set_timer(self.key_order.hold_down_until[request.key], next_in_order, now)
 
     def forget_old(self, now: int) -> None:
-        """Drop unserved requests whose clients can no longer come back in time."""
+        """Drop unserved requests whose clients can no longer retry in time."""
         self.answered = {identity: times for identity, times in self.answered.items() if times[1] > now}
 
 
 def retry_is_harmless(request: Request) -> bool:
-    """Whether the client may send a request again without a second effect."""
+    """Return whether the client may repeat a request without a second effect."""
     effect = request.request_class.effect
     if effect is Effect.SAFE or not request.may_have_run():
         return True
--- a/stoatrouter/policy/node_index.py
+++ b/stoatrouter/policy/node_index.py
@@ -1,8 +1,8 @@
-"""Finds nodes without walking all of them: by shard, by load, and by whether a reading can change them.
+"""Indexes nodes by shard, by load, and by whether a control cycle can change them, to avoid full scans.
 
-It decides nothing. The scheduler says what a node's load is and what a reading does; the index keeps nodes in
-order and hears of each change from the nodes themselves. What a request or a reading looks at follows the
-work at hand, not the length of the endpoint list. Times are microseconds.
+The index makes no decisions: the scheduler defines a node's load and what a control cycle does, and nodes
+notify the index of each change. The cost of a request or a control cycle thus depends on the current work,
+not on the length of the endpoint list. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -20,65 +20,66 @@
 Value = TypeVar("Value")
 N = TypeVar("N", bound="IndexedNode")
 
-Rank = tuple[float, float, int]  # load as of a warm node, since when it warms up (0: warm), number
+Rank = tuple[float, float, int]  # load as if warm, start time if warming up (0: warm), number
 
 
-class Tracked(dict[Key, Value], Generic[Key, Value]):
-    """A node's requests; tells the node of each change."""
+class TrackedRequests(dict[Key, Value], Generic[Key, Value]):
+    """A node's requests; notifies the index through the node of each change."""
 
     def __init__(self, node: IndexedNode) -> None:
-        """Start an empty map of requests that marks `node` for the index at each change."""
+        """Start with an empty map that marks `node` as changed at each modification."""
         super().__init__()
         self.node = node
 
     def __setitem__(self, key: Key, value: Value) -> None:
-        """File a request under its id and mark the node for the index."""
+        """Add a request under its id and mark the node as changed."""
         super().__setitem__(key, value)
         self.node.mark_changed()
 
     def __delitem__(self, key: Key) -> None:
-        """Remove a request by its id and mark the node; `KeyError` where it is not filed."""
+        """Remove a request by its id and mark the node as changed; raise `KeyError` if it is missing."""
         super().__delitem__(key)
         self.node.mark_changed()
 
     def pop(self, *args: Any) -> Any:
-        """As of a dict."""
+        """Remove and return a value as `dict.pop` does, and mark the node as changed."""
         self.node.mark_changed()
         return super().pop(*args)
 
     def clear(self) -> None:
-        """As of a dict."""
+        """Remove all requests and mark the node as changed."""
         super().clear()
         self.node.mark_changed()
 
 
 class IndexedNode:
-    """What the index has to hear of in a node: its phase, its start, its window, its requests."""
+    """The attributes of a node whose changes the index tracks: phase, start time, window and requests."""
 
     def __init__(self, entry: NodeEntry) -> None:
-        """Start a node from its entry in the endpoint list, not yet in an index."""
+        """Create a node from its entry in the endpoint list, not yet in an index."""
         self.id = entry.node
         self.shard = entry.shard
         self.zone = entry.zone
         self._phase = entry.phase
         self.index: NodeIndex[Any] | None = None
-        self.number = -1  # in the order in which nodes came into the index
+        self.number = -1  # in order of insertion into the index
         self._up_since = entry.up_since
         self._window = 0.0
-        self.pending: Tracked[str, None] = Tracked(self)  # the ids of requests that wait here, in order
-        # When attempts in flight were sent, by request and number of the attempt.
-        self.in_flight: Tracked[tuple[str, int], int] = Tracked(self)
+        # The ids of the requests pending at the node, in order.
+        self.pending: TrackedRequests[str, None] = TrackedRequests(self)
+        # The send times of attempts in flight, by request and number of the attempt.
+        self.in_flight: TrackedRequests[tuple[str, int], int] = TrackedRequests(self)
         self.write_rates: dict[str, float] = {}
         self.throttleable: set[str] = set()
 
     def mark_changed(self) -> None:
-        """Something changed that a reading or the order by load may hang on."""
+        """Note a change that may affect a control cycle or the order by load."""
         if self.index is not None:
             self.index.changed.add(self)
 
     @property
     def window(self) -> float:
-        """How many attempts may be in flight at once; below one, a pace."""
+        """The number of attempts that may be in flight at once; below one, sends are paced."""
         return self._window
 
     @window.setter
@@ -99,7 +100,7 @@
 
     @property
     def phase(self) -> Phase:
-        """What the endpoint list says of the node."""
+        """The node's phase in the endpoint list."""
         return self._phase
 
     @phase.setter
@@ -112,10 +113,10 @@
 
 
 class NodeIndex(dict[str, N], Generic[N]):
-    """Nodes by name, in the order in which they came, with what finds them faster than a walk."""
+    """Nodes by name, in order of insertion, with indexes that avoid full scans."""
 
     def __init__(self, warm_up_time: int, load: Callable[[N], float]) -> None:
-        """`warm_up_time` is how long a node warms up after its start; `load` is a node's as if warm."""
+        """Start empty; nodes warm up for `warm_up_time`, and `load` returns a node's load as if warm."""
         super().__init__()
         self.warm_up_time = warm_up_time
         self.load = load
@@ -123,20 +124,20 @@
         self.numbered: dict[int, N] = {}
         self.shards: dict[int, dict[int, N]] = {}
         self.gone: dict[int, N] = {}  # no longer listed, not yet forgotten
-        self.changed: set[N] = set()  # since changes were last passed on to the three sets below
-        self.unranked: set[N] = set()  # whose place in the order by load may be another now
-        self.to_update: set[N] = set()  # whom the next reading may change
-        self.write_rates_changed: set[N] = set()  # whose throttleable volumes may change
-        self.ranked: list[Rank] = []  # of the nodes that are on, in order
+        self.changed: set[N] = set()  # since changes were last propagated to the three sets below
+        self.unranked: set[N] = set()  # their position in the order by load may have changed
+        self.to_update: set[N] = set()  # the next control cycle may change them
+        self.write_rates_changed: set[N] = set()  # their throttleable volumes may change
+        self.ranked: list[Rank] = []  # of the nodes in phase ON, sorted
         self.ranks: dict[int, Rank] = {}
-        self.warming: list[tuple[int, int]] = []  # when a node has warmed up, and its number
-        self.warm_ups: set[tuple[int, int]] = set()  # what is in `warming`
-        self.idle_until: list[tuple[int, int]] = []  # after when a reading may change a node, and its number
-        self.scheduled: set[int] = set()  # the numbers in `idle_until`
+        self.warming: list[tuple[int, int]] = []  # heap: when a warm-up ends, and the node's number
+        self.pending_warm_ups: set[tuple[int, int]] = set()  # the entries of `warming`
+        self.idle_until: list[tuple[int, int]] = []  # heap: until when a node is idle, and its number
+        self.scheduled: set[int] = set()  # the node numbers in `idle_until`
 
-    # -- which nodes there are ----------------------------------------------------------------------------
+    # -- membership ---------------------------------------------------------------------------------------
     def __setitem__(self, name: str, node: N) -> None:
-        """Put a node into the index under its name, in place of one of that name before."""
+        """Add a node under its name, replacing any earlier node of that name."""
         if name in self:
             del self[name]
         super().__setitem__(name, node)
@@ -149,7 +150,7 @@
         self.note_phase(node)
 
     def __delitem__(self, name: str) -> None:
-        """Take the named node out of the index; `KeyError` where there is none."""
+        """Remove the named node; raise `KeyError` if there is none."""
         node = self[name]
         super().__delitem__(name)
         node.index = None
@@ -163,28 +164,28 @@
             group.discard(node)
 
     def setdefault(self, name: str, node: N) -> N:
-        """As of a dict."""
+        """Return the named node, adding `node` under that name first if there is none."""
         if name not in self:
             self[name] = node
         return self[name]
 
     def note_phase(self, node: N) -> None:
-        """Count a node as gone or as listed."""
+        """Track whether a node is gone or listed."""
         if node.phase is Phase.GONE:
             self.gone[node.number] = node
         else:
             self.gone.pop(node.number, None)
 
     def listed(self) -> int:
-        """How many nodes are on the list, on or draining."""
+        """Return how many nodes are in the endpoint list, either on or draining."""
         return len(self) - len(self.gone)
 
     def of_shard(self, shard: int) -> Iterable[N]:
-        """The nodes of a shard, or with -1 all nodes, in the order in which they came."""
+        """Return the nodes of a shard, or all nodes for -1, in order of insertion."""
         return self.values() if shard == -1 else self.shards.get(shard, {}).values()
 
     def forget_gone(self, unused: Callable[[N], bool]) -> None:
-        """Drop the nodes that are no longer listed and of no more use."""
+        """Remove the nodes that are no longer listed and for which `unused` holds."""
         for node in [node for node in self.gone.values() if unused(node)]:
             del self[node.id]
 
@@ -195,9 +196,9 @@
             self.write_rates_changed |= self.changed
             self.changed.clear()
 
-    # -- for readings -------------------------------------------------------------------------------------
+    # -- control cycles -----------------------------------------------------------------------------------
     def due(self, now: int) -> list[N]:
-        """The nodes that a reading may change: all others are at rest until they are marked."""
+        """Return the nodes that a control cycle may change; the others are idle until marked as changed."""
         self._pass_on_changes()
         while self.idle_until and self.idle_until[0][0] < now:
             number = heappop(self.idle_until)[1]
@@ -207,14 +208,14 @@
         return sorted(self.to_update, key=lambda node: node.number)
 
     def mark_idle(self, node: N, now: int, until: int) -> None:
-        """A reading changes nothing at a node up to a time, as long as nothing is marked there."""
+        """Note that control cycles up to `until` do not change a node unless it is marked as changed."""
         self.to_update.discard(node)
         if until >= now and node.number not in self.scheduled:
             self.scheduled.add(node.number)
             heappush(self.idle_until, (until, node.number))
 
     def writers(self) -> list[N]:
-        """The nodes whose throttleable volumes may change."""
+        """Return the nodes whose throttleable volumes may change."""
         self._pass_on_changes()
         found = list(self.write_rates_changed)
         self.write_rates_changed = {node for node in found if node.write_rates or node.throttleable}
@@ -232,7 +233,7 @@
         ranked = self.ranked
         best = inf
         at = 0
-        found: list[tuple[int, int]] = []  # from where to where in the order
+        found: list[tuple[int, int]] = []  # ranges of `ranked` with the best score
         while at < len(ranked) and ranked[at][0] < best:
             load = ranked[at][0]
             end = bisect_left(ranked, (load, inf, 0), at)
@@ -257,7 +258,7 @@
         return self.numbered[numbers[int(draw * len(numbers))]]
 
     def forget_old(self, now: int, is_idle: bool) -> None:
-        """Drop warm-ups that have ended; while no request is open, bring the order by load up to date too."""
+        """Drop finished warm-ups; while no request is open, also update the order by load."""
         self._note_warmed_up(now)
         if is_idle:
             self._update_ranking(now)
@@ -265,7 +266,7 @@
     def _note_warmed_up(self, now: int) -> None:
         while self.warming and self.warming[0][0] <= now:
             ended = heappop(self.warming)
-            self.warm_ups.discard(ended)
+            self.pending_warm_ups.discard(ended)
             number = ended[1]
             if number in self.numbered:
                 self.unranked.add(self.numbered[number])
@@ -288,10 +289,10 @@
             self._note_warm_up(node)
 
     def _note_warm_up(self, node: N) -> None:
-        """Have the node ranked again once it is warm; one entry a start, however often it is ranked."""
+        """Schedule a re-ranking for when the node is warm; one entry per start however often it is ranked."""
         ends = (node.up_since + self.warm_up_time, node.number)
-        if ends not in self.warm_ups:
-            self.warm_ups.add(ends)
+        if ends not in self.pending_warm_ups:
+            self.pending_warm_ups.add(ends)
             heappush(self.warming, ends)
 
     def _unrank(self, node: N) -> None:
@@ -301,24 +302,24 @@
 
 
 class RecentKeys:
-    """Which keys were noted within a span, counted without a walk."""
+    """The distinct keys noted within a sliding time span; counting them needs no full scan."""
 
     def __init__(self, span: int) -> None:
-        """`span` is in microseconds, and the times given later never go back."""
+        """Start empty; `span` is in microseconds, and the times passed to the methods must not decrease."""
         self.span = span
         self.times = OrderedDict[Hashable, int]()
 
     def note(self, key: Hashable, now: int) -> None:
-        """The key was met."""
+        """Record that a key was seen."""
         self.times.pop(key, None)
         self.times[key] = now
 
     def count(self, now: int) -> int:
-        """How many keys were met within the span."""
+        """Return how many keys were seen within the span."""
         self.forget_old(now)
         return len(self.times)
 
     def forget_old(self, now: int) -> None:
-        """Drop the keys that were not met within the span."""
+        """Drop the keys that were not seen within the span."""
         while self.times and now - next(iter(self.times.values())) > self.span:
             self.times.popitem(last=False)
--- a/stoatrouter/policy/placement.py
+++ b/stoatrouter/policy/placement.py
@@ -1,4 +1,4 @@
-"""Placement: at which node a request waits, and where new data was put. Terms: interface.py."""
+"""Placement: selects the node of a request, and records where new data was written. Terms: interface.py."""
 
 from __future__ import annotations
 
@@ -9,37 +9,38 @@
 from stoatrouter.policy.state import SchedulerState
 from stoatrouter.policy.volume import Volume
 
-ANY_SHARD = -1  # of a request for new data
+ANY_SHARD = -1  # the shard of a request that writes new data
 
 
 class Placement:
-    """Files requests at the least loaded node that may serve them."""
+    """Assigns requests to the least loaded node that may serve them."""
 
     def __init__(self, state: SchedulerState, slow_start: SlowStart) -> None:
-        """Work on the scheduler's state; no data has been put anywhere yet."""
+        """Use the scheduler's shared state; no new data has been recorded yet."""
         self.state = state
         self.capacity_fraction = slow_start.capacity_fraction
-        # The shard where this host lately put new data, and when (microseconds), by volume and key.
+        # The shard to which this host recently wrote new data, and when (microseconds), by volume and key.
         self.recent_writes: dict[tuple[Volume, str | None], tuple[int, int]] = {}
 
     def place(self, request: Request, now: int) -> None:
-        """File a request at a node of its shard: the least loaded that is on, else one that drains."""
+        """Assign a request to a node of its shard: the least loaded in phase ON, else a draining one."""
         if request.node is not None:
             request.node.pending.pop(request.id, None)
         shard, zone = self._allowed_place(request)
         node = None
-        # New data goes to a warming-up node last: what it bears is for the reads that no other can serve.
+        # New data goes to a warming-up node last, whose capacity is needed for reads that no other can serve.
         if shard == ANY_SHARD and zone is None:
-            # the draw: with nothing in flight, hosts with little traffic would all find the same node first
+            # Chosen at random among equals: without attempts in flight, hosts with little traffic would all
+            # select the same node.
             node = self.state.nodes.least_loaded(now, self.capacity_fraction, self.state.random.random())
         request.node = node or self._least_loaded_of(shard, zone, now)
         if request.node is not None:
             request.node.pending[request.id] = None
 
     def _allowed_place(self, request: Request) -> tuple[int, int | None]:
-        """The shard, and the zone if only one will do.
+        """Return the shard, and the zone if only one is allowed.
 
-        What may have run where only a shard or zone discards repeats is of use nowhere else.
+        If an attempt may have run and only its shard or zone discards repeats, retries must stay there.
         """
         request_class = request.request_class
         if not request.attempts or request_class.effect is not Effect.IDEMPOTENT:
@@ -71,15 +72,15 @@
             ),
         )
 
-    def note_new_data(self, request: Request, node: Node, now: int) -> None:
-        """Remember at which shard new data was written: a client may ask with an older place."""
+    def record_new_data(self, request: Request, node: Node, now: int) -> None:
+        """Record the shard to which new data was written: a client may use an outdated location."""
         self.recent_writes[(request.volume, request.key)] = node.shard, now
 
-    def follow_data(self, request: Request, now: int) -> bool:
-        """Send a request to where its data was put through this host, if that is another shard.
+    def redirect_to_data(self, request: Request, now: int) -> bool:
+        """Redirect a request to the shard to which this host wrote its data, if that is another one.
 
         Returns:
-            Whether it is to be placed anew; it then need not wait for its backoff.
+            Whether the request has to be placed again; it then does not wait for its backoff.
         """
         shard, _ = self.recent_writes.get((request.volume, request.key), (request.shard, 0))
         moved = request.shard not in (shard, ANY_SHARD)
@@ -89,7 +90,7 @@
         return moved
 
     def forget_old(self, now: int) -> None:
-        """Drop places that no client can still be asking for."""
+        """Drop locations that no client can still be requesting."""
         self.recent_writes = {
             data: place for data, place in self.recent_writes.items() if now - place[1] < self.state.retention
         }
--- a/stoatrouter/policy/request.py
+++ b/stoatrouter/policy/request.py
@@ -1,4 +1,4 @@
-"""What the scheduler keeps of a request and of its attempts until both are over. Events: interface.py."""
+"""The scheduler's records of a request and its attempts, kept until all have ended. Events: interface.py."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from stoatrouter.policy.node import Node
 from stoatrouter.policy.volume import Volume
 
-# Outcomes of attempts of which no byte, or no whole request, can have arrived at a node.
+# Outcomes after which a node cannot have received the complete request.
 NOT_ARRIVED = (Outcome.CONNECT_FAILED, Outcome.NOT_BEGUN)
-NOT_REACHED = (*NOT_ARRIVED, Outcome.MOOT)  # and those that no node took up
+NOT_REACHED = (*NOT_ARRIVED, Outcome.MOOT)  # and those of attempts that no node accepted
 
 
 @dataclass(slots=True, eq=False)
@@ -22,13 +22,13 @@
     outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
-        """Whether this attempt can have had an effect."""
+        """Return whether this attempt can have had an effect."""
         return self.outcome is None or not self.outcome.never_ran
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request this host owes an answer for, or with an attempt in flight; times are microseconds."""
+    """A request that is not yet answered or has an attempt in flight; times are microseconds."""
 
     id: str
     request_class: RequestClass
@@ -36,36 +36,36 @@
     units: float
     key: str | None
     shard: int  # -1: any node
-    objective_at: int  # an answer after this misses the latency objective
+    objective_at: int  # a later answer misses the latency objective
     deadline: int
     write: bool
-    protected: bool  # a read of no background class: it is never throttled
-    reject_by: int  # a later rejection is of no use to the client, if nothing was written to a node
+    protected: bool  # a read outside the background classes: never throttled
+    reject_by: int  # a later rejection is of no use to the client, if no attempt has reached a node
     wait_until: int = 0
-    key_hold_down_until: int = 0  # until when its key is held down once it is closed
-    node: Node | None = None  # where it waits
+    key_hold_down_until: int = 0  # until when its key is held down once the request is closed
+    node: Node | None = None  # where it is pending
     attempts: list[Attempt] = field(default_factory=list)
     done: bool = False
-    charged: bool = False  # its units are off the volume's token buckets
+    charged: bool = False  # its units have been taken from the volume's token buckets
     streaming: bool = False
 
     def reached_no_node(self) -> bool:
-        """Whether no attempt of it has reached a node that holds its data."""
+        """Return whether no attempt has reached a node that holds the request's data."""
         return all(attempt.outcome in NOT_REACHED for attempt in self.attempts)
 
     def may_have_arrived(self) -> bool:
-        """Whether the last byte of an attempt may have arrived at a node."""
+        """Return whether a node may have received an attempt completely."""
         return any(attempt.outcome not in NOT_ARRIVED for attempt in self.attempts)
 
     def may_have_run(self) -> bool:
-        """Whether any attempt of it can have had an effect."""
+        """Return whether any attempt can have had an effect."""
         return any(attempt.may_have_run() for attempt in self.attempts)
 
     def in_flight(self) -> bool:
-        """Whether an attempt is in flight."""
+        """Return whether an attempt is in flight."""
         return any(attempt.outcome is None for attempt in self.attempts)
 
     def is_late(self, node: Node, sent_at: int) -> bool:
-        """Whether sent to `node` at `sent_at` it is expected to miss its latency objective."""
+        """Return whether a request sent to `node` at `sent_at` is expected to miss its latency objective."""
         latency = node.read_latency if self.protected else node.latency
         return sent_at + latency > self.objective_at
--- a/stoatrouter/policy/retry_budget.py
+++ b/stoatrouter/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget, exact over a sliding window. Its figures: `Rules` in interface.py."""
+"""The retry budget over an exact sliding window. Its parameters: `Rules` in interface.py."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class RetryBudget:
-    """Counts arrivals and retries; a retry is allowed up to a minimum plus a ratio of the arrivals.
+    """Counts arrivals and retries; retries are allowed up to a minimum plus a ratio of the arrivals.
 
-    What is older than the window is dropped with each arrival, not only when a retry is weighed: that may be
-    hours apart where answers are good, and memory would grow with each request.
+    Entries older than the window are dropped with each arrival, not only when a retry is considered: without
+    failures that may not happen for hours, and memory would grow with each request.
     """
 
     def __init__(self, rules: Rules) -> None:
@@ -21,19 +21,19 @@
         self.retries = deque[int]()  # microseconds
 
     def note_arrival(self, now: int) -> None:
-        """Count a client's request that arrived at `now` (microseconds)."""
+        """Record a client's request that arrived at `now` (microseconds)."""
         if self.rules.retry_budget_window is None:
             return
         self.arrivals.append(now)
         self._drop_old(now, self.rules.retry_budget_window)
 
     def note_retry(self, now: int) -> None:
-        """Count a retry sent at `now` (microseconds)."""
+        """Record a retry sent at `now` (microseconds)."""
         if self.rules.retry_budget_window is not None:
             self.retries.append(now)
 
     def allows_retry(self, now: int) -> bool:
-        """Whether the budget takes one more retry at `now` (microseconds)."""
+        """Return whether the budget allows one more retry at `now` (microseconds)."""
         rules = self.rules
         if rules.retry_budget_window is None:
             return True
@@ -42,7 +42,7 @@
         return len(self.retries) + 1 <= allowed
 
     def forget_old(self, now: int) -> None:
-        """Drop what has left the window by `now` (microseconds), whether or not anything arrives."""
+        """Drop entries that have left the window by `now` (microseconds), even without any arrivals."""
         if self.rules.retry_budget_window is not None:
             self._drop_old(now, self.rules.retry_budget_window)
 
--- a/stoatrouter/policy/scheduler.py
+++ b/stoatrouter/policy/scheduler.py
@@ -4,7 +4,7 @@
 
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.dispatch import Dispatcher
-from stoatrouter.policy.endpoints import EndpointFollower
+from stoatrouter.policy.endpoints import EndpointTracker
 from stoatrouter.policy.health_checks import HealthChecks
 from stoatrouter.policy.interface import Outcome, Phase
 from stoatrouter.policy.key_order import KeyOrder
@@ -19,33 +19,34 @@
 from stoatrouter.policy.send_rules import SendRules, blocks_retry
 from stoatrouter.policy.slow_start import SlowStart
 from stoatrouter.policy.state import SchedulerState
-from stoatrouter.policy.units import MS, NEVER, READ_EVERY, SECOND
+from stoatrouter.policy.units import CONTROL_INTERVAL, MS, NEVER, SECOND
 from stoatrouter.policy.volume import Volume
 
-TIMER_READ = 0  # the token of the controllers' reading; requests' timers count from 1
-STALLED = 4 * READ_EVERY  # without an event, though readings come each `READ_EVERY`: this host stood still
-FORGET_EVERY = SECOND  # how often throttleable volumes are rebuilt and what is old is forgotten
-REJECTION_MARGIN = 20 * MS  # a rejection's way to the client
+CONTROL_TIMER = 0  # the token of the control cycle's timer; request timers count from 1
+# Without an event for this long, though control cycles come every `CONTROL_INTERVAL`, this host was stalled.
+STALL_THRESHOLD = 4 * CONTROL_INTERVAL
+CLEANUP_INTERVAL = SECOND  # between two rebuilds of throttleable volumes and removals of old state
+REJECTION_MARGIN = 20 * MS  # for a rejection to reach the client
 BACKOFF_DIVISOR = 10  # of the tightest objective: the base of the backoff, doubled with each attempt
-LONG_PACE = SECOND  # a node with a longer pace counts as avoided
+MIN_AVOIDED_PACE = SECOND  # a node that cannot be sent to for longer counts as avoided
 UNKNOWN_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may still be running
 
 
 class Scheduler:
-    """The decisions of one host: takes events with their times, and returns the actions to take."""
+    """The scheduler of one host: takes events with their times and returns the actions to take."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Start knowing nothing of nodes, volumes or requests; `seed` makes jitter and ties repeat."""
+        """Start without nodes, volumes or requests; `seed` makes jitter and tie-breaking reproducible."""
         self.state = state = SchedulerState(settings, seed)
-        self.now = 0  # of the latest event, in microseconds
-        self.forgotten_at = 0  # when what is old was last forgotten
+        self.now = 0  # the time of the latest event, in microseconds
+        self.forgotten_at = 0  # when old state was last removed
         self.retry_budget = RetryBudget(settings.rules)
         self.key_order = KeyOrder()
         self.slow_start = SlowStart(state)
         self.placement = Placement(state, self.slow_start)
         self.observer = Observer(state, self.placement)
         self.health_checks = HealthChecks(state)
-        self.endpoints = EndpointFollower(state, self.placement)
+        self.endpoints = EndpointTracker(state, self.placement)
         self.send_rules = SendRules(settings.max_attempts, self.slow_start, self.key_order, self.retry_budget)
         self.lifecycle = RequestLifecycle(state, self.key_order)
         self.recently_sent = RecentlySent(state.rules.overload_window, state.retention)
@@ -53,10 +54,10 @@
             state, self.send_rules, self.lifecycle, self.retry_budget, self.recently_sent
         )
 
-    # -- what others may read -----------------------------------------------------------------------------
+    # -- public queries -----------------------------------------------------------------------------------
     @property
     def settings(self) -> api.Settings:
-        """The settings this scheduler was started with."""
+        """The settings of this scheduler."""
         return self.state.settings
 
     @property
@@ -66,28 +67,28 @@
 
     @property
     def nodes(self) -> NodeIndex[Node]:
-        """The nodes known, by name."""
+        """The known nodes, by name."""
         return self.state.nodes
 
     @property
     def requests(self) -> dict[str, Request]:
-        """The requests that are owed an answer or have an attempt in flight, by id."""
+        """The requests that are not yet answered or have an attempt in flight, by id."""
         return self.state.requests
 
     @property
     def volumes(self) -> dict[str, Volume]:
-        """The volumes lately used, by name."""
+        """The recently used volumes, by name."""
         return self.state.volumes
 
     def avoids(self, name: str) -> bool:
-        """Whether a node gets nothing new, as it drains, is gone, or is kept to a pace of seconds."""
+        """Return whether a node gets no new requests: it drains, is gone, or is paced for over a second."""
         node = self.nodes.get(name)
         if node is None:
             return False
-        return node.phase is not Phase.ON or node.opens_at(self.now) > self.now + LONG_PACE
+        return node.phase is not Phase.ON or node.next_send_at(self.now) > self.now + MIN_AVOIDED_PACE
 
     def may_begin(self, now: int, request: str, attempt: int) -> bool:
-        """Whether what was decided still holds, asked with a connection in hand, before the first byte."""
+        """Return whether a decided attempt is still valid; called once connected, before the first byte."""
         found = self.requests.get(request)
         if found is None or found.done or now >= found.deadline:
             return False
@@ -100,15 +101,15 @@
 
     # -- events -------------------------------------------------------------------------------------------
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event at `now` (microseconds) and return its actions, in the order to take them."""
+        """Process one event at `now` (microseconds) and return the actions in the order to take them."""
         state = self.state
-        if 0 < self.now < now - STALLED:
+        if 0 < self.now < now - STALL_THRESHOLD:
             self._resume(now)
         self.now = now
         state.actions = []
         if state.started_at < 0:
             state.started_at = now
-            state.actions.append(api.SetTimer(READ_EVERY, TIMER_READ))
+            state.actions.append(api.SetTimer(CONTROL_INTERVAL, CONTROL_TIMER))
         match event:
             case api.RequestArrived():
                 self._arrive(event, now)
@@ -117,7 +118,7 @@
             case api.TimerFired():
                 self._fire(event.token, now)
             case api.EndpointList():
-                self.endpoints.follow(event, now)
+                self.endpoints.apply_update(event, now)
             case api.HealthCheckEnded():
                 node = self.health_checks.take_result(event, now)
                 if node is not None:
@@ -125,18 +126,18 @@
             case api.StreamStarted() if event.request in state.requests:
                 state.requests[event.request].streaming = True
             case api.ClientGone() if event.request in state.requests:
-                self.lifecycle.close(state.requests[event.request], now)  # nothing is owed any more
+                self.lifecycle.close(state.requests[event.request], now)  # no answer is owed any more
         return state.actions
 
     def _resume(self, now: int) -> None:
-        """This host itself stood still: its backlog does not go out as one burst."""
+        """Shrink all windows after a stall of this host, so that its backlog is not sent as one burst."""
         self.state.resumed_at = now
         for node in self.nodes.values():
             node.shrink_to_quota()
 
     # -- requests -----------------------------------------------------------------------------------------
     def _arrive(self, event: api.RequestArrived, now: int) -> None:
-        """Place a newly arrived request at a node, set its timers, and send what the node lets through."""
+        """Place a new request at a node, set its timers, and send what the node's window allows."""
         requests = self.state.requests
         if event.request in requests:
             return
@@ -146,7 +147,7 @@
             self.slow_start.requested_shards.note(event.shard, now)
         self.key_order.enqueue(request)
         self.placement.place(request, now)
-        self.lifecycle.wake_at(request.reject_by, request, now)
+        self.lifecycle.set_timer(request.reject_by, request, now)
         node = request.node
         if node is None:
             return
@@ -157,7 +158,7 @@
         self.dispatcher.dispatch(node, now)
 
     def _new_request(self, event: api.RequestArrived, now: int) -> Request:
-        """Make the record of an arrived request."""
+        """Create the record of an arrived request."""
         state = self.state
         request_class = state.settings.classes[event.request_class]
         volume = self._volume_of(event, now)
@@ -178,7 +179,7 @@
         )
 
     def _volume_of(self, event: api.RequestArrived, now: int) -> Volume:
-        """The volume of an arrived request, brought up to the number of hosts that the event names."""
+        """Return the volume of an arrived request, updated to the number of hosts that the event states."""
         state = self.state
         volume = state.volumes.get(event.volume)
         if volume is None:
@@ -190,17 +191,17 @@
         return volume
 
     def _throttle(self, request: Request, volume: str, node: Node, now: int) -> None:
-        """Let a throttleable request wait out the node's delay first."""
+        """Delay a throttleable request by the node's current delay."""
         if not node.delay_step:
             return
         is_background = request.request_class.name in self.state.background_classes
         if volume in node.throttleable or is_background:
             request.wait_until = now + node.delay_step * STEP_DELAY
-            self.lifecycle.wake_at(request.wait_until, request, now)
+            self.lifecycle.set_timer(request.wait_until, request, now)
 
     # -- attempts -----------------------------------------------------------------------------------------
     def _end_attempt(self, event: api.AttemptEnded, now: int) -> None:
-        """Take an attempt's outcome: learn from it, then close, finish or place the request again."""
+        """Process an attempt's outcome: learn from it, then close, finish or place the request again."""
         request = self.state.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
@@ -224,26 +225,26 @@
         self.dispatcher.dispatch(node, now)
 
     def _refund_if_not_arrived(self, request: Request) -> None:
-        """Refund a request that no node has got, where units are charged on arrival."""
+        """Refund a request that no node has received, where units are charged on arrival."""
         if self.state.rules.charged_on_arrival and request.charged and not request.may_have_arrived():
             request.volume.refund(request.units)
             request.charged = False
 
     def _retry_or_finish(self, outcome: Outcome, request: Request, node: Node, now: int) -> None:
-        """Place a request for a retry after its backoff, where a rule may ever let one go; else finish it."""
-        is_misplaced = outcome is Outcome.MOOT and not self.placement.follow_data(request, now)
+        """Place a request for a retry after its backoff if the rules may still allow one; else finish it."""
+        is_misplaced = outcome is Outcome.MOOT and not self.placement.redirect_to_data(request, now)
         if is_misplaced or self.send_rules.blocked_until(request, node, now) >= NEVER:
             self.lifecycle.finish(request, now)
             return
         self.placement.place(request, now)
-        self.lifecycle.wake_at(request.wait_until, request, now)
+        self.lifecycle.set_timer(request.wait_until, request, now)
 
     # -- timers -------------------------------------------------------------------------------------------
     def _fire(self, token: int, now: int) -> None:
-        """Act on a timer: the controllers' reading for `TIMER_READ`, else a request's own."""
-        if token == TIMER_READ:
-            self.state.actions.append(api.SetTimer(READ_EVERY, TIMER_READ))
-            self._read(now)
+        """Handle an expired timer: the control cycle's for `CONTROL_TIMER`, otherwise a request's."""
+        if token == CONTROL_TIMER:
+            self.state.actions.append(api.SetTimer(CONTROL_INTERVAL, CONTROL_TIMER))
+            self._run_control_cycle(now)
             return
         request = self.lifecycle.timers.pop(token, None)
         if request is None or request.done or request.streaming:
@@ -251,31 +252,31 @@
         if self._is_overdue(request, now):
             self.lifecycle.finish(request, now)
             return
-        # whatever becomes of it, its answer is not forgotten
-        last_chance = request.deadline - self.state.least_latency
-        self.lifecycle.wake_at(last_chance if now < last_chance else request.deadline, request, now)
+        # Set the next timer in any case, so that the request is answered by its deadline.
+        last_chance = request.deadline - self.state.min_latency
+        self.lifecycle.set_timer(last_chance if now < last_chance else request.deadline, request, now)
         if request.node is not None:
             self.dispatcher.dispatch(request.node, now)
 
     def _is_overdue(self, request: Request, now: int) -> bool:
-        """Whether a request can no longer be served in time, or its rejection can no longer be of use."""
+        """Return whether a request can no longer be served in time, or can only just be rejected in time."""
         if now >= request.reject_by and request.reached_no_node():
             return True
         if request.in_flight():
             return now >= request.deadline
-        return now >= request.deadline - self.state.least_latency
+        return now >= request.deadline - self.state.min_latency
 
-    def _read(self, now: int) -> None:
-        """Each `READ_EVERY`: the controllers and the nodes' health; each `FORGET_EVERY`: what is old."""
-        if now - self.forgotten_at >= FORGET_EVERY:
+    def _run_control_cycle(self, now: int) -> None:
+        """Update the nodes every `CONTROL_INTERVAL`, and remove old state every `CLEANUP_INTERVAL`."""
+        if now - self.forgotten_at >= CLEANUP_INTERVAL:
             self.forgotten_at = now
             self._forget_old(now)
         for node in self.state.nodes.due(now):
-            self._read_node(node, now)
+            self._update_node(node, now)
         self.endpoints.subscribe_if_due(now)
 
-    def _read_node(self, node: Node, now: int) -> None:
-        """Run a node's controller, note its silence, and send what waits."""
+    def _update_node(self, node: Node, now: int) -> None:
+        """Run a node's controller, check for overdue answers, and send pending requests."""
         node.update_delay_step(now)
         last_event_at = max(node.answered_at, node.last_sent_at)
         if not node.in_flight and now - last_event_at > AVERAGE_SPAN:
@@ -283,19 +284,23 @@
         self._cut_if_silent(node, now)
         self.dispatcher.dispatch(node, now)
         if not (node.pending or node.in_flight or node.read_latency > self.state.tightest_objective):
-            # until its averages are too old
+            # Nothing changes until its averages are outdated.
             self.state.nodes.mark_idle(node, now, max(node.answered_at, node.last_sent_at) + AVERAGE_SPAN)
 
     def _cut_if_silent(self, node: Node, now: int) -> None:
-        """Take a first attempt that is neither answered nor overtaken as a time-out."""
+        """Treat the oldest attempt as timed out if it is overdue and was not overtaken by an answered one."""
         oldest = next(iter(node.in_flight.values()), now)
-        if now - oldest <= node.patience() or oldest < node.newest_answered or now <= self.state.resumed_at:
+        if (
+            now - oldest <= node.loss_timeout()
+            or oldest < node.newest_answered
+            or now <= self.state.resumed_at
+        ):
             return
         if node.timeouts_in_a_row or not self.observer.is_lossy:
             node.cut_window(now, oldest)
 
     def _forget_old(self, now: int) -> None:
-        """Forget what is of no more use, and rebuild which volumes are throttleable."""
+        """Remove state that is no longer needed, and rebuild the sets of throttleable volumes."""
         state = self.state
         retention = state.retention
         self.key_order.forget_old(now)
@@ -305,7 +310,7 @@
         self.slow_start.requested_shards.forget_old(now)
         self.recently_sent.forget_old(now)
         state.nodes.forget_old(now, is_idle=not state.requests)
-        # forgotten, they would have a bucket for the open requests and a full one for later ones
+        # A volume with open requests is kept: if dropped, later requests would get a second, full bucket.
         in_use = {request.volume for request in state.requests.values()}
         state.volumes = {
             name: volume
--- a/stoatrouter/policy/send_rules.py
+++ b/stoatrouter/policy/send_rules.py
@@ -1,4 +1,4 @@
-"""The one place where every send meets every rule. The rules' figures: `Rules` in interface.py."""
+"""The single place where each send is checked against all rules. Parameters: `Rules` in interface.py."""
 
 from __future__ import annotations
 
@@ -8,58 +8,58 @@
 from stoatrouter.policy.request import Attempt, Request
 from stoatrouter.policy.retry_budget import RetryBudget
 from stoatrouter.policy.slow_start import SlowStart
-from stoatrouter.policy.units import NEVER, READ_EVERY
+from stoatrouter.policy.units import CONTROL_INTERVAL, NEVER
 
 
 class SendRules:
-    """Asks all rules about a send, in the order of their numbers."""
+    """Checks a send against all rules, in the order of their numbers."""
 
     def __init__(
         self, max_attempts: int, slow_start: SlowStart, key_order: KeyOrder, retry_budget: RetryBudget
     ) -> None:
-        """Ask these parts; `max_attempts` is of one request, retries included."""
+        """Use the given rules; `max_attempts` is the limit per request, retries included."""
         self.max_attempts = max_attempts
         self.slow_start = slow_start
         self.key_order = key_order
         self.retry_budget = retry_budget
 
     def blocked_until(self, request: Request, node: Node, now: int) -> int:
-        """From when the rules let a request go to a node; 0: now.
+        """Return from when the rules allow sending a request to a node; 0: now.
 
-        A rule that cannot concern the request is not called: this runs several times for each request.
+        Rules that do not concern the request are skipped, as this runs several times per request.
 
         Returns:
-            0 where no rule blocks it, else from when (microseconds) they may let it go as far as is known, or
-            the next reading; `NEVER` where they never will.
+            0 if no rule blocks the request; otherwise from when (microseconds) the rules may allow it, or the
+            next control cycle if that is not known; `NEVER` if they never will.
         """
-        # 1: nothing goes out for what is finished or overdue, nor more attempts than are allowed
+        # 1: nothing is sent for a finished or overdue request, nor more than the allowed attempts
         if self.is_over(request, now):
             return NEVER
-        # 2: effects: never two at once, and retries only where they are harmless
+        # 2: effects: never two attempts at once, and retries only where they are harmless
         is_retry = bool(request.attempts)
         if is_retry and blocks_retry(request, node, max(now, request.wait_until), request.attempts):
             return NEVER
-        # 3: drains: a draining node is used within its grace, as long as none that is on has its shard
+        # 3: drains: a draining node is used only within its grace, while no node in phase ON has its shard
         if not node.accepts(now):
-            return now + READ_EVERY
-        # 4: slow start: a warming-up node gets this host's part of what it always bears
+            return now + CONTROL_INTERVAL
+        # 4: slow start: a warming-up node gets at most this host's share of its guaranteed capacity
         if node.up_since and (until := self.slow_start.blocked_until(request, node, now)):
             return until
-        # 5: the limit: this host's part of the bucket may never sink below its part of the tolerance
+        # 5: the limit: this host's share of the bucket never goes below its share of the tolerance
         limited = request.volume.plan.limit and not request.charged
         if limited and (until := request.volume.available_at(now, request.units)) > now:
             return until
-        # 6: order within a key
+        # 6: ordering by key
         ordered = request.request_class.ordered_by_key
         if ordered and (until := self.key_order.blocked_until(request, now)):
             return until
         # 7: the retry budget
         if is_retry and not self.retry_budget.allows_retry(now):
-            return now + READ_EVERY
+            return now + CONTROL_INTERVAL
         return 0
 
     def is_over(self, request: Request, now: int) -> bool:
-        """Whether a request is finished, has no time left, or has used up its attempts."""
+        """Return whether a request is finished, has no time left, or has used all its attempts."""
         return (
             request.done
             or max(now, request.wait_until) >= request.deadline
@@ -68,11 +68,11 @@
 
 
 def blocks_retry(request: Request, node: Node, at: int, earlier: list[Attempt]) -> bool:
-    """Whether earlier attempts block a retry of the request at `node` at `at` (microseconds).
+    """Return whether earlier attempts block a retry of the request at `node` at `at` (microseconds).
 
-    Blocked is a retry while any attempt is in flight; of an unsafe request that may have run; of an
-    idempotent one that may have run, once its repeat window has passed or where the node is of another shard
-    or zone than the class's group allows.
+    A retry is blocked while any attempt is in flight. It is blocked for an unsafe request that may have run,
+    and for an idempotent one that may have run once its repeat window has passed or if the node's shard or
+    zone is outside the class's group.
     """
     request_class = request.request_class
     if any(attempt.outcome is None for attempt in earlier):
--- a/stoatrouter/policy/simhost.py
+++ b/stoatrouter/policy/simhost.py
@@ -1,6 +1,6 @@
-"""The adapter: the simulator's wire on standard input and output, one scheduler for each instance.
+"""The adapter for the simulator: its wire protocol on standard input and output, one scheduler per instance.
 
-It translates and does nothing else. Instances share nothing.
+It only translates between the wire and the scheduler. Instances share no state.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 Fields = dict[str, Any]
 
 EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.IDEMPOTENT, "fragile": api.Effect.UNSAFE}
-REGISTRY = {"automatic": False, "subscribe": True}  # whether the list must be asked for
+REGISTRY = {"automatic": False, "subscribe": True}  # whether the endpoint list requires a subscription
 GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.SHARD}
 PHASES = {"on": api.Phase.ON, "fading": api.Phase.DRAINING, "off": api.Phase.GONE}
 LISTS = {
@@ -29,11 +29,11 @@
 
 
 class WireError(Exception):
-    """The input is not what the wire page promises."""
+    """The input does not follow the wire protocol."""
 
 
 def read_settings(data: Fields) -> api.Settings:
-    """Build the settings from an instance's first message; keys that are not known are skipped."""
+    """Read the settings from an instance's first message; unknown keys are ignored."""
     extra = data.get("Extra", {})
     limits = data["Limits"]
     rules = data["Contract"]
@@ -67,7 +67,7 @@
 
 
 def read_class(data: Fields, writes: bool) -> api.RequestClass:
-    """Read a class of requests; whether it writes stands apart from it on the wire."""
+    """Read a request class; whether it writes is sent separately on the wire."""
     return api.RequestClass(
         name=data["Name"],
         priority_weight=data["Points"],
@@ -98,7 +98,7 @@
 
 
 def read_rules(data: Fields, extra: Fields) -> api.Rules:
-    """Read the figures of the rules."""
+    """Read the parameters of the rules."""
     return api.Rules(
         answer_slack=data.get("AnswerSlack") or 0,
         drain_grace=data.get("DrainGrace") or 0,
@@ -176,7 +176,7 @@
     ),
     "LEFT": lambda e: api.ClientGone(e["MsgId"]),
     "DUE": lambda e: api.TimerFired(e["Cookie"]),
-    "INBOX": lambda e: None,  # hosts keep every rule alone and tell each other nothing
+    "INBOX": lambda e: None,  # hosts exchange no messages: each keeps every rule on its own
 }
 
 WRITERS: dict[type, Callable[[Any], Fields]] = {
@@ -191,17 +191,17 @@
 
 
 class Bridge:
-    """All instances of this process; each has a scheduler of its own."""
+    """All instances of this process, each with its own scheduler."""
 
     def __init__(self) -> None:
-        """Start with no instances; each is made by an ATTACH message for its host and ended by HALT."""
+        """Start without instances; an ATTACH message creates one for its host, and HALT ends it."""
         self.instances: dict[str, Scheduler] = {}
 
     def batch(self, line: str) -> str:
-        """Answer one batch, a line of JSON, by another.
+        """Process one batch, a line of JSON, and return the reply line.
 
         Raises:
-            WireError: where the line is no batch, or a message in it is not of the wire's form.
+            WireError: if the line is not a batch, or a message in it does not follow the protocol.
         """
         try:
             batch = json.loads(line)
@@ -217,7 +217,7 @@
         return json.dumps({"cmds": commands}, separators=(",", ":"))
 
     def event(self, now: int, event: Fields) -> list[Fields]:
-        """Pass one event to its instance and put its actions on the wire."""
+        """Pass one event to its instance and return the resulting commands in wire format."""
         try:
             name = event["cmd"]
             host = event["HostId"]
@@ -241,12 +241,12 @@
                 return []
             actions = scheduler.handle(now, parsed) if parsed is not None else []
             return [{**WRITERS[type(a)](a), "HostId": host} for a in actions]
-        except Exception as error:  # noqa: BLE001 - whatever breaks in a decision is reported on the wire
+        except Exception as error:  # noqa: BLE001 - any fault in a decision is reported on the wire
             return [{"cmd": "FAULT", "HostId": host, "NoteText": f"{type(error).__name__}: {error}"}]
 
 
 def describe(error: Exception) -> str:
-    """Describe the fault in one line."""
+    """Return a description of the fault in one line."""
     return f"missing {error}" if isinstance(error, KeyError) else " ".join(str(error).split())
 
 
--- a/stoatrouter/policy/state.py
+++ b/stoatrouter/policy/state.py
@@ -1,4 +1,4 @@
-"""What the parts of one host's scheduler have in common: settings, nodes, requests. Terms: interface.py."""
+"""State shared by the parts of one host's scheduler: settings, nodes, requests. Terms: interface.py."""
 
 from __future__ import annotations
 
@@ -12,45 +12,44 @@
 from stoatrouter.policy.units import SECOND
 from stoatrouter.policy.volume import Volume
 
-IDLE_LATENCY = 0.25  # of the tightest objective: an answer as an idle node is expected to give it
+IDLE_LATENCY_FRACTION = 0.25  # of the tightest objective: the expected latency of an idle node
 RETENTION = 60 * SECOND  # beyond the longest deadline: how long unused volumes and gone nodes are retained
 
 
 class SchedulerState:
-    """The mutable state of one host's scheduler, and figures derived once from its settings."""
+    """The mutable state of one host's scheduler, and values derived once from its settings."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Start knowing nothing of nodes, volumes or requests; `seed` makes jitter and ties repeat."""
+        """Start without nodes, volumes or requests; `seed` makes jitter and tie-breaking reproducible."""
         classes = settings.classes
         self.settings = settings
         self.rules = settings.rules
         self.random = random.Random(seed)
         self.tightest_objective = min(c.latency_objective for c in classes)
-        self.idle_latency = IDLE_LATENCY * self.tightest_objective
-        self.least_latency = int(
-            IDLE_LATENCY * self.tightest_objective / 2
-        )  # the least expected of an answer
+        self.idle_latency = IDLE_LATENCY_FRACTION * self.tightest_objective
+        # The lowest latency expected of an answer.
+        self.min_latency = int(IDLE_LATENCY_FRACTION * self.tightest_objective / 2)
         self.retention = RETENTION + max(c.deadline for c in classes)
         self.background_classes = background_classes(classes)
         self.nodes: NodeIndex[Node] = NodeIndex(self.rules.warm_up_time, methodcaller("load"))
         self.requests: dict[str, Request] = {}
         self.volumes: dict[str, Volume] = {}
-        self.started_at = -1  # of the first event; -1: none yet
-        self.resumed_at = 0  # when this host last went on after it had stood still
-        self.handed_over = False  # to this host's next process, while this one ends what it has
-        self.actions: list[api.Action] = []  # of the event at hand, in the order to take them
+        self.started_at = -1  # the time of the first event; -1: none yet
+        self.resumed_at = 0  # when this host last resumed after a stall
+        self.handed_over = False  # to this host's next process, while this one finishes its requests
+        self.actions: list[api.Action] = []  # of the current event, in the order to take them
 
     def jitter(self, span: float) -> int:
-        """A span (microseconds) scaled by a random factor from 0.5 to 1.5."""
+        """Return a time span (microseconds) scaled by a random factor from 0.5 to 1.5."""
         return int(span * (0.5 + self.random.random()))
 
     def new_node(self, entry: api.NodeEntry, known_since: int) -> Node:
-        """Make the record of a listed node; its sends are known from `known_since` (microseconds)."""
+        """Create the record of a listed node; its sends are known from `known_since` (microseconds)."""
         return Node(entry, self.settings.hosts, self.tightest_objective, known_since)
 
 
 def background_classes(classes: tuple[api.RequestClass, ...]) -> set[str]:
-    """The classes of less than the mean priority weight whose latency objective is above the mean."""
+    """Return the classes with a priority weight below the mean and a latency objective above the mean."""
     mean_weight = sum(c.priority_weight for c in classes) / len(classes)
     mean_objective = sum(c.latency_objective for c in classes) / len(classes)
     return {
--- a/stoatrouter/policy/volume.py
+++ b/stoatrouter/policy/volume.py
@@ -1,44 +1,45 @@
-"""A volume's token buckets: its reserve and this host's part of its limit. Its plan: interface.py."""
+"""A volume's token buckets: its reserve and this host's share of its limit. Its plan: interface.py."""
 
 from __future__ import annotations
 
 import math
 
 from stoatrouter.policy import interface as api
-from stoatrouter.policy.units import NEVER, SECOND, TINY
+from stoatrouter.policy.units import EPSILON, NEVER, SECOND
 
-EXCESS_DECAY = 0.5  # of the excess is left after a second, so that old excess does not count against a volume
+EXCESS_DECAY = 0.5  # the fraction of the excess left after a second: old excess must not count for long
 
 
 class Volume:
     """One volume's token buckets, in units of work.
 
-    The reserve counts what all hosts served, as far as answers tell; the limit's bucket is this host's part.
+    The reserve accounts for the work of all hosts, as far as answers report it; the limit's bucket holds this
+    host's share.
     """
 
-    def __init__(self, now: int, plan: api.Plan, hosts: int, largest_request: float) -> None:
-        """Start a volume with a full reserve, and its part of the limit at the lowest it may have reached.
+    def __init__(self, now: int, plan: api.Plan, hosts: int, max_request_units: float) -> None:
+        """Start with a full reserve, and this host's share of the limit at its lowest possible level.
 
         Args:
-            now: when it was first seen, in microseconds.
+            now: when the volume was first seen, in microseconds.
             plan: its plan of usual rate, reserve, limit and burst (interface.py).
-            hosts: through how many hosts its requests come; the limit's bucket is this host's part.
-            largest_request: in units, what the reserve must take beyond a second of its rate.
+            hosts: number of hosts through which its requests arrive; the limit is divided among them.
+            max_request_units: the units that the reserve must hold beyond one second of its rate.
         """
         self.plan = plan
         self.hosts = max(1, hosts)
         self.refilled_at = now
-        self.excess = 0.0  # units lately served beyond the reserve
-        self.reserve_capacity = plan.reserve + largest_request if plan.reserve else 0.0
+        self.excess = 0.0  # units recently served beyond the reserve
+        self.reserve_capacity = plan.reserve + max_request_units if plan.reserve else 0.0
         self.reserve = self.reserve_capacity
-        # A restarted host cannot know what it spent, so its part of the limit's bucket was at the lowest
-        # that it may have reached when this host started (now: that time), and only time fills it.
+        # A restarted host does not know what it has spent. Its share of the limit's bucket is therefore set
+        # to the lowest possible level as of this host's start (`now` is that time), and fills only with time.
         self.limit_floor = -plan.tolerance / self.hosts
         self.limit_tokens = self.limit_floor
-        self.limit_refills = True  # not once this host's next process has taken over: only its part refills
+        self.limit_refills = True  # False after a handover: then only the next process's share refills
 
     def set_hosts(self, now: int, hosts: int) -> None:
-        """Take a new number of hosts: what those that left have spent is unknown, so the part starts anew."""
+        """Change the number of hosts; its share restarts at the floor, as past spending is unknown."""
         if max(1, hosts) == self.hosts:
             return
         self.refill(now)
@@ -47,7 +48,7 @@
         self.limit_tokens = min(self.limit_tokens, self.limit_floor)
 
     def refill(self, now: int) -> Volume:
-        """Bring the buckets up to `now` (microseconds) and return the volume itself."""
+        """Refill the buckets up to `now` (microseconds) and return the volume itself."""
         if now == self.refilled_at:
             return self
         passed = (now - self.refilled_at) / SECOND
@@ -60,14 +61,14 @@
         return self
 
     def available_at(self, now: int, units: float) -> int:
-        """From when (microseconds) this host's part of the limit holds these units above its floor.
+        """Return from when (microseconds) this host's share of the limit holds `units` above its floor.
 
         Returns:
-            `now` where it holds them already or there is no limit; `NEVER` where the bucket does not refill.
+            `now` if it holds them already or there is no limit; `NEVER` if the bucket does not refill.
         """
         if not self.plan.limit:
             return now
-        lack = units + self.limit_floor + TINY - self.refill(now).limit_tokens
+        lack = units + self.limit_floor + EPSILON - self.refill(now).limit_tokens
         if lack <= 0:
             return now
         if not self.limit_refills:
@@ -75,7 +76,7 @@
         return now + math.ceil(lack * self.hosts / self.plan.limit * SECOND)
 
     def may_be_forgotten(self, now: int, span: int) -> bool:
-        """Whether it is unused for `span` and a limit's part is full again: forgetting refills nothing."""
+        """Return whether it is unused for `span` and its limit is full, so that dropping refills nothing."""
         if now - self.refilled_at <= span:
             return False
         return not self.plan.limit or self.refill(now).limit_tokens >= self.plan.burst / self.hosts
@@ -86,11 +87,11 @@
         self.charge_reserve(units)
 
     def refund(self, units: float) -> None:
-        """Give back the units of a request that never arrived at a node."""
+        """Return the units of a request that never arrived at a node to both buckets."""
         self.limit_tokens += units if self.plan.limit else 0.0
         self.charge_reserve(-units)
 
     def charge_reserve(self, units: float) -> None:
-        """Take units from the reserve; what it lacks counts as excess (negative units give back)."""
+        """Take units from the reserve and count the shortfall as excess; negative units are given back."""
         self.excess += units - min(units, max(0.0, self.reserve))
         self.reserve = max(-self.plan.reserve, self.reserve - units)
--- a/tests/test_node_index.py
+++ b/tests/test_node_index.py
@@ -194,7 +194,7 @@
         assert index.least_loaded(START + i * SECOND, lambda node, at: 1.0, 0.5) is node
     assert len(index.warming) == 1
     index.forget_old(START + 3606 * SECOND, is_idle=True)
-    assert not index.warming and not index.warm_ups
+    assert not index.warming and not index.pending_warm_ups
 
 
 def test_equals_are_drawn_alike():
