--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -197,7 +197,7 @@
     new = passed_on(old, now)
     full = alone.volumes["v"].limit_tokens - alone.volumes["v"].limit_floor
     parts = sum(made.volumes["v"].limit_tokens - made.volumes["v"].limit_floor for made in (old, new))
-    assert parts == pytest.approx(full - handover.STARTUP_LOSS * LIMITED.limit)
+    assert parts == pytest.approx(full - handover.STARTUP_LOSS_SECONDS * LIMITED.limit)
     later = now + SECOND  # only the new one's part fills
     kept = old.volumes["v"].limit_tokens
     assert old.volumes["v"].refill(later).limit_tokens == kept
