--- a/stoatrouter/core/__init__.py
+++ b/stoatrouter/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests, attempts, outcomes and the reducer, without any HTTP, socket or clock."""
+"""The core: requests, attempts, outcomes and the reducer, independent of HTTP, sockets and clocks."""
--- a/stoatrouter/core/descriptors.py
+++ b/stoatrouter/core/descriptors.py
@@ -1,32 +1,30 @@
-"""The budget of file descriptors: how many clients, nodes and operators may each hold.
+"""The budget of file descriptors, divided among clients, nodes and operators.
 
-Idle clients may take their whole budget while discovery is down; discovery, nodes and operators can still be
-reached, as their budgets do not depend on what clients leave.
+Clients cannot use more than their budget. Even when idle clients exhaust it while discovery is down,
+discovery, nodes and operators can still be reached.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-OPERATOR_DESCRIPTORS = (
-    12  # callers at the operators' address (management/calls.py), and some that end for them
-)
-DISCOVERY_DESCRIPTORS = (
-    4  # the watch, the one after a change of address, and those that the system has not closed yet
-)
+# Callers at the operators' address (management/calls.py), and some connections being closed to admit them.
+OPERATOR_DESCRIPTORS = 12
+# The watch, its successor after a change of address, and those that the system has not closed yet.
+DISCOVERY_DESCRIPTORS = 4
 FILE_DESCRIPTORS = 16  # standard streams, the loop's own, listening sockets, the old process, the state file
-# clients that come before others have ended: client_table.SPARE_CONNECTIONS and two turns of ACCEPT_AT_ONCE
+# Clients accepted before others have closed: client_table.SPARE_CONNECTIONS and two rounds of ACCEPT_AT_ONCE.
 ACCEPT_DESCRIPTORS = 40
-# Fractions of what remains; at a thousand descriptors and more a margin stays beside them, for large bodies
-# stored in files.
+# Fractions of the remainder. From a thousand descriptors on, they leave a margin for large bodies stored in
+# files.
 CLIENTS_FRACTION = 0.58
 NODES_FRACTION = 0.3
-MAX_FIXED_FRACTION = 0.3  # of all
+MAX_FIXED_FRACTION = 0.3  # of all descriptors
 
 
 @dataclass(slots=True, frozen=True)
 class Descriptors:
-    """The budget of one head."""
+    """The descriptor budget of one head."""
 
     clients: int  # connections of clients, with or without a request
     nodes: int  # connections to nodes, in use or idle
@@ -34,15 +32,15 @@
 
     @property
     def total(self) -> int:
-        """How many descriptors the budget gives out together."""
+        """The number of descriptors in the whole budget."""
         return self.clients + self.nodes + self.fixed
 
 
 def divide_descriptors(sockets: int) -> Descriptors:
-    """Divide `sockets` descriptors.
+    """Divide `sockets` descriptors among clients, nodes and fixed uses.
 
-    Down to 240 only the budgets of clients and nodes shrink. Below that all budgets shrink, at the cost of
-    how many connections can be accepted at once.
+    Down to 240 descriptors, only the budgets of clients and nodes shrink. Below that, all budgets shrink, and
+    fewer connections can be accepted at once.
     """
     fixed = min(Descriptors(0, 0).fixed, int(sockets * MAX_FIXED_FRACTION))
     remaining = sockets - fixed
--- a/stoatrouter/core/durations.py
+++ b/stoatrouter/core/durations.py
@@ -8,11 +8,11 @@
 NO_TIME = timedelta(0)
 
 
-def to_microseconds(span: timedelta) -> int:
-    """A span, or a time since the Unix epoch, in whole microseconds, rounded down."""
-    return span // MICROSECOND
+def to_microseconds(duration: timedelta) -> int:
+    """Convert a duration, or a time since the Unix epoch, to whole microseconds, rounded down."""
+    return duration // MICROSECOND
 
 
 def from_microseconds(count: int) -> timedelta:
-    """A number of microseconds as a timedelta."""
+    """Convert a number of microseconds to a timedelta."""
     return timedelta(microseconds=count)
--- a/stoatrouter/core/effects.py
+++ b/stoatrouter/core/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the network code must do for the reducer, in the order given."""
+"""Effects: the actions that the network code executes for the reducer, in the order given."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     request: Request
     attempt: int
     address: str
-    timeout: timedelta  # for all of it, connecting included
+    timeout: timedelta  # for the whole attempt, including connecting
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Run a health check of a node: request its load report."""
+    """Run a health check of a node, which requests its load report."""
 
     node: str
     address: str
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Report TimerDue with this token after this time."""
+    """Report TimerDue with this token after the given time."""
 
     after: timedelta
     token: int
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchOverdue:
-    """Report Overdue for this request after this time."""
+    """Report Overdue for this request after the given time."""
 
     after: timedelta
     request: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GiveAnswer:
-    """Give a request its final answer."""
+    """Send a request's final answer to its client."""
 
     request: str
     answer: Answer
@@ -62,19 +62,19 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """The answer to a request that was not admitted; another request may be open under its id."""
+    """Answer a request that was not admitted; another request may be open under its id."""
 
     answer: Answer
 
 
 @dataclass(slots=True, frozen=True)
 class SaveAdministrativeState:
-    """Save the administrative state to disk; it precedes any other effect of the change."""
+    """Save the administrative state to disk; precedes all other effects of the change."""
 
 
 @dataclass(slots=True, frozen=True)
 class HandoverState:
-    """The state of the core that the next process needs."""
+    """Send the next process the state of the core that it needs."""
 
     nodes: tuple[NodeInfo, ...]
     administrative_state: AdministrativeState
--- a/stoatrouter/core/errors.py
+++ b/stoatrouter/core/errors.py
@@ -1,4 +1,4 @@
-"""The base class of the core's errors."""
+"""The base class of the errors raised by the core."""
 
 from __future__ import annotations
 
--- a/stoatrouter/core/events.py
+++ b/stoatrouter/core/events.py
@@ -1,4 +1,4 @@
-"""Events: what has happened, and when; the reducer takes one at a time. Times are since the Unix epoch."""
+"""Events: what has happened and when; the reducer processes them one by one. Times are since the epoch."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamEnded:
-    """A streamed answer has ended: `complete` True, cut off (False), or its client has left (None)."""
+    """A streamed answer has ended; `complete` is False if it was cut off, None if its client has left."""
 
     at: timedelta
     request: str
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckEnded:
-    """A health check of a node's load has ended; `took` is how long it lasted."""
+    """A health check of a node has ended; `took` is its duration."""
 
     at: timedelta
     node: str
@@ -69,7 +69,7 @@
     at: timedelta
     kind: api.ListKind
     nodes: tuple[NodeInfo, ...] = ()
-    since: timedelta | None = None  # from when it may have counted as notified; None: from now
+    since: timedelta | None = None  # the earliest time at which this head may count as notified; None: now
 
 
 @dataclass(slots=True, frozen=True)
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerDue:
-    """A timer that was set by SetTimer has expired."""
+    """A timer set by SetTimer has expired."""
 
     at: timedelta
     token: int
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Overdue:
-    """The deadline of a request has passed; it is reported for every request, answered or not."""
+    """The deadline of a request has passed; reported for every request, whether answered or not."""
 
     at: timedelta
     request: str
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetAdministrativeState:
-    """An operator takes a node out of service, or puts it back."""
+    """An operator has taken a node out of service, or put it back."""
 
     at: timedelta
     node: str
@@ -107,14 +107,14 @@
 
 @dataclass(slots=True, frozen=True)
 class HandedOver:
-    """The next process takes over: it is sent all state, and this one only finishes its requests."""
+    """The next process takes over: it gets all state, and this process only finishes its requests."""
 
     at: timedelta
 
 
 @dataclass(slots=True, frozen=True)
 class TakenBack:
-    """The next process has died; operators may have changed the administrative state since."""
+    """The next process has died; operators may have changed the administrative state in the meantime."""
 
     at: timedelta
     administrative_state: AdministrativeState
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptsElsewhere:
-    """How many attempts the previous process still has open, by node."""
+    """The previous process has reported how many attempts it still has in flight, by node."""
 
     at: timedelta
     counts: dict[str, int]
--- a/stoatrouter/core/gate.py
+++ b/stoatrouter/core/gate.py
@@ -1,4 +1,4 @@
-"""What the reducer asks of credit control: whether a request can be paid for. No I/O."""
+"""The interface of credit control to the reducer: whether a request can be paid for. No I/O."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AdmissionRejection:
-    """A request that is not admitted.
+    """The rejection of a request that credit control does not admit.
 
     Attributes:
         answer: The final answer.
-        counter: The name that the rejection is tallied under (docs/on-call.md).
+        counter: The name of the counter for this rejection (docs/on-call.md).
     """
 
     answer: Refused
@@ -26,7 +26,7 @@
     """Credit control: admits requests, and settles each at its final answer."""
 
     def take(self, request: Request, now: timedelta) -> AdmissionRejection | None:
-        """Reserve what a request costs; returns the rejection where that is not possible."""
+        """Reserve the cost of a request; return the rejection if that is not possible."""
 
     def end(self, request: str, may_have_run: bool) -> None:
-        """Settle a request's reservation at its final answer; `may_have_run`: a node may have executed it."""
+        """Settle a reservation at the final answer; `may_have_run`: a node may have executed the request."""
--- a/stoatrouter/core/invariants.py
+++ b/stoatrouter/core/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants: asserted in debug builds, counted and logged under -O."""
+"""Invariants: asserted in debug builds, counted and logged under `python -O`."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from stoatrouter.core.errors import CoreError
 
 violations: Counter[str] = Counter()
-MAX_LOGGED_PER_KIND = 5  # further breaks of the same kind are only counted: a log that floods hides its cause
+MAX_LOGGED_PER_KIND = 5  # further violations of a kind are only counted, so that the log is not flooded
 
 
 class InvariantBroken(CoreError, AssertionError):
-    """A condition that the core relies on does not hold; raised in debug builds only.
+    """A violated invariant of the core; raised in debug builds only.
 
-    It is an AssertionError as well, so that tests and callers that expect one still catch it.
+    It is also an AssertionError, so that tests and callers that expect one catch it.
     """
 
     def __init__(self, what: str, details: dict[str, object]) -> None:
-        """Name the broken condition.
+        """Create an error for a violated condition.
 
         Args:
-            what: the condition that failed, in words (e.g. "a send for a request that is over").
-            details: where it failed: the request, attempt or node that it concerns.
+            what: a description of the violation, such as "a send for a request that is over".
+            details: the request, attempt or node concerned.
         """
         super().__init__(f"{what}: {details}")
         self.what = what
@@ -31,10 +31,10 @@
 
 
 def invariant(holds: bool, what: str, **details: object) -> bool:
-    """Check that something holds; returns whether it does, so that callers can fall back.
+    """Check that an invariant holds, and return whether it does, so that callers can fall back.
 
     Raises:
-        InvariantBroken: in debug builds, where it does not hold.
+        InvariantBroken: in debug builds, if it does not hold.
     """
     if holds:
         return True
--- a/stoatrouter/core/model.py
+++ b/stoatrouter/core/model.py
@@ -1,8 +1,7 @@
-"""The core's vocabulary in one namespace: requests, answers, nodes, events, effects and records.
+"""The core's types in one namespace: requests, answers, nodes, events, effects and records.
 
-Each kind lives in its own module (`requests`, `nodes`, `events`, `effects`, `records`); most users
-write `model.Request` or `model.SendAttempt`, so this module names them all. All times are since the
-Unix epoch.
+They are defined in the modules `requests`, `nodes`, `events`, `effects` and `records`, and re-exported here
+for use as `model.Request` or `model.SendAttempt`. All times are since the Unix epoch.
 """
 
 from __future__ import annotations
--- a/stoatrouter/core/nodes.py
+++ b/stoatrouter/core/nodes.py
@@ -8,7 +8,7 @@
 
 from stoatrouter.policy import interface as api
 
-MAX_NODES_OUT = 16_384  # nodes; beyond, those that are not listed are forgotten, the first that was out first
+MAX_NODES_OUT = 16_384  # nodes; beyond this, unlisted nodes are forgotten, the longest out of service first
 RETURNED_NODE_RETENTION = timedelta(hours=1)  # far longer than any node takes to warm up
 
 
@@ -27,26 +27,26 @@
 
 @dataclass(slots=True)
 class AdministrativeState:
-    """Nodes that operators took out of service, over all node lists and processes of this head."""
+    """Nodes that operators took out of service, independent of node lists and processes of this head."""
 
-    out: dict[str, timedelta] = field(default_factory=dict)  # since when
+    out: dict[str, timedelta] = field(default_factory=dict)  # out of service since
     back: dict[str, tuple[timedelta, timedelta]] = field(default_factory=dict)  # out since, back since
 
     def take_out(self, node: str, now: timedelta) -> None:
-        """Mark a node as out since now; if it was put back meanwhile, since it first was out."""
+        """Mark a node as out since `now`, or since it was first out if it was put back in the meantime."""
         since, _ = self.back.pop(node, (now, now))
         self.out.setdefault(node, min(since, now))
 
     def put_back(self, node: str, now: timedelta) -> None:
-        """Mark a node as back since now; without effect on a node that is not out."""
+        """Mark a node as back since `now`; no effect on a node that is not out."""
         if (since := self.out.pop(node, None)) is not None:
             self.back[node] = (since, now)
 
     def forget_back(self, listed: Mapping[str, NodeInfo], now: timedelta) -> None:
-        """Forget which nodes were put back long ago, except where the list still shows an older start.
+        """Forget nodes that were put back long ago, except where the list still shows an older start time.
 
-        Such a node has started for the decision module when it was put back: forgotten, it would count as
-        restarted, and all that was learnt of it would be lost.
+        For the decision module, such a node started when it was put back. If it were forgotten here, it would
+        appear to have restarted, and the decision module would discard all it has learnt about it.
         """
         old = [node for node, (_, back) in self.back.items() if now - back > RETURNED_NODE_RETENTION]
         for node in old:
@@ -55,10 +55,10 @@
                 del self.back[node]
 
     def forget_surplus(self, listed: Container[str]) -> list[str]:
-        """Forget nodes that are out, beyond the bound; those of the list never.
+        """Forget unlisted nodes that are out, beyond `MAX_NODES_OUT`; listed nodes are never forgotten.
 
         Returns:
-            Nodes that were out, and count as never taken out from now on.
+            The forgotten nodes, which from now on count as never taken out.
         """
         surplus = len(self.out) - MAX_NODES_OUT
         unlisted = [node for node in self.out if node not in listed] if surplus > 0 else []
@@ -68,11 +68,11 @@
         return forgotten
 
     def effective(self, node: NodeInfo) -> NodeInfo:
-        """A listed node with the phase or start time that operators override, for the decision module."""
+        """Return a listed node for the decision module, with phase or start time overridden by operators."""
         if node.id in self.out:
             return node if node.phase is api.Phase.GONE else replace(node, phase=api.Phase.DRAINING)
         since, back = self.back.get(node.id, (node.started, node.started))
         if node.started < since:
-            # Guards a node that was restarted while it was out, which the list may not show: it warms up.
+            # The node may have restarted while it was out, without the list showing it, so it warms up.
             return replace(node, started=back)
         return node
--- a/stoatrouter/core/records.py
+++ b/stoatrouter/core/records.py
@@ -1,4 +1,4 @@
-"""The reducer's records of open requests, and its counts for operators."""
+"""The reducer's records of open requests, and its counters for operators."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     node: str
     shard: int
     sent: timedelta
-    in_flight: bool = True  # sent, and its end not yet reported
-    never_ran: bool = False  # as its end has shown
+    in_flight: bool = True  # sent, with its end not yet reported
+    never_ran: bool = False  # known from its outcome
 
 
 @dataclass(slots=True)
@@ -24,22 +24,22 @@
     """A request that is not yet answered or has an attempt open."""
 
     request: Request
-    deadline: timedelta  # by when it is owed an answer
+    deadline: timedelta  # by when it must be answered
     answered: bool = False
     attempts: list[Attempt] = field(default_factory=list)
 
     def attempt_in_flight(self, number: int) -> Attempt | None:
-        """The attempt of this number; None where there is none or its end was reported already."""
+        """Return the attempt with this number; None if it does not exist or its end was already reported."""
         if number >= len(self.attempts) or not self.attempts[number].in_flight:
             return None
         return self.attempts[number]
 
     def may_have_run(self) -> bool:
-        """Whether any node may have executed the request."""
+        """Return whether any node may have executed the request."""
         return any(not attempt.never_ran for attempt in self.attempts)
 
     def is_finished(self) -> bool:
-        """Whether the request is answered and no attempt is open."""
+        """Return whether the request is answered and no attempt is in flight."""
         return self.answered and not any(attempt.in_flight for attempt in self.attempts)
 
 
@@ -60,16 +60,16 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Counts that are written to the log from time to time."""
+    """Counters that are written to the log periodically."""
 
     counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, name: str) -> None:
-        """Count one occurrence under a name."""
+        """Increment the counter of a name."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def take(self) -> dict[str, int]:
-        """Return the counts since the last call, and start again from none."""
+        """Return the counts since the last call, and reset them."""
         counts = self.counts
         self.counts = {}
         return counts
--- a/stoatrouter/core/reducer.py
+++ b/stoatrouter/core/reducer.py
@@ -1,7 +1,7 @@
 """The reducer: every state change of a head is reduce(event) -> effects.
 
-It drives the decision module and adds what that module leaves out: the addresses of nodes, which requests
-are not yet answered, and that each request gets exactly one answer.
+It drives the decision module and adds the addresses of nodes, the tracking of unanswered requests, and the
+guarantee that each request gets exactly one answer.
 """
 
 from __future__ import annotations
@@ -17,44 +17,45 @@
 from stoatrouter.policy import Scheduler, handover
 from stoatrouter.policy import interface as api
 
-# Longest wait past the client's deadline before the core answers by itself, should a decision be missing.
+# How long after the client's deadline the core answers by itself if a decision is missing.
 OVERDUE_GRACE = timedelta(milliseconds=15)
-CLEANUP_INTERVAL = timedelta(seconds=60)  # how often nodes that were put back long ago are forgotten
+CLEANUP_INTERVAL = timedelta(seconds=60)  # between two removals of nodes that were put back long ago
 
 
 class Reducer:
-    """The state of one head; it changes in reduce and nowhere else."""
+    """The state of one head, which changes in `reduce` only."""
 
     def __init__(self, settings: api.Settings, seed: int, max_open: int = 1 << 30) -> None:
-        """Start with no nodes, no requests and the decision module fresh.
+        """Start with no nodes, no requests and a new scheduler.
 
         Args:
-            settings: the decision module's settings, as read from the operators' file; their classes
-                size the counters, and their `max_retry_after` (microseconds; 0 unless
-                `accepts_retry_after`) is the Retry-After given to requests that fronts reject.
-            seed: the decision module's random seed, so that a run can be repeated.
-            max_open: most requests not yet answered at once; one more is rejected before the module.
+            settings: the decision module's settings, as read from the operators' file. Their classes
+                determine the number of counters; their `max_retry_after` (microseconds; taken as 0 unless
+                `accepts_retry_after`) is the Retry-After of requests rejected by fronts.
+            seed: the decision module's random seed, which makes a run reproducible.
+            max_open: the maximum number of unanswered requests; further ones are rejected before the
+                decision module sees them.
         """
-        self.gate: Gate | None = None  # called before the module: whether a request can be paid for
+        self.gate: Gate | None = None  # asked before the decision module whether a request can be paid for
         self.scheduler = Scheduler(settings, seed)
         self.max_open = max_open
-        # for what is rejected unseen: as late a Retry-After as the settings let a client be given
+        # For requests rejected without a decision: the longest Retry-After that the settings allow.
         self.default_retry_after = from_microseconds(
             settings.max_retry_after if settings.accepts_retry_after else 0
         )
         self.records: dict[str, model.Record] = {}
-        self.streams: dict[str, int] = {}  # classes of requests whose answers are still being passed on
-        self.nodes: dict[str, model.NodeInfo] = {}  # as listed
+        self.streams: dict[str, int] = {}  # classes of requests whose answers are still being streamed
+        self.nodes: dict[str, model.NodeInfo] = {}  # as listed by discovery
         self.administrative_state = model.AdministrativeState()
         self.tally = model.Tally()
         classes = len(settings.classes)
         self.counters = model.Counters(ok=[0] * classes, shed=[0] * classes, errors=[0] * classes)
         self.now = NO_TIME
-        self.forgotten_at = NO_TIME  # when what is old was last forgotten
+        self.forgotten_at = NO_TIME  # when old state was last removed
 
     def reduce(self, event: model.Event) -> list[model.Effect]:
-        """Take one event and return the effects to run, in order."""
-        # Guards against events stamped before the latest one: the module's time never goes back.
+        """Process one event and return the effects to run, in order."""
+        # An event may be stamped earlier than the latest one, but the decision module's time never goes back.
         self.now = max(self.now, event.at)
         match event:
             case model.Arrived():
@@ -82,7 +83,7 @@
                 return self._reduce_control_event(event)
 
     def _reduce_control_event(self, event: model.ControlEvent) -> list[model.Effect]:
-        """Take an event of operators or of the handover between processes."""
+        """Process an event of operators or of the handover between processes."""
         match event:
             case model.SetAdministrativeState():
                 return self._set_administrative_state(event)
@@ -97,11 +98,11 @@
 
     @property
     def open(self) -> int:
-        """How many requests are not yet answered, have an attempt open or are being streamed."""
+        """The number of requests that are unanswered, have an attempt in flight or are being streamed."""
         return len(self.records) + len(self.streams)
 
     def nodes_in_flight(self) -> list[str]:
-        """The node of each attempt in flight, once per attempt."""
+        """Return the node of each attempt in flight, once per attempt."""
         return [
             attempt.node
             for record in self.records.values()
@@ -111,11 +112,11 @@
 
     @property
     def avoided(self) -> int:
-        """How many listed nodes get nothing new now: draining, out by an operator, or ejected."""
+        """The number of listed nodes that get no new requests: draining, out of service, or ejected."""
         return sum(self.scheduler.avoids(name) for name in self.nodes)
 
     def may_begin(self, at: timedelta, request: str, attempt: int) -> bool:
-        """Whether an attempt may still be sent; called once it has a connection and before its first byte."""
+        """Return whether an attempt may still be sent; called once connected, before its first byte."""
         record = self.records.get(request)
         if record is None or record.answered or not record.attempts[attempt].in_flight:
             return False
@@ -123,10 +124,10 @@
 
     # -- requests -----------------------------------------------------------------------------------------
     def _arrived(self, request: model.Request) -> list[model.Effect]:
-        # Guards against an id used twice: the module drops the second, and its client would wait in vain.
+        # The decision module drops a second request with the same id, so its client would never be answered.
         if request.id in self.records or request.id in self.streams:
             return self._reject(request.request_class, model.Failed(), "duplicate_id")
-        # Guards against a flood: beyond what the settings let a head hold, nothing reaches the module.
+        # Overload protection: requests beyond the configured maximum do not reach the decision module.
         if len(self.records) >= self.max_open:
             return self._reject(
                 request.request_class, model.Refused(self.default_retry_after), "over_max_open"
@@ -154,24 +155,24 @@
         if self.gate is not None:
             self.gate.end(request_id, record.may_have_run())
         effects = self._decide(api.ClientGone(request_id))
-        # no client waits for it any more: nodes stop work that is cancelled
+        # The client has left, and nodes stop working on a cancelled attempt.
         effects += cancel_attempts(record)
         self._forget(request_id)
         return effects
 
     def _overdue(self, request_id: str) -> list[model.Effect]:
         record = self.records.get(request_id)
-        # Guards a request against the watch of an earlier one of its id, which ended before its deadline.
+        # The timer may belong to an earlier request with the same id that ended before its deadline.
         if record is None or self.now < record.deadline:
             return []
         effects: list[model.Effect] = []
-        # Guards against a missing decision (the module failed on it): no request goes unanswered.
+        # The decision module may have failed on the request; it must be answered nevertheless.
         if not invariant(record.answered, "a request had no answer at its deadline", request=request_id):
             effects += self._answer(request_id, model.Failed())
         return effects + cancel_attempts(record)
 
     def _answer(self, request_id: str, answer: model.Answer) -> list[model.Effect]:
-        """Give exactly one final answer: whatever would be a second one is dropped."""
+        """Give a request its final answer; any further answer is dropped."""
         record = self.records.get(request_id)
         if record is None or record.answered:
             return []
@@ -180,7 +181,7 @@
             self.gate.end(request_id, isinstance(answer, model.Served) or record.may_have_run())
         self.tally.add(type(answer).__name__.lower())
         if isinstance(answer, model.Served) and answer.stream is not None:
-            self.streams[request_id] = record.request.request_class  # it ends with its last byte
+            self.streams[request_id] = record.request.request_class  # ends with the last byte
         else:
             self._count(record.request.request_class, answer)
         self._forget(request_id)
@@ -209,7 +210,7 @@
     def _attempt_ended(self, event: model.AttemptEnded) -> list[model.Effect]:
         record = self.records.get(event.request)
         attempt = record.attempt_in_flight(event.attempt) if record is not None else None
-        # Guards against an outcome reported twice (an attempt cancelled as its answer arrived): first counts.
+        # An outcome may be reported twice (an attempt cancelled while its answer arrived): the first counts.
         if record is None or attempt is None:
             return []
         attempt.in_flight = False
@@ -247,7 +248,7 @@
         assert record is not None
         record.attempts.append(model.Attempt(action.node, node.shard if node else -1, self.now))
         number = len(record.attempts) - 1
-        # Guards against a node that left the list between a decision and its sending: it never ran.
+        # The node may have left the list between the decision and the send; then the attempt never ran.
         if node is None:
             return self._attempt_ended(model.AttemptEnded(self.now, action.request, number, api.Outcome.MOOT))
         return [model.SendAttempt(record.request, number, node.address, from_microseconds(action.timeout))]
@@ -286,9 +287,9 @@
         try:
             handover.take_over(self.scheduler, event.module)
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-            # Guards a start against what another version of the program wrote: it then starts from nothing.
+            # Another version of the program may have written an unknown form: start without that state.
             logger.error(
-                "upgrade: what the old process learnt cannot be read: {error}",
+                "upgrade: cannot read the state of the old process: {error}",
                 event="upgrade.unlearnt",
                 error=repr(error),
             )
@@ -303,7 +304,7 @@
         )
 
     def _set_administrative_state(self, event: model.SetAdministrativeState) -> list[model.Effect]:
-        """Set the administrative state of a node; no effects where the node is not known."""
+        """Set the administrative state of a node; no effects if the node is unknown."""
         node = self.nodes.get(event.node)
         if node is None and event.node not in self.administrative_state.out:
             return []
@@ -314,7 +315,7 @@
         self.administrative_state.forget_back(self.nodes, self.now)
         for forgotten in self.administrative_state.forget_surplus(self.nodes):
             logger.warning(
-                "bricks: {node} is forgotten, it is not listed and too many are out by hand",
+                "bricks: forgetting that unlisted node {node} is out of service: too many nodes are out",
                 event="bricks.forgotten",
                 node=forgotten,
             )
@@ -322,20 +323,20 @@
         return effects + (self._pass_on_nodes(api.ListKind.CHANGES, (node,)) if node is not None else [])
 
     def _forget_old(self) -> None:
-        """Forget nodes that were put back long ago, without waiting for an operator's next call."""
+        """Forget nodes that were put back long ago, without waiting for the next operator call."""
         if self.now - self.forgotten_at >= CLEANUP_INTERVAL:
             self.forgotten_at = self.now
             self.administrative_state.forget_back(self.nodes, self.now)
 
     # -- the decision module ------------------------------------------------------------------------------
     def _decide(self, event: api.Event) -> list[model.Effect]:
-        """Put an event to the decision module and turn its actions into effects."""
+        """Pass an event to the decision module and convert its actions into effects."""
         try:
             actions = self.scheduler.handle(to_microseconds(self.now), event)
         except Exception:
             if __debug__:
                 raise
-            # Guards against a fault in a decision: this head serves on, and Overdue answers what remains.
+            # After a fault in a decision, this head continues to serve; Overdue answers what remains open.
             logger.exception("decision failed on {kind}", event="decision.failed", kind=type(event).__name__)
             self.tally.add("decision_failed")
             return []
@@ -359,11 +360,11 @@
             case api.CheckHealth() if action.node in self.nodes:
                 return [model.CheckHealth(action.node, self.nodes[action.node].address)]
             case _:
-                return []  # the list is always watched: no poll is needed
+                return []  # the endpoint list is always watched: no subscription is needed
 
 
 def cancel_attempts(record: model.Record) -> list[model.Effect]:
-    """The effects that cancel the attempts of a request that are in flight."""
+    """Return the effects that cancel a request's attempts in flight."""
     return [
         model.CancelAttempt(record.request.id, number)
         for number, attempt in enumerate(record.attempts)
@@ -372,7 +373,7 @@
 
 
 def request_arrived(request: model.Request) -> api.RequestArrived:
-    """The decision module's event for a request the core has admitted; its time left in microseconds."""
+    """Convert an admitted request to the decision module's event."""
     return api.RequestArrived(
         request=request.id,
         volume=request.volume,
@@ -389,7 +390,7 @@
 
 
 def node_entry(node: model.NodeInfo) -> api.NodeEntry:
-    """A listed node as the decision module takes it, its start time in microseconds since the epoch."""
+    """Convert a listed node to the decision module's entry; start time in microseconds since the epoch."""
     return api.NodeEntry(
         node.id, node.shard, node.zone, node.phase, node.weight, to_microseconds(node.started)
     )
