--- a/stoatrouter/policy/key_order.py
+++ b/stoatrouter/policy/key_order.py
@@ -35,7 +35,7 @@
             return 0
         return max(now + CONTROL_INTERVAL, hold_down_until)
 
-    def leave(self, request: Request) -> Request | None:
+    def dequeue(self, request: Request) -> Request | None:
         """Remove a finished request from its key's queue and hold the key down.
 
         Returns:
--- a/stoatrouter/policy/lifecycle.py
+++ b/stoatrouter/policy/lifecycle.py
@@ -25,7 +25,7 @@
         self.timers: dict[int, Request] = {}
         self.last_token = 0
         # Objective and deadline (microseconds) of requests that were recently rejected or failed.
-        self.answered: dict[RequestIdentity, tuple[int, int]] = {}
+        self.unserved: dict[RequestIdentity, tuple[int, int]] = {}
 
     def set_timer(self, at: int, request: Request, now: int) -> None:
         """Set a timer to re-examine a request at `at` (microseconds)."""
@@ -42,7 +42,7 @@
         """
         leaves_at = now + max(0, event.time_left)
         identity = (volume, event.key, kind.name, event.units)
-        objective_at, deadline = self.answered.pop(identity, (leaves_at, 0))
+        objective_at, deadline = self.unserved.pop(identity, (leaves_at, 0))
         is_client_retry = event.repeat or leaves_at <= deadline + self.state.min_latency
         if not is_client_retry:
             objective_at = leaves_at
@@ -51,7 +51,7 @@
     def finish(self, request: Request, now: int) -> None:
         """Give the final answer: a rejection where a retry is harmless, otherwise a failure."""
         identity = (request.volume, request.key, request.request_class.name, request.units)
-        self.answered[identity] = (request.objective_at, request.deadline)
+        self.unserved[identity] = (request.objective_at, request.deadline)
         retry_after = self._retry_after(request, now)
         if retry_is_harmless(request):
             self.state.actions.append(api.Reject(request.id, retry_after))
@@ -73,13 +73,13 @@
         if request.in_flight():
             return
         self.state.requests.pop(request.id, None)
-        next_in_order = self.key_order.leave(request)
+        next_in_order = self.key_order.dequeue(request)
         if next_in_order is not None and request.key is not None:
             self.set_timer(self.key_order.hold_down_until[request.key], next_in_order, now)
 
     def forget_old(self, now: int) -> None:
         """Drop unserved requests whose clients can no longer retry in time."""
-        self.answered = {identity: times for identity, times in self.answered.items() if times[1] > now}
+        self.unserved = {identity: times for identity, times in self.unserved.items() if times[1] > now}
 
 
 def retry_is_harmless(request: Request) -> bool:
--- a/stoatrouter/policy/observation.py
+++ b/stoatrouter/policy/observation.py
@@ -50,12 +50,12 @@
         if answered or timed_out and not lost:
             node.last_round_trip = float(event.took)
         # With many hosts, each observes a node rarely, so all that an answer shows counts.
-        places = min(1.0, node.window_quota)
-        is_late = event.took > min(LATE_ANSWER, SLOW_ANSWER / places) * self.state.tightest_objective
+        window_share = min(1.0, node.window_quota)
+        is_late = event.took > min(LATE_ANSWER, SLOW_ANSWER / window_share) * self.state.tightest_objective
         if answered:  # errors and rejections are fast and must not enter the averages
             if request.write and request.shard == ANY_SHARD:
                 self.placement.record_new_data(request, node, now)
-            self._learn_latency(event.took, request, node, now, places)
+            self._learn_latency(event.took, request, node, now, window_share)
             is_prompt = event.took <= request.request_class.latency_objective / 2
             if not is_late or node.window < 1 and is_prompt:
                 node.grow_window()
@@ -85,7 +85,7 @@
         node.timeouts_in_a_row += 1
         return node.timeouts_in_a_row == 1 and self.is_lossy
 
-    def _learn_latency(self, took: int, request: Request, node: Node, now: int, places: float) -> None:
+    def _learn_latency(self, took: int, request: Request, node: Node, now: int, window_share: float) -> None:
         """Update the node's averages with an answer's latency (microseconds)."""
         node.newest_answered = max(node.newest_answered, now - took)  # rejections arrive out of order
         # A key that has just been read is cached and costs less, so it does not show the unit latency.
@@ -95,6 +95,6 @@
         node.latency = moving_average(node.latency, node.answered_at, now, took)
         node.answered_at = now
         if request.protected:
-            bounded = min(took, MAX_READ_SAMPLE * self.state.tightest_objective / places)
+            bounded = min(took, MAX_READ_SAMPLE * self.state.tightest_objective / window_share)
             node.read_latency = moving_average(node.read_latency, node.read_answered_at, now, bounded)
             node.read_answered_at = now
--- a/stoatrouter/policy/scheduler.py
+++ b/stoatrouter/policy/scheduler.py
@@ -116,7 +116,7 @@
             case api.AttemptEnded():
                 self._end_attempt(event, now)
             case api.TimerFired():
-                self._fire(event.token, now)
+                self._handle_timer(event.token, now)
             case api.EndpointList():
                 self.endpoints.apply_update(event, now)
             case api.HealthCheckEnded():
@@ -240,7 +240,7 @@
         self.lifecycle.set_timer(request.wait_until, request, now)
 
     # -- timers -------------------------------------------------------------------------------------------
-    def _fire(self, token: int, now: int) -> None:
+    def _handle_timer(self, token: int, now: int) -> None:
         """Handle an expired timer: the control cycle's for `CONTROL_TIMER`, otherwise a request's."""
         if token == CONTROL_TIMER:
             self.state.actions.append(api.SetTimer(CONTROL_INTERVAL, CONTROL_TIMER))
--- a/stoatrouter/policy/simhost.py
+++ b/stoatrouter/policy/simhost.py
@@ -197,7 +197,7 @@
         """Start without instances; an ATTACH message creates one for its host, and HALT ends it."""
         self.instances: dict[str, Scheduler] = {}
 
-    def batch(self, line: str) -> str:
+    def process_batch(self, line: str) -> str:
         """Process one batch, a line of JSON, and return the reply line.
 
         Raises:
@@ -213,10 +213,10 @@
             raise WireError("not a batch: events must be a list")
         commands: list[Fields] = []
         for event in events:
-            commands.extend(self.event(now, event))
+            commands.extend(self.process_event(now, event))
         return json.dumps({"cmds": commands}, separators=(",", ":"))
 
-    def event(self, now: int, event: Fields) -> list[Fields]:
+    def process_event(self, now: int, event: Fields) -> list[Fields]:
         """Pass one event to its instance and return the resulting commands in wire format."""
         try:
             name = event["cmd"]
@@ -255,7 +255,7 @@
     bridge = Bridge()
     for line in source:
         try:
-            reply = bridge.batch(line)
+            reply = bridge.process_batch(line)
         except WireError as error:
             print(f"simhost: {error}", file=sys.stderr)
             return 2
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -154,7 +154,7 @@
 def play(*batches: list) -> list[dict]:
     bridge = simhost.Bridge()
     return [
-        json.loads(bridge.batch(json.dumps({"Time": 8_412_250 + 2000 * i, "events": events})))
+        json.loads(bridge.process_batch(json.dumps({"Time": 8_412_250 + 2000 * i, "events": events})))
         for i, events in enumerate(batches)
     ]
 
