--- a/stoatrouter/credit/gate.py
+++ b/stoatrouter/credit/gate.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 
 from stoatrouter.core import model
-from stoatrouter.core.gate import GateRejection
+from stoatrouter.core.gate import AdmissionRejection
 from stoatrouter.credit.escrow import HeadEscrow
 from stoatrouter.credit.ledger_freshness import LedgerFreshness, UnknownVolumes, reject_unowned
 from stoatrouter.credit.local_account import Rank, Rejection, RejectionReason
@@ -80,7 +80,7 @@
     unknown_volumes: UnknownVolumes = UnknownVolumes.REJECT
     unowned: UnownedCounts = field(default_factory=UnownedCounts)
 
-    def take(self, request: model.Request, now: timedelta) -> GateRejection | None:
+    def take(self, request: model.Request, now: timedelta) -> AdmissionRejection | None:
         """Reserve a request's charge; return a rejection if that is not possible, else None."""
         customer = self.customer_of(request.volume)
         charge = self._charge_of(request)
@@ -89,7 +89,7 @@
         rank = self.ranks[request.request_class]
         return rejection_of(self.escrow.reserve(request.id, customer, charge, rank, now))
 
-    def _admit_unowned(self) -> GateRejection | None:
+    def _admit_unowned(self) -> AdmissionRejection | None:
         """Admit or reject a request that has a price, for a volume without a known customer.
 
         A ledger that is not current may lack the volume's customer, and a request served then is never
@@ -138,9 +138,11 @@
         return charge_of(request.units, self.prices[request.request_class])
 
 
-def rejection_of(rejection: Rejection | None) -> GateRejection | None:
+def rejection_of(rejection: Rejection | None) -> AdmissionRejection | None:
     """Return the answer and the counter of a rejection for the core; None for no rejection."""
     if rejection is None:
         return None
     is_unknown = rejection.reason is RejectionReason.LEDGER_UNKNOWN
-    return GateRejection(model.Refused(rejection.retry_in), LEDGER_UNKNOWN if is_unknown else OVER_CREDIT)
+    return AdmissionRejection(
+        model.Refused(rejection.retry_in), LEDGER_UNKNOWN if is_unknown else OVER_CREDIT
+    )
