--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -150,7 +150,7 @@
     """The credit of a head that does not lead, without a fleet around it."""
     fleet: Any = SimpleNamespace(
         settings=SimpleNamespace(folder=folder),
-        stored=SimpleNamespace(writable=True, boot=1),
+        stored=SimpleNamespace(writable=True, start_count=1),
         monitor=SimpleNamespace(watchers=[]),
         replication=SimpleNamespace(raft=SimpleNamespace(settled=False)),
         now=lambda: SECOND,
--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -27,7 +27,7 @@
 from stoatrouter.peering.counters import MessageCounters
 from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
 from stoatrouter.peering.errors import MessageRejected, PeerUnreachable
-from stoatrouter.peering.follower import FIRST_BACKOFF, LONGEST_BACKOFF, voter_offset
+from stoatrouter.peering.follower import FIRST_BACKOFF, MAX_BACKOFF, voter_offset
 from stoatrouter.peering.rule_rollout import PART as RULES
 from stoatrouter.peering.rule_rollout import HeadReport
 from stoatrouter.peering.streams import Streams
@@ -115,7 +115,7 @@
                 wait = FIRST_BACKOFF
             else:
                 await asyncio.sleep(wait.total_seconds() * (0.5 + self.draws.random()))
-                wait = min(2 * wait, LONGEST_BACKOFF)
+                wait = min(2 * wait, MAX_BACKOFF)
 
     def next_voter(self) -> str:
         names = list(self.task.voters)
--- a/benchmarks/capacity/voters.py
+++ b/benchmarks/capacity/voters.py
@@ -30,7 +30,7 @@
     voter_addresses,
 )
 from benchmarks.heads_rules import text_of
-from stoatrouter.peering.streams import MOST_IN_FLIGHT
+from stoatrouter.peering.streams import MAX_IN_FLIGHT
 from tests.heads.processes import Processes
 
 SETTLE_S = 5.0  # for new followers to spread over the voters
@@ -167,7 +167,7 @@
     given = parser.parse_args()
     if given.study == "bound":
         given.voters, given.gone = 1, 0
-        print(f"a voter answers {MOST_IN_FLIGHT} questions at once")
+        print(f"a voter answers {MAX_IN_FLIGHT} questions at once")
     studies = {"commands": voter_load.by_commands, "edits": voter_load.by_edits}
     with harness.recording(f"voters --study {given.study}", given.out) as run:
         asyncio.run(studies.get(given.study, by_followers)(run, given))
--- a/stoatrouter/lab/hollow/network.py
+++ b/stoatrouter/lab/hollow/network.py
@@ -121,7 +121,7 @@
         self.name = name
         self.counters = counters
 
-    async def request(self, name: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT) -> Reply:
+    async def request(self, name: str, kind: str, body: bytes, timeout: timedelta = REQUEST_TIMEOUT) -> Reply:
         """Ask a peer, as `Streams.request` does, and count the request by kind and peer.
 
         Raises:
@@ -130,21 +130,21 @@
         self.counters.add(f"hollow.asked.{kind}")
         self.counters.add(f"hollow.asked_of.{name}")
         try:
-            reply = await self._request_delayed(name, kind, body, within)
+            reply = await self._request_delayed(name, kind, body, timeout)
         except PeerUnreachable as error:
             self.counters.add(f"hollow.unanswered.{kind}.{reason_of(error)}")
             raise
         self.counters.add("hollow.answered_bytes", len(reply.body))
         return reply
 
-    async def _request_delayed(self, name: str, kind: str, body: bytes, within: timedelta) -> Reply:
+    async def _request_delayed(self, name: str, kind: str, body: bytes, timeout: timedelta) -> Reply:
         there = self.network.one_way(self.name, name)
         if there is None:
-            await asyncio.sleep(min(within, CONNECT_TIMEOUT).total_seconds())
+            await asyncio.sleep(min(timeout, CONNECT_TIMEOUT).total_seconds())
             raise PeerUnreachable(f"{name}: cut off by the partition")
         if there:
             await asyncio.sleep(there)
-        reply = await self.send(name, kind, body, within)
+        reply = await self.send(name, kind, body, timeout)
         back = self.network.one_way(name, self.name)
         if back is None:
             raise PeerUnreachable(f"{name}: cut off by the partition")
--- a/stoatrouter/peering/availability.py
+++ b/stoatrouter/peering/availability.py
@@ -80,7 +80,7 @@
             self._catch_up_to = commit
         self._record_followed()
 
-    def begin_anew(self) -> None:
+    def reset_followed(self) -> None:
         """Forget what was followed: this head's log goes on as another fleet's."""
         self.known_commit = 0
         self.followed = MajorityContact()
@@ -94,7 +94,7 @@
         if self._replication.machine.index >= self.known_commit:
             self.followed.record(self.contact.latest)
 
-    async def run_for_ever(self) -> None:
+    async def run_forever(self) -> None:
         """Refresh now and then: time alone cuts a head off."""
         while True:
             self.refresh()
--- a/stoatrouter/peering/bootstrap.py
+++ b/stoatrouter/peering/bootstrap.py
@@ -40,7 +40,7 @@
         stored: StoredState,
         replication: Replication,
         streams: Streams,
-        on_begun: Callable[[], None],
+        on_joined: Callable[[], None],
     ) -> None:
         """Go on with what the disk holds.
 
@@ -50,7 +50,7 @@
             stored: What the disk holds.
             replication: Stores what is promised, and begins with a fleet's first state.
             streams: To the other voters.
-            on_begun: Called once this head has begun to belong to a fleet, durably.
+            on_joined: Called once this head has begun to belong to a fleet, durably.
         """
         self.durable = bool(stored.origin)
         self._me = me
@@ -58,14 +58,14 @@
         self._replication = replication
         self._streams = streams
         self._founding = Founding(me, settings.voters, stored.origin, stored.promised)
-        self._on_begun = on_begun
+        self._on_joined = on_joined
 
     @property
     def origin(self) -> str:
         """The identity of the fleet's founder; "" where this head belongs to none."""
         return self._founding.origin
 
-    def may_learn_from(self, origin: str) -> bool:
+    def accepts_entries_of(self, origin: str) -> bool:
         """Whether entries that a head of this fleet holds as committed may be learnt here."""
         return bool(origin) and (not self.origin or (origin == self.origin and self.durable))
 
@@ -141,15 +141,15 @@
             origin=founded.origin[:8],
             voters=", ".join(voter.name for voter in founded.voters),
         )
-        self._replication.begin(founded.snapshot(), 0, founded.origin, self._begun)
+        self._replication.start_from(founded.snapshot(), 0, founded.origin, self._on_founding_durable)
 
-    def adopt_missed(self, fetched: calls.Fetched) -> bool:
+    def adopt_missed_founding(self, fetched: calls.Fetched) -> bool:
         """Begin with a founding that this head had promised to and did not hear of; whether it does."""
         if self.origin or fetched.snapshot is None:
             return False
         if not self._founding.adopt(Founded(fetched.origin, fetched.voters)):
             return False
-        self._replication.begin(fetched.snapshot, 0, fetched.origin, self._begun)
+        self._replication.start_from(fetched.snapshot, 0, fetched.origin, self._on_founding_durable)
         return True
 
     def join(self, origin: str) -> None:
@@ -159,7 +159,7 @@
             self.durable = True
             self._replication.store(BootstrapWrite(origin=origin), lambda: None)
 
-    def begin_alone(self, origin: str, snapshot: Snapshot, term: int) -> None:
+    def start_new_fleet(self, origin: str, snapshot: Snapshot, term: int) -> None:
         """Go on as a fleet of another origin, with this state: the voters of the old one are lost.
 
         Args:
@@ -168,9 +168,9 @@
             term: The term that its log goes on in, above that of the old one.
         """
         self._founding.origin = origin
-        self._replication.begin(snapshot, term, origin, self._begun)
+        self._replication.start_from(snapshot, term, origin, self._on_founding_durable)
 
-    def _begun(self) -> None:
+    def _on_founding_durable(self) -> None:
         """Note that the beginning is on the disk."""
         self.durable = True
-        self._on_begun()
+        self._on_joined()
--- a/stoatrouter/peering/bounds.py
+++ b/stoatrouter/peering/bounds.py
@@ -44,19 +44,19 @@
     return repr(text if len(text) <= MAX_QUOTED_LENGTH else f"{text[:MAX_QUOTED_LENGTH]}...")
 
 
-def check_text(field: str, text: str, longest: int, shortest: int = 0) -> None:
+def check_text(field: str, text: str, max_length: int, min_length: int = 0) -> None:
     """Raise OutOfBoundsError unless the text's length lies between the two."""
-    if not shortest <= len(text) <= longest:
+    if not min_length <= len(text) <= max_length:
         found = "nothing" if not text else f"{len(text)} characters"
-        raise OutOfBoundsError(field, found, f"{shortest} to {longest} characters")
+        raise OutOfBoundsError(field, found, f"{min_length} to {max_length} characters")
 
 
-def check_number(field: str, number: int, largest: int, smallest: int = 0) -> None:
+def check_number(field: str, number: int, maximum: int, minimum: int = 0) -> None:
     """Raise OutOfBoundsError unless the number lies between the two."""
-    if not smallest <= number <= largest:
+    if not minimum <= number <= maximum:
         short = abs(number) < 10**MAX_DIGITS_SHOWN
         found = str(number) if short else f"a number of more than {MAX_DIGITS_SHOWN} digits"
-        raise OutOfBoundsError(field, found, f"{smallest} to {largest}")
+        raise OutOfBoundsError(field, found, f"{minimum} to {maximum}")
 
 
 def check_volumes(volumes: list[str]) -> None:
@@ -64,22 +64,22 @@
     if len(volumes) > MAX_VOLUMES:
         raise OutOfBoundsError("volumes", f"{len(volumes)} of them", f"up to {MAX_VOLUMES}")
     for number, volume in enumerate(volumes):
-        check_text(f"volumes[{number}]", volume, MAX_VOLUME_LENGTH, shortest=1)
+        check_text(f"volumes[{number}]", volume, MAX_VOLUME_LENGTH, min_length=1)
 
 
 def check_id(field: str, text: str) -> None:
     """Raise OutOfBoundsError unless the text may be a caller's id."""
-    check_text(field, text, MAX_ID_LENGTH, shortest=1)
+    check_text(field, text, MAX_ID_LENGTH, min_length=1)
 
 
 def check_head(field: str, name: str) -> None:
     """Raise OutOfBoundsError unless a head may be named so."""
-    check_text(field, name, MAX_HEAD_LENGTH, shortest=1)
+    check_text(field, name, MAX_HEAD_LENGTH, min_length=1)
 
 
 def check_customer(name: str) -> None:
     """Raise OutOfBoundsError unless a customer may be named so."""
-    check_text("customer", name, MAX_CUSTOMER_LENGTH, shortest=1)
+    check_text("customer", name, MAX_CUSTOMER_LENGTH, min_length=1)
 
 
 def truncate_error(error: Exception) -> str:
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -42,7 +42,7 @@
 EXCHANGE_INTERVAL = timedelta(milliseconds=50)  # also without a request that waits
 COMMAND_TIMEOUT = timedelta(seconds=3)
 FINAL_SETTLE_TIMEOUT = timedelta(milliseconds=1500)
-MAX_WAIT_FRACTION = 4  # a request waits for an allotment for a quarter of the time it has left, at most
+MAX_WAIT_DIVISOR = 4  # a request waits for an allotment for a quarter of the time it has left, at most
 
 
 class CreditService:
@@ -81,10 +81,10 @@
         self.ledger_monitor = LedgerMonitor(
             self.ledger_knowledge, self.gate.unowned, settings.unknown_volumes, fleet.now
         )
-        self.begun = False  # the account knows of this process
+        self.registered = False  # the account knows of this process
         self._previously_spent = self.journal.read()  # by an earlier process, by allotment
-        self._number = fleet.stored.boot << 32  # of this head's last command to the account
-        self._request_waits = asyncio.Event()
+        self._command_number = fleet.stored.start_count << 32  # of this head's last command to the account
+        self._request_waiting = asyncio.Event()
         self._answered = asyncio.Event()  # replaced after each answer of the account
         self._ages = AllotmentAges(settings.lease)  # of all heads
         self._closing = False
@@ -110,11 +110,11 @@
         now = self.now
         if not self.gate.may_wait(request, now()):
             return False
-        deadline = now() + min(self.settings.wait, request.time_left / MAX_WAIT_FRACTION)
+        deadline = now() + min(self.settings.wait, request.time_left / MAX_WAIT_DIVISOR)
         with self.gate.waiting(request):
             while (left := deadline - now()) > timedelta(0) and self.gate.may_wait(request, now()):
                 self.gate.request_allotment(request, now())
-                self._request_waits.set()
+                self._request_waiting.set()
                 answered = self._answered
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(left.total_seconds()):
@@ -125,26 +125,26 @@
     async def run(self) -> None:
         """Exchange with the account, one command after the other; runs until it is cancelled."""
         while True:
-            self._request_waits.clear()
+            self._request_waiting.clear()
             self.ledger_monitor.refresh()
             if self.escrow.reachable:
                 await self._exchange()
                 await self.expire()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(EXCHANGE_INTERVAL.total_seconds()):
-                    await self._request_waits.wait()
+                    await self._request_waiting.wait()
 
     async def _exchange(self) -> None:
         """Report what is due, and apply the account's answer."""
-        if not self.begun:
-            await self._begin()
+        if not self.registered:
+            await self._register_and_settle()
         asked_at = self.now()
         reports = self.escrow.due_reports(asked_at)
         if reports:
             grants = await self._send_reports(reports)
             # without all grants the account does not know this head (it was written off), or an answer is
             # lost for good
-            self.begun = len(grants.grants) == len(reports)
+            self.registered = len(grants.grants) == len(reports)
             self._apply_grants(reports, grants, asked_at)
 
     def _apply_grants(self, reports: list[CustomerReport], grants: Grants, asked_at: timedelta) -> None:
@@ -159,15 +159,17 @@
 
     async def _send_reports(self, reports: list[CustomerReport]) -> Grants:
         """Send reports to the account under the next number; no grants where this head stops first."""
-        self._number += 1
+        self._command_number += 1
         name, identity = self.fleet.settings.name, self.fleet.me.identity
-        answer = await self._submit_until_answered(CreditReport(name, identity, self._number, tuple(reports)))
+        answer = await self._submit_until_answered(
+            CreditReport(name, identity, self._command_number, tuple(reports))
+        )
         return msgspec.msgpack.decode(answer, type=Grants) if answer else Grants(())
 
     async def _submit_until_answered(self, command: CreditReport | RegisterHead) -> bytes:
         """Retry a command under its id until it is answered; b"" where this head stops first."""
         body = msgspec.msgpack.encode(command)
-        id = f"credit/{self.fleet.me.identity}/{self._number}"
+        id = f"credit/{self.fleet.me.identity}/{self._command_number}"
         while True:
             try:
                 return await self.fleet.command(PART, body, id, COMMAND_TIMEOUT)
@@ -175,12 +177,12 @@
                 if self._closing:
                     return b""
 
-    async def _begin(self) -> None:
+    async def _register_and_settle(self) -> None:
         """Tell the account of this process, and settle what the one before it spent."""
         await self._register()
         if self._previously_spent:
             await self._settle_previous()
-        self.begun = True
+        self.registered = True
 
     async def _register(self) -> None:
         """Tell the account which allotments this head's disk and process know of, until it accepts."""
@@ -189,10 +191,10 @@
         predecessor = self.ledger.registered_identity(name)
         result = CommandResult(False)
         while not result.ok and not self._closing:
-            self._number += 1
+            self._command_number += 1
             known = (*self._previously_spent, *allotments)
             answer = await self._submit_until_answered(
-                RegisterHead(name, identity, predecessor, self._number, known)
+                RegisterHead(name, identity, predecessor, self._command_number, known)
             )
             result = msgspec.msgpack.decode(answer, type=CommandResult) if answer else result
             predecessor = result.reason
@@ -227,7 +229,7 @@
         """Settle for the last time, so that what is unspent goes back at once; then close the journal."""
         self._closing = True
         reports = self.escrow.final_reports()
-        if reports and self.begun and self.fleet.availability.draws:
+        if reports and self.registered and self.fleet.availability.draws:
             try:
                 async with asyncio.timeout(FINAL_SETTLE_TIMEOUT.total_seconds()):
                     await self._send_reports(reports)
--- a/stoatrouter/peering/credit_calls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -258,7 +258,7 @@
         touch for so long that it rejects what it cannot know.
         """
         check_customer(name)
-        check_signature(request)
+        check_attribution(request)
         check_volumes(request.volumes)
         check_number("overdraft", request.overdraft, MAX_AMOUNT)
         check_number("low_water", request.low_water, MAX_AMOUNT)
@@ -280,7 +280,7 @@
     async def drop_customer(self, name: str, request: DropRequest) -> BookedAnswer:
         """Let heads draw no more of a customer's credit; what is out is still settled."""
         check_customer(name)
-        check_signature(request)
+        check_attribution(request)
         command = DropCustomer(name, request.by, request.why, utc_timestamp())
         return await self._submit(command, secrets.token_hex(COMMAND_ID_SIZE))
 
@@ -288,7 +288,7 @@
         """Book a top-up, correction or refund."""
         check_customer(name)
         check_id("id", request.id)
-        check_signature(request)
+        check_attribution(request)
         check_number("amount", request.amount, MAX_AMOUNT, -MAX_AMOUNT)
         check_choice("kind", request.kind, EntryKind)
         command = BookEntry(
@@ -327,7 +327,7 @@
         return BookedAnswer(result.balance, result.repeated)
 
 
-def check_signature(request: CustomerRequest | EntryRequest | DropRequest) -> None:
+def check_attribution(request: CustomerRequest | EntryRequest | DropRequest) -> None:
     """Raise OutOfBoundsError unless the request says in few words who asks and why."""
     check_text("by", request.by, MAX_PERSON_LENGTH)
     check_text("why", request.why, MAX_REASON_LENGTH)
--- a/stoatrouter/peering/datagrams.py
+++ b/stoatrouter/peering/datagrams.py
@@ -29,8 +29,8 @@
 from stoatrouter.peering.counters import Channel, MessageCounters
 from stoatrouter.peering.errors import RejectReason
 
-TICK = timedelta(milliseconds=25)
-MOST_PER_TICK = 256  # datagrams received between two ticks; a flood beyond is dropped and counted
+TICK_INTERVAL = timedelta(milliseconds=25)
+MAX_DATAGRAMS_PER_TICK = 256  # datagrams received between two ticks; a flood beyond is dropped and counted
 
 
 class Datagrams(asyncio.DatagramProtocol):
@@ -88,7 +88,7 @@
         self._received_this_tick += 1
         self.counters.add("datagrams.received")
         # Guards the loop against a flood.
-        if self._received_this_tick > MOST_PER_TICK:
+        if self._received_this_tick > MAX_DATAGRAMS_PER_TICK:
             self._drop(RejectReason.FLOOD, source)
             return
         # Guards against anybody: only addresses that the configuration names are heard.
@@ -106,12 +106,12 @@
         """Count a datagram that could not be sent; the detector finds out by itself that its peer is gone."""
         self.counters.add("datagrams.errors")
 
-    async def run_for_ever(self) -> None:
+    async def run_forever(self) -> None:
         """Let time pass for the detector."""
         while True:
             self._received_this_tick = 0
             self._step(Tick(self._now()))
-            await asyncio.sleep(TICK.total_seconds())
+            await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     def close(self) -> None:
         """Notify the others that this head leaves, then close the socket."""
--- a/stoatrouter/peering/disk_writer.py
+++ b/stoatrouter/peering/disk_writer.py
@@ -14,10 +14,10 @@
 from stoatrouter.agreement.records import Write
 from stoatrouter.peering.storage import BootstrapWrite, Storage
 
-MOST_QUEUED = 4_096  # writes; a disk that is so far behind counts as failed
+MAX_QUEUED_WRITES = 4_096  # writes; a disk that is so far behind counts as failed
 CLOSE_TIMEOUT_S = 5  # for what is queued when this head ends
 
-Done = Callable[[], None]
+Callback = Callable[[], None]
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
     """A write, and what is called on the loop once it is on the disk."""
 
     write: Write | BootstrapWrite
-    done: Done
+    done: Callback
 
 
 class DiskWriter:
@@ -49,12 +49,12 @@
         self._storage = storage
         self._loop = loop
         self._on_failure = on_failure
-        self._queue: queue.Queue[QueuedWrite | None] = queue.Queue(MOST_QUEUED)
+        self._queue: queue.Queue[QueuedWrite | None] = queue.Queue(MAX_QUEUED_WRITES)
         self._failed = not writable
         self._thread = threading.Thread(target=self._run, daemon=True, name="heads-disk")
         self._thread.start()
 
-    def put(self, write: Write | BootstrapWrite, done: Done) -> None:
+    def put(self, write: Write | BootstrapWrite, done: Callback) -> None:
         """Queue a write; `done` is called on the loop once it is on the disk.
 
         After a failure nothing is written and nothing called.
@@ -96,6 +96,6 @@
         elif not write.empty:
             self._storage.write(write)
 
-    def _call_on_loop(self, callback: Done) -> None:
+    def _call_on_loop(self, callback: Callback) -> None:
         with contextlib.suppress(RuntimeError):  # the loop has ended
             self._loop.call_soon_threadsafe(callback)
--- a/stoatrouter/peering/envelope.py
+++ b/stoatrouter/peering/envelope.py
@@ -19,9 +19,9 @@
 from stoatrouter.config import ConfigError
 from stoatrouter.peering.errors import MessageRejected, RejectReason
 
-LARGEST_MESSAGE = 64 * 1024 * 1024  # bytes, with the MAC; longer ones are rejected unread
-MAC_BYTES = 32
-SHORTEST_SECRET = 32  # bytes
+MAX_MESSAGE_SIZE = 64 * 1024 * 1024  # bytes, with the MAC; longer ones are rejected unread
+MAC_SIZE = 32
+MIN_SECRET_SIZE = 32  # bytes
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
@@ -62,15 +62,15 @@
         64 bytes.
 
     Raises:
-        ConfigError: The file cannot be read, or the secret is shorter than SHORTEST_SECRET.
+        ConfigError: The file cannot be read, or the secret is shorter than MIN_SECRET_SIZE.
     """
     try:
         secret = path.read_bytes().strip()
     except OSError as error:
         raise ConfigError(f"{path}: the heads' secret cannot be read: {error.strerror}") from None
-    if len(secret) < SHORTEST_SECRET:
+    if len(secret) < MIN_SECRET_SIZE:
         raise ConfigError(
-            f"{path}: the heads' secret has {len(secret)} bytes (allowed: {SHORTEST_SECRET} or "
+            f"{path}: the heads' secret has {len(secret)} bytes (allowed: {MIN_SECRET_SIZE} or "
             "more; `head -c 32 /dev/urandom | base64` makes one)"
         )
     return hashlib.blake2b(secret, digest_size=64).digest()
@@ -109,10 +109,10 @@
             MessageRejected: It is too long, not authentic, malformed or for another head.
             OlderIncarnation: A later incarnation of its sender was heard before.
         """
-        if len(data) > LARGEST_MESSAGE:
+        if len(data) > MAX_MESSAGE_SIZE:
             raise MessageRejected(RejectReason.TOO_LONG)
-        body = data[MAC_BYTES:]
-        if not hmac.compare_digest(data[:MAC_BYTES], self._mac(body)):
+        body = data[MAC_SIZE:]
+        if not hmac.compare_digest(data[:MAC_SIZE], self._mac(body)):
             raise MessageRejected(RejectReason.FOREIGN)
         try:
             envelope = msgspec.msgpack.decode(body, type=Envelope)
@@ -132,5 +132,5 @@
 
     def _mac(self, data: bytes) -> bytes:
         return hashlib.blake2b(
-            data, key=self.secret, person=self._personalisation, digest_size=MAC_BYTES
+            data, key=self.secret, person=self._personalisation, digest_size=MAC_SIZE
         ).digest()
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -69,7 +69,7 @@
         """
         self.settings = settings
         self.counters = MessageCounters()
-        draws = random.Random(f"fleet/{seed}/{settings.name}")
+        rng = random.Random(f"fleet/{seed}/{settings.name}")
         storage = Storage(settings.folder)
         self.stored = storage.open()
         report_reset(self.stored)
@@ -78,11 +78,11 @@
         self.replication = self._make_replication(storage, seed, parts)
         self.streams = self._make_streams()
         self.bootstrap = FleetBootstrap(
-            self.me, settings, self.stored, self.replication, self.streams, self._begin_anew
+            self.me, settings, self.stored, self.replication, self.streams, self._on_fleet_joined
         )
         self.monitor = AvailabilityMonitor(settings, self.replication, self.bootstrap, self.now)
         self.follower = Follower(
-            settings, self.replication, self.streams, self.bootstrap, self.monitor, self.now, draws
+            settings, self.replication, self.streams, self.bootstrap, self.monitor, self.now, rng
         )
         self.follower_feed = FollowerFeed(self.replication, self.bootstrap, self.monitor, self.now)
         self.datagrams = self._make_datagrams(seed)
@@ -92,7 +92,7 @@
         )
         service = LeaderService(self.replication)
         self._leader_client = LeaderClient(
-            settings, self.replication, self.streams, self.follower, service, self.now, draws
+            settings, self.replication, self.streams, self.follower, service, self.now, rng
         )
         self._message_handlers = MessageHandlers(
             self.me,
@@ -162,15 +162,15 @@
         await self.streams.start(config.parse_address(settings.listen) if settings.listen else None)
         if self.datagrams is not None and settings.peer_listen is not None:
             await self.datagrams.start(*config.parse_address(settings.peer_listen))
-            self.tasks.append(start_task("datagrams", self.datagrams.run_for_ever))
+            self.tasks.append(start_task("datagrams", self.datagrams.run_forever))
         self.tasks += [
             start_task(name, run)
             for name, run in (
-                ("replication", self.replication.run_for_ever),
-                ("follower", self.follower.run_for_ever),
+                ("replication", self.replication.run_forever),
+                ("follower", self.follower.run_forever),
                 ("founding", self.bootstrap.found_fleet),
-                ("availability", self.monitor.run_for_ever),
-                ("polls", self.propagation.run_for_ever),
+                ("availability", self.monitor.run_forever),
+                ("polls", self.propagation.run_forever),
             )
         ]
         logger.info(
@@ -218,41 +218,41 @@
         members = self.datagrams.detector.roster.members.values()
         return {member.name for member in members if member.status <= Status.SUSPECT}
 
-    async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
+    async def command(self, part: str, body: bytes, id: str, timeout: timedelta) -> bytes:
         """Have a command committed by whoever leads; the part's answer.
 
         Args:
             part: The part that the command is for.
             body: The command, as the part encodes it.
             id: Its idempotency key: sent again under it, it is not applied again.
-            within: How long it may take.
+            timeout: How long it may take.
 
         Raises:
             ReplicationError: It was not brought through in time, but may still take effect; sent again under
                 its id it gives the one answer.
         """
-        return await self._leader_client.command(part, body, id, within)
+        return await self._leader_client.command(part, body, id, timeout)
 
-    async def read(self, within: timedelta) -> None:
+    async def read(self, timeout: timedelta) -> None:
         """Wait until all that was committed before the call is applied here, as a majority confirms it.
 
         Raises:
             ReplicationError: That could not be confirmed or applied in time.
         """
-        await self._leader_client.read(within)
+        await self._leader_client.read(timeout)
 
-    async def wait_until_known(self, within: timedelta) -> bool:
+    async def wait_until_known(self, timeout: timedelta) -> bool:
         """Wait until no head decides any more by what was before the last commit.
 
         Args:
-            within: How long it may take to learn what is committed.
+            timeout: How long it may take to learn what is committed.
 
         Returns:
             Whether all heads have applied it; else the others must have noticed that they are cut off.
         """
         index: int | None = None
         with contextlib.suppress(ReplicationError):
-            await self.read(within)
+            await self.read(timeout)
             index = self.replication.machine.index
         return await self.propagation.wait_until_known(index)
 
@@ -263,9 +263,9 @@
     async def _handle(self, envelope: Envelope) -> bytes | None:
         return await self._message_handlers.handle(envelope)
 
-    def _begin_anew(self) -> None:
+    def _on_fleet_joined(self) -> None:
         """Note that this head has begun to belong to a fleet, or to another one."""
-        self.monitor.begin_anew()
+        self.monitor.reset_followed()
         self.monitor.refresh()
 
     def _refresh(self) -> None:
@@ -292,4 +292,4 @@
     It is the time of day in milliseconds, and at least the count of starts that the disk holds: without a
     disk it goes up as long as the clock does not go back.
     """
-    return max(time.time_ns() // 1_000_000, stored.boot)
+    return max(time.time_ns() // 1_000_000, stored.start_count)
--- a/stoatrouter/peering/follower.py
+++ b/stoatrouter/peering/follower.py
@@ -26,7 +26,7 @@
 
 IDLE_INTERVAL = timedelta(milliseconds=500)  # between two looks whether this head has to poll
 FIRST_BACKOFF = timedelta(milliseconds=50)
-LONGEST_BACKOFF = timedelta(seconds=1)
+MAX_BACKOFF = timedelta(seconds=1)
 RETURN_INTERVAL = timedelta(seconds=30)  # between two looks whether the first voter is back
 RETURN_TIMEOUT = timedelta(milliseconds=300)  # of such a look: polls wait for it
 
@@ -46,9 +46,9 @@
         bootstrap: FleetBootstrap,
         monitor: AvailabilityMonitor,
         now: Callable[[], timedelta],
-        draws: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Set up; nothing is polled before `run_for_ever`.
+        """Set up; nothing is polled before `run_forever`.
 
         Args:
             settings: Names this head, the first voters and where heads listen.
@@ -57,20 +57,22 @@
             bootstrap: Says which fleet's entries may be learnt.
             monitor: Notified of majorities that were connected.
             now: This head's monotonic time.
-            draws: Draws the jitter of the backoff.
+            rng: Draws the jitter of the backoff.
         """
         self.leader: str | None = None
-        self._turn = 0  # counts the voters chosen, so that the next one differs
-        self._away_since: timedelta | None = None  # since when another voter than the first one is polled
+        self._voter_cursor = 0  # counts the voters chosen, so that the next one differs
+        self._away_from_preferred_since: timedelta | None = (
+            None  # since when another voter than the first one is polled
+        )
         self._settings = settings
         self._replication = replication
         self._streams = streams
         self._bootstrap = bootstrap
         self._monitor = monitor
         self._now = now
-        self._backoff = Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, draws)
+        self._backoff = Backoff(FIRST_BACKOFF, MAX_BACKOFF, rng)
 
-    async def run_for_ever(self) -> None:
+    async def run_forever(self) -> None:
         """Poll the voters, one after the other, unless this head leads or hears its leader."""
         while True:
             if not self._has_to_poll():
@@ -89,8 +91,8 @@
     def next_voter(self) -> str:
         """Choose a voter to poll; those of the settings until others are known."""
         names = self._voters()
-        self._turn += 1
-        return names[(self._turn + voter_offset(self._settings.name)) % len(names)]
+        self._voter_cursor += 1
+        return names[(self._voter_cursor + voter_offset(self._settings.name)) % len(names)]
 
     def _voters(self) -> list[str]:
         """The voters that may be polled, in the order that is the same at all heads."""
@@ -102,20 +104,20 @@
 
     async def _return_if_due(self) -> None:
         """Go back to the first voter once it answers again, so that followers stay spread over all."""
-        if self._turn % len(self._voters()) == 0:
-            self._away_since = None  # the next turn is the first voter's
+        if self._voter_cursor % len(self._voters()) == 0:
+            self._away_from_preferred_since = None  # the next turn is the first voter's
             return
         now = self._now()
-        if self._away_since is None:
-            self._away_since = now
-        if now - self._away_since < RETURN_INTERVAL:
+        if self._away_from_preferred_since is None:
+            self._away_from_preferred_since = now
+        if now - self._away_from_preferred_since < RETURN_INTERVAL:
             return
-        self._away_since = now
+        self._away_from_preferred_since = now
         names = self._voters()
         first = names[(1 + voter_offset(self._settings.name)) % len(names)]
         # Guards the contact with a majority: a poll of a voter that hangs would last longer than that counts.
         if await self._answers(first):
-            self._turn = 0
+            self._voter_cursor = 0
 
     async def _answers(self, name: str) -> bool:
         """Whether a voter answers at once, and has applied what was committed here."""
@@ -129,7 +131,7 @@
     def forget_leader(self) -> None:
         """Give up the leader that is known, and choose another voter than the next one."""
         self.leader = None
-        self._turn += 1
+        self._voter_cursor += 1
 
     async def _poll(self, name: str) -> bool:
         """Poll one voter; whether it answered and is connected to a majority."""
@@ -141,7 +143,9 @@
             fetched = msgspec.msgpack.decode(reply.body, type=calls.Fetched)
         except (PeerUnreachable, msgspec.MsgspecError):
             return False
-        if not self._bootstrap.may_learn_from(fetched.origin) or self._bootstrap.adopt_missed(fetched):
+        if not self._bootstrap.accepts_entries_of(fetched.origin) or self._bootstrap.adopt_missed_founding(
+            fetched
+        ):
             return False
         self._learn(fetched, asked_at)
         return fetched.majority_connected
@@ -149,10 +153,10 @@
     def _learn(self, fetched: calls.Fetched, asked_at: timedelta) -> None:
         """Take in an answer to a poll that was sent at this time."""
         self._bootstrap.join(fetched.origin)
-        self._replication.learn(fetched)
+        self._replication.receive_committed(fetched)
         if not fetched.majority_connected:
             return
-        self._turn -= 1  # stay with a voter that serves
+        self._voter_cursor -= 1  # stay with a voter that serves
         self.leader = fetched.leader
         contact = MajorityContact()
         if fetched.majority_age is not None:
--- a/stoatrouter/peering/head_calls.py
+++ b/stoatrouter/peering/head_calls.py
@@ -196,7 +196,7 @@
             index=machine.index,
         )
         snapshot = Snapshot(max(1, machine.index), raft.term, (fleet.me,), machine.state())
-        fleet.bootstrap.begin_alone(origin, snapshot, raft.term + 1)
+        fleet.bootstrap.start_new_fleet(origin, snapshot, raft.term + 1)
         return RecoveredAnswer(origin, machine.index)
 
 
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -41,13 +41,13 @@
         tasks: The loops of the services that run since `start`.
     """
 
-    def __init__(self, settings: HeadsSettings, head: ServingHead, started_with: int) -> None:
+    def __init__(self, settings: HeadsSettings, head: ServingHead, starting_version: int) -> None:
         """Open the disk and put all parts together; nothing is sent or received before `start`.
 
         Args:
             settings: The settings of the heads.
             head: The head that these are parts of.
-            started_with: The version of the rules that the head starts with (`persisted_version`).
+            starting_version: The version of the rules that the head starts with (`persisted_version`).
 
         Raises:
             ConfigError: The heads' folder is in use, or its database belongs to something else.
@@ -58,7 +58,7 @@
         self.fleet = Fleet(settings, head.conf.seed, parts)
         self.calls: list[Call] = [HeadCalls(self.fleet).call]
         self.credit = add_credit(settings, head, self.fleet, parts, self.calls)
-        self.rules = add_rules(settings, head, self.fleet, parts, self.calls, started_with)
+        self.rules = add_rules(settings, head, self.fleet, parts, self.calls, starting_version)
         self.fleet.restore_stored()
 
     async def start(self) -> None:
@@ -79,8 +79,8 @@
         await poll_until(lambda: self._credit_ready() or self.fleet.now() >= deadline)
 
     def _credit_ready(self) -> bool:
-        """Whether nothing of credit has to be waited for: it is off, has begun, or cannot draw now."""
-        return self.credit is None or self.credit.begun or not self.fleet.availability.draws
+        """Whether nothing of credit has to be waited for: it is off, has registered, or cannot draw now."""
+        return self.credit is None or self.credit.registered or not self.fleet.availability.draws
 
     @property
     def ready(self) -> bool:
--- a/stoatrouter/peering/leader_client.py
+++ b/stoatrouter/peering/leader_client.py
@@ -24,9 +24,9 @@
 from stoatrouter.peering.streams import Streams
 
 ATTEMPT_TIMEOUT = timedelta(seconds=3)  # of one request to the leader
-SHORTEST_APPLY_WAIT = timedelta(milliseconds=50)  # for the log here, however late the answer came
+MIN_APPLY_TIMEOUT = timedelta(milliseconds=50)  # for the log here, however late the answer came
 FIRST_BACKOFF = timedelta(milliseconds=50)
-LONGEST_BACKOFF = timedelta(milliseconds=400)
+MAX_BACKOFF = timedelta(milliseconds=400)
 
 
 class LeaderClient:
@@ -40,7 +40,7 @@
         follower: Follower,
         service: LeaderService,
         now: Callable[[], timedelta],
-        draws: random.Random,
+        rng: random.Random,
     ) -> None:
         """Set up.
 
@@ -51,7 +51,7 @@
             follower: Knows the leader from polls, and which voter to try where none is known.
             service: Answers where this head leads itself.
             now: This head's monotonic time.
-            draws: Draws the jitter of the backoff.
+            rng: Draws the jitter of the backoff.
         """
         self._settings = settings
         self._replication = replication
@@ -59,21 +59,21 @@
         self._follower = follower
         self._service = service
         self._now = now
-        self._draws = draws
+        self._rng = rng
 
     @property
     def leader(self) -> str | None:
         """The name of the leader, as far as this head knows."""
         return self._replicated_leader() or self._follower.leader
 
-    async def command(self, part: str, body: bytes, id: str, within: timedelta) -> bytes:
+    async def command(self, part: str, body: bytes, id: str, timeout: timedelta) -> bytes:
         """Have a command committed by whoever leads.
 
         Args:
             part: The part of the state machine that the command is for.
             body: The command, as the part encodes it.
             id: Its idempotency key: sent again under it, the command is not applied again.
-            within: How long it may take, retries included.
+            timeout: How long it may take, retries included.
 
         Returns:
             The part's answer.
@@ -85,32 +85,32 @@
         command = Command(id, part, body, self._settings.name)
         encoded = msgspec.msgpack.encode(command)
         answer = await self._request(
-            calls.COMMAND, encoded, within, lambda: self._service.answer_command(command)
+            calls.COMMAND, encoded, timeout, lambda: self._service.answer_command(command)
         )
         return answer.body
 
-    async def read(self, within: timedelta) -> None:
+    async def read(self, timeout: timedelta) -> None:
         """Wait until all that was committed before the call is applied here, as the leader confirms it.
 
         Raises:
             LeaderUnavailable: No leader answered in time.
             ReplicaBehind: What the leader had committed was not applied here in time.
         """
-        deadline = self._now() + within
-        answer = await self._request(calls.READ, b"", within, self._service.answer_read)
-        left = max(SHORTEST_APPLY_WAIT, deadline - self._now())
+        deadline = self._now() + timeout
+        answer = await self._request(calls.READ, b"", timeout, self._service.answer_read)
+        left = max(MIN_APPLY_TIMEOUT, deadline - self._now())
         if not await self._replication.wait_applied(answer.index, left):
             raise ReplicaBehind
 
     async def _request(
-        self, kind: str, body: bytes, within: timedelta, answer_here: Callable[[], Awaitable[bytes]]
+        self, kind: str, body: bytes, timeout: timedelta, answer_here: Callable[[], Awaitable[bytes]]
     ) -> calls.Answer:
         """Send a request to whoever leads, again and again until it is answered; raises LeaderUnavailable.
 
         `answer_here` is how this head answers it, where it leads itself.
         """
-        deadline = self._now() + within
-        backoff = Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, self._draws)
+        deadline = self._now() + timeout
+        backoff = Backoff(FIRST_BACKOFF, MAX_BACKOFF, self._rng)
         reason = "no leader is known"
         hint: str | None = None  # the leader, as the last answer had it
         while (left := deadline - self._now()) > timedelta(0):
--- a/stoatrouter/peering/ledger_monitor.py
+++ b/stoatrouter/peering/ledger_monitor.py
@@ -82,17 +82,17 @@
             "credit: the ledger is {state} for {seconds:.1f} s: {rejected} rejected, {served} uncharged",
             event="credit.ledger_gap",
             state=self._known.value,
-            **self._gap_figures(),
+            **self._gap_fields(),
         )
 
     def _report_end(self) -> None:
         logger.info(
             "credit: the ledger is current after {seconds:.1f} s: {rejected} rejected, {served} uncharged",
             event="credit.ledger_current",
-            **self._gap_figures(),
+            **self._gap_fields(),
         )
 
-    def _gap_figures(self) -> dict[str, float]:
+    def _gap_fields(self) -> dict[str, float]:
         """How long the gap lasts, in seconds, and what became of requests in it."""
         return {
             "seconds": (self._now() - self._gap_began_at) / timedelta(seconds=1),
--- a/stoatrouter/peering/propagation.py
+++ b/stoatrouter/peering/propagation.py
@@ -30,15 +30,15 @@
 class RecentPolls:
     """Which processes have polled this head lately, and what they had applied."""
 
-    def __init__(self, remembered_for: timedelta) -> None:
+    def __init__(self, retention: timedelta) -> None:
         """Remember none.
 
         Args:
-            remembered_for: How long a poll matters after it was answered.
+            retention: How long a poll matters after it was answered.
         """
-        self._remembered_for = remembered_for
+        self._retention = retention
         self._polls: OrderedDict[tuple[str, int], tuple[timedelta, int]] = OrderedDict()
-        self._forgot_at: timedelta | None = None  # when a poll was forgotten that still mattered
+        self._evicted_at: timedelta | None = None  # when a poll was forgotten that still mattered
 
     def note(self, name: str, incarnation: int, applied: int, now: timedelta) -> None:
         """Note a poll, as it comes and as it is answered."""
@@ -46,23 +46,23 @@
         _, known = self._polls.get(process, (now, 0))
         self._polls[process] = (now, max(known, applied))
         self._polls.move_to_end(process)
-        self.forget_old(now)
+        self.drop_expired(now)
         if len(self._polls) > MAX_POLLERS:
             self._polls.popitem(last=False)
-            self._forgot_at = now
+            self._evicted_at = now
 
     def progress(self, now: timedelta) -> tuple[tuple[str, int, int], ...] | None:
         """The name, incarnation and applied index of each; None where one that matters was forgotten."""
-        self.forget_old(now)
-        if self._forgot_at is not None and now - self._forgot_at <= self._remembered_for:
+        self.drop_expired(now)
+        if self._evicted_at is not None and now - self._evicted_at <= self._retention:
             return None
         return tuple((*process, applied) for process, (_, applied) in self._polls.items())
 
-    def forget_old(self, now: timedelta) -> None:
+    def drop_expired(self, now: timedelta) -> None:
         """Forget the polls that matter no more."""
         while self._polls:
             process, (at, _) = next(iter(self._polls.items()))
-            if now - at <= self._remembered_for:
+            if now - at <= self._retention:
                 return
             del self._polls[process]
 
@@ -87,18 +87,18 @@
             streams: To the voters.
             now: This head's monotonic time.
         """
-        self.span = cut_off_after * CLOCK_DRIFT
-        self.polls = RecentPolls(self.span)
+        self.max_staleness = cut_off_after * CLOCK_DRIFT
+        self.polls = RecentPolls(self.max_staleness)
         self._me = me
         self._replication = replication
         self._streams = streams
         self._now = now
 
-    async def run_for_ever(self) -> None:
+    async def run_forever(self) -> None:
         """Forget old polls now and then: it may be long until another poll or question comes."""
         while True:
-            await asyncio.sleep(self.span.total_seconds())
-            self.polls.forget_old(self._now())
+            await asyncio.sleep(self.max_staleness.total_seconds())
+            self.polls.drop_expired(self._now())
 
     async def wait_until_known(self, index: int | None) -> bool:
         """Wait until no head can decide any more by what was before an index.
@@ -109,9 +109,9 @@
         Returns:
             Whether all heads have applied it; else the others must have noticed that they are cut off.
         """
-        deadline = self._now() + self.span
+        deadline = self._now() + self.max_staleness
         while (left := deadline - self._now()) > timedelta(0):
-            if index is not None and await self._is_known(index, min(VOTER_TIMEOUT, left)):
+            if index is not None and await self._is_applied_everywhere(index, min(VOTER_TIMEOUT, left)):
                 return True
             left = max(timedelta(0), deadline - self._now())
             pause = left if index is None else min(CHECK_INTERVAL, left)
@@ -125,12 +125,12 @@
     def _own_progress(self) -> calls.Progress:
         return calls.Progress(self._replication.machine.index, self.polls.progress(self._now()))
 
-    async def _is_known(self, index: int, within: timedelta) -> bool:
+    async def _is_applied_everywhere(self, index: int, timeout: timedelta) -> bool:
         """Whether all voters have applied an index, and all that polled them lately."""
         voters = {voter.name for voter in self._replication.raft.voters}
         if self._replication.machine.index < index or not voters:
             return False
-        answers = await asyncio.gather(*(self._progress_of(name, within) for name in voters))
+        answers = await asyncio.gather(*(self._progress_of(name, timeout) for name in voters))
         applied: dict[tuple[str, int], int] = {}
         for progress in answers:
             if progress is None or progress.applied < index or progress.polls is None:
@@ -142,12 +142,12 @@
                 applied[process] = max(applied.get(process, 0), polled)
         return all(reached >= index for reached in applied.values())
 
-    async def _progress_of(self, name: str, within: timedelta) -> calls.Progress | None:
+    async def _progress_of(self, name: str, timeout: timedelta) -> calls.Progress | None:
         """A voter's progress; None where it gives no answer."""
         if name == self._me:
             return self._own_progress()
         try:
-            reply = await self._streams.request(name, calls.PROGRESS, b"", within)
+            reply = await self._streams.request(name, calls.PROGRESS, b"", timeout)
             return msgspec.msgpack.decode(reply.body, type=calls.Progress)
         except (PeerUnreachable, msgspec.MsgspecError):
             return None
--- a/stoatrouter/peering/replication.py
+++ b/stoatrouter/peering/replication.py
@@ -55,7 +55,7 @@
 )
 from stoatrouter.peering.storage import BootstrapWrite, Storage, StoredState
 
-TICK = timedelta(milliseconds=20)
+TICK_INTERVAL = timedelta(milliseconds=20)
 # A snapshot is taken once so much was applied since the last one.
 COMPACT_ENTRIES = 1_000
 COMPACT_BYTES = 8 * 1024 * 1024
@@ -131,13 +131,13 @@
             self.machine.apply(entry)
 
     # -- for callers --------------------------------------------------------------------------------------
-    async def propose(self, body: bytes, kind: str, within: timedelta) -> bytes:
+    async def propose(self, body: bytes, kind: str, timeout: timedelta) -> bytes:
         """Have an entry committed, here at the leader.
 
         Args:
             body: The entry's body.
             kind: The entry's kind, COMMAND or VOTERS.
-            within: How long to wait for the commit.
+            timeout: How long to wait for the commit.
 
         Returns:
             The machine's answer to a command; b"" for other entries.
@@ -148,18 +148,18 @@
             EntryOverwritten: Another leader's entry was committed in its place.
             OutcomeCompacted: A snapshot came that covers its index.
         """
-        accepted = self._put_proposal(body, kind)
+        accepted = self._submit_proposal(body, kind)
         answer: asyncio.Future[bytes] = self._loop.create_future()
         self._proposals[accepted.index] = PendingProposal(accepted.term, answer)
         try:
-            async with asyncio.timeout(within.total_seconds()):
+            async with asyncio.timeout(timeout.total_seconds()):
                 return await answer
         except TimeoutError:
             raise CommitTimeout from None
         finally:
             self._proposals.pop(accepted.index, None)
 
-    def _put_proposal(self, body: bytes, kind: str) -> Accepted:
+    def _submit_proposal(self, body: bytes, kind: str) -> Accepted:
         """Put a proposal to the agreement, which accepts or rejects it at once; raises ProposalRejected."""
         request_id = self._next_id("p")
         self._step(Propose(self._now(), request_id, body, kind))
@@ -169,15 +169,15 @@
         assert isinstance(outcome, Rejected), "the agreement answers each proposal at once"
         raise ProposalRejected(outcome.reason)
 
-    async def command(self, command: Command, within: timedelta) -> bytes:
+    async def command(self, command: Command, timeout: timedelta) -> bytes:
         """Have a command committed, here at the leader; its answer. Raises as `propose` does."""
-        return await self.propose(encode(command), COMMAND, within)
+        return await self.propose(encode(command), COMMAND, timeout)
 
-    async def change_voters(self, body: bytes, within: timedelta) -> None:
+    async def change_voters(self, body: bytes, timeout: timedelta) -> None:
         """Have a change of the voters committed, here at the leader. Raises as `propose` does."""
-        await self.propose(body, VOTERS, within)
+        await self.propose(body, VOTERS, timeout)
 
-    async def read(self, within: timedelta) -> int:
+    async def read(self, timeout: timedelta) -> int:
         """Confirm with a majority, here at the leader, up to which index a read must have applied.
 
         The result is Raft's read index (Ongaro's thesis, section 6.4): a read is linearizable at any head
@@ -192,17 +192,17 @@
         self._reads[request_id] = index
         try:
             self._step(Read(self._now(), request_id))
-            async with asyncio.timeout(within.total_seconds()):
+            async with asyncio.timeout(timeout.total_seconds()):
                 return await index
         except TimeoutError:
             raise ReadTimeout from None
         finally:
             self._reads.pop(request_id, None)
 
-    async def wait_applied(self, index: int, within: timedelta) -> bool:
-        """Wait until an index is applied here; False where it is not within the time."""
+    async def wait_applied(self, index: int, timeout: timedelta) -> bool:
+        """Wait until an index is applied here; False on a timeout."""
         try:
-            async with asyncio.timeout(within.total_seconds()):
+            async with asyncio.timeout(timeout.total_seconds()):
                 while self.machine.index < index:
                     await self.changed.wait()
         except TimeoutError:
@@ -213,7 +213,7 @@
         """Take in a message of another voter."""
         self._step(Received(self._now(), sender, message))
 
-    def learn(self, fetched: calls.Fetched) -> None:
+    def receive_committed(self, fetched: calls.Fetched) -> None:
         """Take in the committed entries that a voter has answered a poll with."""
         self._step(
             CommittedReceived(
@@ -230,7 +230,7 @@
         """Store what the fleet's bootstrap promises; `done` is called once it is on the disk."""
         self._writer.put(write, done)
 
-    def begin(self, snapshot: Snapshot, term: int, origin: str, done: Callable[[], None]) -> None:
+    def start_from(self, snapshot: Snapshot, term: int, origin: str, done: Callable[[], None]) -> None:
         """Begin with a state, in one write: a founding, or a survivor's own when the voters are lost.
 
         Args:
@@ -251,11 +251,11 @@
 
         self._writer.put(write, on_written)
 
-    async def run_for_ever(self) -> None:
+    async def run_forever(self) -> None:
         """Let time pass for the agreement."""
         while True:
             self._step(Tick(self._now()))
-            await asyncio.sleep(TICK.total_seconds())
+            await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     def close(self) -> None:
         """Finish what is queued for the disk, and close the storage."""
@@ -295,7 +295,7 @@
             case ReadConfirmed():
                 self._resolve_read(effect)
             case LeaderChanged():
-                self._report_leader(effect)
+                self._log_leader_change(effect)
             case LogLost():
                 report_log_lost(effect)
 
@@ -319,7 +319,7 @@
             answer = self.machine.apply(entry)
             self._bytes_since_snapshot += len(entry.body)
             self._resolve_proposal(entry, answer[1] if answer is not None else b"")
-        self._report_applied()
+        self._notify_applied()
         behind = self.machine.index - self.raft.log.snapshot.index
         if behind >= COMPACT_ENTRIES or self._bytes_since_snapshot >= COMPACT_BYTES:
             self._bytes_since_snapshot = 0
@@ -332,7 +332,7 @@
         for index, proposal in self._proposals.items():
             if index <= snapshot.index and not proposal.answer.done():
                 proposal.answer.set_exception(OutcomeCompacted())
-        self._report_applied()
+        self._notify_applied()
 
     # -- who waits ----------------------------------------------------------------------------------------
     def _resolve_proposal(self, entry: Entry, answer: bytes) -> None:
@@ -358,13 +358,13 @@
         elif not index.done():
             index.set_exception(ProposalRejected(rejected.reason))
 
-    def _report_applied(self) -> None:
+    def _notify_applied(self) -> None:
         """Wake those who wait for an index to be applied."""
         self.changed.set()
         self.changed = asyncio.Event()
         self._on_change()
 
-    def _report_leader(self, change: LeaderChanged) -> None:
+    def _log_leader_change(self, change: LeaderChanged) -> None:
         logger.info(
             "heads: term {term}, {leader} leads",
             event="heads.role",
--- a/stoatrouter/peering/rule_calls.py
+++ b/stoatrouter/peering/rule_calls.py
@@ -49,8 +49,8 @@
 FILE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,99}\.cue")
 ALLOWED_FILE_NAME = f"NAME.cue of up to {MAX_FILE_NAME_LENGTH} letters, digits, _ . -"
 MAX_FILES = 256  # of one rule set
-VERSIONS_SHOWN = 50  # of the history, the newest
-CONTENT_ID_SIZE = 8  # bytes of a command's digest in its id
+MAX_VERSIONS_SHOWN = 50  # of the history, the newest
+CONTENT_DIGEST_SIZE = 8  # bytes of a command's digest in its id
 
 
 class EditState(enum.StrEnum):
@@ -184,7 +184,7 @@
             history_from=history.versions[0].number if history.versions else None,
             pending=None if history.pending is None else describe_version(history.pending),
             unloadable_here=service.compiler.errors,
-            versions=[describe_version(version) for version in history.versions[-VERSIONS_SHOWN:]],
+            versions=[describe_version(version) for version in history.versions[-MAX_VERSIONS_SHOWN:]],
         )
 
     async def read_newest(self) -> NewestAnswer:
@@ -205,7 +205,7 @@
 
     async def edit(self, request: EditRequest) -> EditAccepted:
         """Ask for a rule set to be put in force."""
-        check_signature(request)
+        check_attribution(request)
         check_number("base", request.base, MAX_VERSION)
         self._check_files(request)
         rule_set = RuleSet(request.root, request.files)
@@ -237,7 +237,7 @@
 
     async def undo(self, request: UndoRequest) -> EditAccepted:
         """Ask for a version to be undone."""
-        check_signature(request)
+        check_attribution(request)
         check_number("version", request.version, MAX_VERSION)
         check_number("to", request.to, MAX_VERSION)
         command = Undo(
@@ -258,7 +258,9 @@
             EditRejectedError: The history rejects it.
             ReplicationError: No majority confirmed it in time.
         """
-        content = hashlib.blake2b(msgspec.msgpack.encode(command), digest_size=CONTENT_ID_SIZE).hexdigest()
+        content = hashlib.blake2b(
+            msgspec.msgpack.encode(command), digest_size=CONTENT_DIGEST_SIZE
+        ).hexdigest()
         result = await self.service.rollout.submit_command(command, f"rules/{command.id}/{content}")
         if not result.accepted:
             raise EditRejectedError(result.reason, result.newest)
@@ -298,10 +300,10 @@
         )
 
 
-def check_signature(request: EditRequest | UndoRequest) -> None:
+def check_attribution(request: EditRequest | UndoRequest) -> None:
     """Raise OutOfBoundsError unless the request says, in few words, what it is, who asks and why."""
     check_id("id", request.id)
-    check_text("author", request.author, MAX_PERSON_LENGTH, shortest=1)
+    check_text("author", request.author, MAX_PERSON_LENGTH, min_length=1)
     check_text("reason", request.reason, MAX_REASON_LENGTH)
 
 
--- a/stoatrouter/peering/rule_rollout.py
+++ b/stoatrouter/peering/rule_rollout.py
@@ -109,7 +109,7 @@
         return now
 
     # -- the leader's decision ----------------------------------------------------------------------------
-    async def lead(self) -> None:
+    async def decide_pending(self) -> None:
         """Where this head leads: activate or abandon the pending version once that can be decided."""
         pending = self.history.pending
         if pending is None or not self.fleet.replication.raft.settled:
--- a/stoatrouter/peering/rules.py
+++ b/stoatrouter/peering/rules.py
@@ -77,7 +77,7 @@
         self.compiler.retain({version.digest for version in self._current_versions()})
         self.compiler.start_next(self._missing_versions())
         await self.rollout.send_report()
-        await self.rollout.lead()
+        await self.rollout.decide_pending()
 
     def _newest(self) -> Version | None:
         """The version in force; None before the first."""
--- a/stoatrouter/peering/services.py
+++ b/stoatrouter/peering/services.py
@@ -92,7 +92,7 @@
     fleet: Fleet,
     parts: dict[str, Part],
     calls: list[Call],
-    started_with: int,
+    starting_version: int,
 ) -> RulesService | None:
     """Set up the shared history of the HTTP front's rules.
 
@@ -102,7 +102,7 @@
         fleet: The other heads.
         parts: Where its part of the replicated state is added.
         calls: Where its management calls are added.
-        started_with: The version that the head started with (`persisted_version`).
+        starting_version: The version that the head started with (`persisted_version`).
 
     Returns:
         The service; None where the settings turn it off, or the head has no HTTP front.
@@ -115,7 +115,7 @@
     from stoatrouter.peering.rules import RulesService
 
     history = parts[PART] = RuleHistory()
-    service = RulesService(settings.rules, fleet, history, head.http_tables, started_with)
+    service = RulesService(settings.rules, fleet, history, head.http_tables, starting_version)
     calls.append(RuleCalls(service).call)
     return service
 
--- a/stoatrouter/peering/settings.py
+++ b/stoatrouter/peering/settings.py
@@ -18,11 +18,11 @@
 from stoatrouter.peering.envelope import read_secret
 from stoatrouter.settings import SettingsError, load
 
-SPAN = re.compile(r"([0-9.]+)(ms|s|m)")
+DURATION = re.compile(r"([0-9.]+)(ms|s|m)")
 UNITS = {"ms": timedelta(milliseconds=1), "s": timedelta(seconds=1), "m": timedelta(minutes=1)}
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,23}")
 VOTER_COUNTS = (1, 3, 5)
-LEAST_ELECTION = 3  # heartbeats that an election timeout spans at least
+MIN_ELECTION_HEARTBEATS = 3  # heartbeats that an election timeout spans at least
 
 
 class HeadsSettingsError(ConfigError):
@@ -154,8 +154,8 @@
         streams=file.streams,
         voters=file.voters,
         listen=file.listen or file.streams.get(conf.name),
-        cut_off_after=parse_span(file.cut_off_after),
-        wait_at_start=parse_span(file.wait_at_start),
+        cut_off_after=parse_duration(file.cut_off_after),
+        wait_at_start=parse_duration(file.wait_at_start),
         detector=detector_timing(file.detector),
         agreement=agreement_timing(file.agreement),
         peers=conf.peers,
@@ -172,11 +172,11 @@
     if not NAME.fullmatch(conf.name):
         raise HeadsSettingsError(path, "NODE_NAME", repr(conf.name), "1 to 24 letters, digits, _ . -")
     check_voters(path, file)
-    if parse_span(agreement.election) < LEAST_ELECTION * parse_span(agreement.heartbeat):
+    if parse_duration(agreement.election) < MIN_ELECTION_HEARTBEATS * parse_duration(agreement.heartbeat):
         raise HeadsSettingsError(
             path, "agreement.election", agreement.election, "three times agreement.heartbeat or more"
         )
-    if parse_span(detector.ack_within) >= parse_span(detector.period):
+    if parse_duration(detector.ack_within) >= parse_duration(detector.period):
         raise HeadsSettingsError(
             path, "detector.ack_within", detector.ack_within, "less than detector.period"
         )
@@ -201,8 +201,8 @@
 def detector_timing(file: DetectorFile) -> DetectorTiming:
     """The detector's timings, from its part of the file."""
     return DetectorTiming(
-        parse_span(file.period),
-        parse_span(file.ack_within),
+        parse_duration(file.period),
+        parse_duration(file.ack_within),
         file.others,
         file.suspicion,
         local_health=file.local_health,
@@ -211,7 +211,7 @@
 
 def agreement_timing(file: AgreementFile) -> AgreementTiming:
     """The agreement's timings, from its part of the file."""
-    return AgreementTiming(parse_span(file.heartbeat), parse_span(file.election))
+    return AgreementTiming(parse_duration(file.heartbeat), parse_duration(file.election))
 
 
 def credit_settings(path: Path, file: CreditFile | None, conf: Config) -> CreditSettings | None:
@@ -229,23 +229,23 @@
         raise HeadsSettingsError(path, "credit.prices", ", ".join(unknown), allowed)
     prices = tuple(file.prices.get(name, 0) for name in classes)
     unknown_volumes = UnknownVolumes(file.unknown_volumes)
-    return CreditSettings(prices, parse_span(file.lease), parse_span(file.wait), unknown_volumes)
+    return CreditSettings(prices, parse_duration(file.lease), parse_duration(file.wait), unknown_volumes)
 
 
 def rules_settings(file: RulesFile | None) -> RulesSettings | None:
     """The settings of the history of rules, from its part of the file; None where it is off."""
     if file is None:
         return None
-    return RulesSettings(file.versions, parse_span(file.check_within), file.largest)
+    return RulesSettings(file.versions, parse_duration(file.check_within), file.largest)
 
 
-def parse_span(text: str) -> timedelta:
+def parse_duration(text: str) -> timedelta:
     """Parse a span as the file has it, such as 500ms, 2.5s or 1m.
 
     Raises:
         ValueError: It is none; the schema lets no such text through.
     """
-    match = SPAN.fullmatch(text)
+    match = DURATION.fullmatch(text)
     if match is None:
         raise ValueError(f"{text!r} is not a span (allowed: a number with the unit ms, s or m)")
     return float(match[1]) * UNITS[match[2]]
--- a/stoatrouter/peering/spent_journal.py
+++ b/stoatrouter/peering/spent_journal.py
@@ -19,7 +19,7 @@
 SLOTS = 4_096  # allotments recorded at once; beyond, `begin` takes none and nothing is spent of it
 SLOT_BYTES = 64
 NAME_BYTES = 32
-FIGURE_BYTES = 8  # little-endian, as the CRC covers it
+AMOUNT_SIZE = 8  # little-endian, as the CRC covers it
 RECORD = struct.Struct("<QQI")
 
 
@@ -62,13 +62,13 @@
             if not name:
                 continue
             allotment = name.decode("ascii", "replace")
-            spent[allotment] = self._read_figure(slot)
+            spent[allotment] = self._read_amount(slot)
             self._slots[allotment] = slot
         used = set(self._slots.values())
         self._free = [slot for slot in range(SLOTS - 1, -1, -1) if slot not in used]
         return spent
 
-    def _read_figure(self, slot: int) -> int:
+    def _read_amount(self, slot: int) -> int:
         first: int
         second: int
         first, second, checksum = RECORD.unpack_from(self._map, slot * SLOT_BYTES + NAME_BYTES)
@@ -110,4 +110,4 @@
 
 def checksum_of(spent: int) -> int:
     """The CRC-32 that a record holds of its figure."""
-    return zlib.crc32(spent.to_bytes(FIGURE_BYTES, "little"))
+    return zlib.crc32(spent.to_bytes(AMOUNT_SIZE, "little"))
--- a/stoatrouter/peering/storage.py
+++ b/stoatrouter/peering/storage.py
@@ -36,8 +36,8 @@
 """
 BUSY_TIMEOUT_MS = 2_000
 # What SQLite says of a file that it cannot reach or write, as opposed to one whose content is corrupt.
-UNREACHABLE = ("readonly", "unable to open", "disk I/O", "full", "locked")
-LONGEST_CAUSE = 100  # characters of SQLite's own text that an error repeats
+UNREACHABLE_ERRORS = ("readonly", "unable to open", "disk I/O", "full", "locked")
+MAX_CAUSE_LENGTH = 100  # characters of SQLite's own text that an error repeats
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,7 +45,7 @@
     """What a start found on the disk, or began there."""
 
     identity: str  # of the disk; a new one wherever what was promised may be lost
-    boot: int  # how often a process began with this disk
+    start_count: int  # how often a process began with this disk
     disk: PersistentState
     origin: str  # of the fleet this disk belongs to; "": of none
     promised: str  # the founder it was promised to; "": to none
@@ -157,7 +157,7 @@
         meta: dict[str, bytes] = dict(connection.execute("SELECT key, value FROM meta"))
         try:
             identity = meta["identity"].decode()
-            boot = int(meta["boot"]) + 1
+            start_count = int(meta["boot"]) + 1
             self._write_number = int(meta["number"])
             entries = read_entries(connection)
             snapshot = read_snapshot(connection)
@@ -166,13 +166,13 @@
             raise CorruptDatabase(f"a record cannot be read: {error!r}") from None
         check_contiguous(entries)
         self._check_acknowledged(mark)
-        connection.execute("UPDATE meta SET value = ? WHERE key = 'boot'", (str(boot).encode(),))
+        connection.execute("UPDATE meta SET value = ? WHERE key = 'boot'", (str(start_count).encode(),))
         connection.commit()
         voted = meta.get("voted", b"").decode() or None
         origin = meta.get("origin", b"").decode()
         promised = meta.get("promised", b"").decode()
         return StoredState(
-            identity, boot, PersistentState(term, voted, snapshot, entries, commit), origin, promised
+            identity, start_count, PersistentState(term, voted, snapshot, entries, commit), origin, promised
         )
 
     def _check_acknowledged(self, mark: MappedNumber) -> None:
@@ -351,8 +351,8 @@
     try:
         yield
     except sqlite3.OperationalError as error:
-        if any(text in str(error) for text in UNREACHABLE):
+        if any(text in str(error) for text in UNREACHABLE_ERRORS):
             raise
-        raise CorruptDatabase(str(error)[:LONGEST_CAUSE]) from None
+        raise CorruptDatabase(str(error)[:MAX_CAUSE_LENGTH]) from None
     except (sqlite3.DatabaseError, UnicodeDecodeError) as error:
-        raise CorruptDatabase(str(error)[:LONGEST_CAUSE]) from None
+        raise CorruptDatabase(str(error)[:MAX_CAUSE_LENGTH]) from None
--- a/stoatrouter/peering/streams.py
+++ b/stoatrouter/peering/streams.py
@@ -2,7 +2,7 @@
 
 `POST /heads` with a sealed message answers 200 with one, or 204 where there is no answer. What is rejected is
 answered 403 and nothing else, a message of an earlier incarnation 409 with the latest one that was heard, and
-what is beyond MOST_IN_FLIGHT 503.
+what is beyond MAX_IN_FLIGHT 503.
 """
 
 from __future__ import annotations
@@ -23,16 +23,18 @@
 from stoatrouter.net.listener import ListeningSocket
 from stoatrouter.peering import calls
 from stoatrouter.peering.counters import Channel, MessageCounters
-from stoatrouter.peering.envelope import LARGEST_MESSAGE, Envelope, EnvelopeSealer, OlderIncarnation
+from stoatrouter.peering.envelope import MAX_MESSAGE_SIZE, Envelope, EnvelopeSealer, OlderIncarnation
 from stoatrouter.peering.errors import MessageRejected, PeerUnreachable, RejectReason
 from stoatrouter.peering.tasks import cancel_tasks
 
 PATH = "/heads"
-OLDER = "older"  # the kind of an answer to an earlier incarnation; its body is the latest one, in decimal
-MOST_IN_FLIGHT = 256  # requests answered at once; beyond, 503
-MOST_CONNECTIONS = 8  # to one head
-MOST_QUEUED = 256  # messages queued for one head; beyond, the oldest go: all of them are sent again
-MOST_IN_BATCH = 32
+OLDER_INCARNATION = (
+    "older"  # the kind of an answer to an earlier incarnation; its body is the latest one, in decimal
+)
+MAX_IN_FLIGHT = 256  # requests answered at once; beyond, 503
+MAX_CONNECTIONS_PER_HEAD = 8  # to one head
+MAX_QUEUED_MESSAGES = 256  # messages queued for one head; beyond, the oldest go: all of them are sent again
+MAX_BATCH_MESSAGES = 32
 CONNECT_TIMEOUT = timedelta(milliseconds=500)
 REQUEST_TIMEOUT = timedelta(seconds=3)
 BATCH_TIMEOUT = timedelta(seconds=1)
@@ -103,7 +105,7 @@
             OSError: The address cannot be listened on.
         """
         self._session = aiohttp.ClientSession(
-            connector=aiohttp.TCPConnector(limit=0, limit_per_host=MOST_CONNECTIONS),
+            connector=aiohttp.TCPConnector(limit=0, limit_per_host=MAX_CONNECTIONS_PER_HEAD),
             timeout=aiohttp.ClientTimeout(
                 total=REQUEST_TIMEOUT.total_seconds(), connect=CONNECT_TIMEOUT.total_seconds()
             ),
@@ -134,7 +136,7 @@
         if request.method != "POST" or request.path != PATH:
             return web.Response(status=HTTPStatus.NOT_FOUND)
         # Guards memory and the loop: load beyond the bound is shed at once.
-        if self.in_flight >= MOST_IN_FLIGHT:
+        if self.in_flight >= MAX_IN_FLIGHT:
             return web.Response(status=HTTPStatus.SERVICE_UNAVAILABLE)
         self.in_flight += 1
         try:
@@ -167,13 +169,13 @@
 
     @staticmethod
     async def _read_body(request: web.BaseRequest) -> bytes:
-        """Read a message's bytes; raises MessageRejected where they are more than LARGEST_MESSAGE."""
-        if (request.content_length or 0) > LARGEST_MESSAGE:
+        """Read a message's bytes; raises MessageRejected where they are more than MAX_MESSAGE_SIZE."""
+        if (request.content_length or 0) > MAX_MESSAGE_SIZE:
             raise MessageRejected(RejectReason.TOO_LONG)
         data = bytearray()
         async for chunk in request.content.iter_any():
             data += chunk
-            if len(data) > LARGEST_MESSAGE:
+            if len(data) > MAX_MESSAGE_SIZE:
                 raise MessageRejected(RejectReason.TOO_LONG)
         return bytes(data)
 
@@ -181,21 +183,21 @@
         """Answer a head whose clock went back with the latest incarnation heard of it: it will go beyond."""
         envelope = error.envelope
         latest = str(error.latest).encode()
-        reply = self._envelope(envelope.sender.name, envelope.request_id, OLDER, latest)
+        reply = self._envelope(envelope.sender.name, envelope.request_id, OLDER_INCARNATION, latest)
         return web.Response(status=HTTPStatus.CONFLICT, body=self._sealer.seal(reply))
 
     def _envelope(self, receiver: str, request_id: int, kind: str, body: bytes) -> Envelope:
         return Envelope(self._origin(), self._me, self._incarnation, receiver, request_id, kind, body)
 
     # -- requests -----------------------------------------------------------------------------------------
-    async def request(self, name: str, kind: str, body: bytes, within: timedelta = REQUEST_TIMEOUT) -> Reply:
+    async def request(self, name: str, kind: str, body: bytes, timeout: timedelta = REQUEST_TIMEOUT) -> Reply:
         """Send a request to a head and wait for its answer.
 
         Args:
             name: The head.
             kind: What is requested (`calls`, or a part's own kind).
             body: The request, encoded.
-            within: How long the exchange may take.
+            timeout: How long the exchange may take.
 
         Returns:
             Who answered with what; an empty body where the head had no answer.
@@ -209,7 +211,7 @@
         self._last_request_id += 1
         sent = self._envelope(name, self._last_request_id, kind, body)
         try:
-            status, data = await self._post(self._session, address, sent, within)
+            status, data = await self._post(self._session, address, sent, timeout)
             if status == HTTPStatus.NO_CONTENT:
                 return Reply(Voter(name, ""), b"")
             if status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
@@ -227,14 +229,14 @@
         return Reply(answer.sender, answer.body)
 
     async def _post(
-        self, session: aiohttp.ClientSession, address: str, envelope: Envelope, within: timedelta
+        self, session: aiohttp.ClientSession, address: str, envelope: Envelope, timeout: timedelta
     ) -> tuple[int, bytes]:
         """Post an envelope; the status and the bytes of the answer."""
         data = self._sealer.seal(envelope)
         self.counters.add("streams.sent")
         self.counters.add("streams.bytes", len(data))
         async with (
-            asyncio.timeout(within.total_seconds()),
+            asyncio.timeout(timeout.total_seconds()),
             session.post(f"http://{address}{PATH}", data=data) as response,
         ):
             return response.status, await response.read()
@@ -255,7 +257,7 @@
         name = receiver.name
         queue = self._queues.setdefault(name, [])
         queue.append((receiver.identity, message))
-        if len(queue) > MOST_QUEUED:
+        if len(queue) > MAX_QUEUED_MESSAGES:
             del queue[0]
             self.counters.add("streams.queue_full")
         sender = self._senders.get(name)
@@ -266,8 +268,8 @@
         """Send what is queued for a head, in batches, until the queue is empty."""
         queue = self._queues[name]
         while queue:
-            batch = queue[:MOST_IN_BATCH]
-            del queue[:MOST_IN_BATCH]
+            batch = queue[:MAX_BATCH_MESSAGES]
+            del queue[:MAX_BATCH_MESSAGES]
             try:
                 await self.request(name, calls.AGREE, msgspec.msgpack.encode(batch), BATCH_TIMEOUT)
             except PeerUnreachable as error:
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -35,7 +35,7 @@
 from stoatrouter.peering.follower import voter_offset
 from stoatrouter.peering.replication import COMPACT_ENTRIES
 from stoatrouter.peering.settings import HeadsSettings
-from stoatrouter.peering.streams import MOST_IN_FLIGHT, Streams
+from stoatrouter.peering.streams import MAX_IN_FLIGHT, Streams
 from tests.addresses import free_port
 from tests.peers import HOST, run, until
 
@@ -187,7 +187,7 @@
         for number in range(740):
             begin[voter_offset(f"head-{number:04d}") % voters] += 1
         assert max(begin) <= 1.05 * 740 / voters, begin
-        assert max(begin) < MOST_IN_FLIGHT, begin
+        assert max(begin) < MAX_IN_FLIGHT, begin
 
 
 # -- a voter's bound on open questions -----------------------------------------------------------------------
@@ -228,7 +228,7 @@
 
 
 async def crowded_voter(stall: timedelta) -> tuple[Crowd, Crowd]:
-    """What becomes of MOST_IN_FLIGHT + BEYOND questions: the first time, and once the refused ask again."""
+    """What becomes of MAX_IN_FLIGHT + BEYOND questions: the first time, and once the refused ask again."""
     first, again, release = Crowd(), Crowd(), asyncio.Event()
     now = first
 
@@ -252,7 +252,7 @@
         return Streams(seal, Voter(name, name), 1, address, MessageCounters(), handler, lambda: "")
 
     voter = streams_of("v0", hold)
-    askers = [streams_of(f"f{i}", nothing) for i in range(MOST_IN_FLIGHT + BEYOND)]
+    askers = [streams_of(f"f{i}", nothing) for i in range(MAX_IN_FLIGHT + BEYOND)]
     await voter.start((HOST, port))
     for asker in askers:
         await asker.start(None)
@@ -292,7 +292,7 @@
 
 def bound_holds(stall: timedelta = NO_STALL) -> None:
     first, again = run(crowded_voter(stall), ENOUGH)
-    assert (first.most_held, first.refused, first.served) == (MOST_IN_FLIGHT, BEYOND, MOST_IN_FLIGHT)
+    assert (first.most_held, first.refused, first.served) == (MAX_IN_FLIGHT, BEYOND, MAX_IN_FLIGHT)
     assert (again.refused, again.served) == (0, BEYOND), "all are served in the end"
 
 
@@ -306,12 +306,12 @@
 
 
 def test_a_voter_without_its_bound_is_seen_where_the_loop_stalls(monkeypatch):
-    monkeypatch.setattr(streams, "MOST_IN_FLIGHT", 1 << 30)
+    monkeypatch.setattr(streams, "MAX_IN_FLIGHT", 1 << 30)
     with pytest.raises(AssertionError):
         bound_holds(STALL)
 
 
 def test_a_voter_without_its_bound_is_seen(monkeypatch):
-    monkeypatch.setattr(streams, "MOST_IN_FLIGHT", 1 << 30)
+    monkeypatch.setattr(streams, "MAX_IN_FLIGHT", 1 << 30)
     with pytest.raises(AssertionError):
         bound_holds()
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -44,7 +44,7 @@
         agreed = SimpleNamespace(raft=SimpleNamespace(settled=False), machine=SimpleNamespace(index=1))
         fleet = SimpleNamespace(
             settings=SimpleNamespace(folder=tmp_path, name="h0", cut_off_after=3 * SECOND),
-            stored=SimpleNamespace(writable=False, boot=1),
+            stored=SimpleNamespace(writable=False, start_count=1),
             me=SimpleNamespace(identity="h0/0"),
             monitor=SimpleNamespace(watchers=[]),
             replication=agreed,
--- a/tests/heads/test_follower_return.py
+++ b/tests/heads/test_follower_return.py
@@ -60,7 +60,7 @@
         if name in self.fleet.down:
             return
         self.at = name
-        self._turn -= 1  # stay with it
+        self._voter_cursor -= 1  # stay with it
         await self._return_if_due()
 
 
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -38,7 +38,7 @@
 from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.follower import RETURN_INTERVAL
 from stoatrouter.peering.settings import load_heads
-from stoatrouter.peering.streams import MOST_IN_FLIGHT, Streams
+from stoatrouter.peering.streams import MAX_IN_FLIGHT, Streams
 from tests.addresses import free_port
 from tests.heads.rules_clients import RULES
 from tests.peers import config_data, node_list, run
@@ -158,7 +158,7 @@
             victim = heads[3]
             victim.heads.fleet.tasks[0].cancel()
             await until(lambda: victim.lifecycle is Lifecycle.DIED, "it is found dead")
-            assert "run_for_ever" in victim.death_reason and "cancelled" in victim.death_reason
+            assert "run_forever" in victim.death_reason and "cancelled" in victim.death_reason
             assert [head.lifecycle for head in heads[:3]] == [Lifecycle.RUNNING] * 3
             for task in (*victim.heads.tasks, *victim.heads.fleet.tasks):
                 task.cancel()
@@ -188,7 +188,7 @@
 
 # -- a voter's bound ----------------------------------------------------------------------------------------
 def test_a_voter_holds_so_many_questions_and_refuses_the_next(tmp_path, monkeypatch):
-    """Each waiting question holds a place; those beyond MOST_IN_FLIGHT are refused, the others answered."""
+    """Each waiting question holds a place; those beyond MAX_IN_FLIGHT are refused, the others answered."""
     beyond, at_once = 8, 8  # a client opens eight connections to one head
     # However long a crowded machine takes to bring all questions to the voter, none of them times out.
     monkeypatch.setattr("stoatrouter.peering.streams.CONNECT_TIMEOUT", timedelta(seconds=LIMIT))
@@ -217,7 +217,7 @@
         addresses = {"voter": f"127.0.0.1:{port}"}
         voter = streams("voter")
         await voter.start(("127.0.0.1", port))
-        clients = [streams(f"c{number}") for number in range((MOST_IN_FLIGHT + beyond) // at_once)]
+        clients = [streams(f"c{number}") for number in range((MAX_IN_FLIGHT + beyond) // at_once)]
         asked = []
         for client in clients:
             await client.start(None)
@@ -226,12 +226,12 @@
                 for _ in range(at_once)
             ]
         await until(lambda: sum(task.done() for task in asked) == beyond, "the ones beyond are refused")
-        assert voter.in_flight == MOST_IN_FLIGHT
+        assert voter.in_flight == MAX_IN_FLIGHT
         release.set()
         answers = await asyncio.gather(*asked, return_exceptions=True)
         refused = [each for each in answers if isinstance(each, PeerUnreachable)]
         assert len(refused) == beyond and all(str(each).endswith("503") for each in refused)
-        assert sum(isinstance(each, tuple) for each in answers) == MOST_IN_FLIGHT and voter.in_flight == 0
+        assert sum(isinstance(each, tuple) for each in answers) == MAX_IN_FLIGHT and voter.in_flight == 0
         for each in (*clients, voter):
             await each.close()
 
--- a/tests/heads/test_ledger_knowledge.py
+++ b/tests/heads/test_ledger_knowledge.py
@@ -93,7 +93,7 @@
         assert monitor.followed.latest == 12 * SECOND
         monitor.note_contact(MajorityContact(13 * SECOND), 6)  # from one that knows less
         assert monitor.known_commit == 7
-        monitor.begin_anew()
+        monitor.reset_followed()
         assert monitor.followed.latest is None
 
     asyncio.run(story())
--- a/tests/heads/test_propagation.py
+++ b/tests/heads/test_propagation.py
@@ -104,10 +104,10 @@
         polls = voters.propagation.polls
         for number in range(100):
             polls.note(f"f{number}", 1, 5, voters.now())
-        forgetting = asyncio.create_task(voters.propagation.run_for_ever())
+        forgetting = asyncio.create_task(voters.propagation.run_forever())
         voters.time += CUT_OFF_AFTER
         await until(lambda: not polls._polls)
         forgetting.cancel()
-        assert held(polls) == held(RecentPolls(voters.propagation.span))
+        assert held(polls) == held(RecentPolls(voters.propagation.max_staleness))
 
     run(story())
--- a/tests/heads/test_storage.py
+++ b/tests/heads/test_storage.py
@@ -45,7 +45,7 @@
 def test_what_was_written_is_found_with_the_same_identity(tmp_path):
     identity = filled(tmp_path)
     storage, found = opened(tmp_path)
-    assert (found.identity, found.reset_reason, found.boot) == (identity, None, 2)
+    assert (found.identity, found.reset_reason, found.start_count) == (identity, None, 2)
     assert (found.disk.term, found.disk.voted_for) == (3, "somebody")
     assert found.disk.entries == tuple(entry(i) for i in range(1, 6))
     snapshot = Snapshot(4, 1, (Voter("a", "1"),), b"state")
