--- a/stoatrouter/peering/__init__.py
+++ b/stoatrouter/peering/__init__.py
@@ -1,5 +1,5 @@
-"""Between heads: datagrams, streams, their authentication, and the disk.
+"""Communication between heads: datagrams, streams, authentication and durable storage.
 
-This package runs the effects of the pure packages below it (agreement, credit, history, membership). A head
-whose STOATROUTER_HEADS names no file imports nothing of it.
+This package carries out the effects that the pure packages below it return (agreement, credit, history,
+membership). A head imports none of it unless STOATROUTER_HEADS names a file.
 """
--- a/stoatrouter/peering/availability.py
+++ b/stoatrouter/peering/availability.py
@@ -1,4 +1,4 @@
-"""What this head may do now, kept up to date: gathers the facts that agreement/availability.py decides by."""
+"""Tracks what this head may do now: collects the facts that agreement/availability.py decides by."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class AvailabilityMonitor:
-    """One head's availability.
+    """The availability of one head.
 
     Attributes:
         contact: When a majority of the voters was last connected, as far as this head knows.
-        followed: A moment up to which all that was committed is applied here; later ones may be missing.
+        followed: A time up to which all committed entries are applied here; later ones may be missing.
         known_commit: The highest index that any head has reported as committed.
-        watchers: Called after the availability has changed.
-        latest: The availability as of the last look; None before the first.
+        watchers: Called after each change of the availability.
+        latest: The availability computed last; None before the first computation.
     """
 
     def __init__(
@@ -35,13 +35,13 @@
         bootstrap: FleetBootstrap,
         now: Callable[[], timedelta],
     ) -> None:
-        """Count the time since the start from now on.
+        """Start measuring the time since the start.
 
         Args:
-            settings: How long after a majority was connected this head counts as cut off, and how long it
-                waits for one at the start.
-            replication: What is applied here, and who leads.
-            bootstrap: Whether this head belongs to a fleet.
+            settings: How long after the last contact with a majority this head counts as cut off, and how
+                long it waits for a majority at the start.
+            replication: Knows what is applied here, and who leads.
+            bootstrap: Knows whether this head belongs to a fleet.
             now: This head's monotonic time.
         """
         self.contact = MajorityContact()
@@ -54,10 +54,10 @@
         self._bootstrap = bootstrap
         self._now = now
         self._started_at = now()
-        self._catch_up_to: int | None = None  # what was committed when this head first heard of a majority
+        self._catch_up_to: int | None = None  # the commit index at the first contact with a majority
 
     def current(self) -> Availability:
-        """What this head may do at this moment; the watchers are called where it has changed."""
+        """Return what this head may do now; the watchers are called if that has changed."""
         availability = availability_of(
             self._facts(),
             self._settings.cut_off_after,
@@ -69,11 +69,11 @@
         return availability
 
     def refresh(self) -> None:
-        """Look what this head may do; the watchers are called where it has changed."""
+        """Recompute what this head may do; the watchers are called if that has changed."""
         self.current()
 
     def note_contact(self, contact: MajorityContact, commit: int) -> None:
-        """Take in that a majority was connected at a time, and had committed the log up to an index."""
+        """Record that a majority was connected at a time and had committed the log up to an index."""
         self.contact.record(contact.latest)
         self.known_commit = max(self.known_commit, commit)
         if self._catch_up_to is None and contact.latest is not None:
@@ -81,21 +81,21 @@
         self._record_followed()
 
     def reset_followed(self) -> None:
-        """Forget what was followed: this head's log goes on as another fleet's."""
+        """Discard what was followed: from here on this head's log is that of another fleet."""
         self.known_commit = 0
         self.followed = MajorityContact()
 
     def _record_followed(self) -> None:
-        """Record that the latest contact is followed, once all is applied that was committed by then.
+        """Record the latest contact as followed once all entries committed by then are applied.
 
-        Each contact came with the index that was committed when the majority was connected, so where the
-        highest of these is applied, nothing that was committed before the latest contact is missing.
+        Each contact comes with the commit index at that time. Once the highest of these indices is applied,
+        no entry committed before the latest contact is missing.
         """
         if self._replication.machine.index >= self.known_commit:
             self.followed.record(self.contact.latest)
 
     async def run_forever(self) -> None:
-        """Refresh now and then: time alone cuts a head off."""
+        """Refresh periodically: a head becomes cut off by the passing of time alone."""
         while True:
             self.refresh()
             await asyncio.sleep(REFRESH_INTERVAL.total_seconds())
--- a/stoatrouter/peering/bootstrap.py
+++ b/stoatrouter/peering/bootstrap.py
@@ -1,7 +1,7 @@
-"""How this head comes to belong to a fleet: founding it, adopting a founding, or following one that runs.
+"""How a head becomes part of a fleet: founds it, adopts another head's founding, or follows a running fleet.
 
-Decides nothing: when a fleet is founded, and by whom, stands in agreement/founding.py. What a head promises
-or adopts is on its disk before anybody is notified of it.
+agreement/founding.py decides when a fleet is founded, and by whom; this module carries that out. What a head
+promises or adopts is on its disk before another head is told.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from stoatrouter.peering.streams import Reply, Streams
 
 FOUNDING_INTERVAL = timedelta(milliseconds=300)  # between two rounds of a founder
-PROMISE_TIMEOUT = timedelta(seconds=2)  # for the disk; a broken one promises nothing
+PROMISE_TIMEOUT = timedelta(seconds=2)  # for the write of a promise; without the write there is no promise
 
 
 class FleetBootstrap:
-    """To which fleet one head belongs, and how it comes to belong to one.
+    """The fleet that one head belongs to, and how it becomes part of one.
 
     Attributes:
-        durable: Whether the beginning of the fleet is on this head's disk.
+        durable: Whether the membership of the fleet is on this head's disk.
     """
 
     def __init__(
@@ -42,15 +42,15 @@
         streams: Streams,
         on_joined: Callable[[], None],
     ) -> None:
-        """Go on with what the disk holds.
+        """Continue from what the disk holds.
 
         Args:
             me: This head, with the identity of its disk.
-            settings: Names the first voters.
+            settings: Names the initial voters.
             stored: What the disk holds.
-            replication: Stores what is promised, and begins with a fleet's first state.
-            streams: To the other voters.
-            on_joined: Called once this head has begun to belong to a fleet, durably.
+            replication: Stores promises, and starts from a fleet's initial state.
+            streams: Sends requests to the other voters.
+            on_joined: Called once this head's membership of a fleet is on the disk.
         """
         self.durable = bool(stored.origin)
         self._me = me
@@ -62,19 +62,19 @@
 
     @property
     def origin(self) -> str:
-        """The identity of the fleet's founder; "" where this head belongs to none."""
+        """The identity of the fleet: its founder's, or a new one after a recovery; "" if there is none."""
         return self._founding.origin
 
     def accepts_entries_of(self, origin: str) -> bool:
-        """Whether entries that a head of this fleet holds as committed may be learnt here."""
+        """Return whether committed entries from a head of this fleet may be applied here."""
         return bool(origin) and (not self.origin or (origin == self.origin and self.durable))
 
     # -- founding -----------------------------------------------------------------------------------------
     async def promise(self, founder: Voter) -> bytes:
-        """Promise a founder to begin with it, once that is on the disk; the encoded answer to it.
+        """Promise to join a founder's fleet; return the encoded answer once the promise is on the disk.
 
         Raises:
-            TimeoutError: The disk did not take the promise in time.
+            TimeoutError: The promise was not written in time.
         """
         before = self._founding.promised_to
         answer = self._founding.promise(founder)
@@ -84,18 +84,18 @@
         return msgspec.msgpack.encode(answer)
 
     async def _store_promise(self, founder: str) -> None:
-        """Store to whom this head is promised, and wait until that is on the disk."""
+        """Store the founder that this head has promised to join, and wait until that is on the disk."""
         stored: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
         def on_stored() -> None:
-            if not stored.done():  # whoever waited may have given up
+            if not stored.done():  # the waiting caller may have timed out
                 stored.set_result(None)
 
         self._replication.store(BootstrapWrite(promised=founder), on_stored)
         await stored
 
     async def found_fleet(self) -> None:
-        """Ask the voters for their promises until a fleet has begun, where this head is its founder."""
+        """Ask the voters for promises until the fleet is founded, if this head is the founder."""
         while not self.origin:
             await asyncio.sleep(FOUNDING_INTERVAL.total_seconds())
             if not self._founding.is_founder or not self._replication.disk_writable:
@@ -110,7 +110,7 @@
                 await self._request_of_voters(calls.FOUND, msgspec.msgpack.encode(founded))
 
     def _count_promises(self, promises: list[Promised]) -> Founded | None:
-        """Take in promises; the founding, once all voters have promised."""
+        """Process promises; return the founding once all voters have promised."""
         for promised in promises:
             founded = self._founding.receive(promised)
             if founded is not None:
@@ -118,25 +118,25 @@
         return None
 
     async def _collect_promises(self) -> list[Promised]:
-        """What the other voters promise; alone, what this head has promised itself."""
+        """Collect the promises of the other voters; if there are none, this head's own."""
         results = await self._request_of_voters(calls.PROMISE, b"")
         bodies = [result.body for result in results if isinstance(result, Reply) and result.body]
         promises = [msgspec.msgpack.decode(body, type=Promised) for body in bodies]
         return promises or [self._founding.promise(self._me)]
 
     async def _request_of_voters(self, kind: str, body: bytes) -> list[Reply | BaseException]:
-        """Send a request to all other voters of the settings at once: each one's answer, or the error."""
+        """Send a request to all other initial voters concurrently; return each one's answer or error."""
         others = [name for name in self._settings.voters if name != self._settings.name]
         requests = (self._streams.request(name, kind, body) for name in others)
         return await asyncio.gather(*requests, return_exceptions=True)
 
-    # -- beginning ----------------------------------------------------------------------------------------
+    # -- joining ------------------------------------------------------------------------------------------
     def adopt(self, founded: Founded) -> None:
-        """Begin with a founding that names this head; nothing where it is not the one promised to."""
+        """Join a fleet by a founding that names this head; ignored unless this head promised to join it."""
         if not self._founding.adopt(founded):
             return
         logger.info(
-            "heads: the fleet {origin} is founded by {voters}",
+            "heads: fleet {origin} founded with voters {voters}",
             event="heads.founded",
             origin=founded.origin[:8],
             voters=", ".join(voter.name for voter in founded.voters),
@@ -144,7 +144,7 @@
         self._replication.start_from(founded.snapshot(), 0, founded.origin, self._on_founding_durable)
 
     def adopt_missed_founding(self, fetched: calls.Fetched) -> bool:
-        """Begin with a founding that this head had promised to and did not hear of; whether it does."""
+        """Join the fleet this head promised to join, if it missed the founding; return whether it did."""
         if self.origin or fetched.snapshot is None:
             return False
         if not self._founding.adopt(Founded(fetched.origin, fetched.voters)):
@@ -153,24 +153,24 @@
         return True
 
     def join(self, origin: str) -> None:
-        """Belong to the fleet that this head follows, without a vote; nothing where it belongs to one."""
+        """Join the fleet that this head follows, without a vote; ignored if it belongs to one already."""
         if origin and not self.origin:
             self._founding.origin = origin
             self.durable = True
             self._replication.store(BootstrapWrite(origin=origin), lambda: None)
 
     def start_new_fleet(self, origin: str, snapshot: Snapshot, term: int) -> None:
-        """Go on as a fleet of another origin, with this state: the voters of the old one are lost.
+        """Continue as a new fleet with this state, after the voters of the old one were lost.
 
         Args:
             origin: The identity of the new fleet.
             snapshot: Its state, with this head as its only voter.
-            term: The term that its log goes on in, above that of the old one.
+            term: The first term of its log, above that of the old fleet.
         """
         self._founding.origin = origin
         self._replication.start_from(snapshot, term, origin, self._on_founding_durable)
 
     def _on_founding_durable(self) -> None:
-        """Note that the beginning is on the disk."""
+        """Record that the membership is on the disk."""
         self.durable = True
         self._on_joined()
--- a/stoatrouter/peering/bounds.py
+++ b/stoatrouter/peering/bounds.py
@@ -1,8 +1,8 @@
 """Bounds on the texts and numbers of operators' calls. No I/O.
 
-What a call brings goes into the log, onto every head's disk, and into answers: so each text has a bound, and
-the error names the field, what was found and what is allowed. Bounds are checked where a call comes in and
-nowhere else: what is in the log already is applied as it is, the same at every head. Lengths are in
+The content of a call goes into the log, onto every head's disk and into answers. Each text is therefore
+bounded, and an error names the field, what was found and what is allowed. Bounds are checked only where a
+call arrives: entries of the log are applied unchecked, so that all heads apply them alike. Lengths are in
 characters.
 """
 
@@ -14,45 +14,45 @@
 MAX_CUSTOMER_LENGTH = 100
 MAX_VOLUME_LENGTH = 100
 MAX_VOLUMES = 10_000  # of one customer
-MAX_HEAD_LENGTH = 24  # as the settings have it
+MAX_HEAD_LENGTH = 24  # the same as in the settings
 MAX_FILE_NAME_LENGTH = 104
-MAX_QUOTED_LENGTH = 100  # of what was found that an error repeats
+MAX_QUOTED_LENGTH = 100  # of a rejected value that an error quotes
 MAX_ERROR_LENGTH = 500
-# In millionths of a credit unit. The log's integers have 64 bits: an account that was paid the largest
-# amount 900,000 times over is still within them.
+# In millionths of a credit unit. Integers in the log have 64 bits, which hold the sum of 900,000 payments of
+# this amount.
 MAX_AMOUNT = 10**13
 MAX_VERSION = 10**15
-MAX_DIGITS_SHOWN = 30  # of a number that an error repeats
+MAX_DIGITS_SHOWN = 30  # of a rejected number that an error quotes
 
 
 class OutOfBoundsError(ValueError):
-    """A call's field is too long, too large or empty; the text names it, what was found and is allowed."""
+    """A field of a call is out of bounds; the text names it, what was found and what is allowed."""
 
     def __init__(self, field: str, found: str, allowed: str) -> None:
-        """Word the error.
+        """Format the message.
 
         Args:
-            field: The field, as the caller names it.
-            found: What the call brought, short enough to repeat.
-            allowed: What would be right.
+            field: The field, by the name that the caller uses.
+            found: The rejected value, short enough to quote.
+            allowed: What is accepted.
         """
         super().__init__(f"{field}: found {found} (allowed: {allowed})")
 
 
 def quote_found(text: str) -> str:
-    """Quote a text for an error that repeats it: never longer than a line."""
+    """Quote a text for an error message, truncated to less than a line."""
     return repr(text if len(text) <= MAX_QUOTED_LENGTH else f"{text[:MAX_QUOTED_LENGTH]}...")
 
 
 def check_text(field: str, text: str, max_length: int, min_length: int = 0) -> None:
-    """Raise OutOfBoundsError unless the text's length lies between the two."""
+    """Raise OutOfBoundsError unless the length of the text is within the bounds."""
     if not min_length <= len(text) <= max_length:
         found = "nothing" if not text else f"{len(text)} characters"
         raise OutOfBoundsError(field, found, f"{min_length} to {max_length} characters")
 
 
 def check_number(field: str, number: int, maximum: int, minimum: int = 0) -> None:
-    """Raise OutOfBoundsError unless the number lies between the two."""
+    """Raise OutOfBoundsError unless the number is within the bounds."""
     if not minimum <= number <= maximum:
         short = abs(number) < 10**MAX_DIGITS_SHOWN
         found = str(number) if short else f"a number of more than {MAX_DIGITS_SHOWN} digits"
@@ -68,20 +68,20 @@
 
 
 def check_id(field: str, text: str) -> None:
-    """Raise OutOfBoundsError unless the text may be a caller's id."""
+    """Raise OutOfBoundsError unless the text is a valid id."""
     check_text(field, text, MAX_ID_LENGTH, min_length=1)
 
 
 def check_head(field: str, name: str) -> None:
-    """Raise OutOfBoundsError unless a head may be named so."""
+    """Raise OutOfBoundsError unless the name has a valid length for a head."""
     check_text(field, name, MAX_HEAD_LENGTH, min_length=1)
 
 
 def check_customer(name: str) -> None:
-    """Raise OutOfBoundsError unless a customer may be named so."""
+    """Raise OutOfBoundsError unless the name has a valid length for a customer."""
     check_text("customer", name, MAX_CUSTOMER_LENGTH, min_length=1)
 
 
 def truncate_error(error: Exception) -> str:
-    """The text of an error about a call's form, which may repeat a name that the caller made up."""
+    """Return the truncated text of a decoding error, which may quote input of any length."""
     return str(error)[:MAX_ERROR_LENGTH]
--- a/stoatrouter/peering/call_errors.py
+++ b/stoatrouter/peering/call_errors.py
@@ -1,56 +1,57 @@
-"""Why an operator's call is not answered as asked. `operator_calls.py` turns these into status codes.
+"""Errors of operators' calls; `operator_calls.py` maps them to status codes.
 
-Beside them stand `bounds.OutOfBoundsError` and the replication's own error for what no majority confirmed.
+Two further errors are mapped there: `bounds.OutOfBoundsError`, and `errors.ReplicationError` for a call that
+no majority confirmed.
 """
 
 from __future__ import annotations
 
 
 class CallError(Exception):
-    """A call that is not answered as asked; the text is for the operator."""
+    """A call failed; the text is for the operator."""
 
 
 class UnknownCallError(CallError):
-    """There is no such call."""
+    """No call has this method and path."""
 
     def __init__(self) -> None:
-        """Word the error."""
+        """Set the message."""
         super().__init__("no such call")
 
 
 class MethodNotAllowedError(CallError):
-    """The call exists by other methods; the text names them."""
+    """The call's path accepts other methods only; the text names them."""
 
 
 class MalformedCallError(CallError):
-    """The call's body or path cannot be read, or does not have the call's form."""
+    """The call's body or path cannot be parsed, or does not have the expected form."""
 
 
 class NotFoundError(CallError):
-    """The call names a customer, entry, version or id that is not there."""
+    """The call names a customer, entry, version or id that does not exist."""
 
 
 class ConflictError(CallError):
-    """The call is well-formed, and the state that it would change does not allow it."""
+    """The call is well-formed, but the current state does not allow it."""
 
 
 class EditRejectedError(ConflictError):
     """The history rejects an edit or undo."""
 
     def __init__(self, reason: str, newest: int) -> None:
-        """Take the history's reason and the number of the version in force."""
+        """Store the history's reason and the number of the version in force."""
         super().__init__(reason)
         self.newest = newest
 
 
 class NotLeaderError(ConflictError):
-    """The call is answered by the leader alone."""
+    """Only the leader answers this call."""
 
     def __init__(self, leader: str | None) -> None:
-        """Take the leader's name, where it is known."""
+        """Store the leader's name, if it is known."""
         super().__init__("ask the head that leads")
         self.leader = leader
 
 
 class UnavailableError(CallError):
-    """Other heads that the call needs did not answer, or not as it needs."""
+    """Another head that the call depends on did not answer, or cannot do what the call asks."""
--- a/stoatrouter/peering/calls.py
+++ b/stoatrouter/peering/calls.py
@@ -1,7 +1,7 @@
-"""What heads ask each other over streams, beside the agreement's own messages.
+"""Requests between heads over streams, besides the agreement's own messages.
 
-Requests and answers are encoded as msgpack arrays, by the position of their fields: heads of two releases
-talk to each other, so a new field goes at the end and has a default.
+Requests and answers are encoded as msgpack arrays, with fields identified by position. Heads of two releases
+communicate, so a new field goes at the end and has a default.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 
 from stoatrouter.agreement.records import AnyMessage, Entry, Snapshot, Voter
 
-# The kinds of sealed messages, as they go over the wire.
-AGREE = "agree"  # a Batch of the agreement's messages
+# The kinds of sealed messages, as sent on the wire.
+AGREE = "agree"  # a Batch of the agreement's messages, not answered
 FETCH = "fetch"  # a Fetch, answered with Fetched
 COMMAND = "command"  # a command for the log, answered with Answer
-READ = "read"  # up to which index a read must have applied, answered with Answer
+READ = "read"  # asks for the index that a read must have applied, answered with Answer
 PROMISE = "promise"  # a founder's request, answered with agreement.founding.Promised
-PROGRESS = "progress"  # how far a head and its followers are, answered with Progress
+PROGRESS = "progress"  # asks what a head and its followers have applied, answered with Progress
 FOUND = "found"  # agreement.founding.Founded, not answered
 
 Batch = list[tuple[str, AnyMessage]]  # each message with the identity of the head that it is for
 
 
 class Fetch(msgspec.Struct, frozen=True, array_like=True):
-    """A poll for the entries committed after an index; answered late where there are none yet."""
+    """A long poll for the entries committed after an index."""
 
     after: int
     after_term: int
 
 
 class Fetched(msgspec.Struct, frozen=True, array_like=True):
-    """The entries committed after an index, and how the answering head is connected."""
+    """The entries committed after an index, and how well the answering head is connected."""
 
-    origin: str  # "": the answering head belongs to no fleet yet
+    origin: str  # identity of the answering head's fleet; "": it belongs to none yet
     majority_connected: bool  # the answering head is connected to a majority of the voters
     leader: str | None
     prev_index: int = 0
@@ -43,16 +43,16 @@
     commit: int = 0
     snapshot: Snapshot | None = None
     voters: tuple[Voter, ...] = ()
-    majority_age: timedelta | None = None  # since a majority was connected, when this answer was given
-    waited: timedelta = timedelta(0)  # from the poll's arrival to this answer
-    behind: int = 0  # how many more entries were committed at that contact than the answering head holds
+    majority_age: timedelta | None = None  # since the last contact with a majority, at this answer
+    waited: timedelta = timedelta(0)  # from the arrival of the poll to this answer
+    behind: int = 0  # entries committed by that contact that the answering head lacks
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """What a head has applied, and what those had that have polled it lately."""
+    """What a head has applied, and what its recent pollers had applied."""
 
     applied: int
-    polls: tuple[tuple[str, int, int], ...] | None  # name, incarnation, applied; None: not all are known
+    polls: tuple[tuple[str, int, int], ...] | None  # name, incarnation, applied; None: some were evicted
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True):
@@ -61,5 +61,5 @@
     ok: bool
     body: bytes = b""
     index: int = 0
-    why: str = ""
-    leader: str | None = None  # whom to ask instead, where known
+    reason: str = ""  # of a refusal
+    leader: str | None = None  # the head to ask instead, if known
--- a/stoatrouter/peering/counters.py
+++ b/stoatrouter/peering/counters.py
@@ -1,6 +1,6 @@
 """Counters of the messages between heads.
 
-Of the messages dropped, the first of each kind is logged and no other: a flood must not fill the log.
+Only the first dropped message of each kind is logged, so that a flood does not fill the log.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Channel(StrEnum):
-    """How a message came. The values are parts of metric keys and log fields."""
+    """The channel a message arrived on. The values are parts of metric keys and log fields."""
 
     STREAM = "stream"
     DATAGRAM = "datagram"
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True)
 class MessageCounters:
-    """Counters of one head, since its start.
+    """The counters of one head since its start.
 
     Attributes:
-        by_name: The counters by the key that operators see (`/control/heads`, `counts`).
+        by_name: The counters by the keys that operators see (`/control/heads`, `counts`).
     """
 
     by_name: Counter[str] = field(default_factory=Counter)
@@ -34,19 +34,19 @@
         self.by_name[name] += count
 
     def count_drop(self, channel: Channel, reason: str, source: str) -> None:
-        """Count a message that is dropped, and log the first for each reason.
+        """Count a dropped message, and log the first one for each channel and reason.
 
         Args:
-            channel: How it came.
-            reason: Why it is dropped: a `RejectReason`, or the detector's or the codec's own.
-            source: The address that it came from.
+            channel: The channel it arrived on.
+            reason: Why it is dropped: a `RejectReason`, or a reason of the detector or the codec.
+            source: The address it came from.
         """
         name = f"{channel}.dropped.{reason}"
         self.by_name[name] += 1
         if self.by_name[name] > 1:
             return
         logger.warning(
-            "heads: dropped from {where}: {why} (said once, counted from here on)",
+            "heads: dropped a message from {where}: {why} (logged once; further drops are only counted)",
             event="heads.dropped",
             where=source,
             why=f"{channel} {reason}",
--- a/stoatrouter/peering/credit.py
+++ b/stoatrouter/peering/credit.py
@@ -1,7 +1,7 @@
-"""Prepaid credit of one head, running: draws allotments, settles them, and expires all heads' at the leader.
+"""The prepaid credit service of one head: requests and settles allotments; the leader's also expires them.
 
-Decides nothing: what a request is charged stands in credit/escrow.py, what an account grants in
-credit/ledger.py. Amounts are whole millionths of a credit unit.
+credit/escrow.py decides what a request is charged, and credit/ledger.py what an account grants. Amounts are
+whole millionths of a credit unit.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 from stoatrouter.peering.spent_journal import SpentJournal
 from stoatrouter.policy import interface as api
 
-PART = "credit"  # the ledger's name in the heads' log
+PART = "credit"  # the name of the ledger's part of the state machine
 SPENT_FILE = "spent.book"
-EXCHANGE_INTERVAL = timedelta(milliseconds=50)  # also without a request that waits
+EXCHANGE_INTERVAL = timedelta(milliseconds=50)  # when no request waits; a waiting one triggers it at once
 COMMAND_TIMEOUT = timedelta(seconds=3)
 FINAL_SETTLE_TIMEOUT = timedelta(milliseconds=1500)
-MAX_WAIT_DIVISOR = 4  # a request waits for an allotment for a quarter of the time it has left, at most
+MAX_WAIT_DIVISOR = 4  # a request waits for an allotment for at most a quarter of the time it has left
 
 
 class CreditService:
-    """Exchanges one head's escrow with the account and, while it leads, expires all heads' allotments."""
+    """Exchanges reports and grants with the accounts; expires the allotments of all heads while it leads."""
 
     def __init__(
         self,
@@ -57,15 +57,15 @@
         background: set[str],
         now: Callable[[], timedelta],
     ) -> None:
-        """Read what an earlier process spent; nothing is sent yet.
+        """Read what an earlier process of this head spent; nothing is sent yet.
 
         Args:
-            settings: The operator's settings of credit.
+            settings: The operator's credit settings.
             fleet: The heads.
-            ledger: The accounts that the heads agreed on.
+            ledger: The replicated accounts.
             classes: The classes of requests, in the order of their prices.
             background: The names of the classes that are throttled first.
-            now: The core's monotonic time, so that leases hold whatever clocks do.
+            now: The core's monotonic time: leases must not depend on a clock that can be set.
         """
         self.settings, self.fleet, self.ledger, self.now = settings, fleet, ledger, now
         self.journal = SpentJournal(fleet.settings.folder / SPENT_FILE if fleet.stored.writable else None)
@@ -81,31 +81,31 @@
         self.ledger_monitor = LedgerMonitor(
             self.ledger_knowledge, self.gate.unowned, settings.unknown_volumes, fleet.now
         )
-        self.registered = False  # the account knows of this process
+        self.registered = False  # whether the ledger knows this process
         self._previously_spent = self.journal.read()  # by an earlier process, by allotment
-        self._command_number = fleet.stored.start_count << 32  # of this head's last command to the account
+        self._command_number = fleet.stored.start_count << 32  # of the last command to the ledger
         self._request_waiting = asyncio.Event()
-        self._answered = asyncio.Event()  # replaced after each answer of the account
+        self._answered = asyncio.Event()  # replaced after each answer of the ledger
         self._ages = AllotmentAges(settings.lease)  # of all heads
         self._closing = False
         fleet.monitor.watchers.append(self._update_reachability)
 
     def _update_reachability(self) -> None:
-        """Follow the head's availability: a cut-off head says so in its rejections."""
+        """Follow the head's availability: rejections by a head that is cut off say so."""
         availability = self.fleet.monitor.latest
         self.escrow.reachable = availability is not None and availability.draws
 
     def ledger_knowledge(self) -> LedgerKnowledge:
-        """What this head knows of the ledger at this moment."""
+        """Return how well this head knows the ledger now."""
         facts = LedgerFacts(self.fleet.replication.machine.index, self.fleet.followed_age)
         return knowledge_of(facts, self.fleet.settings.cut_off_after)
 
     # -- requests -----------------------------------------------------------------------------------------
     async def prepare(self, request: model.Request) -> bool:
-        """Wait a moment where a customer's allotment may be on its way here.
+        """Wait for a bounded time if an allotment for the request's customer may be on its way.
 
         Returns:
-            Whether it waited and the account is still reachable.
+            Whether it waited and the ledger is still reachable.
         """
         now = self.now
         if not self.gate.may_wait(request, now()):
@@ -121,9 +121,9 @@
                         await answered.wait()
         return self.escrow.reachable
 
-    # -- the account --------------------------------------------------------------------------------------
+    # -- the ledger ---------------------------------------------------------------------------------------
     async def run(self) -> None:
-        """Exchange with the account, one command after the other; runs until it is cancelled."""
+        """Exchange with the ledger, one command at a time, until cancelled."""
         while True:
             self._request_waiting.clear()
             self.ledger_monitor.refresh()
@@ -135,20 +135,20 @@
                     await self._request_waiting.wait()
 
     async def _exchange(self) -> None:
-        """Report what is due, and apply the account's answer."""
+        """Send the reports that are due, and apply the ledger's answer."""
         if not self.registered:
             await self._register_and_settle()
         asked_at = self.now()
         reports = self.escrow.due_reports(asked_at)
         if reports:
             grants = await self._send_reports(reports)
-            # without all grants the account does not know this head (it was written off), or an answer is
-            # lost for good
+            # If a grant is missing, the ledger does not know this head (it was written off), or an answer
+            # is lost for good: the head registers again.
             self.registered = len(grants.grants) == len(reports)
             self._apply_grants(reports, grants, asked_at)
 
     def _apply_grants(self, reports: list[CustomerReport], grants: Grants, asked_at: timedelta) -> None:
-        """Apply the account's answer, and wake the requests that wait for it."""
+        """Apply the ledger's answer, and wake the requests that wait for it."""
         now = self.now()
         for report, grant in zip(reports, grants.grants, strict=False):
             self.escrow.apply_grant(report, grant, asked_at, now)
@@ -158,7 +158,7 @@
         self._answered = asyncio.Event()
 
     async def _send_reports(self, reports: list[CustomerReport]) -> Grants:
-        """Send reports to the account under the next number; no grants where this head stops first."""
+        """Send reports to the ledger under the next number; no grants if this head stops first."""
         self._command_number += 1
         name, identity = self.fleet.settings.name, self.fleet.me.identity
         answer = await self._submit_until_answered(
@@ -167,7 +167,7 @@
         return msgspec.msgpack.decode(answer, type=Grants) if answer else Grants(())
 
     async def _submit_until_answered(self, command: CreditReport | RegisterHead) -> bytes:
-        """Retry a command under its id until it is answered; b"" where this head stops first."""
+        """Retry a command under its id until it is answered; b"" if this head stops first."""
         body = msgspec.msgpack.encode(command)
         id = f"credit/{self.fleet.me.identity}/{self._command_number}"
         while True:
@@ -178,14 +178,14 @@
                     return b""
 
     async def _register_and_settle(self) -> None:
-        """Tell the account of this process, and settle what the one before it spent."""
+        """Register this process with the ledger, and settle what its predecessor spent."""
         await self._register()
         if self._previously_spent:
             await self._settle_previous()
         self.registered = True
 
     async def _register(self) -> None:
-        """Tell the account which allotments this head's disk and process know of, until it accepts."""
+        """Register this process and the allotments that its disk and memory hold, until accepted."""
         name, identity = self.fleet.settings.name, self.fleet.me.identity
         allotments = sorted({a.id for account in self.escrow.accounts.values() for a in account.allotments})
         predecessor = self.ledger.registered_identity(name)
@@ -203,7 +203,7 @@
         settlements = tuple(Settlement(id, spent, True) for id, spent in self._previously_spent.items())
         await self._send_reports([CustomerReport("", (), settlements)])
         logger.info(
-            "credit: settled {count} allotments of the process before",
+            "credit: settled {count} allotments of the previous process",
             event="credit.settled",
             count=len(settlements),
         )
@@ -213,7 +213,7 @@
 
     # -- the leader ---------------------------------------------------------------------------------------
     async def expire(self) -> None:
-        """Where this head leads: expire allotments by its own clock, counted since it knew of them."""
+        """Expire overdue allotments, if this head leads: by its own clock, from when it learnt of each."""
         now = self.fleet.now()
         self._ages.observe(self.ledger.customer_by_allotment.keys(), now)
         if not self.fleet.replication.raft.settled:
@@ -226,7 +226,7 @@
                 await self.fleet.command(PART, body, command_id, COMMAND_TIMEOUT)
 
     async def close(self) -> None:
-        """Settle for the last time, so that what is unspent goes back at once; then close the journal."""
+        """Settle a last time, so that unspent credit is returned at once; then close the journal."""
         self._closing = True
         reports = self.escrow.final_reports()
         if reports and self.registered and self.fleet.availability.draws:
@@ -236,7 +236,7 @@
                 self._forget_settled(reports)
             except TimeoutError:
                 logger.warning(
-                    "credit: stops before its final settlement was confirmed; the next process settles",
+                    "credit: stopped before the final settlement was confirmed; the next process will settle",
                     event="credit.unsettled",
                 )
         self.ledger_monitor.close()
@@ -250,10 +250,10 @@
 
     # -- for operators ------------------------------------------------------------------------------------
     async def submit_command(self, command: Command, id: str, timeout: timedelta) -> CommandResult:
-        """Submit an operator's command to the account under an idempotency key.
+        """Submit an operator's command to the ledger under an idempotency key.
 
         Raises:
-            ReplicationError: No leader confirmed it in time; it may be applied all the same.
+            ReplicationError: No leader confirmed it in time; it may still be applied.
         """
         body = msgspec.msgpack.encode(command)
         return msgspec.msgpack.decode(await self.fleet.command(PART, body, id, timeout), type=CommandResult)
--- a/stoatrouter/peering/credit_calls.py
+++ b/stoatrouter/peering/credit_calls.py
@@ -1,14 +1,16 @@
 """Operators' calls about prepaid credit. Amounts are whole millionths of a credit unit.
 
-GET    /control/credit                             what this head holds
-GET    /control/credit/ledger                      what this head knows of the ledger
-GET    /control/credit/customers/NAME              the account, as a majority confirms it
+GET    /control/credit                             the credit that this head holds
+GET    /control/credit/ledger                      how current this head's copy of the ledger is
+GET    /control/credit/customers/NAME              the account, confirmed by a majority
 PUT    /control/credit/customers/NAME              {"volumes", "overdraft", "low_water", "unsettled",
                                                     "by", "why"}
-DELETE /control/credit/customers/NAME              {"by", "why"}: what is out is still settled
+DELETE /control/credit/customers/NAME              {"by", "why"}: outstanding allotments are
+                                                   still settled
 POST   /control/credit/customers/NAME/entries      {"id", "kind", "amount", "by", "why"}
 GET    /control/credit/entries/ID                  whether, and how, an entry was booked
-POST   /control/credit/heads/NAME/write-off        a head is gone for good: its allotments are charged
+POST   /control/credit/heads/NAME/write-off        a head is lost for good: its allotments are
+                                                   charged
 """
 
 from __future__ import annotations
@@ -40,7 +42,7 @@
 from stoatrouter.peering.timestamps import utc_timestamp
 
 TIMEOUT = timedelta(seconds=4)  # of a read or command
-COMMAND_ID_SIZE = 8  # bytes of a random id, for calls that bring none
+COMMAND_ID_SIZE = 8  # bytes of the random id of a command whose call has none
 
 
 class EntryKind(enum.StrEnum):
@@ -52,7 +54,7 @@
 
 
 class UnsettledPolicy(enum.StrEnum):
-    """How what an expired allotment had left is counted until its head settles."""
+    """How the rest of an expired allotment counts until its head settles."""
 
     SPENT = "spent"
     UNSPENT = "unspent"
@@ -81,7 +83,7 @@
 
 
 class DropRequest(msgspec.Struct):
-    """What a call that drops a customer may bring."""
+    """The optional body of a call that drops a customer."""
 
     by: str = ""
     why: str = ""
@@ -89,38 +91,38 @@
 
 # -- answers ----------------------------------------------------------------------------------------------
 class LocalCustomerCredit(msgspec.Struct):
-    """What this head holds of one customer's credit."""
+    """The credit of one customer that this head holds."""
 
     left: int
-    allotments: int  # how many
-    balance: int = msgspec.field(name="balance_told")  # as the account last answered
-    quota: float = msgspec.field(name="narrowed_to")  # 1 to 0: less while the balance is under the low water
+    allotments: int  # number of them
+    balance: int = msgspec.field(name="balance_told")  # as of the ledger's last answer
+    quota: float = msgspec.field(name="narrowed_to")  # 1 to 0; below 1 while the balance is under low_water
 
 
 class LedgerAnswer(msgspec.Struct):
-    """What this head knows of the ledger, and what became of requests while it was not current."""
+    """How current this head's copy of the ledger is, and how requests fared while it was not."""
 
     state: LedgerKnowledge
-    index: int  # up to where the log is applied
-    age_ms: int | None  # how long ago it was current; None: not known since the start
+    index: int  # the last applied index of the log
+    age_ms: int | None  # how long ago it was current; None: never known since the start
     unknown_volumes: str
     rejected: int  # priced requests of volumes without a known customer, since the head's start
-    served_without: int  # the same, served without a charge
+    served_without: int  # the same kind of requests, served without a charge
 
 
 class LocalCredit(msgspec.Struct):
-    """What this head holds of all customers' credit."""
+    """The credit of all customers that this head holds."""
 
     state: str
-    draws: bool  # whether the account answers
+    draws: bool  # whether this head can reach the ledger
     charged: int  # since the head's start
     refused: int  # requests, since the head's start
-    reservations: int  # how many
+    reservations: int  # number of them
     customers: dict[str, LocalCustomerCredit]
 
 
 class AllotmentAnswer(msgspec.Struct):
-    """One allotment that a head holds of an account."""
+    """One outstanding allotment of an account, held by a head."""
 
     head: str
     amount: int
@@ -141,7 +143,7 @@
     overdraft: int
     low_water: int
     unsettled: UnsettledPolicy
-    out: dict[str, AllotmentAnswer]  # by allotment
+    out: dict[str, AllotmentAnswer]  # outstanding allotments by id
 
 
 class EntryAnswer(msgspec.Struct):
@@ -194,7 +196,7 @@
         raise UnknownCallError
 
     def local_credit(self) -> LocalCredit:
-        """What this head holds of each customer's credit."""
+        """Return the credit of each customer that this head holds."""
         escrow = self.service.escrow
         customers = {
             name: LocalCustomerCredit(
@@ -215,7 +217,7 @@
         )
 
     def local_ledger(self) -> LedgerAnswer:
-        """What this head knows of the ledger, and what became of requests while it was not current."""
+        """Return how current this head's copy of the ledger is, and how requests fared while it was not."""
         service = self.service
         age = service.fleet.followed_age
         return LedgerAnswer(
@@ -228,7 +230,7 @@
         )
 
     async def read_account(self, name: str) -> AccountAnswer:
-        """The account, as a majority confirms it."""
+        """Return a customer's account, confirmed by a majority."""
         check_customer(name)
         await self.service.fleet.read(TIMEOUT)
         account = self.service.ledger.accounts.get(name)
@@ -252,10 +254,10 @@
         )
 
     async def put_customer(self, name: str, request: CustomerRequest) -> BookedAnswer:
-        """Make a customer, or change its volumes and limits.
+        """Create a customer, or change its volumes and limits.
 
-        It answers once no head serves the volumes as before: each has applied the change, or has been out of
-        touch for so long that it rejects what it cannot know.
+        The answer is sent once no head serves the volumes by the old state: each has applied the change, or
+        has been cut off for long enough to reject requests whose customer it cannot know.
         """
         check_customer(name)
         check_attribution(request)
@@ -278,7 +280,7 @@
         return answer
 
     async def drop_customer(self, name: str, request: DropRequest) -> BookedAnswer:
-        """Let heads draw no more of a customer's credit; what is out is still settled."""
+        """Grant no more of a customer's credit; outstanding allotments are still settled."""
         check_customer(name)
         check_attribution(request)
         command = DropCustomer(name, request.by, request.why, utc_timestamp())
@@ -294,12 +296,12 @@
         command = BookEntry(
             request.id, name, request.amount, request.kind, request.by, request.why, utc_timestamp()
         )
-        # the command's id holds the content too: another entry under the caller's id is rejected, not
-        # answered like the first
+        # The command's id includes the content, so that a different entry under the same caller's id is
+        # rejected instead of answered like the first.
         return await self._submit(command, f"entry/{request.id}/{name}/{request.kind}/{request.amount}")
 
     async def read_entry(self, id: str) -> EntryAnswer:
-        """Whether, and how, an entry was booked, as a majority confirms it."""
+        """Return an entry that was booked, confirmed by a majority."""
         check_id("id", id)
         await self.service.fleet.read(TIMEOUT)
         entry = self.service.ledger.entries.get(id)
@@ -310,15 +312,15 @@
         )
 
     async def write_off(self, name: str) -> BookedAnswer:
-        """Charge all that a head holds; only for one that will not come back with its disk."""
+        """Charge all allotments of a head; only for one that will not return with its disk."""
         check_head("head", name)
         return await self._submit(RegisterHead(name, "", "", 0, ()), secrets.token_hex(COMMAND_ID_SIZE))
 
     async def _submit(self, command: Command, id: str) -> BookedAnswer:
-        """Submit a command to the account.
+        """Submit a command to the ledger.
 
         Raises:
-            ConflictError: The account rejects it.
+            ConflictError: The ledger rejects it.
             ReplicationError: No majority confirmed it in time.
         """
         result = await self.service.submit_command(command, id, TIMEOUT)
@@ -328,7 +330,7 @@
 
 
 def check_attribution(request: CustomerRequest | EntryRequest | DropRequest) -> None:
-    """Raise OutOfBoundsError unless the request says in few words who asks and why."""
+    """Raise OutOfBoundsError unless the author and the reason are within their bounds."""
     check_text("by", request.by, MAX_PERSON_LENGTH)
     check_text("why", request.why, MAX_REASON_LENGTH)
 
--- a/stoatrouter/peering/datagrams.py
+++ b/stoatrouter/peering/datagrams.py
@@ -1,6 +1,6 @@
-"""The failure detector's socket: authenticates datagrams, and runs the effects of membership/detector.py.
+"""The failure detector's UDP socket: authenticates datagrams and carries out the detector's effects.
 
-Decides nothing: which head is suspected or failed is the detector's to say.
+membership/detector.py decides which head is suspected or failed.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from stoatrouter.peering.errors import RejectReason
 
 TICK_INTERVAL = timedelta(milliseconds=25)
-MAX_DATAGRAMS_PER_TICK = 256  # datagrams received between two ticks; a flood beyond is dropped and counted
+MAX_DATAGRAMS_PER_TICK = 256  # received between two ticks; those beyond are dropped and counted
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """One head's detector, and the UDP socket it speaks through.
+    """The UDP socket of one head's failure detector.
 
     Attributes:
-        detector: What decides.
+        detector: Decides the status of each head.
         transport: The socket, once it is open.
         counters: Where messages are counted.
     """
@@ -52,12 +52,12 @@
         counters: MessageCounters,
         on_status_change: Callable[[str, Status], None],
     ) -> None:
-        """Set up the socket's protocol; it listens once started.
+        """Set up the protocol; the socket is opened by `start`.
 
         Args:
-            detector: What decides.
+            detector: Decides the status of each head.
             secret: The key of the datagrams' MACs.
-            fleet: The fleet's name, which the MACs are personalised with.
+            fleet: The fleet's name, part of the MACs' personalisation.
             peers: The addresses (HOST:PORT) that datagrams are accepted from.
             now: This head's monotonic time.
             counters: Where messages are counted.
@@ -74,24 +74,24 @@
         self._received_this_tick = 0
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; raises OSError where the address cannot be used."""
+        """Open the socket; raises OSError if the address cannot be used."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the socket, which is open."""
+        """Store the transport of the open socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand a datagram to the detector; one that is rejected is dropped and counted."""
+        """Pass a datagram to the detector; a rejected one is dropped and counted."""
         source = f"{addr[0]}:{addr[1]}"
         self._received_this_tick += 1
         self.counters.add("datagrams.received")
-        # Guards the loop against a flood.
+        # Drops datagrams of a flood, to protect the event loop.
         if self._received_this_tick > MAX_DATAGRAMS_PER_TICK:
             self._drop(RejectReason.FLOOD, source)
             return
-        # Guards against anybody: only addresses that the configuration names are heard.
+        # Accepts datagrams only from the configured addresses.
         if source not in self._peers:
             self._drop(RejectReason.NOT_A_PEER, source)
             return
@@ -103,25 +103,25 @@
         self._step(DatagramReceived(self._now(), source, message), source)
 
     def error_received(self, exc: Exception) -> None:
-        """Count a datagram that could not be sent; the detector finds out by itself that its peer is gone."""
+        """Count a datagram that could not be sent; the detector notices a lost peer by itself."""
         self.counters.add("datagrams.errors")
 
     async def run_forever(self) -> None:
-        """Let time pass for the detector."""
+        """Pass the time to the detector at every tick."""
         while True:
             self._received_this_tick = 0
             self._step(Tick(self._now()))
             await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     def close(self) -> None:
-        """Notify the others that this head leaves, then close the socket."""
+        """Notify the other heads that this one leaves, then close the socket."""
         if self.transport is not None:
             self._step(Leaving(self._now()))
             self.transport.close()
 
     # -- events in, effects out ---------------------------------------------------------------------------
     def _step(self, event: Event, source: str = "") -> None:
-        """Reduce an event, and run its effects in order; `source` is where its datagram came from."""
+        """Reduce an event, and carry out its effects in order; `source` is its datagram's sender."""
         for effect in self.detector.reduce(event):
             self._perform(effect, source)
 
@@ -144,7 +144,7 @@
 
     def _report_change(self, effect: StatusChanged) -> None:
         logger.info(
-            "heads: {head} is {status}, as seen from here",
+            "heads: {head} is {status} according to this head's detector",
             event="heads.seen",
             head=effect.name,
             status=effect.status.name.lower(),
--- a/stoatrouter/peering/disk_writer.py
+++ b/stoatrouter/peering/disk_writer.py
@@ -1,4 +1,4 @@
-"""The disk's own thread: writes in order, beside requests; each write's callback runs once it is on disk."""
+"""Writes to the storage in a thread of its own, in order; a callback reports each write that is durable."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from stoatrouter.agreement.records import Write
 from stoatrouter.peering.storage import BootstrapWrite, Storage
 
-MAX_QUEUED_WRITES = 4_096  # writes; a disk that is so far behind counts as failed
-CLOSE_TIMEOUT_S = 5  # for what is queued when this head ends
+MAX_QUEUED_WRITES = 4_096  # a disk that lags this far behind counts as failed
+CLOSE_TIMEOUT_S = 5  # seconds, for the writes queued when the head shuts down
 
 Callback = Callable[[], None]
 
 
 @dataclass(slots=True, frozen=True)
 class QueuedWrite:
-    """A write, and what is called on the loop once it is on the disk."""
+    """A write, and the callback to run on the event loop once it is on the disk."""
 
     write: Write | BootstrapWrite
-    done: Callback
+    on_durable: Callback
 
 
 class DiskWriter:
-    """Writes to the storage, one write after the other, in a thread of its own."""
+    """Performs the writes to the storage one at a time in a thread."""
 
     def __init__(
         self,
@@ -42,9 +42,9 @@
 
         Args:
             storage: The open storage; only this writer uses it from now on.
-            loop: Where callbacks run.
-            on_failure: Called once, on the loop, with the reason; nothing is written after it.
-            writable: False where the disk takes no writes: none is queued then.
+            loop: The event loop that callbacks run on.
+            on_failure: Called once, on the loop, with the reason; nothing is written afterwards.
+            writable: False if the disk takes no writes; none is queued then.
         """
         self._storage = storage
         self._loop = loop
@@ -54,31 +54,31 @@
         self._thread = threading.Thread(target=self._run, daemon=True, name="heads-disk")
         self._thread.start()
 
-    def put(self, write: Write | BootstrapWrite, done: Callback) -> None:
-        """Queue a write; `done` is called on the loop once it is on the disk.
+    def put(self, write: Write | BootstrapWrite, on_durable: Callback) -> None:
+        """Queue a write; `on_durable` is called on the loop once it is on the disk.
 
-        After a failure nothing is written and nothing called.
+        After a failure nothing is written, and no callback is called.
         """
         try:
             if not self._failed:
-                self._queue.put_nowait(QueuedWrite(write, done))
+                self._queue.put_nowait(QueuedWrite(write, on_durable))
         except queue.Full:
-            self._fail("too many writes wait for it")
+            self._fail("too many writes are queued")
 
     def close(self) -> None:
-        """Write what is queued, end the thread and close the storage."""
+        """Finish the queued writes, end the thread and close the storage."""
         self._queue.put(None)
         self._thread.join(CLOSE_TIMEOUT_S)
         self._storage.close()
 
     def _fail(self, reason: str) -> None:
-        """Write nothing any more, and notify the owner; called on the loop."""
+        """Stop writing and notify the owner; called on the loop."""
         self._failed = True
         self._on_failure(reason)
 
     # -- in the thread ------------------------------------------------------------------------------------
     def _run(self) -> None:
-        """Write until the end of the queue."""
+        """Perform queued writes until `close` ends the queue."""
         while (queued := self._queue.get()) is not None:
             if self._failed:
                 continue
@@ -88,7 +88,7 @@
                 self._call_on_loop(partial(self._fail, str(error)))
                 self._failed = True
                 continue
-            self._call_on_loop(queued.done)
+            self._call_on_loop(queued.on_durable)
 
     def _write(self, write: Write | BootstrapWrite) -> None:
         if isinstance(write, BootstrapWrite):
@@ -97,5 +97,5 @@
             self._storage.write(write)
 
     def _call_on_loop(self, callback: Callback) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended
+        with contextlib.suppress(RuntimeError):  # the loop is closed
             self._loop.call_soon_threadsafe(callback)
--- a/stoatrouter/peering/envelope.py
+++ b/stoatrouter/peering/envelope.py
@@ -1,9 +1,8 @@
-"""The envelope of messages on streams: authenticated, addressed and bounded.
+"""The envelope of messages on streams: authenticated, addressed and bounded in size.
 
-On the wire: 32 bytes of BLAKE2b (RFC 7693), keyed with the fleet's secret and personalised with the fleet's
-name, over the rest, which is one msgpack array (`Envelope`). The sender's identity and incarnation are
-inside: once a later incarnation of a head was heard, messages of its earlier ones are rejected. Nothing is
-encrypted.
+Format: a 32-byte BLAKE2b MAC (RFC 7693), keyed with the fleet's secret and personalised with the fleet's
+name, followed by one msgpack array (`Envelope`) that it covers. The array holds the sender's identity and
+incarnation: after a message of a later incarnation, those of earlier ones are rejected. Nothing is encrypted.
 """
 
 from __future__ import annotations
@@ -19,44 +18,44 @@
 from stoatrouter.config import ConfigError
 from stoatrouter.peering.errors import MessageRejected, RejectReason
 
-MAX_MESSAGE_SIZE = 64 * 1024 * 1024  # bytes, with the MAC; longer ones are rejected unread
+MAX_MESSAGE_SIZE = 64 * 1024 * 1024  # bytes, including the MAC; longer messages are rejected unread
 MAC_SIZE = 32
 MIN_SECRET_SIZE = 32  # bytes
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message with its sender, its receiver and its number.
+    """A message with its sender, receiver and request id.
 
-    Heads of two releases talk to each other: fields are identified by position, so a new one goes at the
-    end and has a default.
+    Heads of two releases communicate, and fields are identified by position: a new one goes at the end and
+    has a default.
     """
 
-    origin: str  # of the sender's fleet; "": it belongs to none yet
+    origin: str  # identity of the sender's fleet; "": it belongs to none yet
     sender: Voter
-    incarnation: int  # of the sender's process; a later process has a higher one
-    receiver: str  # the name of the head that it is for
-    request_id: int  # the sender's; an answer repeats it
+    incarnation: int  # of the sender's process; later processes have higher ones
+    receiver: str  # the name of the receiving head
+    request_id: int  # chosen by the sender; the answer repeats it
     kind: str
     body: bytes
 
 
 class OlderIncarnation(MessageRejected):
-    """A message of an earlier process of its head, or of one whose clock went back.
+    """A message from an earlier process of its head, or from one whose clock was set back.
 
     Attributes:
         envelope: The message, which is authentic.
-        latest: The highest incarnation heard of that head.
+        latest: The highest incarnation seen of that head.
     """
 
     def __init__(self, envelope: Envelope, latest: int) -> None:
-        """Reject a message for the latest incarnation heard of its sender."""
+        """Store the message and the latest incarnation seen of its sender."""
         super().__init__(RejectReason.OLDER_PROCESS)
         self.envelope = envelope
         self.latest = latest
 
 
 def read_secret(path: Path) -> bytes:
-    """Read the fleet's secret and derive the key of all MACs from it.
+    """Read the fleet's secret and derive the MAC key from it.
 
     Returns:
         64 bytes.
@@ -83,8 +82,8 @@
     Attributes:
         secret: The key of the MACs (`read_secret`).
         fleet: The fleet's name.
-        name: This head's name; only envelopes for it are unsealed.
-        incarnations: The latest incarnation heard of each head, by its name.
+        name: This head's name; only envelopes addressed to it are unsealed.
+        incarnations: The latest incarnation seen of each head, by name.
     """
 
     secret: bytes
@@ -98,16 +97,16 @@
         self._personalisation = hashlib.blake2b(b"stream/" + self.fleet.encode(), digest_size=16).digest()
 
     def seal(self, envelope: Envelope) -> bytes:
-        """Encode an envelope and put its MAC before it."""
+        """Encode an envelope and prepend its MAC."""
         data = msgspec.msgpack.encode(envelope)
         return self._mac(data) + data
 
     def unseal(self, data: bytes) -> Envelope:
-        """Authenticate and decode an envelope; nothing inside is looked at before the MAC.
+        """Authenticate and decode an envelope; the content is not parsed before the MAC is verified.
 
         Raises:
-            MessageRejected: It is too long, not authentic, malformed or for another head.
-            OlderIncarnation: A later incarnation of its sender was heard before.
+            MessageRejected: It is too long, not authentic, malformed or addressed to another head.
+            OlderIncarnation: A later incarnation of its sender was seen before.
         """
         if len(data) > MAX_MESSAGE_SIZE:
             raise MessageRejected(RejectReason.TOO_LONG)
@@ -124,7 +123,7 @@
         return envelope
 
     def _check_incarnation(self, envelope: Envelope) -> None:
-        """Guard against replays of what an earlier process of the sender sent; raises OlderIncarnation."""
+        """Reject replays of messages from an earlier process of the sender; raises OlderIncarnation."""
         latest = self.incarnations.get(envelope.sender.name, 0)
         if envelope.incarnation < latest:
             raise OlderIncarnation(envelope, latest)
--- a/stoatrouter/peering/fleet.py
+++ b/stoatrouter/peering/fleet.py
@@ -1,4 +1,4 @@
-"""One head among the others: the failure detector, the agreement and what runs beside them, put together."""
+"""Assembles one head's part of the fleet: failure detector, agreement, streams and their helpers."""
 
 from __future__ import annotations
 
@@ -37,35 +37,35 @@
 
 
 class Fleet:
-    """What other parts of the head see of the other heads.
+    """One head's view of the fleet, and the calls that other parts of the head use.
 
     Attributes:
         settings: The settings of the heads.
-        counters: Messages between heads, by kind.
-        stored: What the disk had at the start.
+        counters: Counts of messages between heads, by kind.
+        stored: What the disk held at the start.
         me: This head, with the identity of its disk.
-        incarnation: Of this process; higher than that of any earlier process of this head.
+        incarnation: The number of this process; higher than that of any earlier process of this head.
         replication: The replicated log and state machine.
         streams: Requests to other heads.
-        bootstrap: To which fleet this head belongs.
-        monitor: What this head may do.
-        follower: Polls voters where no leader replicates to this head.
-        follower_feed: Answers the polls of others.
-        datagrams: The failure detector; None where no address for it is configured.
-        handlers: What answers messages of other heads, by kind; parts add their own kinds.
-        tasks: The loops that run since `start`.
+        bootstrap: Knows the fleet that this head belongs to, and joins one.
+        monitor: Tracks what this head may do.
+        follower: Polls voters while no leader replicates to this head.
+        follower_feed: Answers the polls of other heads.
+        datagrams: The failure detector; None if no address for it is configured.
+        handlers: The handlers of messages from other heads, by kind; parts add their own kinds.
+        tasks: The background loops started by `start`.
     """
 
     def __init__(self, settings: HeadsSettings, seed: int, parts: dict[str, Part]) -> None:
-        """Open the disk and put all parts together; nothing is sent or received before `start`.
+        """Open the disk and create all components; nothing is sent or received before `start`.
 
         Args:
             settings: The settings of the heads.
-            seed: Of election timeouts, the detector's draws and the jitter of retries.
-            parts: What the heads agree on, by name; parts may be added until `restore_stored`.
+            seed: Seeds election timeouts, the detector's random choices and the jitter of retries.
+            parts: The parts of the state machine, by name; more may be added until `restore_stored`.
 
         Raises:
-            ConfigError: The folder is in use, or its database belongs to something else.
+            ConfigError: The folder is in use, or its database belongs to another program or a later version.
         """
         self.settings = settings
         self.counters = MessageCounters()
@@ -148,16 +148,16 @@
 
     @staticmethod
     def now() -> timedelta:
-        """This head's monotonic time: no clock that is set moves it."""
+        """Return this head's monotonic time, which setting the clock does not change."""
         return timedelta(seconds=time.monotonic())
 
     # -- start and end ------------------------------------------------------------------------------------
     def restore_stored(self) -> None:
-        """Apply what the disk holds, once all parts are known."""
+        """Apply the state on the disk, after all parts were added."""
         self.replication.restore_stored()
 
     async def start(self) -> None:
-        """Listen, then take part; raises OSError where an address cannot be listened on."""
+        """Listen, then start all loops; raises OSError if an address cannot be listened on."""
         settings = self.settings
         await self.streams.start(config.parse_address(settings.listen) if settings.listen else None)
         if self.datagrams is not None and settings.peer_listen is not None:
@@ -174,7 +174,7 @@
             )
         ]
         logger.info(
-            "heads: {name} of {fleet} is {identity}, process {process}",
+            "heads: {name} of fleet {fleet} started with identity {identity}, process {process}",
             event="heads.start",
             name=settings.name,
             fleet=settings.fleet,
@@ -183,7 +183,7 @@
         )
 
     async def close(self) -> None:
-        """Notify the others that this head leaves, and end; what is queued for the disk is written."""
+        """Notify the other heads that this one leaves, finish queued writes and stop."""
         if self.datagrams is not None:
             self.datagrams.close()
         await cancel_tasks(self.tasks)
@@ -193,17 +193,17 @@
     # -- for other parts of the head ----------------------------------------------------------------------
     @property
     def availability(self) -> Availability:
-        """What this head may do at this moment."""
+        """What this head may do now."""
         return self.monitor.current()
 
     @property
     def majority_age(self) -> timedelta | None:
-        """How long ago a majority was connected, as far as this head knows; None: it knows of none."""
+        """Time since a majority was last connected, as far as this head knows; None: never known."""
         return self.monitor.contact.age(self.now())
 
     @property
     def followed_age(self) -> timedelta | None:
-        """How long ago all that was committed was applied here; None: not known since the start."""
+        """Time since all committed entries were applied here; None: never known since the start."""
         return self.monitor.followed.age(self.now())
 
     @property
@@ -212,29 +212,29 @@
         return self._leader_client.leader
 
     def live_heads(self) -> set[str]:
-        """Names of the heads that are not known to have failed or left, this one with them."""
+        """Return the names of the heads not known to have failed or left, including this one."""
         if self.datagrams is None:
             return {self.settings.name, *self.settings.streams}
         members = self.datagrams.detector.roster.members.values()
         return {member.name for member in members if member.status <= Status.SUSPECT}
 
     async def command(self, part: str, body: bytes, id: str, timeout: timedelta) -> bytes:
-        """Have a command committed by whoever leads; the part's answer.
+        """Have a command committed by the leader; return the part's answer.
 
         Args:
-            part: The part that the command is for.
-            body: The command, as the part encodes it.
-            id: Its idempotency key: sent again under it, it is not applied again.
-            timeout: How long it may take.
+            part: The part of the state machine that the command is for.
+            body: The command, encoded by the part.
+            id: The idempotency key: a command sent again under it is not applied again.
+            timeout: The time limit, retries included.
 
         Raises:
-            ReplicationError: It was not brought through in time, but may still take effect; sent again under
-                its id it gives the one answer.
+            ReplicationError: It was not confirmed in time, but may still take effect; sent again under its
+                id, it gets the same answer.
         """
         return await self._leader_client.command(part, body, id, timeout)
 
     async def read(self, timeout: timedelta) -> None:
-        """Wait until all that was committed before the call is applied here, as a majority confirms it.
+        """Wait until all entries committed before the call are applied here, confirmed by a majority.
 
         Raises:
             ReplicationError: That could not be confirmed or applied in time.
@@ -242,13 +242,13 @@
         await self._leader_client.read(timeout)
 
     async def wait_until_known(self, timeout: timedelta) -> bool:
-        """Wait until no head decides any more by what was before the last commit.
+        """Wait until no head decides by a state before the last commit any more.
 
         Args:
-            timeout: How long it may take to learn what is committed.
+            timeout: The time limit for learning the commit index.
 
         Returns:
-            Whether all heads have applied it; else the others must have noticed that they are cut off.
+            Whether all heads have applied it; if not, the others must have noticed that they are cut off.
         """
         index: int | None = None
         with contextlib.suppress(ReplicationError):
@@ -256,7 +256,7 @@
             index = self.replication.machine.index
         return await self.propagation.wait_until_known(index)
 
-    # -- between the parts --------------------------------------------------------------------------------
+    # -- callbacks of the components ----------------------------------------------------------------------
     def _send(self, receiver: Voter, message: AnyMessage) -> None:
         self.streams.enqueue(receiver, message)
 
@@ -264,7 +264,7 @@
         return await self._message_handlers.handle(envelope)
 
     def _on_fleet_joined(self) -> None:
-        """Note that this head has begun to belong to a fleet, or to another one."""
+        """Update the availability after this head joined a fleet, or a different one."""
         self.monitor.reset_followed()
         self.monitor.refresh()
 
@@ -277,19 +277,19 @@
 
 
 def report_reset(stored: StoredState) -> None:
-    """Log why the disk has a new identity, where it had another one before."""
+    """Log why the disk has a new identity, if it had another one before."""
     if stored.reset_reason is not None:
         logger.error(
-            "heads: begins under a new identity, without a vote: {why}",
+            "heads: starting under a new identity, without a vote: {why}",
             event="heads.fresh",
             why=stored.reset_reason,
         )
 
 
 def choose_incarnation(stored: StoredState) -> int:
-    """A number for this process above those of the earlier processes of this head.
+    """Return a number for this process above those of earlier processes of this head.
 
-    It is the time of day in milliseconds, and at least the count of starts that the disk holds: without a
-    disk it goes up as long as the clock does not go back.
+    It is the time of day in milliseconds, but at least the count of starts on the disk. Without a disk it
+    increases as long as the clock is not set back.
     """
     return max(time.time_ns() // 1_000_000, stored.start_count)
--- a/stoatrouter/peering/follower.py
+++ b/stoatrouter/peering/follower.py
@@ -1,8 +1,8 @@
-"""How a head learns what was committed where no leader replicates to it: it polls the voters.
+"""Polls the voters for committed entries while no leader replicates to this head.
 
-A voter that hears its leader needs none of this. All others poll one voter after the other; each answer
-brings committed entries, who leads, and how long ago a majority was connected (agreement/contact.py). The
-other side is `follower_feed`.
+A voter that is in contact with its leader does not poll. All other heads poll one voter at a time; each
+answer contains committed entries, the leader's name, and the time since a majority was connected
+(agreement/contact.py). `follower_feed` is the answering side.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from stoatrouter.peering.settings import HeadsSettings
 from stoatrouter.peering.streams import Streams
 
-IDLE_INTERVAL = timedelta(milliseconds=500)  # between two looks whether this head has to poll
+IDLE_INTERVAL = timedelta(milliseconds=500)  # between two checks whether this head has to poll
 FIRST_BACKOFF = timedelta(milliseconds=50)
 MAX_BACKOFF = timedelta(seconds=1)
-RETURN_INTERVAL = timedelta(seconds=30)  # between two looks whether the first voter is back
-RETURN_TIMEOUT = timedelta(milliseconds=300)  # of such a look: polls wait for it
+RETURN_INTERVAL = timedelta(seconds=30)  # between two checks whether the preferred voter is back
+RETURN_TIMEOUT = timedelta(milliseconds=300)  # of such a check, which delays the next poll
 
 
 class Follower:
     """One head's polls of the voters.
 
     Attributes:
-        leader: The name of the leader, as the last answer had it; None where it is not known.
+        leader: The name of the leader according to the last answer; None if unknown.
     """
 
     def __init__(
@@ -51,19 +51,17 @@
         """Set up; nothing is polled before `run_forever`.
 
         Args:
-            settings: Names this head, the first voters and where heads listen.
-            replication: Takes in the committed entries.
-            streams: To the voters.
-            bootstrap: Says which fleet's entries may be learnt.
-            monitor: Notified of majorities that were connected.
+            settings: Names this head, the initial voters and the addresses of heads.
+            replication: Receives the committed entries.
+            streams: Sends requests to the voters.
+            bootstrap: Decides which fleet's entries may be applied.
+            monitor: Notified of contacts with a majority.
             now: This head's monotonic time.
-            rng: Draws the jitter of the backoff.
+            rng: Source of the backoff's jitter.
         """
         self.leader: str | None = None
-        self._voter_cursor = 0  # counts the voters chosen, so that the next one differs
-        self._away_from_preferred_since: timedelta | None = (
-            None  # since when another voter than the first one is polled
-        )
+        self._voter_cursor = 0  # position in the order of voters, before the offset by name
+        self._away_from_preferred_since: timedelta | None = None  # since when another voter is polled
         self._settings = settings
         self._replication = replication
         self._streams = streams
@@ -73,7 +71,7 @@
         self._backoff = Backoff(FIRST_BACKOFF, MAX_BACKOFF, rng)
 
     async def run_forever(self) -> None:
-        """Poll the voters, one after the other, unless this head leads or hears its leader."""
+        """Poll the voters one after the other, unless this head leads or is in contact with its leader."""
         while True:
             if not self._has_to_poll():
                 await asyncio.sleep(IDLE_INTERVAL.total_seconds())
@@ -89,13 +87,13 @@
         return not raft.leads and not hears_leader and bool(self._settings.streams)
 
     def next_voter(self) -> str:
-        """Choose a voter to poll; those of the settings until others are known."""
+        """Return the next voter to poll; taken from the settings until the current voters are known."""
         names = self._voters()
         self._voter_cursor += 1
         return names[(self._voter_cursor + voter_offset(self._settings.name)) % len(names)]
 
     def _voters(self) -> list[str]:
-        """The voters that may be polled, in the order that is the same at all heads."""
+        """Return the voters that may be polled, in an order that is the same at all heads."""
         me = self._settings.name
         addresses = self._settings.streams
         voters = [voter.name for voter in self._replication.raft.voters] or list(self._settings.voters)
@@ -103,9 +101,9 @@
         return names or [name for name in addresses if name != me] or [me]
 
     async def _return_if_due(self) -> None:
-        """Go back to the first voter once it answers again, so that followers stay spread over all."""
+        """Return to the preferred voter once it answers again, so that followers stay evenly spread."""
         if self._voter_cursor % len(self._voters()) == 0:
-            self._away_from_preferred_since = None  # the next turn is the first voter's
+            self._away_from_preferred_since = None  # the preferred voter is polled
             return
         now = self._now()
         if self._away_from_preferred_since is None:
@@ -114,13 +112,14 @@
             return
         self._away_from_preferred_since = now
         names = self._voters()
-        first = names[(1 + voter_offset(self._settings.name)) % len(names)]
-        # Guards the contact with a majority: a poll of a voter that hangs would last longer than that counts.
-        if await self._answers(first):
+        preferred = names[(1 + voter_offset(self._settings.name)) % len(names)]
+        # Checks with a short timeout first: a poll of a hung voter would outlast the time for which a contact
+        # with a majority counts, and this head would be cut off.
+        if await self._answers(preferred):
             self._voter_cursor = 0
 
     async def _answers(self, name: str) -> bool:
-        """Whether a voter answers at once, and has applied what was committed here."""
+        """Return whether a voter answers within RETURN_TIMEOUT and has applied as much as this head."""
         try:
             reply = await self._streams.request(name, calls.PROGRESS, b"", RETURN_TIMEOUT)
             progress = msgspec.msgpack.decode(reply.body, type=calls.Progress)
@@ -129,12 +128,12 @@
         return progress.applied >= self._replication.machine.index
 
     def forget_leader(self) -> None:
-        """Give up the leader that is known, and choose another voter than the next one."""
+        """Forget the known leader, and skip one voter in the order."""
         self.leader = None
         self._voter_cursor += 1
 
     async def _poll(self, name: str) -> bool:
-        """Poll one voter; whether it answered and is connected to a majority."""
+        """Poll one voter; return whether it answered and is connected to a majority."""
         machine = self._replication.machine
         asked_at = self._now()
         fetch = calls.Fetch(machine.index, self._replication.raft.log.term_at(machine.index) or 0)
@@ -151,12 +150,12 @@
         return fetched.majority_connected
 
     def _learn(self, fetched: calls.Fetched, asked_at: timedelta) -> None:
-        """Take in an answer to a poll that was sent at this time."""
+        """Process the answer to a poll that was sent at `asked_at`."""
         self._bootstrap.join(fetched.origin)
         self._replication.receive_committed(fetched)
         if not fetched.majority_connected:
             return
-        self._voter_cursor -= 1  # stay with a voter that serves
+        self._voter_cursor -= 1  # poll the same voter again: it is connected
         self.leader = fetched.leader
         contact = MajorityContact()
         if fetched.majority_age is not None:
@@ -166,5 +165,5 @@
 
 
 def voter_offset(name: str) -> int:
-    """A number of a head's name that is the same in every process: heads spread over the voters by it."""
+    """Return a hash of a head's name that is stable across processes; it spreads heads over the voters."""
     return sum(position * byte for position, byte in enumerate(name.encode(), 1))
--- a/stoatrouter/peering/follower_feed.py
+++ b/stoatrouter/peering/follower_feed.py
@@ -1,4 +1,4 @@
-"""What this head answers to the polls of followers: committed entries, or a snapshot, by long poll."""
+"""Answers the long polls of followers with committed entries or a snapshot."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from stoatrouter.peering.bootstrap import FleetBootstrap
 from stoatrouter.peering.replication import Replication
 
-LONG_POLL_TIMEOUT = timedelta(milliseconds=500)  # a poll is answered after this, whatever there is
+LONG_POLL_TIMEOUT = timedelta(milliseconds=500)  # a poll is answered after this even if nothing was committed
 
 
 class FollowerFeed:
-    """One head's answers to followers."""
+    """Answers the polls of followers at one head."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
         """Set up.
 
         Args:
-            replication: The log that is fed from.
-            bootstrap: Says which fleet the log is of.
-            monitor: Says how this head is connected to the others.
+            replication: Provides the log.
+            bootstrap: Knows the fleet that the log belongs to.
+            monitor: Knows how this head is connected to the others.
             now: This head's monotonic time.
         """
         self._replication = replication
@@ -41,7 +41,7 @@
         self._now = now
 
     async def answer(self, fetch: calls.Fetch) -> bytes:
-        """Answer a poll, encoded; waits up to LONG_POLL_TIMEOUT where nothing more is committed."""
+        """Return the encoded answer to a poll; waits up to LONG_POLL_TIMEOUT for a commit."""
         arrived_at = self._now()
         await self._wait_for_commit(fetch.after)
         raft = self._replication.raft
--- a/stoatrouter/peering/handlers.py
+++ b/stoatrouter/peering/handlers.py
@@ -1,4 +1,4 @@
-"""What this head does with the messages of other heads: one handler for each kind."""
+"""Handles messages from other heads: one handler for each kind."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class MessageHandlers:
-    """One head's handlers.
+    """The message handlers of one head.
 
     Attributes:
-        by_kind: The handler of each kind of message; parts add those of their own kinds.
+        by_kind: The handler of each kind of message; parts add handlers of their own kinds.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
 
         Args:
             me: This head, with the identity of its disk.
-            replication: Takes in the agreement's messages.
+            replication: Receives the agreement's messages.
             bootstrap: Answers founders.
-            monitor: Notified of majorities that a leader was connected to.
+            monitor: Notified of a leader's contacts with a majority.
             feed: Answers the polls of followers.
             service: Answers commands and reads, as the leader.
-            propagation: Notes who polls, and answers how far they are.
+            propagation: Records polls, and answers requests for progress.
             now: This head's monotonic time.
         """
         self._me = me
@@ -71,7 +71,7 @@
         }
 
     async def handle(self, envelope: Envelope) -> bytes | None:
-        """Handle an authentic message; the answer, None where there is none or the kind is not known.
+        """Handle an authentic message; return the answer, None if there is none or the kind is unknown.
 
         Raises:
             msgspec.MsgspecError: The message is malformed.
@@ -81,13 +81,14 @@
 
     async def _receive_batch(self, envelope: Envelope) -> None:
         for identity, message in msgspec.msgpack.decode(envelope.body, type=calls.Batch):
-            # Guards promises: what is for this head's earlier disk is not for it.
+            # A message for an earlier identity of this head (another disk) must not count as received: what
+            # that disk had promised is lost.
             if identity == self._me.identity:
                 self._receive(envelope.sender, message)
 
     def _receive(self, sender: Voter, message: AnyMessage) -> None:
-        """Take in a message of the agreement."""
-        # Guards promises: what comes before this head's beginning is on its disk would be forgotten by it.
+        """Pass a message to the agreement."""
+        # Until the founding is on the disk, writing it would erase any promise made on these messages.
         if not self._bootstrap.durable:
             return
         self._replication.receive(sender, message)
@@ -100,7 +101,7 @@
         name, incarnation = envelope.sender.name, envelope.incarnation
         self._propagation.polls.note(name, incarnation, fetch.after, self._now())
         answer = await self._feed.answer(fetch)
-        # the answer counts as much as one to a poll that came now
+        # The follower's copy is current as of the answer, so the poll is recorded again at that time.
         self._propagation.polls.note(name, incarnation, fetch.after, self._now())
         return answer
 
--- a/stoatrouter/peering/head_calls.py
+++ b/stoatrouter/peering/head_calls.py
@@ -1,9 +1,9 @@
-"""Operators' calls about the heads themselves: who is there, who votes, and what to do when voters are lost.
+"""Operators' calls about the heads: status, changes of voters, and recovery from the loss of voters.
 
-GET    /control/heads                where this head stands, whom it sees, who votes
-POST   /control/heads/voters/NAME    the head becomes a voter, under the identity that its disk has now
-DELETE /control/heads/voters/NAME    it is one no more
-POST   /control/heads/recover        voters lost for good: this head goes on alone, as a new fleet
+GET    /control/heads                this head's status, the heads it sees, the voters
+POST   /control/heads/voters/NAME    add a head to the voters, under the current identity of its disk
+DELETE /control/heads/voters/NAME    remove it from the voters
+POST   /control/heads/recover        after a permanent loss of voters: continue alone, as a new fleet
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 RECOVER = f"{ROOT}/recover"
 VOTERS = f"{ROOT}/voters/"
 CHANGE_TIMEOUT = timedelta(seconds=4)
-PAST_ANY_INDEX = 1 << 60  # a poll for what comes after it is answered without entries
-MAX_CANDIDATE_LAG = 1_000  # entries that a head may be behind when it becomes a voter
+PAST_ANY_INDEX = 1 << 60  # a poll for entries after it is answered without entries
+MAX_CANDIDATE_LAG = 1_000  # entries that a head may lag behind when it becomes a voter
 ORIGIN_SIZE = 16  # bytes of a fleet's identity
 
 
 class HeadStatus(msgspec.Struct):
-    """What this head knows of itself and the others."""
+    """What this head knows about itself and the other heads."""
 
     name: str
     identity: str
-    process: int  # a number that goes up with each process of the head
+    process: int  # incarnation: increases with each process of the head
     fleet: str
-    origin: str  # identity of the fleet's founding; "": this head belongs to none yet
+    origin: str  # identity of the fleet; "": this head belongs to none yet
     state: str
     majority_age: float | None = msgspec.field(name="majority_heard_s_ago")  # seconds
     term: int
@@ -69,18 +69,18 @@
     """The new fleet that a recovered head begins alone."""
 
     origin: str
-    applied: int  # up to which index of the lost fleet's log
+    applied: int  # the last index of the lost fleet's log that is part of its state
 
 
 class HeadCalls(OperatorCalls):
     """Answers the calls about heads and voters."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Answer about this head's fleet."""
+        """Answer calls about this head's fleet."""
         self.fleet = fleet
 
     async def answer(self, method: str, path: str, body: bytes) -> msgspec.Struct | None:
-        """Answer one call; None where it is not about the heads themselves."""
+        """Answer one call; None if it is not about the heads themselves."""
         if path == ROOT:
             check_method(method, "GET")
             return self.status()
@@ -95,7 +95,7 @@
         return None
 
     def status(self) -> HeadStatus:
-        """What this head knows of itself and the others."""
+        """Return what this head knows about itself and the other heads."""
         fleet, raft = self.fleet, self.fleet.replication.raft
         return HeadStatus(
             name=fleet.settings.name,
@@ -118,17 +118,17 @@
         )
 
     def _seen_heads(self) -> dict[str, str]:
-        """The failure detector's status of each head; empty where it is off."""
+        """Return the failure detector's status of each head; empty if there is no detector."""
         if self.fleet.datagrams is None:
             return {}
         members = self.fleet.datagrams.detector.roster.members
         return {name: member.status.name.lower() for name, member in sorted(members.items())}
 
     async def change_voter(self, name: str, *, add: bool) -> VotersAnswer:
-        """Add or remove one voter; answered once the change is committed.
+        """Add or remove one voter; return once the change is committed.
 
         Raises:
-            NotLeaderError: Another head leads, or none.
+            NotLeaderError: Another head leads, or no head.
             UnavailableError: The candidate is not fit to vote, or no majority confirmed the change in time.
         """
         raft = self.fleet.replication.raft
@@ -150,9 +150,9 @@
         return VotersAnswer(names)
 
     async def _identify_candidate(self, name: str) -> Voter:
-        """Ask a head for its identity now; it must follow already.
+        """Return the current identity of a head, which must follow the log already.
 
-        A voter that holds nothing of the log yet would hold up the others.
+        A voter that lacks the log would delay commits.
 
         Raises:
             PeerUnreachable: The head does not answer.
@@ -175,9 +175,10 @@
         return candidate
 
     def recover(self) -> RecoveredAnswer:
-        """Go on alone with what this head holds, as a fleet of a new origin.
+        """Continue alone with the state of this head, as a new fleet.
 
-        Should the old fleet's voters come back, they are not heard, and what only they had agreed on is lost.
+        If the old fleet's voters come back, their messages are rejected, and what only they had committed is
+        lost.
 
         Raises:
             ConflictError: A majority is connected, or this head cannot vote.
@@ -190,7 +191,7 @@
         machine, raft = fleet.replication.machine, fleet.replication.raft
         origin = secrets.token_hex(ORIGIN_SIZE)
         logger.warning(
-            "heads: recovered as {origin}, alone, with what was agreed on up to {index}",
+            "heads: recovered alone as fleet {origin}, with the log up to index {index}",
             event="heads.recovered",
             origin=origin[:8],
             index=machine.index,
--- a/stoatrouter/peering/heads.py
+++ b/stoatrouter/peering/heads.py
@@ -1,6 +1,6 @@
-"""All that a head has of heads that know each other, put together from its file.
+"""Assembles the fleet and the services that heads share, from the operator's file.
 
-Loaded only where STOATROUTER_HEADS names a file.
+Imported only if STOATROUTER_HEADS names a file.
 """
 
 from __future__ import annotations
@@ -26,31 +26,32 @@
 
 __all__ = ["Heads", "load", "persisted_version"]
 
-POLL_INTERVAL = timedelta(milliseconds=20)  # between two looks whether this head may serve
+POLL_INTERVAL = timedelta(milliseconds=20)  # between two checks whether this head may serve
 
 
 class Heads:
-    """The fleet, and the services that the heads agree on.
+    """The fleet, and the services whose state the heads replicate.
 
     Attributes:
         settings: The settings of the heads.
-        fleet: This head among the others.
-        calls: What answers management calls, in the order they are tried.
-        credit: Prepaid credit; None where it is off.
-        rules: The shared history of rules; None where it is off.
-        tasks: The loops of the services that run since `start`.
+        fleet: This head's view of the other heads.
+        calls: Handlers of management calls, in the order they are tried.
+        credit: Prepaid credit; None if it is off.
+        rules: The shared history of rules; None if it is off.
+        tasks: The background loops of the services, started by `start`.
     """
 
     def __init__(self, settings: HeadsSettings, head: ServingHead, starting_version: int) -> None:
-        """Open the disk and put all parts together; nothing is sent or received before `start`.
+        """Open the disk and create all components; nothing is sent or received before `start`.
 
         Args:
             settings: The settings of the heads.
-            head: The head that these are parts of.
+            head: The head that the services belong to.
             starting_version: The version of the rules that the head starts with (`persisted_version`).
 
         Raises:
-            ConfigError: The heads' folder is in use, or its database belongs to something else.
+            ConfigError: The heads' folder is in use, or its database belongs to another program or a later
+                version.
         """
         self.settings = settings
         self.tasks: list[asyncio.Task[None]] = []
@@ -62,7 +63,7 @@
         self.fleet.restore_stored()
 
     async def start(self) -> None:
-        """Take part; returns once this head may serve, or serves with what it has stored.
+        """Start all loops; return once this head may serve, if need be with its stored state.
 
         Raises:
             OSError: An address cannot be listened on.
@@ -73,13 +74,13 @@
         if self.rules is not None:
             self.tasks.append(start_task("rules", self.rules.run))
         await poll_until(lambda: self.fleet.availability.serves)
-        # A head that comes back decides by what is in force, however long its table takes to compile.
+        # A restarted head serves by the version in force, however long its table takes to compile.
         await poll_until(lambda: self.rules is None or self.rules.caught_up)
         deadline = self.fleet.now() + self.settings.wait_at_start
         await poll_until(lambda: self._credit_ready() or self.fleet.now() >= deadline)
 
     def _credit_ready(self) -> bool:
-        """Whether nothing of credit has to be waited for: it is off, has registered, or cannot draw now."""
+        """Return whether credit needs no wait: it is off, registered, or the ledger cannot be reached now."""
         return self.credit is None or self.credit.registered or not self.fleet.availability.draws
 
     @property
@@ -88,14 +89,14 @@
         return self.fleet.availability.ready
 
     async def call(self, method: str, path: str, body: bytes) -> web.Response | None:
-        """Answer a management call that concerns the heads; None where it does not."""
+        """Answer a management call about the heads; None if it is about something else."""
         for call in self.calls:
             if (response := await call(method, path, body)) is not None:
                 return response
         return None
 
     async def close(self) -> None:
-        """End all services, the fleet last."""
+        """Stop all services, the fleet last."""
         await cancel_tasks(self.tasks)
         if self.rules is not None:
             await self.rules.close()
@@ -105,7 +106,7 @@
 
 
 async def poll_until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds; returns at once where it does."""
+    """Wait until a condition holds, checked at once and then every POLL_INTERVAL."""
     while not condition():
         await asyncio.sleep(POLL_INTERVAL.total_seconds())
 
--- a/stoatrouter/peering/leader_client.py
+++ b/stoatrouter/peering/leader_client.py
@@ -1,6 +1,6 @@
-"""Commands and reads, sent to whichever head leads and retried until it answers or the time is over.
+"""Sends commands and reads to the leader, and retries them until an answer or the timeout.
 
-A command that is retried takes effect once: the state machine answers a known id with the first answer
+A retried command takes effect once: the state machine answers a known id with the first answer
 (agreement/machine.py).
 """
 
@@ -24,13 +24,13 @@
 from stoatrouter.peering.streams import Streams
 
 ATTEMPT_TIMEOUT = timedelta(seconds=3)  # of one request to the leader
-MIN_APPLY_TIMEOUT = timedelta(milliseconds=50)  # for the log here, however late the answer came
+MIN_APPLY_TIMEOUT = timedelta(milliseconds=50)  # for applying the log here, even after a late answer
 FIRST_BACKOFF = timedelta(milliseconds=50)
 MAX_BACKOFF = timedelta(milliseconds=400)
 
 
 class LeaderClient:
-    """One head's commands and reads, which only the leader answers."""
+    """The commands and reads of one head, which only the leader answers."""
 
     def __init__(
         self,
@@ -46,12 +46,12 @@
 
         Args:
             settings: Names this head.
-            replication: Knows the leader, where this head votes, and what is applied here.
-            streams: To the leader.
-            follower: Knows the leader from polls, and which voter to try where none is known.
-            service: Answers where this head leads itself.
+            replication: Knows the leader if this head votes, and what is applied here.
+            streams: Sends requests to the leader.
+            follower: Knows the leader from polls, and which voter to try if none is known.
+            service: Answers if this head is the leader itself.
             now: This head's monotonic time.
-            rng: Draws the jitter of the backoff.
+            rng: Source of the backoff's jitter.
         """
         self._settings = settings
         self._replication = replication
@@ -67,20 +67,20 @@
         return self._replicated_leader() or self._follower.leader
 
     async def command(self, part: str, body: bytes, id: str, timeout: timedelta) -> bytes:
-        """Have a command committed by whoever leads.
+        """Have a command committed by the leader.
 
         Args:
             part: The part of the state machine that the command is for.
-            body: The command, as the part encodes it.
-            id: Its idempotency key: sent again under it, the command is not applied again.
-            timeout: How long it may take, retries included.
+            body: The command, encoded by the part.
+            id: The idempotency key: a command sent again under it is not applied again.
+            timeout: The time limit, retries included.
 
         Returns:
             The part's answer.
 
         Raises:
             LeaderUnavailable: No leader answered in time; the command may still take effect. Sent again under
-                its id it gives the one answer.
+                its id, it gets the same answer.
         """
         command = Command(id, part, body, self._settings.name)
         encoded = msgspec.msgpack.encode(command)
@@ -90,11 +90,11 @@
         return answer.body
 
     async def read(self, timeout: timedelta) -> None:
-        """Wait until all that was committed before the call is applied here, as the leader confirms it.
+        """Wait until all entries committed before the call are applied here, confirmed by the leader.
 
         Raises:
             LeaderUnavailable: No leader answered in time.
-            ReplicaBehind: What the leader had committed was not applied here in time.
+            ReplicaBehind: The leader's committed entries were not applied here in time.
         """
         deadline = self._now() + timeout
         answer = await self._request(calls.READ, b"", timeout, self._service.answer_read)
@@ -105,14 +105,14 @@
     async def _request(
         self, kind: str, body: bytes, timeout: timedelta, answer_here: Callable[[], Awaitable[bytes]]
     ) -> calls.Answer:
-        """Send a request to whoever leads, again and again until it is answered; raises LeaderUnavailable.
+        """Send a request to the leader, with retries until it is answered; raises LeaderUnavailable.
 
-        `answer_here` is how this head answers it, where it leads itself.
+        `answer_here` answers it if this head is the leader itself.
         """
         deadline = self._now() + timeout
         backoff = Backoff(FIRST_BACKOFF, MAX_BACKOFF, self._rng)
         reason = "no leader is known"
-        hint: str | None = None  # the leader, as the last answer had it
+        hint: str | None = None  # the leader according to the last answer
         while (left := deadline - self._now()) > timedelta(0):
             name = self._choose_head(hint)
             try:
@@ -129,13 +129,13 @@
             else:
                 if answer.ok:
                     return answer
-                reason = answer.why
+                reason = answer.reason
                 hint = answer.leader
             await self._pause(backoff.next_pause(), deadline)
         raise LeaderUnavailable(reason)
 
     def _choose_head(self, hint: str | None) -> str:
-        """The leader as far as it is known, by the surest source first; else the next voter."""
+        """Return the leader, from the most reliable source that knows it, or else the next voter."""
         return self._replicated_leader() or hint or self._follower.leader or self._follower.next_voter()
 
     def _replicated_leader(self) -> str | None:
@@ -143,6 +143,6 @@
         return leader.name if leader is not None else None
 
     async def _pause(self, seconds: float, deadline: timedelta) -> None:
-        """Wait before a retry, but not beyond the deadline."""
+        """Sleep before a retry, but not beyond the deadline."""
         left = (deadline - self._now()).total_seconds()
         await asyncio.sleep(min(seconds, max(0.0, left)))
--- a/stoatrouter/peering/leader_service.py
+++ b/stoatrouter/peering/leader_service.py
@@ -1,4 +1,4 @@
-"""What this head answers to the commands and reads of others, as the leader."""
+"""Answers the commands and reads of other heads, as the leader."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class LeaderService:
-    """One head's answers as the leader; a head that does not lead names the one that does, where it knows."""
+    """The leader's answers; a head that does not lead names the leader in its refusal, if known."""
 
     def __init__(self, replication: Replication) -> None:
         """Answer from this head's replicated log."""
         self._replication = replication
 
     async def answer_command(self, command: Command) -> bytes:
-        """Have a command committed; the encoded `calls.Answer`."""
+        """Have a command committed; return the encoded `calls.Answer`."""
         try:
             body = await self._replication.command(command, COMMIT_TIMEOUT)
             answer = calls.Answer(True, body, self._replication.machine.index)
@@ -32,7 +32,7 @@
         return msgspec.msgpack.encode(answer)
 
     async def answer_read(self) -> bytes:
-        """Confirm up to which index a read must have applied; the encoded `calls.Answer`."""
+        """Confirm the index that a read must have applied; return the encoded `calls.Answer`."""
         try:
             answer = calls.Answer(True, index=await self._replication.read(READ_TIMEOUT))
         except ReplicationError as error:
@@ -41,4 +41,4 @@
 
     def _refusal(self, error: ReplicationError) -> calls.Answer:
         leader = self._replication.raft.leader
-        return calls.Answer(False, why=str(error), leader=leader.name if leader else None)
+        return calls.Answer(False, reason=str(error), leader=leader.name if leader else None)
--- a/stoatrouter/peering/ledger_monitor.py
+++ b/stoatrouter/peering/ledger_monitor.py
@@ -1,6 +1,6 @@
-"""Tells the log from when to when a head did not know the ledger, and what became of requests meanwhile.
+"""Logs the periods in which a head's copy of the ledger is not current, and how requests fare in them.
 
-Decides nothing: what a head knows of the ledger, and what follows, is credit/ledger_knowledge.py's to say.
+credit/ledger_knowledge.py decides when the copy is current, and what follows from that.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from stoatrouter.credit.gate import UnownedCounts
 from stoatrouter.credit.ledger_knowledge import LedgerKnowledge, UnknownVolumes
 
-REPORT_INTERVAL = timedelta(seconds=5)  # between two lines of one gap: a killed head says no last word
+REPORT_INTERVAL = timedelta(seconds=5)  # between two lines about one gap: a killed head logs no end
 
 
 class LedgerMonitor:
-    """Watches one head's knowledge of the ledger."""
+    """Watches how current one head's copy of the ledger is."""
 
     def __init__(
         self,
@@ -26,25 +26,25 @@
         unknown_volumes: UnknownVolumes,
         now: Callable[[], timedelta],
     ) -> None:
-        """Watch from now on.
+        """Start watching.
 
         Args:
-            knowledge: What the head knows at this moment.
+            knowledge: Returns what the head knows of the ledger now.
             counts: The gate's counts since the head's start.
-            unknown_volumes: What becomes of volumes without a known customer in a gap.
+            unknown_volumes: The policy in a gap for volumes without a known customer.
             now: The head's monotonic time.
         """
         self._knowledge = knowledge
         self._counts = counts
         self._unknown_volumes = unknown_volumes
         self._now = now
-        self._known = LedgerKnowledge.CURRENT  # as the log has it
+        self._known = LedgerKnowledge.CURRENT  # the state logged last
         self._gap_began_at = now()
         self._reported_at = now()
         self._before_gap = UnownedCounts()
 
     def refresh(self) -> None:
-        """Log what has changed since the last look, and a gap that lasts now and then."""
+        """Log a change since the last call and, while a gap lasts, its counts every REPORT_INTERVAL."""
         knowledge = self._knowledge()
         if knowledge is not self._known:
             if knowledge is LedgerKnowledge.CURRENT:
@@ -56,7 +56,7 @@
             self._report_progress()
 
     def close(self) -> None:
-        """Log the counts of a gap that the head's end cuts short."""
+        """Log the counts of a gap that is still open when the head stops."""
         if self._known is not LedgerKnowledge.CURRENT:
             self._log_gap()
 
@@ -66,7 +66,7 @@
             self._before_gap = self._counts.copy()
         self._reported_at = self._now()
         logger.info(
-            "credit: the ledger is {state}, priced requests of volumes without a known customer: {policy}",
+            "credit: the ledger is {state}; policy for priced requests of unknown volumes: {policy}",
             event="credit.ledger_gap_began",
             state=knowledge.value,
             policy=self._unknown_volumes.value,
@@ -79,7 +79,8 @@
 
     def _log_gap(self) -> None:
         logger.info(
-            "credit: the ledger is {state} for {seconds:.1f} s: {rejected} rejected, {served} uncharged",
+            "credit: the ledger has been {state} for {seconds:.1f} s: {rejected} rejected, "
+            "{served} uncharged",
             event="credit.ledger_gap",
             state=self._known.value,
             **self._gap_fields(),
@@ -93,7 +94,7 @@
         )
 
     def _gap_fields(self) -> dict[str, float]:
-        """How long the gap lasts, in seconds, and what became of requests in it."""
+        """Return the length of the gap in seconds, and the counts of requests in it."""
         return {
             "seconds": (self._now() - self._gap_began_at) / timedelta(seconds=1),
             "rejected": self._counts.rejected - self._before_gap.rejected,
--- a/stoatrouter/peering/mapped_number.py
+++ b/stoatrouter/peering/mapped_number.py
@@ -1,7 +1,7 @@
-"""A number in a mapped file of its own, which a crash of the process does not lose.
+"""A number in a memory-mapped file of its own, which survives a crash of the process.
 
-A head has two beside its database: the number of the last write that it acknowledged, by which an older copy
-of the database is found out, and up to where the log on the disk is committed (`storage`).
+A head has two beside its database (`storage`): the number of the last write that it acknowledged, which
+reveals an older copy of the database, and the commit index of the log on the disk.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 import struct
 from pathlib import Path
 
-RECORD = struct.Struct(">QQ")  # the number twice: a torn store is found out
+RECORD = struct.Struct(">QQ")  # the number twice, which reveals a torn write
 
 
 class MappedNumber:
-    """A number that goes up, in a file of its own."""
+    """An increasing number in a memory-mapped file."""
 
     def __init__(self, path: Path) -> None:
-        """Map the file, which is created where there is none; raises OSError."""
+        """Map the file, created if missing; raises OSError."""
         self._file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
         os.ftruncate(self._file, RECORD.size)
         self._map = mmap.mmap(self._file, RECORD.size)
 
     def read(self) -> int:
-        """The number; 0 where the file is new. Of two halves that differ the lower counts: it was torn."""
+        """Return the number, 0 in a new file; after a torn write, the lower of the two copies."""
         first: int
         second: int
         first, second = RECORD.unpack(self._map[:])
--- a/stoatrouter/peering/operator_calls.py
+++ b/stoatrouter/peering/operator_calls.py
@@ -1,6 +1,6 @@
-"""The edge of operators' calls about the heads: typed answers and errors become JSON with a status code.
+"""The HTTP layer of operators' calls about the heads: maps typed answers and errors to JSON and status codes.
 
-`head_calls.py`, `credit_calls.py` and `rule_calls.py` answer the calls; each answer is a record whose fields
+`head_calls.py`, `credit_calls.py` and `rule_calls.py` answer the calls. Each answer is a record whose fields
 are the JSON keys.
 """
 
@@ -34,7 +34,7 @@
 
 
 class AcceptedAnswer(msgspec.Struct):
-    """Base of answers to calls whose effect is still to come."""
+    """Base of answers to calls that take effect later."""
 
 
 class ErrorAnswer(msgspec.Struct):
@@ -50,7 +50,7 @@
 
 
 class NotLeaderAnswer(ErrorAnswer):
-    """Another head answers this call."""
+    """Another head has to answer this call."""
 
     leader: str | None
 
@@ -66,7 +66,7 @@
     """Answers operators' calls of one kind."""
 
     async def call(self, method: str, path: str, body: bytes) -> web.Response | None:
-        """Answer one call; None where it is not of this kind."""
+        """Answer one call with an HTTP response; None if it is of another kind."""
         try:
             answer = await self.answer(method, path, body)
         except (CallError, OutOfBoundsError, ReplicationError) as error:
@@ -77,11 +77,11 @@
 
     @abstractmethod
     async def answer(self, method: str, path: str, body: bytes) -> msgspec.Struct | None:
-        """Answer one call; None where it is not of this kind.
+        """Answer one call with a record; None if it is of another kind.
 
         Raises:
             CallError: The call cannot be answered as asked.
-            OutOfBoundsError: A field is out of its bounds.
+            OutOfBoundsError: A field is out of bounds.
             ReplicationError: No majority confirmed it in time.
         """
 
@@ -92,7 +92,7 @@
     ROOT: ClassVar[str]
 
     async def answer(self, method: str, path: str, body: bytes) -> msgspec.Struct | None:
-        """Answer one call; None where its path does not lie below the root."""
+        """Answer one call; None if its path is not below the root."""
         if path != self.ROOT and not path.startswith(f"{self.ROOT}/"):
             return None
         parts = [unquote(part) for part in path[len(self.ROOT) :].split("/")[1:]]
@@ -106,21 +106,21 @@
         """Answer one call by the unquoted parts of its path below the root.
 
         Raises:
-            UnknownCallError: There is no such call.
+            UnknownCallError: No call has this method and path.
             CallError: The call cannot be answered as asked.
-            ValueError: Its body or path is malformed, or a field out of its bounds.
+            ValueError: Its body or path is malformed, or a field is out of bounds.
             ReplicationError: No majority confirmed it in time.
         """
 
 
 def json_response(status: int, answer: msgspec.Struct) -> web.Response:
-    """A record as an indented JSON object, ended by a newline."""
+    """Return a record as an indented JSON object with a final newline."""
     text = json.dumps(msgspec.to_builtins(answer), indent=1) + "\n"
     return web.Response(status=status, text=text, content_type="application/json")
 
 
 def error_response(error: CallError | OutOfBoundsError | ReplicationError) -> web.Response:
-    """The response to a call that raised an error."""
+    """Return the response to a call that raised an error."""
     text = str(error)
     match error:
         case MalformedCallError() | OutOfBoundsError():
@@ -142,6 +142,6 @@
     raise error
 
 
-def round_seconds(span: timedelta | None) -> float | None:
-    """A span in seconds, to the millisecond, as answers give it."""
-    return None if span is None else round(span.total_seconds(), 3)
+def round_seconds(duration: timedelta | None) -> float | None:
+    """Return a duration in seconds, rounded to the millisecond, as used in answers."""
+    return None if duration is None else round(duration.total_seconds(), 3)
--- a/stoatrouter/peering/propagation.py
+++ b/stoatrouter/peering/propagation.py
@@ -1,9 +1,9 @@
-"""When a committed change is known to every head that may still decide by what it has applied.
+"""Determines when a committed change is known to every head that may still decide by its own copy.
 
-A head's copy counts as current only while it has followed a voter within `cut_off_after`. So the voters know
-all heads that matter: themselves, and who has polled them lately and from which index on. Where one of them
-cannot be asked, the span is waited out: after it, a head that has not applied the change knows that it is
-cut off.
+A head's copy counts as current only while it has followed a voter within `cut_off_after`. The voters
+therefore know all heads that matter: themselves, and their recent pollers with the index polled from. If a
+voter cannot be asked, the call waits for that time to pass: afterwards, a head that has not applied the
+change knows that it is cut off.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 from stoatrouter.peering.replication import Replication
 from stoatrouter.peering.streams import Streams
 
-MAX_POLLERS = 16_384  # beyond, the one that polled longest ago is forgotten, and nothing is confirmed
-VOTER_TIMEOUT = timedelta(milliseconds=500)  # of one question to a voter
+MAX_POLLERS = 16_384  # beyond, the least recent poller is evicted, and no change is confirmed for a while
+VOTER_TIMEOUT = timedelta(milliseconds=500)  # of one request to a voter
 CHECK_INTERVAL = timedelta(milliseconds=20)
 
 
 class RecentPolls:
-    """Which processes have polled this head lately, and what they had applied."""
+    """The processes that have polled this head lately, and what they had applied."""
 
     def __init__(self, retention: timedelta) -> None:
-        """Remember none.
+        """Start without polls.
 
         Args:
-            retention: How long a poll matters after it was answered.
+            retention: How long a poll counts after it was answered.
         """
         self._retention = retention
         self._polls: OrderedDict[tuple[str, int], tuple[timedelta, int]] = OrderedDict()
-        self._evicted_at: timedelta | None = None  # when a poll was forgotten that still mattered
+        self._evicted_at: timedelta | None = None  # when a poll that still counted was evicted
 
     def note(self, name: str, incarnation: int, applied: int, now: timedelta) -> None:
-        """Note a poll, as it comes and as it is answered."""
+        """Record a poll; called when it arrives and when it is answered."""
         process = (name, incarnation)
         _, known = self._polls.get(process, (now, 0))
         self._polls[process] = (now, max(known, applied))
@@ -52,14 +52,14 @@
             self._evicted_at = now
 
     def progress(self, now: timedelta) -> tuple[tuple[str, int, int], ...] | None:
-        """The name, incarnation and applied index of each; None where one that matters was forgotten."""
+        """Return name, incarnation and applied index of each poller; None if one was evicted too early."""
         self.drop_expired(now)
         if self._evicted_at is not None and now - self._evicted_at <= self._retention:
             return None
         return tuple((*process, applied) for process, (_, applied) in self._polls.items())
 
     def drop_expired(self, now: timedelta) -> None:
-        """Forget the polls that matter no more."""
+        """Drop the polls that no longer count."""
         while self._polls:
             process, (at, _) = next(iter(self._polls.items()))
             if now - at <= self._retention:
@@ -68,7 +68,7 @@
 
 
 class ChangePropagation:
-    """One head's view of how far a committed change has come."""
+    """One head's view of which heads have applied a committed change."""
 
     def __init__(
         self,
@@ -82,9 +82,9 @@
 
         Args:
             me: The name of this head.
-            cut_off_after: How long a copy counts as current after a voter was last followed.
-            replication: What is applied here, and who votes.
-            streams: To the voters.
+            cut_off_after: How long a copy counts as current after the last contact with a voter.
+            replication: Knows what is applied here, and who votes.
+            streams: Sends requests to the voters.
             now: This head's monotonic time.
         """
         self.max_staleness = cut_off_after * CLOCK_DRIFT
@@ -95,19 +95,19 @@
         self._now = now
 
     async def run_forever(self) -> None:
-        """Forget old polls now and then: it may be long until another poll or question comes."""
+        """Drop old polls periodically: it may be long until the next poll or request arrives."""
         while True:
             await asyncio.sleep(self.max_staleness.total_seconds())
             self.polls.drop_expired(self._now())
 
     async def wait_until_known(self, index: int | None) -> bool:
-        """Wait until no head can decide any more by what was before an index.
+        """Wait until no head can decide by a state before an index any more.
 
         Args:
-            index: Of the change, which is committed; None: not known.
+            index: The index of the committed change; None: unknown.
 
         Returns:
-            Whether all heads have applied it; else the others must have noticed that they are cut off.
+            Whether all heads have applied it; if not, the others must have noticed that they are cut off.
         """
         deadline = self._now() + self.max_staleness
         while (left := deadline - self._now()) > timedelta(0):
@@ -119,14 +119,14 @@
         return False
 
     async def answer(self, envelope: Envelope) -> bytes:
-        """Answer another head's question how far this one and its followers are."""
+        """Answer another head's request for the progress of this one and its followers."""
         return msgspec.msgpack.encode(self._own_progress())
 
     def _own_progress(self) -> calls.Progress:
         return calls.Progress(self._replication.machine.index, self.polls.progress(self._now()))
 
     async def _is_applied_everywhere(self, index: int, timeout: timedelta) -> bool:
-        """Whether all voters have applied an index, and all that polled them lately."""
+        """Return whether all voters and their recent pollers have applied an index."""
         voters = {voter.name for voter in self._replication.raft.voters}
         if self._replication.machine.index < index or not voters:
             return False
@@ -137,13 +137,13 @@
                 return False
             for name, incarnation, polled in progress.polls:
                 if name in voters:
-                    continue  # asked itself; an earlier process of it is dead
+                    continue  # voters are asked directly; an earlier process of one is dead
                 process = (name, incarnation)
                 applied[process] = max(applied.get(process, 0), polled)
         return all(reached >= index for reached in applied.values())
 
     async def _progress_of(self, name: str, timeout: timedelta) -> calls.Progress | None:
-        """A voter's progress; None where it gives no answer."""
+        """Return a voter's progress; None if it does not answer."""
         if name == self._me:
             return self._own_progress()
         try:
--- a/stoatrouter/peering/replication.py
+++ b/stoatrouter/peering/replication.py
@@ -1,7 +1,7 @@
-"""The replication loop of one head: runs the effects of agreement/raft.py, and who waits for their outcome.
+"""The replication loop of one head: carries out the effects of agreement/raft.py and resolves their waiters.
 
-Decides nothing: what is accepted, committed and applied, and in which order, is `Raft`'s to say. A message
-that must not go out before a write is on the disk waits for it here (`Persist`).
+`Raft` decides what is accepted, committed and applied, and in which order. A message that must not be sent
+before a write is on the disk is held here until then (`Persist`).
 """
 
 from __future__ import annotations
@@ -56,27 +56,27 @@
 from stoatrouter.peering.storage import BootstrapWrite, Storage, StoredState
 
 TICK_INTERVAL = timedelta(milliseconds=20)
-# A snapshot is taken once so much was applied since the last one.
+# A snapshot is taken once either was applied since the last one.
 COMPACT_ENTRIES = 1_000
 COMPACT_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(slots=True, frozen=True)
 class PendingProposal:
-    """A proposal in the log that its proposer waits for."""
+    """A proposal in the log whose proposer is waiting."""
 
-    term: int  # the entry's; another term at its index is another leader's entry
+    term: int  # of the entry; another term at its index means another leader's entry
     answer: asyncio.Future[bytes]
 
 
 class Replication:
-    """One head's replicated log and state machine, running.
+    """The replicated log and state machine of one head.
 
     Attributes:
         machine: The state machine that committed entries are applied to.
-        raft: The agreement; replaced as a whole where the head begins with another state (`begin`).
-        disk_writable: False once the disk takes no writes: this head has no vote then.
-        changed: Set and replaced whenever entries were applied; wait for it, then look again.
+        raft: The agreement; replaced as a whole when the head starts from another state (`start_from`).
+        disk_writable: False once the disk takes no writes; this head then has no vote.
+        changed: Set and replaced whenever entries were applied; after a wait, fetch it again.
     """
 
     def __init__(
@@ -91,17 +91,17 @@
         send: Callable[[Voter, AnyMessage], None],
         on_change: Callable[[], None],
     ) -> None:
-        """Begin with what is on the disk; `restore_stored` applies it once all parts are known.
+        """Start from the state on the disk; `restore_stored` applies it once all parts are known.
 
         Args:
             me: This head, with the identity of its disk.
             stored: What the disk holds.
-            storage: The open storage; it is written to from a thread of its own and closed by `close`.
-            machine: What committed entries are applied to.
+            storage: The open storage; written to from a separate thread, and closed by `close`.
+            machine: The state machine that committed entries are applied to.
             timing: Heartbeat and election timings.
-            seed: Of the election timeouts.
+            seed: Seeds the election timeouts.
             now: This head's monotonic time.
-            send: Sends a message to another voter; it does not wait.
+            send: Sends a message to another voter without waiting.
             on_change: Called after entries were applied and when the leader has changed.
         """
         self.machine = machine
@@ -116,23 +116,23 @@
         self._now = now
         self._send = send
         self._on_change = on_change
-        self._bytes_since_snapshot = 0  # applied
+        self._bytes_since_snapshot = 0  # of applied entries
         self._storage = storage
         self._record_commit()
         self._last_request = 0  # numbers the ids of proposals and reads
         self._proposals: dict[int, PendingProposal] = {}  # by index
         self._reads: dict[str, asyncio.Future[int]] = {}  # by id
-        self._proposal_outcome: Accepted | Rejected | None = None  # of the latest one, known at once
+        self._proposal_outcome: Accepted | Rejected | None = None  # of the latest proposal, known at once
 
     def restore_stored(self) -> None:
-        """Apply what the disk held as committed at the start, once all parts of the machine are known."""
+        """Apply the entries stored as committed, after all parts of the state machine were added."""
         self.machine.restore(self._stored_snapshot.index, self._stored_snapshot.state)
         for entry in self.raft.restored_entries():
             self.machine.apply(entry)
 
     # -- for callers --------------------------------------------------------------------------------------
     async def propose(self, body: bytes, kind: str, timeout: timedelta) -> bytes:
-        """Have an entry committed, here at the leader.
+        """Have an entry committed; for the leader only.
 
         Args:
             body: The entry's body.
@@ -143,10 +143,10 @@
             The machine's answer to a command; b"" for other entries.
 
         Raises:
-            ProposalRejected: This head does not lead, or cannot take the entry now.
+            ProposalRejected: This head does not lead, or cannot accept the entry now.
             CommitTimeout: It was not committed in time; it may be later.
             EntryOverwritten: Another leader's entry was committed in its place.
-            OutcomeCompacted: A snapshot came that covers its index.
+            OutcomeCompacted: A snapshot that covers its index arrived.
         """
         accepted = self._submit_proposal(body, kind)
         answer: asyncio.Future[bytes] = self._loop.create_future()
@@ -160,7 +160,7 @@
             self._proposals.pop(accepted.index, None)
 
     def _submit_proposal(self, body: bytes, kind: str) -> Accepted:
-        """Put a proposal to the agreement, which accepts or rejects it at once; raises ProposalRejected."""
+        """Submit a proposal to the agreement, which decides at once; raises ProposalRejected."""
         request_id = self._next_id("p")
         self._step(Propose(self._now(), request_id, body, kind))
         outcome = self._proposal_outcome
@@ -170,21 +170,21 @@
         raise ProposalRejected(outcome.reason)
 
     async def command(self, command: Command, timeout: timedelta) -> bytes:
-        """Have a command committed, here at the leader; its answer. Raises as `propose` does."""
+        """Have a command committed and return its answer; for the leader only. Raises as `propose` does."""
         return await self.propose(encode(command), COMMAND, timeout)
 
     async def change_voters(self, body: bytes, timeout: timedelta) -> None:
-        """Have a change of the voters committed, here at the leader. Raises as `propose` does."""
+        """Have a change of the voters committed; for the leader only. Raises as `propose` does."""
         await self.propose(body, VOTERS, timeout)
 
     async def read(self, timeout: timedelta) -> int:
-        """Confirm with a majority, here at the leader, up to which index a read must have applied.
+        """Confirm with a majority the index that a read must have applied; for the leader only.
 
         The result is Raft's read index (Ongaro's thesis, section 6.4): a read is linearizable at any head
         that has applied the log up to it.
 
         Raises:
-            ProposalRejected: This head does not lead, or ceased to while it waited.
+            ProposalRejected: This head does not lead, or lost the lead while waiting.
             ReadTimeout: No majority answered in time.
         """
         request_id = self._next_id("r")
@@ -200,7 +200,7 @@
             self._reads.pop(request_id, None)
 
     async def wait_applied(self, index: int, timeout: timedelta) -> bool:
-        """Wait until an index is applied here; False on a timeout."""
+        """Wait until an index is applied here; return False on a timeout."""
         try:
             async with asyncio.timeout(timeout.total_seconds()):
                 while self.machine.index < index:
@@ -210,11 +210,11 @@
         return True
 
     def receive(self, sender: Voter, message: AnyMessage) -> None:
-        """Take in a message of another voter."""
+        """Process a message from another voter."""
         self._step(Received(self._now(), sender, message))
 
     def receive_committed(self, fetched: calls.Fetched) -> None:
-        """Take in the committed entries that a voter has answered a poll with."""
+        """Process the committed entries in a voter's answer to a poll."""
         self._step(
             CommittedReceived(
                 self._now(),
@@ -226,18 +226,18 @@
             )
         )
 
-    def store(self, write: BootstrapWrite, done: Callable[[], None]) -> None:
-        """Store what the fleet's bootstrap promises; `done` is called once it is on the disk."""
-        self._writer.put(write, done)
+    def store(self, write: BootstrapWrite, on_durable: Callable[[], None]) -> None:
+        """Store a write of the fleet's bootstrap; `on_durable` is called once it is on the disk."""
+        self._writer.put(write, on_durable)
 
-    def start_from(self, snapshot: Snapshot, term: int, origin: str, done: Callable[[], None]) -> None:
-        """Begin with a state, in one write: a founding, or a survivor's own when the voters are lost.
+    def start_from(self, snapshot: Snapshot, term: int, origin: str, on_durable: Callable[[], None]) -> None:
+        """Replace the whole state in one write: by a founding, or at a recovery by the survivor's own state.
 
         Args:
-            snapshot: The state, and the voters that go on with it.
-            term: The term that the log goes on in.
+            snapshot: The new state and its voters.
+            term: The term in which the log continues.
             origin: The identity of the fleet that this head belongs to from now on.
-            done: Called once the beginning is on the disk and has taken effect.
+            on_durable: Called once the new state is on the disk and in effect.
         """
         before = self.raft
         write = Write(term, None, cut_from=1, snapshot=snapshot, keep_from=snapshot.index + 1, origin=origin)
@@ -247,18 +247,18 @@
             self.raft = Raft(before.me, disk, before.seed, before.timing, now=self._now())
             self._record_commit()
             self._restore(snapshot)
-            done()
+            on_durable()
 
         self._writer.put(write, on_written)
 
     async def run_forever(self) -> None:
-        """Let time pass for the agreement."""
+        """Pass the time to the agreement at every tick."""
         while True:
             self._step(Tick(self._now()))
             await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     def close(self) -> None:
-        """Finish what is queued for the disk, and close the storage."""
+        """Finish queued writes and close the storage."""
         self._writer.close()
 
     def _next_id(self, prefix: str) -> str:
@@ -267,14 +267,14 @@
 
     # -- events in, effects out ---------------------------------------------------------------------------
     def _step(self, event: Event) -> None:
-        """Reduce an event of the agreement, and run its effects in order."""
+        """Reduce an event of the agreement, and carry out its effects in order."""
         for effect in self.raft.reduce(event):
             self._perform(effect)
         if self.raft.durable_commit_index != self._recorded_commit:
             self._record_commit()
 
     def _record_commit(self) -> None:
-        """Record up to where the log on the disk is committed, for the next start of this head."""
+        """Record the commit index of the log on the disk, for the next start of this head."""
         self._recorded_commit = self.raft.durable_commit_index
         self._storage.record_commit(self._recorded_commit)
 
@@ -300,21 +300,21 @@
                 report_log_lost(effect)
 
     def _on_written(self, durable: Persist) -> None:
-        """Send what has waited for a write, which is on the disk."""
+        """Send the messages held back for a write that is now on the disk."""
         for send in durable.then:
             self._send(send.to, send.message)
         self._step(WriteCompleted(self._now(), durable.number))
 
     def _on_disk_failure(self, reason: str) -> None:
-        """Give up this head's vote: its disk takes no writes any more."""
+        """Give up this head's vote, because its disk takes no more writes."""
         logger.error(
-            "heads: the disk takes no writes, this head has no voice: {why}", event="heads.disk", why=reason
+            "heads: the disk takes no writes, this head has no vote: {why}", event="heads.disk", why=reason
         )
         self.disk_writable = False
         self._step(DiskFailed(self._now()))
 
     def _apply(self, entries: tuple[Entry, ...]) -> None:
-        """Apply committed entries, answer their proposers, and compact the log where it has grown enough."""
+        """Apply committed entries, answer their proposers, and compact the log once it is large enough."""
         for entry in entries:
             answer = self.machine.apply(entry)
             self._bytes_since_snapshot += len(entry.body)
@@ -326,17 +326,21 @@
             self._step(Compact(self._now(), self.machine.index, self.machine.state()))
 
     def _restore(self, snapshot: Snapshot) -> None:
-        """Replace all that was applied by a snapshot."""
-        logger.info("heads: caught up by a snapshot at {index}", event="heads.restored", index=snapshot.index)
+        """Replace the applied state by a snapshot."""
+        logger.info(
+            "heads: restored the state from a snapshot at index {index}",
+            event="heads.restored",
+            index=snapshot.index,
+        )
         self.machine.restore(snapshot.index, snapshot.state)
         for index, proposal in self._proposals.items():
             if index <= snapshot.index and not proposal.answer.done():
                 proposal.answer.set_exception(OutcomeCompacted())
         self._notify_applied()
 
-    # -- who waits ----------------------------------------------------------------------------------------
+    # -- waiters ------------------------------------------------------------------------------------------
     def _resolve_proposal(self, entry: Entry, answer: bytes) -> None:
-        """Answer whoever waits for the entry at this index."""
+        """Answer the proposer that waits for the entry at this index."""
         proposal = self._proposals.get(entry.index)
         if proposal is None or proposal.answer.done():
             return
@@ -351,7 +355,7 @@
             index.set_result(readable.index)
 
     def _reject(self, rejected: Rejected) -> None:
-        """Fail the read of this id; without one it is a proposal, whose caller looks for the rejection."""
+        """Fail the read with this id; if there is none, keep the rejection for the proposal's caller."""
         index = self._reads.get(rejected.id)
         if index is None:
             self._proposal_outcome = rejected
@@ -359,7 +363,7 @@
             index.set_exception(ProposalRejected(rejected.reason))
 
     def _notify_applied(self) -> None:
-        """Wake those who wait for an index to be applied."""
+        """Wake the callers that wait for an index to be applied."""
         self.changed.set()
         self.changed = asyncio.Event()
         self._on_change()
@@ -369,15 +373,15 @@
             "heads: term {term}, {leader} leads",
             event="heads.role",
             term=change.term,
-            leader=change.leader or "nobody known",
+            leader=change.leader or "no known head",
         )
         self._on_change()
 
 
 def report_log_lost(lost: LogLost) -> None:
-    """Log that this head's disk is older than what it acknowledged."""
+    """Log that this head's disk lacks entries that it acknowledged."""
     logger.error(
-        "heads: the disk holds {held} of {acknowledged} entries acknowledged: it votes no more",
+        "heads: the disk holds {held} of {acknowledged} acknowledged entries: giving up the vote",
         event="heads.forgot",
         held=lost.last_on_disk,
         acknowledged=lost.acknowledged,
--- a/stoatrouter/peering/rule_calls.py
+++ b/stoatrouter/peering/rule_calls.py
@@ -1,12 +1,12 @@
-"""Operators' calls about the history of rules. They need no rule table: no edit can lock anybody out of them.
+"""Operators' calls about the history of rules. They do not pass the rule table, so no edit can block them.
 
-GET  /control/rules               which version this head decides by, how old it is, the history
-GET  /control/rules/newest        the newest version, as a majority confirms it
+GET  /control/rules               the version active at this head, its age, the history
+GET  /control/rules/newest        the newest version, confirmed by a majority
 GET  /control/rules/versions/N    one version, with its files
 POST /control/rules/edits         {"id", "base", "root", "files", "author", "reason"}
 POST /control/rules/undo          {"id", "version", "to", "author", "reason"}
 GET  /control/rules/edits/ID      the state of an edit or undo: accepted, in force on N of M, everywhere,
-                                  or abandoned and why
+                                  or abandoned with the reason
 """
 
 from __future__ import annotations
@@ -49,12 +49,12 @@
 FILE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,99}\.cue")
 ALLOWED_FILE_NAME = f"NAME.cue of up to {MAX_FILE_NAME_LENGTH} letters, digits, _ . -"
 MAX_FILES = 256  # of one rule set
-MAX_VERSIONS_SHOWN = 50  # of the history, the newest
-CONTENT_DIGEST_SIZE = 8  # bytes of a command's digest in its id
+MAX_VERSIONS_SHOWN = 50  # the newest versions of the history
+CONTENT_DIGEST_SIZE = 8  # bytes of the digest of its content in a command's id
 
 
 class EditState(enum.StrEnum):
-    """How far an edit or undo has come."""
+    """The progress of an edit or undo."""
 
     ACCEPTED = "accepted"
     IN_FORCE = "in force"
@@ -64,7 +64,7 @@
 
 # -- requests ---------------------------------------------------------------------------------------------
 class EditRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A rule set to be put in force."""
+    """A rule set to put in force."""
 
     id: str
     base: int
@@ -75,7 +75,7 @@
 
 
 class UndoRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A version to be undone."""
+    """A version to undo."""
 
     id: str
     version: int
@@ -108,31 +108,31 @@
 
 
 class EditAnswer(VersionAnswer):
-    """One version and how far it has come."""
+    """One version and its progress."""
 
     state: EditState
-    newest: int | UnsetType = UNSET  # where it came into force
-    on: int | UnsetType = UNSET  # heads that decide by it or a newer one, where the leader is reached
-    of: int | UnsetType = UNSET  # live heads
-    missing: list[str] | UnsetType = UNSET  # live heads that do not decide by it yet
-    why: str | UnsetType = UNSET  # where it is abandoned
+    newest: int | UnsetType = UNSET  # set once it has come into force
+    on: int | UnsetType = UNSET  # number of heads with it or a newer one active; set if the leader answers
+    of: int | UnsetType = UNSET  # number of live heads
+    missing: list[str] | UnsetType = UNSET  # live heads at which it is not active yet
+    why: str | UnsetType = UNSET  # set if it is abandoned
 
 
 class EditAccepted(AcceptedAnswer):
-    """The version that an edit or undo is to become."""
+    """The version that an edit or undo will become."""
 
     number: int
     id: str
 
 
 class NewestAnswer(msgspec.Struct):
-    """The number of the version in force; 0: none ever was."""
+    """The number of the version in force; 0: there was none yet."""
 
     newest: int
 
 
 class HistoryAnswer(msgspec.Struct):
-    """What this head decides by, and the history as it knows it."""
+    """The version active at this head, and the history as it knows it."""
 
     version: int
     active_for: float = msgspec.field(name="held_for_s")  # seconds
@@ -151,7 +151,7 @@
     ROOT = "/control/rules"
 
     def __init__(self, service: RulesService) -> None:
-        """Answer about the history of rules at one head."""
+        """Answer calls about the history of rules at one head."""
         self.service = service
 
     async def answer_parts(self, method: str, parts: list[str], body: bytes) -> msgspec.Struct:
@@ -172,7 +172,7 @@
         raise UnknownCallError
 
     def describe_history(self) -> HistoryAnswer:
-        """What this head decides by, and the history as it knows it; also without a majority."""
+        """Return the active version and the history known here; works without a majority."""
         service, history, fleet = self.service, self.service.history, self.service.fleet
         active_for = fleet.now() - service.active_since
         return HistoryAnswer(
@@ -188,12 +188,12 @@
         )
 
     async def read_newest(self) -> NewestAnswer:
-        """The number of the version in force, as a majority confirms it."""
+        """Return the number of the version in force, confirmed by a majority."""
         await self.service.fleet.read(READ_TIMEOUT)
         return NewestAnswer(self.service.history.newest)
 
     async def read_version(self, number: int) -> VersionFilesAnswer:
-        """One version with its files, as a majority confirms it."""
+        """Return one version with its files, confirmed by a majority."""
         await self.service.fleet.read(READ_TIMEOUT)
         history = self.service.history
         version = history.find_version(number)
@@ -204,7 +204,7 @@
         return VersionFilesAnswer(**fields, root=rule_set.root, files=rule_set.files)
 
     async def edit(self, request: EditRequest) -> EditAccepted:
-        """Ask for a rule set to be put in force."""
+        """Submit a rule set to put in force."""
         check_attribution(request)
         check_number("base", request.base, MAX_VERSION)
         self._check_files(request)
@@ -221,7 +221,7 @@
         return await self._submit(command)
 
     def _check_files(self, request: EditRequest) -> None:
-        """Raise OutOfBoundsError unless these files may be a version."""
+        """Raise OutOfBoundsError unless the files are acceptable as a version."""
         if len(request.files) > MAX_FILES:
             raise OutOfBoundsError("files", f"{len(request.files)} of them", f"up to {MAX_FILES}")
         for name in sorted(request.files):
@@ -236,7 +236,7 @@
             raise OutOfBoundsError("files", f"{size} bytes", f"up to {largest}")
 
     async def undo(self, request: UndoRequest) -> EditAccepted:
-        """Ask for a version to be undone."""
+        """Submit the undo of a version."""
         check_attribution(request)
         check_number("version", request.version, MAX_VERSION)
         check_number("to", request.to, MAX_VERSION)
@@ -267,7 +267,7 @@
         return EditAccepted(result.number, command.id)
 
     async def read_edit(self, id: str) -> EditAnswer:
-        """How far an edit or undo has come, as a majority confirms it."""
+        """Return the progress of an edit or undo, confirmed by a majority."""
         check_id("id", id)
         history = self.service.history
         await self.service.fleet.read(READ_TIMEOUT)
@@ -283,7 +283,7 @@
         return await self._describe_rollout(version)
 
     async def _describe_rollout(self, version: Version) -> EditAnswer:
-        """On which heads a version that came into force decides."""
+        """Return at which heads a version that came into force is active."""
         status = await self.service.rollout.fetch_status()
         newest = self.service.history.newest
         if status is None:
@@ -301,21 +301,21 @@
 
 
 def check_attribution(request: EditRequest | UndoRequest) -> None:
-    """Raise OutOfBoundsError unless the request says, in few words, what it is, who asks and why."""
+    """Raise OutOfBoundsError unless the id, the author and the reason are within their bounds."""
     check_id("id", request.id)
     check_text("author", request.author, MAX_PERSON_LENGTH, min_length=1)
     check_text("reason", request.reason, MAX_REASON_LENGTH)
 
 
 def parse_version_number(text: str) -> int:
-    """Parse a version's number in a path; raises OutOfBoundsError."""
+    """Parse a version number in a path; raises OutOfBoundsError."""
     if not text.isascii() or not text.isdigit() or len(text) > len(str(MAX_VERSION)):
         raise OutOfBoundsError("version", quote_found(text), f"a number up to {MAX_VERSION}")
     return int(text)
 
 
 def describe_version(version: Version) -> VersionAnswer:
-    """A version as answers give it."""
+    """Return the answer's record of a version."""
     return VersionAnswer(**msgspec.structs.asdict(version))
 
 
@@ -329,6 +329,6 @@
     missing: list[str] | UnsetType = UNSET,
     why: str | UnsetType = UNSET,
 ) -> EditAnswer:
-    """A version and how far it has come; what is not set does not stand in the answer."""
+    """Return a version and its progress; unset fields are left out of the answer."""
     fields = msgspec.structs.asdict(version)
     return EditAnswer(**fields, state=state, newest=newest, on=on, of=of, missing=missing, why=why)
--- a/stoatrouter/peering/rule_compiler.py
+++ b/stoatrouter/peering/rule_compiler.py
@@ -1,4 +1,4 @@
-"""Compiles the tables of versions beside the requests, one at a time; remembers which cannot be loaded."""
+"""Compiles rule tables of versions in the background, one at a time; keeps the errors of failed ones."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from stoatrouter.peering.rule_store import RuleStore
 from stoatrouter.settings import SettingsError
 
-MAX_ERROR_LENGTH = 2_000  # characters; the rest is cut off
+MAX_ERROR_LENGTH = 2_000  # characters; longer texts are truncated
 
 
 class RuleCompiler:
-    """The compiled tables and load errors of one head, by the digest of their rule set."""
+    """The compiled tables and load errors of one head, by digest of the rule set."""
 
     def __init__(self, tables: TableService, store: RuleStore, history: RuleHistory) -> None:
-        """Compile nothing yet.
+        """Start without tables.
 
         Args:
             tables: Compiles rule files.
-            store: Where the files of rule sets are written.
+            store: Writes the files of rule sets.
             history: Holds the rule sets.
         """
         self.tables, self.store, self.history = tables, store, history
@@ -35,7 +35,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start_next(self, wanted: Iterable[Version]) -> None:
-        """Start to compile the first of these versions that was not tried yet, unless one is compiling."""
+        """Start compiling the first of these versions not tried yet, unless a compilation is running."""
         if self._task is not None and not self._task.done():
             return
         for version in wanted:
@@ -53,11 +53,11 @@
         except (SettingsError, ConfigError) as error:
             self._record_error(version, str(error))
         except (OSError, MemoryError) as error:
-            # Guards a head that lacks a resource which others have: it reports so, and serves on.
+            # A head that lacks a resource which others have reports that and continues to serve.
             self._record_error(version, f"{type(error).__name__}: {error}")
 
     def _record_error(self, version: Version, error: str) -> None:
-        # where the set lies at this head is of no use to whoever reads it at another
+        # The error is read at other heads, to which the local path of the rule set means nothing.
         error = error.replace(f"{self.store.rule_sets / version.digest}{os.sep}", "")[:MAX_ERROR_LENGTH]
         self.errors[version.digest] = error
         logger.error(
@@ -68,12 +68,12 @@
         )
 
     def retain(self, digests: Container[str]) -> None:
-        """Forget the tables and errors of all other rule sets."""
+        """Drop the tables and errors of all other rule sets."""
         self.compiled = {digest: made for digest, made in self.compiled.items() if digest in digests}
         self.errors = {digest: error for digest, error in self.errors.items() if digest in digests}
 
     async def close(self) -> None:
-        """Cancel the compilation under way."""
+        """Cancel the running compilation."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
--- a/stoatrouter/peering/rule_rollout.py
+++ b/stoatrouter/peering/rule_rollout.py
@@ -1,6 +1,6 @@
-"""The rollout of versions over the heads: each head's reports to the leader, and the leader's part.
+"""The rollout of versions to all heads: reports of each head to the leader, and the leader's decision.
 
-Decides nothing: when a version is activated or abandoned stands in history/activation.py.
+history/activation.py decides when a version is activated or abandoned.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 from stoatrouter.peering.fleet import Fleet
 from stoatrouter.peering.settings import RulesSettings
 
-PART = "rules"  # the history's name in the heads' log, and the kind of a HeadReport over streams
+PART = "rules"  # the name of the history's part of the state machine, and the kind of a HeadReport on streams
 STATUS = "rules-status"  # the kind of a request for the RolloutStatus
 REPORT_INTERVAL = timedelta(seconds=2)
 REPORT_INTERVAL_PENDING = timedelta(milliseconds=300)  # while a version is pending
-REPORT_LIFETIME = timedelta(seconds=10)  # an older report no longer counts in the status
+REPORT_LIFETIME = timedelta(seconds=10)  # older reports are left out of the status
 STREAM_TIMEOUT = timedelta(seconds=1)
 COMMAND_TIMEOUT = timedelta(seconds=3)
 
 
 class HeadReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one head reports of itself to the leader. Over streams: fields go by position."""
+    """What one head reports to the leader. Sent over streams: fields are identified by position."""
 
-    active_version: int  # that it decides by; 0: its own files
-    checked_version: int = 0  # the pending version, where this head has tried to load it
+    active_version: int  # 0: the head's own files
+    checked_version: int = 0  # the pending version, once this head has tried to load it
     loadable: bool = True
     error: str = ""  # with the file and line
 
 
 class RolloutStatus(msgspec.Struct, frozen=True, array_like=True):
-    """Which version each live head decides by, as the leader knows. Over streams: fields go by position."""
+    """The active versions known to the leader. Sent over streams: fields are identified by position."""
 
     active_versions: dict[str, int]  # by head
     live_heads: list[str]  # sorted
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A head's report and when it came, in the fleet's monotonic time."""
+    """A head's report and the monotonic time of its arrival."""
 
     report: HeadReport
     received_at: timedelta
 
 
 class RuleRollout:
-    """One head's reports and, while it leads, the decision about the pending version."""
+    """Sends one head's reports, and decides about the pending version while it leads."""
 
     def __init__(
         self,
@@ -64,26 +64,26 @@
         history: RuleHistory,
         make_report: Callable[[], HeadReport],
     ) -> None:
-        """Answer reports and status requests of other heads from now on.
+        """Register the handlers of other heads' reports and status requests.
 
         Args:
             settings: The operator's settings of the history.
             fleet: The heads.
-            history: The versions that the heads agreed on.
-            make_report: Gives this head's own report.
+            history: The replicated history of versions.
+            make_report: Returns this head's own report.
         """
         self.settings, self.fleet, self.history, self.make_report = settings, fleet, history, make_report
         self._received: dict[str, ReceivedReport] = {}  # by head; used while this head leads
         self._sent: HeadReport | None = None
         self._sent_at = timedelta(0)
-        self._pending_number = 0  # the pending version that this leader has seen; 0: none
+        self._pending_number = 0  # the pending version seen while leading; 0: none
         self._pending_since = timedelta(0)
         fleet.handlers[PART] = self.receive_report
         fleet.handlers[STATUS] = self.answer_status
 
     # -- reports ------------------------------------------------------------------------------------------
     async def send_report(self) -> None:
-        """Report to the leader: at once when the report has changed, else now and then."""
+        """Report to the leader, at once if the report has changed, otherwise periodically."""
         report, now = self.make_report(), self.fleet.now()
         interval = REPORT_INTERVAL if self.history.pending is None else REPORT_INTERVAL_PENDING
         if report == self._sent and now < self._sent_at + interval:
@@ -97,20 +97,20 @@
                 await self.fleet.streams.request(leader, PART, msgspec.msgpack.encode(report), STREAM_TIMEOUT)
 
     async def receive_report(self, envelope: Envelope) -> bytes:
-        """At the leader: take in another head's report; the answer is empty."""
+        """Store another head's report, at the leader; return an empty answer."""
         report = msgspec.msgpack.decode(envelope.body, type=HeadReport)
         self._received[envelope.sender.name] = ReceivedReport(report, self.fleet.now())
         return b""
 
     def _receive_own_report(self) -> timedelta:
-        """At the leader: take in this head's own report; returns the time."""
+        """Store this head's own report, at the leader; return the time."""
         now = self.fleet.now()
         self._received[self.fleet.settings.name] = ReceivedReport(self.make_report(), now)
         return now
 
     # -- the leader's decision ----------------------------------------------------------------------------
     async def decide_pending(self) -> None:
-        """Where this head leads: activate or abandon the pending version once that can be decided."""
+        """Activate or abandon the pending version once that can be decided, if this head leads."""
         pending = self.history.pending
         if pending is None or not self.fleet.replication.raft.settled:
             self._pending_number = 0
@@ -138,25 +138,25 @@
         }
 
     async def _submit_decision(self, decision: Activate | Abandon) -> None:
-        # the classes' names are part of the id, which stands in the log
+        # The id contains the class's name and is part of the log: renaming the class changes the ids.
         id = f"rules/{type(decision).__name__}/{decision.number}/{self.fleet.me.identity}"
         try:
             await self.submit_command(decision, id)
         except ReplicationError:
-            return  # whoever leads next decides anew
+            return  # the next leader decides again
         if isinstance(decision, Abandon):
             logger.warning(
-                "rules: version {number} is abandoned: {why}",
+                "rules: version {number} was abandoned: {why}",
                 event="rules.abandoned",
                 number=decision.number,
                 why=decision.reason,
             )
 
     async def submit_command(self, command: Command, id: str) -> CommandResult:
-        """Submit a command to the heads' log under an idempotency key.
+        """Submit a command to the replicated log under an idempotency key.
 
         Raises:
-            ReplicationError: No leader confirmed it in time; it may be applied all the same.
+            ReplicationError: No leader confirmed it in time; it may still be applied.
         """
         body = msgspec.msgpack.encode(command)
         answer = await self.fleet.command(PART, body, id, COMMAND_TIMEOUT)
@@ -164,7 +164,7 @@
 
     # -- status -------------------------------------------------------------------------------------------
     async def answer_status(self, envelope: Envelope) -> bytes:
-        """At the leader: answer another head's request for the status."""
+        """Answer another head's request for the status, at the leader."""
         return msgspec.msgpack.encode(self._status())
 
     def _status(self) -> RolloutStatus:
@@ -177,7 +177,7 @@
         return RolloutStatus(active_versions, sorted(self.fleet.live_heads()))
 
     async def fetch_status(self) -> RolloutStatus | None:
-        """Fetch the status from the leader; None where it is not reached."""
+        """Fetch the status from the leader; None if it does not answer."""
         leader = self.fleet.leader
         if leader == self.fleet.settings.name:
             return self._status()
--- a/stoatrouter/peering/rule_store.py
+++ b/stoatrouter/peering/rule_store.py
@@ -1,7 +1,7 @@
 """Rules on a head's disk: the stored version, and the files of rule sets for the compiler.
 
-The stored version (`rules.kept`) has a checksum, and is replaced in one step after it is on the disk. The
-folder `rules/` beside it has none: at a start it is written anew from the stored version.
+The stored version (`rules.kept`) has a checksum, and is replaced atomically after the new file is on the
+disk. The folder `rules/` beside it has no checksums: at a start it is rewritten from the stored version.
 """
 
 from __future__ import annotations
@@ -36,28 +36,28 @@
     """The version that a head starts with."""
 
     number: int
-    root: Path  # the operator's rule file
+    root: Path  # the root rule file of the set
 
 
 def write_rule_set(folder: Path, packed: bytes) -> Path:
-    """Write the files of a rule set to a folder of their own, named by the set's digest.
+    """Write the files of a rule set to a folder named by the set's digest.
 
     Args:
         folder: The folder of all rule sets.
-        packed: The rule set, by `pack_rule_set`.
+        packed: The rule set, encoded by `pack_rule_set`.
 
     Returns:
-        The path of the operator's file.
+        The path of the set's root file.
 
     Raises:
         OSError: The files cannot be written.
         ValueError: A file's name or text cannot be written.
-        msgspec.MsgspecError: The bytes hold no rule set.
+        msgspec.MsgspecError: The bytes are not a rule set.
     """
     rule_set = unpack_rule_set(packed)
     place = folder / digest_rule_set(rule_set)
     if not place.exists():
-        # written aside and renamed when complete: a process that dies in between leaves no partial set
+        # Written to a temporary folder and renamed when complete: a crash leaves no partial set.
         temporary = folder / f".{secrets.token_hex(6)}"
         temporary.mkdir(parents=True)
         for name, text in rule_set.files.items():
@@ -78,7 +78,7 @@
         """Use the head's folder.
 
         Args:
-            folder: It must last over restarts; nothing is read or written yet.
+            folder: It must persist across restarts; nothing is read or written yet.
         """
         self.version_file = folder / VERSION_FILE
         self.rule_sets = folder / RULE_SETS_FOLDER
@@ -86,10 +86,10 @@
         self._write_order = asyncio.Lock()
 
     def load(self) -> LoadedVersion | None:
-        """Load the stored version and write its files; a corrupt one is set aside.
+        """Load the stored version and write its files; one that cannot be used is moved aside.
 
         Returns:
-            The version; None where none is stored, or it is corrupt.
+            The version; None if none is stored, or it cannot be used.
         """
         try:
             data = self.version_file.read_bytes()
@@ -97,7 +97,7 @@
             return None
         try:
             stored = decode_stored_version(data)
-            shutil.rmtree(self.rule_sets, ignore_errors=True)  # whatever is there has no checksum
+            shutil.rmtree(self.rule_sets, ignore_errors=True)  # its files have no checksums
             return LoadedVersion(stored.number, write_rule_set(self.rule_sets, stored.packed_rules))
         except (CorruptVersionError, OSError, ValueError, msgspec.MsgspecError) as error:
             self._set_aside(error)
@@ -108,18 +108,18 @@
         with contextlib.suppress(OSError):
             os.replace(self.version_file, aside)
         logger.error(
-            "rules: the stored version is set aside as {aside}, this head's own files hold until "
-            "another head is heard: {error}",
+            "rules: the stored version cannot be used and was moved to {aside}; using this head's own "
+            "files until another head answers: {error}",
             event="rules.kept_spoilt",
             aside=aside.name,
             error=str(error),
         )
 
     def extract(self, digest: str, packed: bytes) -> Path:
-        """Write the files of one set and remove all others; returns the path of the operator's file.
+        """Write the files of one set and remove all others; return the path of the set's root file.
 
-        A compiled table needs its files no more, and sets are compiled one at a time: none is removed while
-        it is read. Raises what `write_rule_set` raises.
+        A compiled table no longer needs its files, and sets are compiled one at a time, so none is removed
+        while it is read. Raises what `write_rule_set` raises.
         """
         for place in self.rule_sets.iterdir() if self.rule_sets.is_dir() else ():
             if place.name != digest:
@@ -127,19 +127,19 @@
         return write_rule_set(self.rule_sets, packed)
 
     def save_in_background(self, version: Version, packed: bytes) -> None:
-        """Store a version for a start without other heads, in a thread; a failure is logged."""
+        """Store a version for starts without other heads, in a thread; a failure is logged."""
         data = encode_stored_version(StoredVersion(version.number, version.digest, packed, utc_timestamp()))
         task = asyncio.get_running_loop().create_task(self._save(version.number, data))
-        self._writes.add(task)  # the loop itself holds tasks only weakly
+        self._writes.add(task)  # the event loop holds only weak references to tasks
         task.add_done_callback(self._writes.discard)
 
     async def _save(self, number: int, data: bytes) -> None:
         try:
-            async with self._write_order:  # the newest version is written last
+            async with self._write_order:  # so that the newest version is written last
                 await in_thread(lambda: self._replace_version_file(data))
         except OSError as error:
             logger.error(
-                "rules: version {number} cannot be stored for a start without others: {error}",
+                "rules: version {number} cannot be stored for starts without other heads: {error}",
                 event="rules.unkept",
                 number=number,
                 error=str(error),
@@ -154,5 +154,5 @@
         os.replace(temporary, self.version_file)
 
     async def close(self) -> None:
-        """Wait until what is being stored is on the disk."""
+        """Wait until pending writes are on the disk."""
         await asyncio.gather(*self._writes, return_exceptions=True)
--- a/stoatrouter/peering/rules.py
+++ b/stoatrouter/peering/rules.py
@@ -1,7 +1,7 @@
-"""The shared history of rules at one head, running: compiles versions beside requests and activates them.
+"""The shared history of rules at one head: compiles versions in the background and activates them.
 
-Decides nothing: what wins stands in history/rule_history.py, when a version is activated in
-history/activation.py. Files are rule_store.py's, tables rule_compiler.py's, reports rule_rollout.py's.
+history/rule_history.py decides which version wins, and history/activation.py when it is activated. Files are
+handled by rule_store.py, tables by rule_compiler.py, and reports by rule_rollout.py.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from stoatrouter.peering.rule_store import RuleStore
 from stoatrouter.peering.settings import RulesSettings
 
-STEP_INTERVAL = timedelta(milliseconds=50)  # also without a change
+STEP_INTERVAL = timedelta(milliseconds=50)  # without a change; a change triggers a step at once
 
 
 class RulesService:
@@ -35,14 +35,14 @@
         tables: TableService,
         active_version: int = 0,
     ) -> None:
-        """Take the rule tables over from the head's own files.
+        """Take control of the rule tables, which the head's own files no longer change.
 
         Args:
             settings: The operator's settings of the history.
             fleet: The heads.
-            history: The versions that the heads agreed on.
+            history: The replicated history of versions.
             tables: The head's rule tables.
-            active_version: The stored version that the head started with; 0: its own files.
+            active_version: The stored version that the head started with; 0: the head's own files.
         """
         self.settings, self.fleet, self.history, self.tables = settings, fleet, history, tables
         self.active_version = active_version
@@ -54,25 +54,25 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether this head decides by the version in force, or cannot load it."""
+        """Whether the version in force is active at this head, or cannot be loaded here."""
         newest = self._newest()
         return newest is None or self.active_version >= newest.number or newest.digest in self.compiler.errors
 
     async def run(self) -> None:
-        """Take a step after each agreed change, and every STEP_INTERVAL; runs until it is cancelled."""
+        """Take a step after each replicated change and every STEP_INTERVAL, until cancelled."""
         while True:
             try:
                 await self.step()
             except Exception:
-                # Guards a serving head: a fault here must end neither the history's work nor the head.
-                logger.exception("rules: a step failed in an unforeseen way", event="rules.step_fault")
+                # An error here must stop neither this loop nor the head, which serves requests.
+                logger.exception("rules: a step failed unexpectedly", event="rules.step_fault")
             changed = self.fleet.replication.changed
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(STEP_INTERVAL.total_seconds()):
                     await changed.wait()
 
     async def step(self) -> None:
-        """Activate, compile and report what is due, and decide where this head leads."""
+        """Activate, compile and report as due; decide about the pending version if this head leads."""
         self.activate_newest()
         self.compiler.retain({version.digest for version in self._current_versions()})
         self.compiler.start_next(self._missing_versions())
@@ -80,20 +80,20 @@
         await self.rollout.decide_pending()
 
     def _newest(self) -> Version | None:
-        """The version in force; None before the first."""
+        """Return the version in force; None before the first."""
         return self.history.versions[-1] if self.history.versions else None
 
     def _current_versions(self) -> list[Version]:
-        """The version in force and the pending one, as far as there are any."""
+        """Return the version in force and the pending one, if any."""
         pending = [self.history.pending] if self.history.pending is not None else []
         return [*self.history.versions[-1:], *pending]
 
     def _missing_versions(self) -> list[Version]:
-        """Versions whose tables this head needs, the one in force first."""
+        """Return the versions whose tables this head needs, the one in force first."""
         return [version for version in self._current_versions() if version.number > self.active_version]
 
     def activate_newest(self) -> None:
-        """Decide by the version in force from now on, once its table is compiled. Numbers only go up."""
+        """Activate the version in force here, once its table is compiled. Numbers only increase."""
         newest = self._newest()
         if newest is None or newest.number <= self.active_version:
             return
@@ -112,7 +112,7 @@
         self.store.save_in_background(newest, self.history.packed_rule_sets[newest.digest])
 
     def make_report(self) -> HeadReport:
-        """What this head reports of itself to the leader."""
+        """Return this head's report to the leader."""
         pending = self.history.pending
         if pending is not None and pending.digest in self.compiler.errors:
             error = self.compiler.errors[pending.digest]
@@ -122,6 +122,6 @@
         return HeadReport(self.active_version)
 
     async def close(self) -> None:
-        """Cancel a compilation; wait until a version being stored is on the disk."""
+        """Cancel a running compilation, and wait until pending writes are on the disk."""
         await self.compiler.close()
         await self.store.close()
--- a/stoatrouter/peering/services.py
+++ b/stoatrouter/peering/services.py
@@ -1,4 +1,4 @@
-"""The services that heads agree on, each put together where its settings turn it on."""
+"""Sets up the services with replicated state, each if its settings turn it on."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 
 class ServingHead(Protocol):
-    """What the services need of the head that they are parts of."""
+    """What the services need of the head that they belong to."""
 
     @property
     def conf(self) -> Config:
-        """What the platform configured."""
+        """The head's configuration."""
         ...
 
     @property
     def engine(self) -> Engine:
-        """What serves requests; it asks the credit service first."""
+        """The engine that serves requests; it asks the credit service first."""
         ...
 
     @property
     def http_tables(self) -> TableService | None:
-        """The rule tables of the HTTP front; None where it is off."""
+        """The rule tables of the HTTP front; None if it is off."""
         ...
 
 
@@ -52,17 +52,17 @@
 def add_credit(
     settings: HeadsSettings, head: ServingHead, fleet: Fleet, parts: dict[str, Part], calls: list[Call]
 ) -> CreditService | None:
-    """Set up prepaid credit, which the core asks before its module for every front.
+    """Set up prepaid credit, which the core consults for the requests of every front.
 
     Args:
         settings: The settings of the heads.
-        head: The head whose engine asks it.
-        fleet: The other heads.
-        parts: Where its part of the replicated state is added.
-        calls: Where its management calls are added.
+        head: The head whose engine consults it.
+        fleet: The fleet of this head.
+        parts: Receives its part of the state machine.
+        calls: Receives its management calls.
 
     Returns:
-        The service; None where the settings turn it off.
+        The service; None if the settings turn it off.
     """
     if settings.credit is None:
         return None
@@ -99,13 +99,13 @@
     Args:
         settings: The settings of the heads.
         head: The head whose rule tables follow the history.
-        fleet: The other heads.
-        parts: Where its part of the replicated state is added.
-        calls: Where its management calls are added.
+        fleet: The fleet of this head.
+        parts: Receives its part of the state machine.
+        calls: Receives its management calls.
         starting_version: The version that the head started with (`persisted_version`).
 
     Returns:
-        The service; None where the settings turn it off, or the head has no HTTP front.
+        The service; None if the settings turn it off, or the head has no HTTP front.
     """
     if settings.rules is None or head.http_tables is None:
         return None
@@ -121,14 +121,14 @@
 
 
 def persisted_version(settings: HeadsSettings, http: HttpSettings | None) -> StartingRules:
-    """Find the version of the rules that this head has stored, to start with.
+    """Load the version of the rules that this head has stored, to start with.
 
     Args:
         settings: The settings of the heads.
-        http: The HTTP front's settings; None where it is off.
+        http: The HTTP front's settings; None if it is off.
 
     Returns:
-        The stored version and its files, or version 0 and the head's own files where none can be used.
+        The stored version and its files, or version 0 and the head's own files if none is usable.
     """
     if settings.rules is None or http is None:
         return StartingRules(0, http)
--- a/stoatrouter/peering/settings.py
+++ b/stoatrouter/peering/settings.py
@@ -1,6 +1,6 @@
-"""The operator's file of heads that know each other (deploy/heads.cue shows its form).
+"""The operator's settings file for a fleet of heads (deploy/heads.cue is an example).
 
-The schema `heads.#Heads` checks the form; what it cannot say is checked here.
+The schema `heads.#Heads` validates the form; constraints that it cannot express are checked here.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 UNITS = {"ms": timedelta(milliseconds=1), "s": timedelta(seconds=1), "m": timedelta(minutes=1)}
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,23}")
 VOTER_COUNTS = (1, 3, 5)
-MIN_ELECTION_HEARTBEATS = 3  # heartbeats that an election timeout spans at least
+MIN_ELECTION_HEARTBEATS = 3  # lower bound of the election timeout, in heartbeat intervals
 
 
 class HeadsSettingsError(ConfigError):
     """A setting of the heads has a value that is not allowed."""
 
     def __init__(self, path: Path, setting: str, found: str, allowed: str) -> None:
-        """Say where the value is, what it is and what would be allowed."""
+        """Format the message."""
         super().__init__(
             f"bad settings of the heads:\n{path.name}: {setting}: found {found} (allowed: {allowed})"
         )
@@ -87,14 +87,14 @@
     rules: RulesFile | None = None
 
 
-# -- what a head is configured with -------------------------------------------------------------------------
+# -- the settings of a head ---------------------------------------------------------------------------------
 class CreditSettings(msgspec.Struct, frozen=True):
     """The settings of prepaid credit."""
 
     prices: tuple[int, ...]  # by class, in millionths of a credit unit for each unit of a request
     lease: timedelta  # how long an allotment may be spent
-    wait: timedelta  # how long a request waits for an allotment, at most
-    # what becomes of volumes without a known customer while the ledger is not current
+    wait: timedelta  # how long a request waits for an allotment at most
+    # policy for volumes without a known customer while the ledger is not current
     unknown_volumes: UnknownVolumes = UnknownVolumes.REJECT
 
 
@@ -102,26 +102,26 @@
     """The settings of the history of rules."""
 
     versions: int  # that the history retains
-    check_within: timedelta  # how long heads have to check a new version
-    largest: int  # bytes of a version's files
+    check_within: timedelta  # the time limit for heads to check a new version
+    largest: int  # upper bound of the size of a version's files, in bytes
 
 
 class HeadsSettings(msgspec.Struct, frozen=True):
-    """All settings of one head that concern the others."""
+    """All settings of one head that concern the fleet."""
 
     name: str
     fleet: str
-    secret: bytes  # the key of all MACs (envelope.read_secret)
-    folder: Path  # this head's own; it lasts over restarts
+    secret: bytes  # the MAC key (envelope.read_secret)
+    folder: Path  # of this head alone; persists across restarts
     streams: dict[str, str]  # where heads listen for streams, HOST:PORT by name
-    voters: tuple[str, ...]  # the first ones
-    listen: str | None  # None: this head is not reached by streams, it only follows
-    cut_off_after: timedelta  # since a majority was last connected
-    wait_at_start: timedelta  # for a majority, before this head serves without one
+    voters: tuple[str, ...]  # the initial voters
+    listen: str | None  # None: this head accepts no streams and only follows
+    cut_off_after: timedelta  # time since the last contact with a majority
+    wait_at_start: timedelta  # how long to wait for a majority before serving without one
     detector: DetectorTiming
     agreement: AgreementTiming
     peers: tuple[str, ...]  # addresses that datagrams are accepted from, HOST:PORT
-    peer_listen: str | None  # of datagrams; None: there is no failure detector
+    peer_listen: str | None  # address of the datagram socket; None: there is no failure detector
     credit: CreditSettings | None  # None: off
     rules: RulesSettings | None  # None: off
 
@@ -131,13 +131,13 @@
 
     Args:
         path: The file; the secret's file and the folder are relative to it.
-        conf: The head's own configuration: its name, its peers, its classes.
+        conf: The head's own configuration, for its name, peers and classes.
 
     Returns:
         The settings of this head.
 
     Raises:
-        ConfigError: The file, the secret or a value in it cannot be used; the text says what would be right.
+        ConfigError: The file, the secret or a value in it cannot be used; the text says what is allowed.
     """
     try:
         file = load(path, HeadsFile, "heads.#Heads").record
@@ -166,7 +166,7 @@
 
 
 def check_file(path: Path, file: HeadsFile, conf: Config) -> None:
-    """Check what the schema cannot say; raises HeadsSettingsError."""
+    """Check the constraints that the schema cannot express; raises HeadsSettingsError."""
     agreement = file.agreement
     detector = file.detector
     if not NAME.fullmatch(conf.name):
@@ -187,7 +187,7 @@
 
 
 def check_voters(path: Path, file: HeadsFile) -> None:
-    """Check that the voters are 1, 3 or 5 heads that have an address; raises HeadsSettingsError."""
+    """Check that the voters are 1, 3 or 5 heads with an address; raises HeadsSettingsError."""
     if len(file.voters) not in VOTER_COUNTS or len(set(file.voters)) != len(file.voters):
         raise HeadsSettingsError(
             path, "voters", ", ".join(file.voters) or "none", "1, 3 or 5 different heads"
@@ -199,7 +199,7 @@
 
 
 def detector_timing(file: DetectorFile) -> DetectorTiming:
-    """The detector's timings, from its part of the file."""
+    """Return the detector's timings, from its part of the file."""
     return DetectorTiming(
         parse_duration(file.period),
         parse_duration(file.ack_within),
@@ -210,12 +210,12 @@
 
 
 def agreement_timing(file: AgreementFile) -> AgreementTiming:
-    """The agreement's timings, from its part of the file."""
+    """Return the agreement's timings, from its part of the file."""
     return AgreementTiming(parse_duration(file.heartbeat), parse_duration(file.election))
 
 
 def credit_settings(path: Path, file: CreditFile | None, conf: Config) -> CreditSettings | None:
-    """The credit's settings, from its part of the file; None where it is off.
+    """Return the credit settings, from their part of the file; None if credit is off.
 
     Raises:
         HeadsSettingsError: A price is given for a class that the settings do not name.
@@ -233,19 +233,19 @@
 
 
 def rules_settings(file: RulesFile | None) -> RulesSettings | None:
-    """The settings of the history of rules, from its part of the file; None where it is off."""
+    """Return the settings of the history of rules, from their part of the file; None if it is off."""
     if file is None:
         return None
     return RulesSettings(file.versions, parse_duration(file.check_within), file.largest)
 
 
 def parse_duration(text: str) -> timedelta:
-    """Parse a span as the file has it, such as 500ms, 2.5s or 1m.
+    """Parse a duration of the file, such as 500ms, 2.5s or 1m.
 
     Raises:
-        ValueError: It is none; the schema lets no such text through.
+        ValueError: The text is not a duration; the schema rejects such a text before.
     """
     match = DURATION.fullmatch(text)
     if match is None:
-        raise ValueError(f"{text!r} is not a span (allowed: a number with the unit ms, s or m)")
+        raise ValueError(f"{text!r} is not a duration (allowed: a number with the unit ms, s or m)")
     return float(match[1]) * UNITS[match[2]]
--- a/stoatrouter/peering/spent_journal.py
+++ b/stoatrouter/peering/spent_journal.py
@@ -1,11 +1,11 @@
-"""The journal of what this head has spent of each allotment, in a mapped file.
+"""The journal of what this head has spent of each allotment, in a memory-mapped file.
 
-A killed process loses none of it: each charge is one store of 20 bytes into memory that is the file's, well
-under a microsecond, before the answer goes out. A crash of the whole machine may lose what the system had not
-written yet: then less is settled than was spent, at most the sum of this head's allotments (docs/credit.md).
+It survives a kill of the process: each charge is a write of 20 bytes to the mapped memory, well under a
+microsecond, before the answer is sent. A crash of the machine may lose what the system had not written back
+yet: then less is settled than was spent, at most the sum of this head's allotments (docs/credit.md).
 
-The file (`spent.book`) has SLOTS slots of SLOT_BYTES each: the allotment's name, padded with zero bytes, and
-its record: the figure twice and a CRC-32 of it, so that a torn store is found out.
+The file (`spent.book`) has SLOTS slots of SLOT_BYTES each. A slot holds the allotment's name, padded with
+zero bytes, and a record: the amount twice and its CRC-32, which reveals a torn write.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import zlib
 from pathlib import Path
 
-SLOTS = 4_096  # allotments recorded at once; beyond, `begin` takes none and nothing is spent of it
+SLOTS = 4_096  # allotments recorded at a time; beyond, `begin` refuses one, and nothing of it is spent
 SLOT_BYTES = 64
 NAME_BYTES = 32
 AMOUNT_SIZE = 8  # little-endian, as the CRC covers it
@@ -24,16 +24,16 @@
 
 
 class SpentJournal:
-    """One head's journal. Slots are found by allotment; a slot whose name is empty is free.
+    """The journal of one head, which `credit.escrow.HeadEscrow` records to.
 
-    The journal is what `credit.escrow.HeadEscrow` records to.
+    Slots are found by allotment; a slot with an empty name is free.
     """
 
     def __init__(self, path: Path | None) -> None:
-        """Map the file, which is created where there is none.
+        """Map the file, created if missing.
 
         Args:
-            path: The file; None where the disk takes no writes: what is spent is known to this process alone.
+            path: The file; None if the disk takes no writes: the journal is then lost with this process.
 
         Raises:
             OSError: The file cannot be opened or mapped.
@@ -49,11 +49,11 @@
         self._free = list(range(SLOTS - 1, -1, -1))  # the lowest is used first
 
     def read(self) -> dict[str, int]:
-        """Find what an earlier process had spent, and take over its slots.
+        """Read what an earlier process had spent, and take over its slots.
 
         Returns:
-            What was spent in all, by allotment. A figure that is torn counts as the larger of its halves:
-            what a customer was charged is never forgotten.
+            The total spent, by allotment. Of a torn record the larger amount counts, so that no charge to a
+            customer is lost.
         """
         spent: dict[str, int] = {}
         for slot in range(SLOTS):
@@ -77,25 +77,25 @@
         return max(first, second)
 
     def begin(self, allotment: str) -> bool:
-        """Take a slot for an allotment of which nothing is spent; whether there is one that fits."""
+        """Take a slot for an unspent allotment; return False if no slot is free or its name is too long."""
         if not self._free or len(allotment) > NAME_BYTES:
             return False
         slot = self._free.pop()
         self._slots[allotment] = slot
-        self.set(allotment, 0)  # before the name: a slot that is named has a record
+        self.set(allotment, 0)  # before the name, so that each named slot has a valid record
         start = slot * SLOT_BYTES
         self._map[start : start + NAME_BYTES] = allotment.encode().ljust(NAME_BYTES, b"\0")
         return True
 
     def set(self, allotment: str, spent: int) -> None:
-        """Record what was spent of an allotment in all; nothing where it has no slot."""
+        """Record the total spent of an allotment; ignored if it has no slot."""
         slot = self._slots.get(allotment)
         if slot is not None:
             start = slot * SLOT_BYTES + NAME_BYTES
             RECORD.pack_into(self._map, start, spent, spent, checksum_of(spent))
 
     def end(self, allotment: str) -> None:
-        """Free the slot of an allotment that is settled; nothing where it has none."""
+        """Free the slot of a settled allotment; ignored if it has none."""
         slot = self._slots.pop(allotment, None)
         if slot is not None:
             self._map[slot * SLOT_BYTES : (slot + 1) * SLOT_BYTES] = bytes(SLOT_BYTES)
@@ -109,5 +109,5 @@
 
 
 def checksum_of(spent: int) -> int:
-    """The CRC-32 that a record holds of its figure."""
+    """Return the CRC-32 of an amount, as stored in its record."""
     return zlib.crc32(spent.to_bytes(AMOUNT_SIZE, "little"))
