--- a/stoatrouter/peering/storage.py
+++ b/stoatrouter/peering/storage.py
@@ -1,9 +1,9 @@
-"""What a head has promised, on its disk: one SQLite file and a mark beside it, in a folder that lasts.
+"""Durable storage of a head's log, votes and promises: an SQLite database and two mapped numbers beside it.
 
-What is promised: once a write returns, it is there after a crash of the process or of the machine (WAL with
-synchronous=FULL). A database that is torn, foreign, from a later version or older than what this head
-acknowledged (`heads.mark`) is never voted from: it is set aside and the head goes on under a new identity,
-without a vote; one that belongs to something else is left alone and ends the start.
+A write that has returned survives a crash of the process or the machine (WAL with synchronous=FULL). A
+database that is corrupt, or older than the last write that this head acknowledged (`heads.mark`), must not be
+voted from: it is moved aside, and the head continues under a new identity, without a vote. One that belongs
+to another program or a later version is left untouched, and the start fails.
 """
 
 from __future__ import annotations
@@ -28,50 +28,50 @@
 APPLICATION_ID = 0x53544F54  # "STOT"
 SCHEMA_VERSION = 1
 DATABASE_FILE, MARK_FILE, LOCK_FILE = "heads.db", "heads.mark", "heads.lock"
-COMMIT_FILE = "heads.commit"  # up to where the log in the database is committed, at least
+COMMIT_FILE = "heads.commit"  # the commit index of the log in the database, or a lower one
 SCHEMA = """
 CREATE TABLE meta (key TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
 CREATE TABLE entries (at INTEGER PRIMARY KEY, data BLOB NOT NULL, sum BLOB NOT NULL);
 CREATE TABLE snapshot (one INTEGER PRIMARY KEY CHECK (one = 1), data BLOB NOT NULL, sum BLOB NOT NULL);
 """
 BUSY_TIMEOUT_MS = 2_000
-# What SQLite says of a file that it cannot reach or write, as opposed to one whose content is corrupt.
+# Texts in SQLite's errors about a file that it cannot open or write, as opposed to a corrupt one.
 UNREACHABLE_ERRORS = ("readonly", "unable to open", "disk I/O", "full", "locked")
-MAX_CAUSE_LENGTH = 100  # characters of SQLite's own text that an error repeats
+MAX_CAUSE_LENGTH = 100  # characters of SQLite's text that an error quotes
 
 
 @dataclass(slots=True, frozen=True)
 class StoredState:
-    """What a start found on the disk, or began there."""
+    """What a start found on the disk, or created there."""
 
-    identity: str  # of the disk; a new one wherever what was promised may be lost
-    start_count: int  # how often a process began with this disk
+    identity: str  # of the disk; a new one whenever promises may have been lost
+    start_count: int  # how many processes have started with this disk
     disk: PersistentState
-    origin: str  # of the fleet this disk belongs to; "": of none
-    promised: str  # the founder it was promised to; "": to none
-    reset_reason: str | None = None  # why the identity is new, where there was one before
+    origin: str  # identity of the fleet that this disk belongs to; "": none
+    promised: str  # the founder whose fleet this head has promised to join; "": none
+    reset_reason: str | None = None  # why the identity is new, if there was one before
     writable: bool = True  # False: the disk takes no writes, nothing is stored
 
 
 @dataclass(slots=True, frozen=True)
 class BootstrapWrite:
-    """What the bootstrap of the fleet stores; whatever is None stays as it is."""
+    """A write of the fleet's bootstrap; a field that is None stays unchanged."""
 
     origin: str | None = None  # the fleet that this disk belongs to
-    promised: str | None = None  # the founder that this disk is promised to
+    promised: str | None = None  # the founder whose fleet this head has promised to join
 
 
 class Storage:
-    """One head's database, and two numbers beside it.
+    """One head's database, and the two numbers beside it.
 
-    All calls but `record_commit` come from one thread at a time; `open` comes before any write.
+    All calls except `record_commit` must come from one thread at a time; `open` precedes any write.
 
     Attributes:
-        connection: The open database; None before `open`, after `close` and where the disk takes no writes.
+        connection: The open database; None before `open`, after `close` and if the disk takes no writes.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Name the folder; nothing in it is touched before `open`."""
+        """Store the folder's path; nothing in it is accessed before `open`."""
         self.connection: sqlite3.Connection | None = None
         self._folder = folder
         self._path = folder / DATABASE_FILE
@@ -80,12 +80,12 @@
         self._lock = -1
         self._write_number = 0  # of the last write
 
-    # -- a start ------------------------------------------------------------------------------------------
+    # -- start --------------------------------------------------------------------------------------------
     def open(self) -> StoredState:
-        """Read what is there, or begin anew.
+        """Read the stored state, or create a new one.
 
         Returns:
-            What was found. A disk that takes no writes is no error: the head serves, without a vote.
+            The state. A disk that takes no writes is not an error: the head serves without a vote.
 
         Raises:
             ConfigError: The folder is in use, or its database belongs to another program or a later version.
@@ -97,15 +97,15 @@
             self._commit = MappedNumber(self._folder / COMMIT_FILE)
             return self._load_or_reset(self._mark, self._commit)
         except (sqlite3.Error, OSError) as error:
-            # Guards the start of a head whose disk is full or read-only.
+            # A head whose disk is full or read-only has to start all the same.
             self.close()
             reason = f"the disk takes no writes: {error}"
             return StoredState(secrets.token_hex(16), 0, PersistentState(), "", "", reason, writable=False)
 
     def _lock_folder(self) -> None:
-        """Guard against two processes of one head, which would vote twice under one identity.
+        """Prevent two processes of one head, which would vote twice under one identity.
 
-        The system drops the lock of a process that is killed.
+        The operating system releases the lock of a killed process.
         """
         self._lock = os.open(self._folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         try:
@@ -118,7 +118,7 @@
             ) from None
 
     def _load_or_reset(self, mark: MappedNumber, commit: MappedNumber) -> StoredState:
-        """Load the database; one that is corrupt is set aside, and the head begins anew."""
+        """Load the database; a corrupt one is moved aside and replaced by a new one."""
         reset_reason = None
         try:
             if self._path.exists():
@@ -139,7 +139,7 @@
             return self._load(connection, mark, commit.read())
 
     def _check_owner(self, connection: sqlite3.Connection) -> None:
-        """Raise ConfigError where the database is another program's, or a later version's of this one."""
+        """Raise ConfigError if the database belongs to another program or a later version."""
         with corruption_detected():
             application = connection.execute("PRAGMA application_id").fetchone()[0]
             version = connection.execute("PRAGMA user_version").fetchone()[0]
@@ -176,7 +176,7 @@
         )
 
     def _check_acknowledged(self, mark: MappedNumber) -> None:
-        """Raise CorruptDatabase where the database is older than what this head acknowledged."""
+        """Raise CorruptDatabase if the database is older than the last acknowledged write."""
         acknowledged = mark.read()
         if self._write_number < acknowledged:
             raise CorruptDatabase(
@@ -191,7 +191,7 @@
         return connection
 
     def _set_aside(self, reason: str) -> str:
-        """Rename the corrupt file for whoever looks into it; the reason, with its new name."""
+        """Move the corrupt file aside for inspection; return the reason, with its new name."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
@@ -202,7 +202,7 @@
         return f"{reason}; set aside as {aside.name}"
 
     def _create(self, mark: MappedNumber, reset_reason: str | None) -> StoredState:
-        """Make a new database under a new identity."""
+        """Create a new database under a new identity."""
         connection = self._connect()
         connection.executescript(
             "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL;"
@@ -241,7 +241,7 @@
                 connection.execute("DELETE FROM entries WHERE at < ?", (write.keep_from,))
 
     def write_bootstrap(self, write: BootstrapWrite) -> None:
-        """Store what the bootstrap of the fleet promises; it is on the disk when this returns.
+        """Store a write of the fleet's bootstrap; it is on the disk when this returns.
 
         Raises:
             sqlite3.Error: The disk takes no writes.
@@ -255,16 +255,17 @@
                 set_meta(connection, "promised", write.promised)
 
     def record_commit(self, index: int) -> None:
-        """Record that entries up to an index, which are on the disk, are committed; from any thread.
+        """Record that stored entries up to an index are committed; may be called from any thread.
 
-        A killed process loses none of it. Lost with the machine or torn it is lower, and less is restored.
+        The number survives a kill of the process. After a crash of the machine or a torn write it may be
+        lower, and fewer entries are restored as committed.
         """
         if self._commit is not None:
             self._commit.set(index)
 
     @contextlib.contextmanager
     def _transaction(self) -> Iterator[sqlite3.Connection]:
-        """Number a transaction, commit it, and set the mark once it is on the disk."""
+        """Number and commit a transaction, and record its number as acknowledged once it is on the disk."""
         if self.connection is None:
             raise StorageClosed("no database is open: `open` comes before a write, `close` after the last")
         with self.connection as connection:
@@ -292,7 +293,7 @@
 
 # -- rows -------------------------------------------------------------------------------------------------
 def checksum(data: bytes) -> bytes:
-    """The checksum of one row: 16 bytes of BLAKE2b."""
+    """Return the checksum of a row: 16 bytes of BLAKE2b."""
     return hashlib.blake2b(data, digest_size=16).digest()
 
 
@@ -302,7 +303,7 @@
 
 
 def insert_entries(connection: sqlite3.Connection, entries: Sequence[Entry]) -> None:
-    """Store entries of the log, in place of those at the same indices."""
+    """Store entries of the log, replacing those at the same indices."""
     for entry in entries:
         data = msgspec.msgpack.encode(entry)
         connection.execute(
@@ -311,26 +312,26 @@
 
 
 def insert_snapshot(connection: sqlite3.Connection, snapshot: Snapshot) -> None:
-    """Store a snapshot in place of the one before."""
+    """Store a snapshot, replacing the previous one."""
     data = msgspec.msgpack.encode(snapshot)
     connection.execute("INSERT OR REPLACE INTO snapshot VALUES (1, ?, ?)", (data, checksum(data)))
 
 
 def read_entries(connection: sqlite3.Connection) -> tuple[Entry, ...]:
-    """Read the entries of the log, in order; raises CorruptDatabase where a checksum fails."""
+    """Read the entries of the log, in order; raises CorruptDatabase if a checksum fails."""
     rows = connection.execute("SELECT at, data, sum FROM entries ORDER BY at")
     return tuple(read_entry(index, data, stored_checksum) for index, data, stored_checksum in rows)
 
 
 def read_entry(index: int, data: bytes, stored_checksum: bytes) -> Entry:
-    """Read one entry; raises CorruptDatabase where its checksum fails."""
+    """Decode one entry; raises CorruptDatabase if its checksum fails."""
     if checksum(data) != stored_checksum:
         raise CorruptDatabase(f"entry {index} does not match its checksum")
     return msgspec.msgpack.decode(data, type=Entry)
 
 
 def read_snapshot(connection: sqlite3.Connection) -> Snapshot:
-    """Read the snapshot, or an empty one; raises CorruptDatabase where its checksum fails."""
+    """Read the snapshot, or return an empty one; raises CorruptDatabase if its checksum fails."""
     snapshot = Snapshot(0, 0, (), b"")
     for data, stored_checksum in connection.execute("SELECT data, sum FROM snapshot"):
         if checksum(data) != stored_checksum:
@@ -340,14 +341,14 @@
 
 
 def check_contiguous(entries: Sequence[Entry]) -> None:
-    """Raise CorruptDatabase unless each entry follows on the one before it."""
+    """Raise CorruptDatabase unless the indices of the entries are contiguous."""
     if any(after.index != before.index + 1 for before, after in zip(entries, entries[1:], strict=False)):
         raise CorruptDatabase("entries are missing")
 
 
 @contextlib.contextmanager
 def corruption_detected() -> Iterator[None]:
-    """Turn what SQLite says of a corrupt file into CorruptDatabase; a file out of reach is another matter."""
+    """Convert SQLite's errors about a corrupt file to CorruptDatabase; those about access pass through."""
     try:
         yield
     except sqlite3.OperationalError as error:
--- a/stoatrouter/peering/streams.py
+++ b/stoatrouter/peering/streams.py
@@ -1,8 +1,8 @@
-"""Streams between heads: HTTP over aiohttp, one sealed message each way. Decides nothing.
+"""Streams between heads: HTTP requests by aiohttp, one sealed message each way.
 
-`POST /heads` with a sealed message answers 200 with one, or 204 where there is no answer. What is rejected is
-answered 403 and nothing else, a message of an earlier incarnation 409 with the latest one that was heard, and
-what is beyond MAX_IN_FLIGHT 503.
+`POST /heads` with a sealed message is answered 200 with a sealed message, or 204 if there is no answer. A
+rejected message is answered 403 without a body, one of an earlier incarnation 409 with the latest incarnation
+seen, and a request beyond MAX_IN_FLIGHT 503.
 """
 
 from __future__ import annotations
@@ -28,12 +28,11 @@
 from stoatrouter.peering.tasks import cancel_tasks
 
 PATH = "/heads"
-OLDER_INCARNATION = (
-    "older"  # the kind of an answer to an earlier incarnation; its body is the latest one, in decimal
-)
-MAX_IN_FLIGHT = 256  # requests answered at once; beyond, 503
-MAX_CONNECTIONS_PER_HEAD = 8  # to one head
-MAX_QUEUED_MESSAGES = 256  # messages queued for one head; beyond, the oldest go: all of them are sent again
+# The kind of an answer to an earlier incarnation; its body is the latest one, in decimal.
+OLDER_INCARNATION = "older"
+MAX_IN_FLIGHT = 256  # requests being answered at a time; beyond, 503
+MAX_CONNECTIONS_PER_HEAD = 8
+MAX_QUEUED_MESSAGES = 256  # for one head; beyond, the oldest are dropped: the agreement sends all again
 MAX_BATCH_MESSAGES = 32
 CONNECT_TIMEOUT = timedelta(milliseconds=500)
 REQUEST_TIMEOUT = timedelta(seconds=3)
@@ -47,16 +46,16 @@
 class Reply(NamedTuple):
     """The answer to a request."""
 
-    sender: Voter  # its identity is "" where the head answered with no message
+    sender: Voter  # its identity is "" if the head answered without a message
     body: bytes
 
 
 class Streams:
-    """One head's requests to other heads, and its answers to theirs.
+    """Sends one head's requests to other heads, and answers theirs.
 
     Attributes:
         counters: Where messages are counted.
-        in_flight: Requests of others that are being answered.
+        in_flight: Number of requests of other heads being answered.
     """
 
     def __init__(
@@ -74,10 +73,10 @@
         Args:
             sealer: Seals and unseals the messages.
             me: This head, with the identity of its disk.
-            incarnation: Of this process; higher than that of any earlier process of this head.
-            addresses: Where other heads listen, HOST:PORT by name.
+            incarnation: The number of this process; higher than that of any earlier process of this head.
+            addresses: The addresses of other heads, HOST:PORT by name.
             counters: Where messages are counted.
-            handler: Answers an authentic request of another head; None where there is no answer.
+            handler: Answers an authentic request of another head; returns None if there is no answer.
             origin: The identity of the fleet that this head belongs to; "" for none.
         """
         self.counters = counters
@@ -96,7 +95,7 @@
         self._senders: dict[str, asyncio.Task[None]] = {}
 
     async def start(self, listen: tuple[str, int] | None) -> None:
-        """Open the client's side and, where this head is reached by streams, listen.
+        """Open the client session and, if an address is given, listen.
 
         Args:
             listen: Host and port; None: this head only sends requests.
@@ -120,7 +119,7 @@
         self._listener = await asyncio.get_running_loop().create_server(self._server, sock=listening)
 
     async def close(self) -> None:
-        """Stop sending and listening; what is queued is not sent."""
+        """Stop sending and listening; queued messages are dropped."""
         await cancel_tasks(self._senders.values())
         if self._listener is not None:
             self._listener.close()
@@ -135,7 +134,7 @@
         source = request.remote or ""
         if request.method != "POST" or request.path != PATH:
             return web.Response(status=HTTPStatus.NOT_FOUND)
-        # Guards memory and the loop: load beyond the bound is shed at once.
+        # Sheds load beyond the bound at once, to protect memory and the event loop.
         if self.in_flight >= MAX_IN_FLIGHT:
             return web.Response(status=HTTPStatus.SERVICE_UNAVAILABLE)
         self.in_flight += 1
@@ -169,7 +168,7 @@
 
     @staticmethod
     async def _read_body(request: web.BaseRequest) -> bytes:
-        """Read a message's bytes; raises MessageRejected where they are more than MAX_MESSAGE_SIZE."""
+        """Read the body of a request; raises MessageRejected if it exceeds MAX_MESSAGE_SIZE."""
         if (request.content_length or 0) > MAX_MESSAGE_SIZE:
             raise MessageRejected(RejectReason.TOO_LONG)
         data = bytearray()
@@ -180,7 +179,7 @@
         return bytes(data)
 
     def _older_incarnation_response(self, error: OlderIncarnation) -> web.Response:
-        """Answer a head whose clock went back with the latest incarnation heard of it: it will go beyond."""
+        """Tell a head whose clock was set back its latest incarnation, so that it takes a higher one."""
         envelope = error.envelope
         latest = str(error.latest).encode()
         reply = self._envelope(envelope.sender.name, envelope.request_id, OLDER_INCARNATION, latest)
@@ -197,13 +196,13 @@
             name: The head.
             kind: What is requested (`calls`, or a part's own kind).
             body: The request, encoded.
-            timeout: How long the exchange may take.
+            timeout: The time limit of the whole exchange.
 
         Returns:
-            Who answered with what; an empty body where the head had no answer.
+            The answer and its sender; an empty body if the head had no answer.
 
         Raises:
-            PeerUnreachable: No answer came that can be used; the request may have been carried out.
+            PeerUnreachable: No usable answer came; the request may have been carried out.
         """
         address = self._addresses.get(name)
         if address is None or self._session is None or self._session.closed:
@@ -231,7 +230,7 @@
     async def _post(
         self, session: aiohttp.ClientSession, address: str, envelope: Envelope, timeout: timedelta
     ) -> tuple[int, bytes]:
-        """Post an envelope; the status and the bytes of the answer."""
+        """Post an envelope; return the status and the body of the response."""
         data = self._sealer.seal(envelope)
         self.counters.add("streams.sent")
         self.counters.add("streams.bytes", len(data))
@@ -242,17 +241,17 @@
             return response.status, await response.read()
 
     def _check_answer(self, answer: Envelope, sent: Envelope, address: str) -> None:
-        """Guard against an answer to another request, late or replayed; raises PeerUnreachable."""
+        """Reject an answer to another request, late or replayed; raises PeerUnreachable."""
         if answer.request_id != sent.request_id or answer.sender.name != sent.receiver:
             self.counters.count_drop(Channel.STREAM, RejectReason.ANOTHER_ANSWER, address)
             raise PeerUnreachable(f"{sent.receiver} answered another question")
 
     # -- messages of the agreement ------------------------------------------------------------------------
     def enqueue(self, receiver: Voter, message: AnyMessage) -> None:
-        """Queue a message of the agreement for a head; nobody waits for it.
+        """Queue a message of the agreement for a head, without waiting for its delivery.
 
-        Messages that are queued together are sent as one batch. One that is lost is sent again by the
-        agreement itself.
+        Messages that are queued together are sent as one batch. The agreement itself sends a lost message
+        again.
         """
         name = receiver.name
         queue = self._queues.setdefault(name, [])
@@ -265,7 +264,7 @@
             self._senders[name] = asyncio.get_running_loop().create_task(self._send_queue(name))
 
     async def _send_queue(self, name: str) -> None:
-        """Send what is queued for a head, in batches, until the queue is empty."""
+        """Send the messages queued for a head, in batches, until the queue is empty."""
         queue = self._queues[name]
         while queue:
             batch = queue[:MAX_BATCH_MESSAGES]
--- a/stoatrouter/peering/tasks.py
+++ b/stoatrouter/peering/tasks.py
@@ -1,4 +1,4 @@
-"""Ending background tasks: cancelled, and waited for."""
+"""Cancellation of background tasks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 async def cancel_tasks(tasks: Collection[asyncio.Task[None]]) -> None:
     """Cancel tasks and wait until all of them have ended.
 
-    An error that a task ended with is not raised here: whoever ends it no longer needs its work.
+    Errors that tasks ended with are not raised: the caller no longer needs their work.
     """
     for task in tasks:
         task.cancel()
--- a/stoatrouter/peering/timestamps.py
+++ b/stoatrouter/peering/timestamps.py
@@ -1,4 +1,4 @@
-"""The time of day as it goes into the heads' log and files."""
+"""Timestamps in the heads' log and files."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def utc_timestamp() -> str:
-    """The time of day in UTC, in ISO 8601 form to the millisecond: `2026-12-02T20:30:00.123+00:00`."""
+    """Return the time of day in UTC, in ISO 8601 form to the millisecond: `2026-12-02T20:30:00.123+00:00`."""
     return datetime.now(UTC).isoformat(timespec="milliseconds")
