--- a/stoatrouter/core/descriptors.py
+++ b/stoatrouter/core/descriptors.py
@@ -11,7 +11,7 @@
 OPERATORS = 12  # callers at the operators' address (management/calls.py), and some that end for them
 DISCOVERY = 4  # the watch, the one after a change of address, and those that the system has not closed yet
 FILES = 16  # standard streams, the loop's own, listening sockets, the old process, the state file
-# clients that come before others have ended: client_table.SPARE_CONNECTIONS and two turns of ACCEPT_AT_ONCE
+# clients that come before others have ended: client_table.SPARE_CONNECTIONS and two turns of MAX_ACCEPT_BATCH
 ACCEPTING = 40
 # Fractions of what remains; at a thousand descriptors and more a margin stays beside them, for large bodies
 # stored in files.
--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -14,7 +14,7 @@
 from stoatrouter.net.answer_stream import AnswerStream
 from stoatrouter.net.bodies import Body, BodyCapacity, StoredBody, read_body
 from stoatrouter.net.engine import Engine
-from stoatrouter.net.errors import BrokenOff, TooLarge, TooSlow
+from stoatrouter.net.errors import IncompleteAnswer, TooLarge, TooSlow
 from stoatrouter.net.listener import Drain
 
 LEAST_DELAY = timedelta(milliseconds=1)  # that a Retry-After field of three decimals can say
@@ -97,7 +97,7 @@
                 await response.write(chunk)
             await response.write_eof()
             complete = True
-        except BrokenOff:
+        except IncompleteAnswer:
             complete = False
             if request.transport is not None:
                 request.transport.close()  # what was written still goes out
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -17,7 +17,7 @@
 from stoatrouter.fronts.platform import PlatformFront
 from stoatrouter.management.calls import MAX_CALLERS, Management
 from stoatrouter.net.background import start_task
-from stoatrouter.net.bodies import SMALL, BodyCapacity
+from stoatrouter.net.bodies import MAX_IN_MEMORY_BYTES, BodyCapacity
 from stoatrouter.net.client_table import ClientTable
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
@@ -134,7 +134,9 @@
         self.watch = build_watch(conf, self.engine)
         self.clients = build_client_table(budget.clients, conf.sockets)
         self.drain = Drain(self.clients)
-        self.body_capacity = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE_MEMORY), conf.folder)
+        self.body_capacity = BodyCapacity(
+            max(MAX_IN_MEMORY_BYTES, conf.memory_mb * 1_000_000 - BASE_MEMORY), conf.folder
+        )
         front = PlatformFront(self.engine, conf.settings, self.drain, self.body_capacity)
         self.platform = Listener(front.handle, self.drain, front.reject_unparsed)
         self._build_optional_parts(objects, http, heads)
--- a/stoatrouter/net/answer_identity.py
+++ b/stoatrouter/net/answer_identity.py
@@ -14,15 +14,15 @@
 from typing import NamedTuple
 
 from stoatrouter.net import rest_times
-from stoatrouter.net.questions import Question, names_request
+from stoatrouter.net.request_digest import RequestDigest, contains_request_id
 
 # The loop may read late what has come in time.
-HELD_UP = timedelta(milliseconds=150)
+MAX_READ_DELAY = timedelta(milliseconds=150)
 PREFIX_BYTES = 4 * 1024  # of a body that are compared, beside its length
-MOST_FINGERPRINTS = 1_024  # beyond, the one that was last seen longest ago is forgotten
-MOST_RECENT = 64  # of one connection; beyond, it rests before it is used again
-DISTINCT_IN_A_ROW = 16  # answers of one kind, until the next one is taken for distinctive
-SUCCESS = b"200"
+MAX_FINGERPRINTS = 1_024  # beyond, the one that was last seen longest ago is forgotten
+MAX_RECENT_ANSWERS = 64  # of one connection; beyond, it rests before it is used again
+MIN_DISTINCT_IN_A_ROW = 16  # answers of one kind, until the next one is taken for distinctive
+STATUS_OK = b"200"
 
 
 class RequestKind(Enum):
@@ -49,7 +49,7 @@
         Args:
             fingerprint: The answer's.
             kind: What the request is to its node.
-            subject: What it is about (`Question.subject`); None: not known, and so different each time.
+            subject: What it is about (`RequestDigest.subject`); None: not known, and so different each time.
         """
         if kind is RequestKind.HEALTH_CHECK:
             return False
@@ -58,12 +58,12 @@
         is_same = not is_new and subject is not None and self._seen[fingerprint] == subject
         self._seen[fingerprint] = subject
         self._seen.move_to_end(fingerprint)
-        if len(self._seen) > MOST_FINGERPRINTS:
+        if len(self._seen) > MAX_FINGERPRINTS:
             self._seen.popitem(last=False)
         in_a_row = self._distinct_in_a_row[kind]
         if not is_same:
             in_a_row = self._distinct_in_a_row[kind] = in_a_row + 1 if is_new else 0
-        return in_a_row > DISTINCT_IN_A_ROW
+        return in_a_row > MIN_DISTINCT_IN_A_ROW
 
 
 class RecentAnswer(NamedTuple):
@@ -71,14 +71,14 @@
 
     ended: float
     fingerprint: int
-    question: Question | None  # None: not known, so different from all others
-    names_request: bool
+    digest: RequestDigest | None  # None: not known, so different from all others
+    contains_request_id: bool
 
-    def is_for_another(self, question: Question | None) -> bool:
+    def is_for_another(self, digest: RequestDigest | None) -> bool:
         """Whether it would be no right answer to a request."""
-        if question is None or self.question is None or question.subject != self.question.subject:
+        if digest is None or self.digest is None or digest.subject != self.digest.subject:
             return True
-        return self.names_request and question.request_id != self.question.request_id
+        return self.contains_request_id and digest.request_id != self.digest.request_id
 
 
 class RecentAnswers:
@@ -93,20 +93,20 @@
         self,
         fingerprint: int,
         now: float,
-        question: Question | None = None,
-        names_request: bool = False,
+        digest: RequestDigest | None = None,
+        contains_request_id: bool = False,
     ) -> bool:
         """Add an answer that has just ended; False where the table is full."""
         if fingerprint in self._by_fingerprint:
             self._remove(fingerprint)
-        elif len(self._by_fingerprint) == MOST_RECENT:
+        elif len(self._by_fingerprint) == MAX_RECENT_ANSWERS:
             self._drop_older(now)
-            if len(self._by_fingerprint) == MOST_RECENT:
+            if len(self._by_fingerprint) == MAX_RECENT_ANSWERS:
                 return False
-        answer = RecentAnswer(now, fingerprint, question, names_request)
+        answer = RecentAnswer(now, fingerprint, digest, contains_request_id)
         self._by_fingerprint[fingerprint] = answer
-        if question is not None:
-            self._by_subject[question.subject] = answer
+        if digest is not None:
+            self._by_subject[digest.subject] = answer
         return True
 
     def any(self, now: float) -> bool:
@@ -114,35 +114,35 @@
         self._drop_older(now)
         return bool(self._by_fingerprint)
 
-    def holds(self, fingerprint: int, question: Question | None = None) -> bool:
+    def is_repetition(self, fingerprint: int, digest: RequestDigest | None = None) -> bool:
         """Whether an answer equals one of them that would be no right answer to the request."""
         known = self._by_fingerprint.get(fingerprint)
-        return known is not None and known.is_for_another(question)
+        return known is not None and known.is_for_another(digest)
 
-    def equals_one(self, fingerprint: int) -> bool:
+    def contains(self, fingerprint: int) -> bool:
         """Whether an answer equals one of them, whatever it was the answer to."""
         return fingerprint in self._by_fingerprint
 
-    def rest_left(self, question: Question, now: float) -> float:
+    def rest_left(self, digest: RequestDigest, now: float) -> float:
         """How many seconds the connection has to rest before the request, so that it gets its own answer."""
-        known = self._unrested(question, now)
-        if known is None or known.question is None or question.is_served_by(known.question):
+        known = self._unrested(digest, now)
+        if known is None or known.digest is None or digest.is_served_by(known.digest):
             return 0.0
         return known.ended + rest_times.REUSE_AFTER.total_seconds() - now
 
-    def may_serve_again(self, question: Question, now: float) -> bool:
+    def may_serve_again(self, digest: RequestDigest, now: float) -> bool:
         """Whether one that may still come a second time would serve a request that is written now."""
-        return self._unrested(question, now) is not None
+        return self._unrested(digest, now) is not None
 
-    def _unrested(self, question: Question, now: float) -> RecentAnswer | None:
+    def _unrested(self, digest: RequestDigest, now: float) -> RecentAnswer | None:
         """The last about a request's subject, where it cannot be distinguished from the request's own."""
-        known = self._by_subject.get(question.subject)
+        known = self._by_subject.get(digest.subject)
         if known is None or now - known.ended >= rest_times.REUSE_AFTER.total_seconds():
             return None
-        return None if known.is_for_another(question) else known
+        return None if known.is_for_another(digest) else known
 
     def _drop_older(self, now: float) -> None:
-        oldest = now - (rest_times.REUSE_AFTER + HELD_UP).total_seconds()
+        oldest = now - (rest_times.REUSE_AFTER + MAX_READ_DELAY).total_seconds()
         while self._by_fingerprint:
             first = next(iter(self._by_fingerprint.values()))
             if first.ended >= oldest:
@@ -151,15 +151,15 @@
 
     def _remove(self, fingerprint: int) -> None:
         answer = self._by_fingerprint.pop(fingerprint)
-        if answer.question is not None and self._by_subject.get(answer.question.subject) is answer:
-            del self._by_subject[answer.question.subject]
+        if answer.digest is not None and self._by_subject.get(answer.digest.subject) is answer:
+            del self._by_subject[answer.digest.subject]
 
 
 class AnswerInspection:
     """One answer of a stated length, which is withheld until it is known not to be an earlier one again."""
 
     def __init__(
-        self, status: bytes, length: int, recent: RecentAnswers | None, question: Question | None = None
+        self, status: bytes, length: int, recent: RecentAnswers | None, digest: RequestDigest | None = None
     ) -> None:
         """Begin to inspect an answer.
 
@@ -167,10 +167,10 @@
             status: Its three digits.
             length: The bytes of its body.
             recent: The answers that it may be a repetition of; None: it is not withheld.
-            question: What the present request asks for; None: not known.
+            digest: What the present request asks for; None: not known.
         """
-        self._question = question
-        self._compares = status == SUCCESS and length > 0
+        self._digest = digest
+        self._compares = status == STATUS_OK and length > 0
         self._length = length
         self._prefix = b""
         self._withheld = b""
@@ -179,9 +179,9 @@
         self.is_repetition = False
         self.equals_recent = False  # and is none: it would be a right answer either way
 
-    def names_request(self) -> bool:
+    def contains_request_id(self) -> bool:
         """Whether the answer names its request, as far as that is known."""
-        return self._question is not None and names_request(self._prefix, self._question.request_id)
+        return self._digest is not None and contains_request_id(self._prefix, self._digest.request_id)
 
     def take(self, head: bytes, body: bytes) -> bytes:
         """Take a part of the answer, and return what of it may be passed on."""
@@ -198,6 +198,6 @@
         if self.fingerprint is None:
             return b""
         withheld, self._withheld = self._withheld, b""
-        self.is_repetition = self._recent.holds(self.fingerprint, self._question)
-        self.equals_recent = not self.is_repetition and self._recent.equals_one(self.fingerprint)
+        self.is_repetition = self._recent.is_repetition(self.fingerprint, self._digest)
+        self.equals_recent = not self.is_repetition and self._recent.contains(self.fingerprint)
         return b"" if self.is_repetition else withheld
--- a/stoatrouter/net/answer_stream.py
+++ b/stoatrouter/net/answer_stream.py
@@ -9,8 +9,8 @@
 
 import aiohttp
 
-from stoatrouter.net.bodies import LARGEST, PIECE
-from stoatrouter.net.errors import BrokenOff
+from stoatrouter.net.bodies import MAX_BODY_BYTES, PIECE_BYTES
+from stoatrouter.net.errors import IncompleteAnswer
 
 STALL_TIMEOUT = timedelta(seconds=10)  # how long an answer that has begun may stall
 
@@ -34,22 +34,24 @@
     async def pieces(self) -> AsyncIterator[bytes]:
         """The whole answer in pieces.
 
-        Raises BrokenOff for a truncated or oversized answer, after all that arrived of it.
+        Raises IncompleteAnswer for a truncated or oversized answer, after all that arrived of it.
         """
         data = self.first
         size = len(data)
         while data:
-            for offset in range(0, len(data), PIECE):
-                yield data[offset : offset + PIECE]
+            for offset in range(0, len(data), PIECE_BYTES):
+                yield data[offset : offset + PIECE_BYTES]
             data = await self.next()
             size += len(data)
-            if size > LARGEST:  # guards clients against an answer without end
-                raise BrokenOff(f"an answer of {size} bytes or more (allowed: {LARGEST} or less)")
+            if size > MAX_BODY_BYTES:  # guards clients against an answer without end
+                raise IncompleteAnswer(
+                    f"an answer of {size} bytes or more (allowed: {MAX_BODY_BYTES} or less)"
+                )
         if self.length is not None and size != self.length:
-            raise BrokenOff(f"an answer of {size} bytes that stated {self.length}")
+            raise IncompleteAnswer(f"an answer of {size} bytes that stated {self.length}")
 
     async def next(self) -> bytes:
-        """The next bytes, empty at the end; raises BrokenOff where the node broke off or stands still."""
+        """The next bytes, empty at the end; raises IncompleteAnswer where the node breaks off or stalls."""
         content = self.response.content
         try:
             async with asyncio.timeout(STALL_TIMEOUT.total_seconds()):
@@ -58,16 +60,18 @@
             # what arrived before the break is the client's; aiohttp has no public way to it
             if content._buffer:
                 return content._read_nowait(-1)
-            raise BrokenOff(repr(error)) from error
+            raise IncompleteAnswer(repr(error)) from error
 
     async def read_complete(self, limit: int) -> bytes:
-        """The whole answer at once; raises BrokenOff where it is truncated or exceeds `limit` bytes."""
+        """The whole answer; raises IncompleteAnswer where it is truncated or exceeds `limit` bytes."""
         data = bytearray()
         with contextlib.closing(self):
             async for piece in self.pieces():
                 data += piece
                 if len(data) > limit:
-                    raise BrokenOff(f"an answer of {len(data)} bytes or more (allowed here: {limit} or less)")
+                    raise IncompleteAnswer(
+                        f"an answer of {len(data)} bytes or more (allowed here: {limit} or less)"
+                    )
         return bytes(data)
 
     def close(self) -> None:
--- a/stoatrouter/net/attempt_record.py
+++ b/stoatrouter/net/attempt_record.py
@@ -12,8 +12,8 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-APPEND = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-PRIVATE = 0o600
+APPEND_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND
+PRIVATE_MODE = 0o600
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +32,7 @@
 
     def __init__(self, file: Path) -> None:
         """Open the file, which the processes of one head may all append to; raises OSError."""
-        self._descriptor = os.open(file, APPEND, PRIVATE)
+        self._descriptor = os.open(file, APPEND_FLAGS, PRIVATE_MODE)
 
     def append(self, attempt: WrittenAttempt) -> None:
         """Append one attempt; raises OSError."""
--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -15,15 +15,17 @@
 
 from stoatrouter.net.errors import NoCapacity, TooLarge, TooSlow
 
-SMALL = 64 * 1024  # in memory, and checked complete
-LARGEST = 36 * 1024 * 1024  # legitimate requests reach 32 MB
-PIECE = 64 * 1024
-STEP = 1024 * 1024  # by which the capacity reserved for a body without a stated length grows
+MAX_IN_MEMORY_BYTES = 64 * 1024  # in memory, and checked complete
+MAX_BODY_BYTES = 36 * 1024 * 1024  # legitimate requests reach 32 MB
+PIECE_BYTES = 64 * 1024
+RESERVATION_STEP_BYTES = (
+    1024 * 1024
+)  # by which the capacity reserved for a body without a stated length grows
 # A body that stalls is given up, and so is one far slower than clients in service (64 kB a second).
-STALL = timedelta(seconds=1)
-SLOWEST = 24 * 1024  # bytes a second
-START = timedelta(milliseconds=2500)  # from when on its mean rate counts
-CAPACITY_WAIT = timedelta(seconds=4)  # how long a body waits, unread, for capacity
+BODY_STALL_TIMEOUT = timedelta(seconds=1)
+MIN_BYTES_PER_SECOND = 24 * 1024  # bytes a second
+RATE_GRACE = timedelta(milliseconds=2500)  # from when on its mean rate counts
+CAPACITY_TIMEOUT = timedelta(seconds=4)  # how long a body waits, unread, for capacity
 
 
 @dataclass(slots=True, frozen=True, eq=False)
@@ -55,7 +57,7 @@
     async def reserve(self, size: int) -> None:
         """Reserve `size` bytes, waiting in turn so that small bodies do not starve a large one.
 
-        Raises TooLarge where they can never fit, NoCapacity after CAPACITY_WAIT.
+        Raises TooLarge where they can never fit, NoCapacity after CAPACITY_TIMEOUT.
         """
         if size > self.limit:
             raise TooLarge(size, self.limit)
@@ -65,7 +67,7 @@
         reservation = Reservation(size, asyncio.get_running_loop().create_future())
         self.waiting.append(reservation)
         try:
-            async with asyncio.timeout(CAPACITY_WAIT.total_seconds()):
+            async with asyncio.timeout(CAPACITY_TIMEOUT.total_seconds()):
                 await reservation.granted
         except BaseException as error:
             if reservation in self.waiting:
@@ -74,7 +76,7 @@
             elif not reservation.granted.cancelled():
                 self.release(size)  # it was granted as the wait ended
             if isinstance(error, TimeoutError):
-                waited = CAPACITY_WAIT.total_seconds()
+                waited = CAPACITY_TIMEOUT.total_seconds()
                 raise NoCapacity(f"no {size} bytes became free in {waited:g} s") from None
             raise
 
@@ -131,13 +133,13 @@
         self.size += len(data)
 
     async def pieces(self) -> AsyncIterator[bytes]:
-        """The body in pieces of at most PIECE bytes; raises OSError once it is closed."""
+        """The body in pieces of at most PIECE_BYTES bytes; raises OSError once it is closed."""
         offset = 0
         while offset < self.size:
             if self.file.closed:
                 # Guards against an attempt that outlives its request: its descriptor may be another's by now.
                 raise OSError("the body is no longer stored")
-            piece = os.pread(self.file.fileno(), PIECE, offset)
+            piece = os.pread(self.file.fileno(), PIECE_BYTES, offset)
             offset += len(piece)
             yield piece
 
@@ -176,9 +178,9 @@
     async def append(self, data: bytes) -> None:
         """Append what has arrived; raises TooLarge or NoCapacity."""
         size = len(data) + (len(self.small) if self.stored is None else self.stored.size)
-        if size > LARGEST:
-            raise TooLarge(size, LARGEST)
-        if self.stored is None and size <= SMALL:
+        if size > MAX_BODY_BYTES:
+            raise TooLarge(size, MAX_BODY_BYTES)
+        if self.stored is None and size <= MAX_IN_MEMORY_BYTES:
             self.small += data
             return
         if self.stored is None:  # it stated no length
@@ -186,7 +188,7 @@
         stored = self.stored
         if size > stored.reserved:
             # a step further, yet no more than the limit: it would wait for capacity that never becomes free
-            await stored.grow(max(size, min(stored.reserved + STEP, self.capacity.limit)))
+            await stored.grow(max(size, min(stored.reserved + RESERVATION_STEP_BYTES, self.capacity.limit)))
         if self.small:
             stored.write(bytes(self.small))
             self.small.clear()
@@ -203,19 +205,19 @@
 
 
 async def read_body(request: web.BaseRequest, capacity: BodyCapacity) -> Body:
-    """Read a whole body; one over SMALL bytes goes into a file that the caller must close.
+    """Read a whole body; one over MAX_IN_MEMORY_BYTES bytes goes into a file that the caller must close.
 
     Raises TooLarge, TooSlow or NoCapacity.
     """
     stated = request.content_length or 0
-    if stated > LARGEST:
-        raise TooLarge(stated, LARGEST)
+    if stated > MAX_BODY_BYTES:
+        raise TooLarge(stated, MAX_BODY_BYTES)
     if not request.can_read_body:
         return b""
     buffer = BodyBuffer(capacity)
     rate = ReceiveRate()
     try:
-        if stated > SMALL:
+        if stated > MAX_IN_MEMORY_BYTES:
             await buffer.reserve(stated)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -239,18 +241,22 @@
     async def wait(self, content: aiohttp.StreamReader) -> bytes:
         """The next bytes, empty at the end.
 
-        Raises TooSlow where a body stands still for STALL or is slower than SLOWEST bytes a second, so that
-        it cannot hold connections, capacity or a stopping head.
+        Raises TooSlow where a body stands still for BODY_STALL_TIMEOUT or is slower than
+        MIN_BYTES_PER_SECOND, so that it cannot hold connections, capacity or a stopping head.
         """
         loop = asyncio.get_running_loop()
         started = loop.time()
         try:
-            async with asyncio.timeout(STALL.total_seconds()):
+            async with asyncio.timeout(BODY_STALL_TIMEOUT.total_seconds()):
                 data = await content.readany()
         except TimeoutError:
             raise TooSlow(self.received, timedelta(seconds=loop.time() - started)) from None
         self.spent += loop.time() - started
         self.received += len(data)
-        if data and self.spent > START.total_seconds() and self.received < self.spent * SLOWEST:
+        if (
+            data
+            and self.spent > RATE_GRACE.total_seconds()
+            and self.received < self.spent * MIN_BYTES_PER_SECOND
+        ):
             raise TooSlow(self.received, timedelta(seconds=self.spent))
         return data
--- a/stoatrouter/net/client_table.py
+++ b/stoatrouter/net/client_table.py
@@ -25,12 +25,12 @@
 class State(Enum):
     """The state of a client's connection."""
 
-    ENDING = 0  # has its last answer
-    SILENT = 1  # no part of a request has arrived
-    ONCE = 2  # between requests, and has sent only one
+    LINGERING = 0  # has its last answer
+    NEW = 1  # no part of a request has arrived
+    IDLE_AFTER_FIRST = 2  # between requests, and has sent only one
     IDLE = 3  # between requests
     BUSY = 4  # a request is open
-    BEGUN = 5  # a part of a head has arrived; in the order of the latest bytes
+    READING_HEAD = 5  # a part of a head has arrived; in the order of the latest bytes
 
 
 class TrackedConnection(Protocol):
@@ -38,13 +38,13 @@
 
     loop: asyncio.AbstractEventLoop
     state: State
-    since: float  # in the loop's time: when it entered its state
-    begun: float  # in the loop's time: when the head that is under way began
+    state_since: float  # in the loop's time: when it entered its state
+    head_since: float  # in the loop's time: when the head that is under way began
 
-    def end(self) -> None:
+    def close_now(self) -> None:
         """Close at once."""
 
-    def end_unless_unread(self) -> None:
+    def close_unless_unread(self) -> None:
         """Close at once, unless bytes have arrived that the loop has not yet read."""
 
     def seconds_in_state(self) -> float:
@@ -89,14 +89,14 @@
         """Move a connection to a state, as the latest of it."""
         self.remove(connection)
         connection.state = state
-        connection.since = connection.loop.time()
-        self.by_state[state][connection] = connection.since
-        once = self.by_state[State.ONCE]
+        connection.state_since = connection.loop.time()
+        self.by_state[state][connection] = connection.state_since
+        once = self.by_state[State.IDLE_AFTER_FIRST]
         if len(once) > self.max_idle and not self.keep_idle:
             # Guards the other clients: their connections together are bounded, and clients that send one
             # request and stay connected would use them up. Those that send more stay: at a high rate, opening
             # new connections would take a core's time.
-            next(iter(once)).end()
+            next(iter(once)).close_now()
 
     def remove(self, connection: TrackedConnection) -> None:
         """Remove a connection from the table."""
@@ -107,11 +107,11 @@
 
         Above the bound the least useful connection is closed in its place; those with a request open stay.
         """
-        self.set_state(connection, State.SILENT)
+        self.set_state(connection, State.NEW)
         if len(self) > self.max_connections and (evicted := self.eviction_candidate(connection)) is not None:
-            return evicted.end()
+            return evicted.close_now()
         if len(self) > self.max_connections + SPARE_CONNECTIONS:
-            connection.end()  # all others have a request open
+            connection.close_now()  # all others have a request open
 
     def eviction_candidate(self, newest: TrackedConnection) -> TrackedConnection | None:
         """Which connection to close for a new one; None where all others have a request open.
@@ -120,17 +120,17 @@
         its way, and most likely has not been read yet.
         """
         oldest = {state: next(iter(connections), None) for state, connections in self.by_state.items()}
-        silent, begun = oldest[State.SILENT], oldest[State.BEGUN]
+        silent, begun = oldest[State.NEW], oldest[State.READING_HEAD]
         now = newest.loop.time()
         if silent is newest:
             silent = None
-        long_silent = silent is not None and now - silent.since > JUST_CONNECTED.total_seconds()
-        stale = begun is not None and now - begun.since > STALE_HEAD_AFTER.total_seconds()
+        long_silent = silent is not None and now - silent.state_since > JUST_CONNECTED.total_seconds()
+        stale = begun is not None and now - begun.state_since > STALE_HEAD_AFTER.total_seconds()
         return (
-            oldest[State.ENDING]
+            oldest[State.LINGERING]
             or (silent if long_silent else None)
             or (begun if stale else None)
-            or oldest[State.ONCE]
+            or oldest[State.IDLE_AFTER_FIRST]
             or oldest[State.IDLE]
             or silent
             or begun
@@ -158,23 +158,23 @@
 
     def sweep(self) -> None:
         """Close connections that were idle or silent for too long, send endless heads, or read no answer."""
-        for connection in list(self.by_state[State.BEGUN]):
-            if connection.loop.time() - connection.begun > HEAD_TIMEOUT.total_seconds():
-                connection.end()
+        for connection in list(self.by_state[State.READING_HEAD]):
+            if connection.loop.time() - connection.head_since > HEAD_TIMEOUT.total_seconds():
+                connection.close_now()
         for connection in list(self.by_state[State.BUSY]):
             if connection.seconds_stalled() > WRITE_STALL_TIMEOUT.total_seconds():
-                connection.end()
-        for state in (State.SILENT, State.ONCE, State.IDLE, State.ENDING):
-            if state in (State.ONCE, State.IDLE) and self.keep_idle:
+                connection.close_now()
+        for state in (State.NEW, State.IDLE_AFTER_FIRST, State.IDLE, State.LINGERING):
+            if state in (State.IDLE_AFTER_FIRST, State.IDLE) and self.keep_idle:
                 continue
-            timeout = LINGER_TIMEOUT if state is State.ENDING else IDLE_TIMEOUT
+            timeout = LINGER_TIMEOUT if state is State.LINGERING else IDLE_TIMEOUT
             for connection, since in list(self.by_state[state].items()):
                 if connection.loop.time() - since < timeout.total_seconds():
                     break
-                if state is State.ENDING:
-                    connection.end()
+                if state is State.LINGERING:
+                    connection.close_now()
                 else:
-                    connection.end_unless_unread()
+                    connection.close_unless_unread()
 
     async def sweep_periodically(self) -> None:
         """Sweep every SWEEP_INTERVAL, until cancelled."""
@@ -182,23 +182,24 @@
             await asyncio.sleep(SWEEP_INTERVAL.total_seconds())
             self.sweep()
 
-    def end_idle(self, silent: bool = True) -> None:
+    def close_idle(self, silent: bool = True) -> None:
         """Close all connections between requests.
 
         With `silent` also those that have not begun a request, except those that were just opened, whose
         first request is on its way.
         """
-        for state in (State.ONCE, State.IDLE, *((State.SILENT, State.BEGUN) if silent else ())):
+        for state in (
+            State.IDLE_AFTER_FIRST,
+            State.IDLE,
+            *((State.NEW, State.READING_HEAD) if silent else ()),
+        ):
             for connection in list(self.by_state[state]):
-                if (
-                    state is not State.SILENT
-                    or connection.seconds_in_state() > JUST_CONNECTED.total_seconds()
-                ):
-                    connection.end_unless_unread()
+                if state is not State.NEW or connection.seconds_in_state() > JUST_CONNECTED.total_seconds():
+                    connection.close_unless_unread()
 
     def any_just_connected(self) -> bool:
         """Whether any connection is so new that its first request may still be on its way."""
         return any(
             connection.seconds_in_state() <= JUST_CONNECTED.total_seconds()
-            for connection in self.by_state[State.SILENT]
+            for connection in self.by_state[State.NEW]
         )
--- a/stoatrouter/net/clients.py
+++ b/stoatrouter/net/clients.py
@@ -27,8 +27,8 @@
         "clients",
         "loop",
         "state",
-        "since",
-        "begun",
+        "state_since",
+        "head_since",
         "stalled_bytes",
         "stalled_since",
         "answered",
@@ -64,16 +64,16 @@
         self.clients = clients
         self.refuse = refuse
         self.loop = loop
-        self.state = State.SILENT
+        self.state = State.NEW
         # in the loop's time: when it entered its state, and when the head that is under way began
-        self.since = 0.0
-        self.begun = 0.0
+        self.state_since = 0.0
+        self.head_since = 0.0
         # bytes of an answer that the client does not read, and since when, in the loop's time
         self.stalled_bytes = 0
         self.stalled_since = 0.0
         self.answered = False  # whether any answer was sent
 
-    def end(self) -> None:
+    def close_now(self) -> None:
         """Close at once.
 
         force_close is used, as close() would leave the socket open and swallow what arrives there.
@@ -83,16 +83,16 @@
 
     def seconds_in_state(self) -> float:
         """For how many seconds the connection has been in its present state."""
-        return self.loop.time() - self.since
+        return self.loop.time() - self.state_since
 
-    def end_unless_unread(self) -> None:
+    def close_unless_unread(self) -> None:
         """Close at once, unless bytes have arrived that the loop has not yet read.
 
         Closing over unread bytes would reset the connection and lose that request.
         """
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if sock is None or not has_unread_bytes(sock):
-            self.end()
+            self.close_now()
 
     def seconds_stalled(self) -> float:
         """For how many seconds the client has read nothing of a waiting answer.
@@ -118,12 +118,12 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse what arrived and follow the connection's state; an overloaded head rejects requests here."""
-        if self.state is State.ENDING:
+        if self.state is State.LINGERING:
             return  # read only so that the answer arrives
         if (
             self.refuse is not None
             and self.clients.open >= self.clients.busy_limit()
-            and self.state in (State.SILENT, State.ONCE, State.IDLE)
+            and self.state in (State.NEW, State.IDLE_AFTER_FIRST, State.IDLE)
             and (refusal := self.refuse(data))
         ):
             return self._reject(refusal)
@@ -131,14 +131,14 @@
         super().data_received(data)
         if not self._messages:
             if not open_before:
-                self._begin()
+                self._record_head_started()
             return
         if isinstance(self._messages[-1][0], _ErrInfo):
             if open_before or len(self._messages) > 1:
                 # Guards a client's time: unreadable input behind an open request would get its error only
                 # after that. It also may be the rest of a request whose stated length was too short.
-                return self.end()
-            self.clients.set_state(self, State.ENDING)
+                return self.close_now()
+            self.clients.set_state(self, State.LINGERING)
         elif not open_before:
             self.clients.set_state(self, State.BUSY)
 
@@ -150,14 +150,14 @@
         if b"Connection: close" in refusal:
             self._linger()
         else:
-            self.clients.set_state(self, State.IDLE if self.answered else State.ONCE)
+            self.clients.set_state(self, State.IDLE if self.answered else State.IDLE_AFTER_FIRST)
             self.answered = True
 
-    def _begin(self) -> None:
+    def _record_head_started(self) -> None:
         """Record that more of a head has arrived; a first one counts from the connection's start."""
-        if self.state is not State.BEGUN:
-            self.begun = self.since if self.state is State.SILENT else self.loop.time()
-        self.clients.set_state(self, State.BEGUN)
+        if self.state is not State.READING_HEAD:
+            self.head_since = self.state_since if self.state is State.NEW else self.loop.time()
+        self.clients.set_state(self, State.READING_HEAD)
 
     # -- answers ------------------------------------------------------------------------------------------
     def handle_error(
@@ -189,7 +189,7 @@
             return resp, reset
         if resp.keep_alive and request.content.is_eof() and self._can_continue(request):
             if not self._messages:
-                self.clients.set_state(self, State.IDLE if self.answered else State.ONCE)
+                self.clients.set_state(self, State.IDLE if self.answered else State.IDLE_AFTER_FIRST)
                 self.answered = True
             return resp, reset
         self._messages.clear()
@@ -202,7 +202,7 @@
 
     def _linger(self) -> None:
         """Send nothing more; the connection ends once the last answer has arrived."""
-        self.clients.set_state(self, State.ENDING)
+        self.clients.set_state(self, State.LINGERING)
         with contextlib.suppress(OSError):  # a client may have gone in this moment
             if self.transport is not None and self.transport.can_write_eof():
                 self.transport.write_eof()
--- a/stoatrouter/net/dial.py
+++ b/stoatrouter/net/dial.py
@@ -8,10 +8,10 @@
 
 from aiohttp.client_proto import ResponseHandler
 
-TURNS = 10  # of the loop, in which it sees what has come and finishes the opening
+EXTRA_ITERATIONS = 10  # of the loop, in which it sees what has come and finishes the opening
 
 
-async def open_in_time(opening: Coroutine[Any, Any, ResponseHandler], within: float) -> ResponseHandler:
+async def open_with_timeout(opening: Coroutine[Any, Any, ResponseHandler], within: float) -> ResponseHandler:
     """Await the opening of a connection for `within` seconds; raises TimeoutError and its errors.
 
     A loop that was held up for as long finds its timer due and the connection up in the same step. It gets
@@ -20,7 +20,7 @@
     task = asyncio.create_task(opening)
     try:
         await asyncio.wait((task,), timeout=within)
-        for _ in range(TURNS):
+        for _ in range(EXTRA_ITERATIONS):
             if task.done():
                 return task.result()
             await asyncio.sleep(0)
--- a/stoatrouter/net/disconnects.py
+++ b/stoatrouter/net/disconnects.py
@@ -12,7 +12,7 @@
 
 # the connection that the present task works for; tasks that it creates inherit it
 CLIENT_TRANSPORT: ContextVar[asyncio.Transport | None] = ContextVar("client", default=None)
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def has_disconnected(client: asyncio.Transport | None) -> bool:
@@ -27,7 +27,7 @@
         return True
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLRDHUP)
-    return any(events & ENDED for _, events in poll.poll(0))
+    return any(events & HANGUP_EVENTS for _, events in poll.poll(0))
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
@@ -37,4 +37,4 @@
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN | select.POLLRDHUP)
     events = dict(poll.poll(0)).get(sock.fileno(), 0)
-    return bool(events & select.POLLIN) and not events & ENDED
+    return bool(events & select.POLLIN) and not events & HANGUP_EVENTS
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -18,14 +18,14 @@
 from stoatrouter.core.model import NodeInfo
 from stoatrouter.net.background import start_task
 from stoatrouter.net.endpoint_list import read_list
-from stoatrouter.net.errors import Broken, MalformedList
-from stoatrouter.net.tracked_request import only_once
+from stoatrouter.net.errors import ExchangeBroken, MalformedList
+from stoatrouter.net.tracked_request import prevent_resend
 from stoatrouter.policy.interface import ListKind, Phase
 
-LEAST_CALL_INTERVAL = timedelta(milliseconds=50)  # of calls that are answered at once and bring nothing
-LARGEST_LIST = 4 * 1024 * 1024
-MOST_DOUBLINGS = 10  # of the backoff
-MOST_LOGGED_FAULTS = 1000  # faults of entries that are remembered as logged
+MIN_CALL_INTERVAL = timedelta(milliseconds=50)  # of calls that are answered at once and bring nothing
+MAX_LIST_BYTES = 4 * 1024 * 1024
+MAX_BACKOFF_DOUBLINGS = 10  # of the backoff
+MAX_LOGGED_FAULTS = 1000  # faults of entries that are remembered as logged
 
 # the kind, the entries, and how long before now they may have counted as notified; None: not known
 ListCallback = Callable[[ListKind, tuple[NodeInfo, ...], timedelta | None], None]
@@ -52,10 +52,10 @@
         self.logged: set[str] = set()
 
     def record(self, faults: tuple[str, ...]) -> None:
-        """Count these faults, and log those that are new; at most MOST_LOGGED_FAULTS are logged."""
+        """Count these faults, and log those that are new; at most MAX_LOGGED_FAULTS are logged."""
         for fault in faults:
             self.count("entry_unreadable")
-            if fault not in self.logged and len(self.logged) < MOST_LOGGED_FAULTS:
+            if fault not in self.logged and len(self.logged) < MAX_LOGGED_FAULTS:
                 self.logged.add(fault)
                 logger.warning(
                     "discovery: an entry cannot be read, the others are taken: {error}",
@@ -166,7 +166,7 @@
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.times.connect.total_seconds())
         async with aiohttp.ClientSession(
             connector=connector,
-            middlewares=(only_once,),
+            middlewares=(prevent_resend,),
             cookie_jar=aiohttp.DummyCookieJar(),
             trust_env=False,
             timeout=timeout,
@@ -177,9 +177,9 @@
                     self.record_success()
                     # Guards the core against an agent that does not hold calls: polling is paced then.
                     elapsed = asyncio.get_running_loop().time() - self.call_started
-                    if not changed and elapsed < LEAST_CALL_INTERVAL.total_seconds():
-                        await asyncio.sleep(LEAST_CALL_INTERVAL.total_seconds())
-                except (aiohttp.ClientError, Broken, OSError, ValueError, TimeoutError) as error:
+                    if not changed and elapsed < MIN_CALL_INTERVAL.total_seconds():
+                        await asyncio.sleep(MIN_CALL_INTERVAL.total_seconds())
+                except (aiohttp.ClientError, ExchangeBroken, OSError, ValueError, TimeoutError) as error:
                     self.record_failure(error)
                     await asyncio.sleep(self.backoff().total_seconds())
                 except Exception:
@@ -193,7 +193,7 @@
 
         It is jittered, as all heads lose discovery at the same moment.
         """
-        doubled = self.times.backoff * (1 << min(MOST_DOUBLINGS, max(0, self.failures - 1)))
+        doubled = self.times.backoff * (1 << min(MAX_BACKOFF_DOUBLINGS, max(0, self.failures - 1)))
         return min(self.times.max_backoff, doubled) * (0.5 + random.random() / 2)
 
     async def call(self, session: aiohttp.ClientSession) -> bool:
@@ -307,15 +307,15 @@
 
 
 async def fetch(session: aiohttp.ClientSession, url: URL) -> bytearray:
-    """Read the body at a URL; raises MalformedList for a status but 200 or more than LARGEST_LIST bytes."""
+    """Read the body at a URL; raises MalformedList for a status but 200 or more than MAX_LIST_BYTES bytes."""
     async with session.get(url, allow_redirects=False) as response:
         if response.status != 200:
             raise MalformedList(f"status {response.status} (allowed: 200)")
         raw = bytearray()
-        while chunk := await response.content.read(LARGEST_LIST):
+        while chunk := await response.content.read(MAX_LIST_BYTES):
             raw += chunk
-            if len(raw) > LARGEST_LIST:  # guards memory against an answer without end
+            if len(raw) > MAX_LIST_BYTES:  # guards memory against an answer without end
                 raise MalformedList(
-                    f"list too large: {len(raw)} bytes or more (allowed: {LARGEST_LIST} or less)"
+                    f"list too large: {len(raw)} bytes or more (allowed: {MAX_LIST_BYTES} or less)"
                 )
     return raw
--- a/stoatrouter/net/endpoint_list.py
+++ b/stoatrouter/net/endpoint_list.py
@@ -13,9 +13,9 @@
 from stoatrouter.net.errors import MalformedList
 from stoatrouter.policy.interface import Phase
 
-UNNAMED_ZONES = 1 << 16  # numbers from here on are of zones that the settings do not name
-LONGEST_FAULT = 200  # characters of a fault's description
-NONE_CACHED: Mapping[str, NodeInfo] = MappingProxyType({})
+FIRST_UNNAMED_ZONE = 1 << 16  # numbers from here on are of zones that the settings do not name
+MAX_FAULT_LENGTH = 200  # characters of a fault's description
+EMPTY_CACHE: Mapping[str, NodeInfo] = MappingProxyType({})
 PHASES = {"SERVING": Phase.ON, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
 
 
@@ -38,7 +38,7 @@
 
 def read_list(
     data: Any,
-    cached: Mapping[str, NodeInfo] = NONE_CACHED,
+    cached: Mapping[str, NodeInfo] = EMPTY_CACHE,
     zones: tuple[str, ...] = (),
 ) -> ListMessage:
     """Parse a message.
@@ -59,7 +59,7 @@
             raise TypeError("instances is no list")
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise MalformedList(f"bad list: {type(error).__name__}: {error}") from None
-    nodes, faults = read_entries(entries, cached if complete else NONE_CACHED, zones)
+    nodes, faults = read_entries(entries, cached if complete else EMPTY_CACHE, zones)
     return ListMessage(generation, complete, nodes, faults)
 
 
@@ -78,7 +78,7 @@
             nodes.append(read_node(entry, zones))
         except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
             name = entry.get("instanceId") if isinstance(entry, dict) else None
-            faults.append(f"{name!r}: {type(error).__name__}: {error}"[:LONGEST_FAULT])
+            faults.append(f"{name!r}: {type(error).__name__}: {error}"[:MAX_FAULT_LENGTH])
             # nor is the node that it stands for considered gone
             if isinstance(name, str) and name in cached:
                 nodes.append(cached[name])
@@ -91,7 +91,7 @@
     A zone that the settings do not name gets a number of its own, the same in every process, as some repeats
     are dropped only within one zone.
     """
-    return zones.index(name) if name in zones else UNNAMED_ZONES + zlib.crc32(str(name).encode())
+    return zones.index(name) if name in zones else FIRST_UNNAMED_ZONE + zlib.crc32(str(name).encode())
 
 
 def read_node(entry: dict[str, Any], zones: tuple[str, ...] = ()) -> NodeInfo:
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -15,13 +15,13 @@
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.disconnects import CLIENT_TRANSPORT, has_disconnected
-from stoatrouter.net.errors import BrokenOff
+from stoatrouter.net.errors import IncompleteAnswer
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.replies import Reply
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.policy.interface import ListKind, Outcome
 
-LARGEST_PIECE = 1024 * 1024  # of an answer that a front needs complete
+MAX_COMPLETE_ANSWER_BYTES = 1024 * 1024  # of an answer that a front needs complete
 
 
 class Engine:
@@ -102,16 +102,16 @@
         return replace(request, time_left=left)
 
     async def serve_complete(self, request: model.Request) -> model.Answer:
-        """Serve a request for a front that needs the complete answer, at most LARGEST_PIECE bytes."""
+        """Serve a request for a front that needs the complete answer, at most MAX_COMPLETE_ANSWER_BYTES."""
         answer = await self.serve(request)
         if not isinstance(answer, model.Served) or answer.stream is None:
             return answer
         complete: bool | None = None
         try:
-            body = await answer.stream.read_complete(LARGEST_PIECE)
+            body = await answer.stream.read_complete(MAX_COMPLETE_ANSWER_BYTES)
             complete = True
             return model.Served(body, answer.shard)
-        except BrokenOff:
+        except IncompleteAnswer:
             complete = False
             return model.Failed()
         finally:
--- a/stoatrouter/net/errors.py
+++ b/stoatrouter/net/errors.py
@@ -41,11 +41,11 @@
         super().__init__(f"{received} bytes of a body in {elapsed.total_seconds():.1f} s")
 
 
-class BrokenOff(NetError):
+class IncompleteAnswer(NetError):
     """A node broke off its answer."""
 
 
-class Broken(NetError):
+class ExchangeBroken(NetError):
     """An exchange broke; `written` tells whether the last byte of the request was sent."""
 
     def __init__(self, written: bool, cause: BaseException) -> None:
--- a/stoatrouter/net/framing.py
+++ b/stoatrouter/net/framing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stoatrouter.net.bodies import LARGEST
+from stoatrouter.net.bodies import MAX_BODY_BYTES
 
 HEAD_END = b"\r\n\r\n"
 # What body_length returns in place of a length:
@@ -35,6 +35,6 @@
         return UNTIL_CLOSE
     if codings or len(lengths) != 1 or not lengths[0].isdigit() or len(lengths[0]) > 9:
         raise ValueError("no length that can be read")
-    if int(lengths[0]) > LARGEST:
+    if int(lengths[0]) > MAX_BODY_BYTES:
         raise ValueError("a body over the bound")
     return int(lengths[0])
--- a/stoatrouter/net/handover.py
+++ b/stoatrouter/net/handover.py
@@ -16,7 +16,7 @@
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.handover_socket import (
     HOLDINGS_INTERVAL,
-    VERSION,
+    PROTOCOL_VERSION,
     HandoverSocket,
     Predecessor,
     send_line,
@@ -34,9 +34,9 @@
 )
 
 # After each message of the other process: clients move over all at once, to a process that opens all anew.
-UNSETTLED = timedelta(seconds=1)
+SETTLING_TIME = timedelta(seconds=1)
 # A start is due within 6 s and takes one or two.
-STARTING = timedelta(seconds=4)
+STARTUP_TIME = timedelta(seconds=4)
 
 
 class Handover:
@@ -124,7 +124,7 @@
         """Reduce this process's limits by the holdings of the previous one, as both count as one head."""
         self.clients.max_connections = max(1, self.max_clients - holdings.clients)
         self.clients.busy_at_predecessor = holdings.busy
-        self.clients.tighten_busy_limit(UNSETTLED)
+        self.clients.tighten_busy_limit(SETTLING_TIME)
         self.engine.nodes.pool.set_limit(max(1, self.max_node_connections - holdings.connections))
         self.engine.put(model.AttemptsElsewhere(self.engine.clock.now(), holdings.attempts))
 
@@ -136,7 +136,7 @@
     def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Leave a starting process some of this host's time, and serve its request for the state."""
         # it connects as it starts, long before it requests the state
-        self.clients.tighten_busy_limit(STARTING)
+        self.clients.tighten_busy_limit(STARTUP_TIME)
         task = asyncio.get_running_loop().create_task(self.serve_takeover(reader, writer))
         self.takeover_tasks.add(task)
         task.add_done_callback(self.takeover_tasks.discard)
@@ -145,7 +145,7 @@
         """Serve one takeover request: send the state, and serve on where the new process dies."""
         try:
             line = await reader.readline()
-            if not line or json.loads(line).get("take") != VERSION or self.drain.handed_over:
+            if not line or json.loads(line).get("take") != PROTOCOL_VERSION or self.drain.handed_over:
                 return
         except (OSError, ValueError, AttributeError):
             return
@@ -162,7 +162,7 @@
             open=self.engine.reducer.open,
         )
         self.drain.handed_over = True
-        self.clients.tighten_busy_limit(UNSETTLED)
+        self.clients.tighten_busy_limit(SETTLING_TIME)
         await self.stop_accepting()
         try:
             await send_line(writer, self.state())
@@ -180,7 +180,7 @@
         """The state for the new process; from now on this process only finishes its requests."""
         state = self.engine.hand_over()
         return {
-            "v": VERSION,
+            "v": PROTOCOL_VERSION,
             "generation": self.watch.generation,
             "out_of_service": self.drain.out,
             "nodes": [write_node(node) for node in state.nodes],
--- a/stoatrouter/net/handover_socket.py
+++ b/stoatrouter/net/handover_socket.py
@@ -22,11 +22,11 @@
 from stoatrouter.net.startup_notification import SOCKET_NAME, short_path
 from stoatrouter.net.state_format import Holdings, JsonObject, read_holdings
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 # A new process is due to serve within 6 s: an old one that does not answer is ignored after this time.
-ANSWER_WITHIN = timedelta(seconds=2)
+ANSWER_TIMEOUT = timedelta(seconds=2)
 HOLDINGS_INTERVAL = timedelta(milliseconds=25)
-LARGEST_LINE = 16 * 1024 * 1024
+MAX_LINE_BYTES = 16 * 1024 * 1024
 
 
 class Predecessor:
@@ -83,14 +83,14 @@
         if self.folder is None or not (Path(self.folder) / SOCKET_NAME).exists():
             return None
         try:
-            async with asyncio.timeout(ANSWER_WITHIN.total_seconds()):
+            async with asyncio.timeout(ANSWER_TIMEOUT.total_seconds()):
                 with short_path(self.folder) as short:
                     reader, writer = await asyncio.open_unix_connection(
-                        f"{short}/{SOCKET_NAME}", limit=LARGEST_LINE
+                        f"{short}/{SOCKET_NAME}", limit=MAX_LINE_BYTES
                     )
-                writer.write(json.dumps({"take": VERSION}).encode() + b"\n")
+                writer.write(json.dumps({"take": PROTOCOL_VERSION}).encode() + b"\n")
                 state = json.loads(await reader.readline())
-                if state["v"] != VERSION:
+                if state["v"] != PROTOCOL_VERSION:
                     raise ValueError(f"version {state['v']}")
                 return Predecessor(reader, writer, state)
         except (OSError, TimeoutError, ValueError, KeyError, TypeError) as error:
@@ -116,7 +116,7 @@
                 temporary.unlink(missing_ok=True)
                 listening_socket.bind(str(temporary))
                 self.server = await asyncio.start_unix_server(
-                    on_connection, sock=listening_socket.dup(), limit=LARGEST_LINE
+                    on_connection, sock=listening_socket.dup(), limit=MAX_LINE_BYTES
                 )
                 os.replace(temporary, Path(short) / SOCKET_NAME)  # never without one that answers
         except OSError as error:
--- a/stoatrouter/net/listener.py
+++ b/stoatrouter/net/listener.py
@@ -23,18 +23,18 @@
 BACKLOG = 1024
 # Connections accepted in one turn of the loop: those that end for their sake give up their descriptors in
 # the next one.
-ACCEPT_AT_ONCE = 16
+MAX_ACCEPT_BATCH = 16
 # A stopping head is killed no sooner than this after the longest deadline, which counts as 3 s at most.
-KILLED_AFTER = timedelta(milliseconds=700)
-LONGEST_DEADLINE = timedelta(seconds=3)
-ANSWERED_BEFORE = timedelta(milliseconds=350)  # the kill: by then all that arrived is answered
-LAST_ACCEPTED_BEFORE = timedelta(milliseconds=400)  # that: what arrives later has too little time left
-LONGEST_ACCEPT = timedelta(seconds=3)
+KILL_DELAY = timedelta(milliseconds=700)
+MAX_DEADLINE = timedelta(seconds=3)
+ANSWER_MARGIN = timedelta(milliseconds=350)  # the kill: by then all that arrived is answered
+ACCEPT_MARGIN = timedelta(milliseconds=400)  # that: what arrives later has too little time left
+MAX_ACCEPT_TIME = timedelta(seconds=3)
 # Then connections end between requests. A request that crosses such an end is sent once more over a new one:
 # these are still accepted.
 RESEND_WINDOW = timedelta(milliseconds=200)
 # After a head was drained: its load balancer polls ten times a second and then needs 0.2 s.
-CLOSE_IDLE_AFTER = timedelta(milliseconds=1000)
+CLOSE_IDLE_DELAY = timedelta(milliseconds=1000)
 CLOSE_IDLE_INTERVAL = timedelta(milliseconds=100)
 
 
@@ -52,8 +52,8 @@
     Clients keep their connections and cannot reach this head otherwise until it is back, so it serves for as
     long as it is certain to answer.
     """
-    within = min(longest_deadline, LONGEST_DEADLINE) + KILLED_AFTER - ANSWERED_BEFORE
-    return ShutdownDeadlines(min(LONGEST_ACCEPT, within - LAST_ACCEPTED_BEFORE), within)
+    within = min(longest_deadline, MAX_DEADLINE) + KILL_DELAY - ANSWER_MARGIN
+    return ShutdownDeadlines(min(MAX_ACCEPT_TIME, within - ACCEPT_MARGIN), within)
 
 
 class Drain:
@@ -122,9 +122,9 @@
         It begins once no new connections come; by then connections in use have ended with their answers, so
         that no request crosses the closing.
         """
-        await asyncio.sleep(CLOSE_IDLE_AFTER.total_seconds())
+        await asyncio.sleep(CLOSE_IDLE_DELAY.total_seconds())
         while True:
-            self.clients.end_idle(
+            self.clients.close_idle(
                 silent=False
             )  # what has just connected is still read; the sweep ends it later
             await asyncio.sleep(CLOSE_IDLE_INTERVAL.total_seconds())
@@ -184,7 +184,7 @@
         self.listening_socket = listening_socket
         # Guards the descriptors: asyncio accepts as many at once as it believes the backlog to be.
         self.acceptor = await asyncio.get_running_loop().create_server(
-            self.server, sock=listening_socket, backlog=ACCEPT_AT_ONCE
+            self.server, sock=listening_socket, backlog=MAX_ACCEPT_BATCH
         )
 
     def stop_accepting(self) -> None:
@@ -226,14 +226,14 @@
         clients.keep_idle = True
         await self.serve_for(accept_for)
         self.drain.stopping = True
-        clients.end_idle()
+        clients.close_idle()
         if not self.drain.handed_over:
             await asyncio.sleep(RESEND_WINDOW.total_seconds())
         self.stop_accepting()
-        clients.end_idle()
+        clients.close_idle()
         while busy() or clients.open or clients.any_just_connected() or self.arriving:
             await asyncio.sleep(0.01)
-            clients.end_idle()
+            clients.close_idle()
         logger.info("stop: all that was taken is answered", event="stop.answered")
         await self.close()
 
--- a/stoatrouter/net/loop_monitor.py
+++ b/stoatrouter/net/loop_monitor.py
@@ -11,10 +11,10 @@
 from stoatrouter.net.engine import Engine
 
 CHECK_INTERVAL = timedelta(milliseconds=100)
-LOGGED_LAG = timedelta(milliseconds=100)
+MIN_LOGGED_LAG = timedelta(milliseconds=100)
 # A loop this late has too little of its core; in quiet times it is late by a few milliseconds.
-TIGHTENING_LAG = timedelta(milliseconds=30)
-TIGHTENED_FOR = timedelta(milliseconds=500)
+MIN_TIGHTENING_LAG = timedelta(milliseconds=30)
+TIGHTENING_TIME = timedelta(milliseconds=500)
 CHECKS_PER_TALLY = 100
 
 
@@ -24,7 +24,7 @@
     Args:
         engine: Its tally is logged every CHECKS_PER_TALLY checks, with the worst lag since the last time;
             then nodes that are suspected no more are forgotten.
-        clients: Their table admits fewer open requests for a while after a lag above TIGHTENING_LAG.
+        clients: Their table admits fewer open requests for a while after a lag above MIN_TIGHTENING_LAG.
     """
     loop = asyncio.get_running_loop()
     checks = 0
@@ -35,9 +35,9 @@
         lag = loop.time() - due
         checks += 1
         worst_lag = max(worst_lag, lag)
-        if lag > TIGHTENING_LAG.total_seconds():
-            clients.tighten_busy_limit(TIGHTENED_FOR)
-        if lag > LOGGED_LAG.total_seconds():
+        if lag > MIN_TIGHTENING_LAG.total_seconds():
+            clients.tighten_busy_limit(TIGHTENING_TIME)
+        if lag > MIN_LOGGED_LAG.total_seconds():
             logger.warning("loop: lagged by {lag_ms:.0f} ms", event="loop.lagged", lag_ms=lag * 1000)
         if checks % CHECKS_PER_TALLY == 0:
             log_tally(engine, worst_lag)
--- a/stoatrouter/net/node_connection.py
+++ b/stoatrouter/net/node_connection.py
@@ -24,22 +24,24 @@
 from stoatrouter.net.connection_counters import ConnectionCounters
 from stoatrouter.net.errors import MalformedAnswer
 from stoatrouter.net.framing import CHUNKED, HEAD_END, UNTIL_CLOSE, body_length
-from stoatrouter.net.questions import Question
+from stoatrouter.net.request_digest import RequestDigest
 from stoatrouter.net.rest_times import Address, RestTimes
 
-LARGEST_HEAD = 16 * 1024
-SUCCESS = b"2"  # the first digit of a status
-RECEIVE = 64 * 1024  # bytes read at once: asyncio's default would cost each of many large answers more memory
+MAX_HEAD_BYTES = 16 * 1024
+SUCCESS_CLASS = b"2"  # the first digit of a status
+MAX_RECEIVE_BYTES = (
+    64 * 1024
+)  # bytes read at once: asyncio's default would cost each of many large answers more memory
 
 
 class ConnectionOwner(Protocol):
     """What a connection to a node needs of the pool that it belongs to."""
 
     alive: set[NodeConnection]
-    reuse_within: float  # seconds that a connection may have been idle to be reused
+    max_reuse_idle: float  # seconds that a connection may have been idle to be reused
     attempts_written: int  # attempts written complete
 
-    def record_end(self, connection: NodeConnection) -> None:
+    def record_closed(self, connection: NodeConnection) -> None:
         """Record that a connection has ended."""
 
     def record_break(self, idle: float) -> None:
@@ -65,18 +67,18 @@
     """A connection to a node, with at most one exchange at a time."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, pool: ConnectionOwner, rest_within: timedelta
+        self, loop: asyncio.AbstractEventLoop, pool: ConnectionOwner, stall_timeout: timedelta
     ) -> None:
         """Set up a connection to a node, with no exchange yet.
 
         Args:
             loop: The event loop that runs the connection.
             pool: The pool that the connection belongs to.
-            rest_within: How long the rest of an answer may take once it has begun.
+            stall_timeout: How long the rest of an answer may take once it has begun.
         """
         super().__init__(loop)
         self.pool = pool
-        self.rest_within = rest_within
+        self.stall_timeout = stall_timeout
         self.awaiting_answer = False
         self.chunked = False
         self.ends_with_connection = False  # no length is stated: the body ends as the connection does
@@ -91,11 +93,11 @@
         self.idle_for = 0.0  # seconds before the present request
         self.node: Address | None = None  # set once the connection is open
         self.request_kind = RequestKind.HEALTH_CHECK  # of the present request
-        self.question: Question | None = None  # of the present request; None: not known
+        self.digest: RequestDigest | None = None  # of the present request; None: not known
         # whether an answer that came before it may come again, and would serve it
-        self.may_get_earlier = False
-        self.awaits_another = False  # a repetition was dropped, and no other answer has begun
-        self.rests = False  # whether its last answer may be brought again and not be known
+        self.may_get_repetition = False
+        self.awaits_own_answer = False  # a repetition was dropped, and no other answer has begun
+        self.needs_rest = False  # whether its last answer may be brought again and not be known
         self.inspection: AnswerInspection | None = None  # of the present answer
         self.recent_answers = RecentAnswers()
 
@@ -103,14 +105,14 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection among those that are alive."""
         super().connection_made(transport)
-        transport.max_size = RECEIVE  # type: ignore[attr-defined]
+        transport.max_size = MAX_RECEIVE_BYTES  # type: ignore[attr-defined]
         self.pool.alive.add(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """End the exchange; a body without a stated length is complete only after a clean end."""
-        self.pool.record_end(self)
-        self.pool.counters.repetitions_without_another += self.awaits_another
-        self.awaits_another = False
+        self.pool.record_closed(self)
+        self.pool.counters.repetitions_without_another += self.awaits_own_answer
+        self.awaits_own_answer = False
         by_peer = self.transport is not None  # an end of our own has dropped it already
         if by_peer and self.awaiting_answer and not self.head and not self.in_body:
             self.pool.record_break(self.idle_for)
@@ -126,24 +128,24 @@
         self._exchange_done()
         super().connection_lost(exc)
 
-    def assign(self, node: Address, kind: RequestKind, question: Question | None) -> None:
+    def assign(self, node: Address, kind: RequestKind, digest: RequestDigest | None) -> None:
         """Assign the connection to a request, of which nothing is written yet.
 
         Args:
             node: Where the connection leads to.
             kind: What the request is to the node.
-            question: What it asks for; None: not known.
+            digest: What it asks for; None: not known.
         """
-        self.node, self.request_kind, self.question = node, kind, question
-        self.may_get_earlier = question is not None and self.recent_answers.may_serve_again(
-            question, self._loop.time()
+        self.node, self.request_kind, self.digest = node, kind, digest
+        self.may_get_repetition = digest is not None and self.recent_answers.may_serve_again(
+            digest, self._loop.time()
         )
 
     def set_response_params(self, **params: Any) -> None:
         """Begin an exchange: a request is about to be written."""
         self.awaiting_answer = True
         self.in_body = self.ends_with_connection = self.streaming = False
-        self.rests = True
+        self.needs_rest = True
         self.head = b""
         self.idle_for = 0.0 if self.idle_since is None else self._loop.time() - self.idle_since
         self.bodiless = bool(params.get("skip_payload"))
@@ -159,17 +161,17 @@
             self.awaiting_answer or not self._idle_too_long() and not self._unread()
         )
 
-    def rest_left(self, now: float, question: Question | None = None) -> float:
+    def rest_left(self, now: float, digest: RequestDigest | None = None) -> float:
         """How many seconds it has to rest still, before it is used again for what a request asks."""
         if self.idle_since is None or self.node is None:
             return 0.0  # it has brought no answer yet
-        rest = self.pool.rest_times.rest_of(self.node, now, self.rests)
+        rest = self.pool.rest_times.rest_of(self.node, now, self.needs_rest)
         left = max(0.0, self.idle_since + rest - now)
-        return left if question is None else max(left, self.recent_answers.rest_left(question, now))
+        return left if digest is None else max(left, self.recent_answers.rest_left(digest, now))
 
     def _idle_too_long(self) -> bool:
         idle = 0.0 if self.idle_since is None else self._loop.time() - self.idle_since
-        return self.should_close or idle > self.pool.reuse_within
+        return self.should_close or idle > self.pool.max_reuse_idle
 
     def data_received(self, data: bytes) -> None:
         """Pass on one complete, well-formed answer, and end the connection on anything else."""
@@ -177,13 +179,13 @@
             super().data_received(data)  # aiohttp continues with what it has
         elif not self.awaiting_answer:
             # Guards the next request on this connection: bytes behind an answer belong to nobody.
-            self._end_for_surplus()
+            self._close_for_surplus()
         elif not self.in_body:
-            self._take_head(data)
+            self._receive_head(data)
         elif self.chunked or self.ends_with_connection:
-            self._take_chunked(data)
+            self._receive_chunked(data)
         else:
-            self._take_body(data)
+            self._receive_body(data)
 
     def start_streaming(self) -> None:
         """Stop the stall timer, as whoever streams the answer watches for a standstill."""
@@ -191,7 +193,7 @@
         self._cancel_stall_timer()
 
     # -- one answer ---------------------------------------------------------------------------------------
-    def _take_head(self, data: bytes) -> None:
+    def _receive_head(self, data: bytes) -> None:
         self.head += data
         while (end := self.head.find(HEAD_END)) >= 0:
             head, rest = self.head[: end + len(HEAD_END)], self.head[end + len(HEAD_END) :]
@@ -199,15 +201,15 @@
             if status == b"101":
                 return self._fail_exchange("another protocol, which nobody asked for")
             if not status.isdigit() or status[:1] != b"1":
-                return self._begin(head, rest)
+                return self._begin_answer(head, rest)
             self.head = rest  # an interim answer: the final one is still to come
         self._start_stall_timer()
         # Guards memory against a head that never ends, and time against what is no head at all.
-        if len(self.head) > LARGEST_HEAD or self.head[:7] != b"HTTP/1."[: len(self.head)]:
+        if len(self.head) > MAX_HEAD_BYTES or self.head[:7] != b"HTTP/1."[: len(self.head)]:
             self._fail_exchange("no head")
 
-    def _begin(self, head: bytes, rest: bytes) -> None:
-        if head[9:10] == SUCCESS and self._request_is_unwritten():
+    def _begin_answer(self, head: bytes, rest: bytes) -> None:
+        if head[9:10] == SUCCESS_CLASS and self._request_is_unwritten():
             # Guards a client against another one's answer: the node has not got this request yet.
             self._record_surplus()
             return self._fail_exchange("a success before the request was written")
@@ -219,24 +221,24 @@
         # Guards memory: it may pin the large block that it was read into, as long as the connection lives.
         self.head = b""
         self.in_body = True
-        self.awaits_another = False
+        self.awaits_own_answer = False
         self.chunked = length == CHUNKED
         self.ends_with_connection = length == UNTIL_CLOSE
         self.body_left = max(0, length)
-        self.inspection = self._inspection_of(head[9:12], length)
+        self.inspection = self._inspect(head[9:12], length)
         if self.chunked or self.ends_with_connection:
-            self._take_chunked(head + rest)
+            self._receive_chunked(head + rest)
         else:
-            self._take_body(rest, head)
+            self._receive_body(rest, head)
 
-    def _inspection_of(self, status: bytes, length: int) -> AnswerInspection | None:
+    def _inspect(self, status: bytes, length: int) -> AnswerInspection | None:
         if length < 0:
             return None
         # a connection that has brought an answer again is not compared any more: the next one is the own
         compares = not self.should_close and self.recent_answers.any(self._loop.time())
-        return AnswerInspection(status, length, self.recent_answers if compares else None, self.question)
+        return AnswerInspection(status, length, self.recent_answers if compares else None, self.digest)
 
-    def _take_body(self, data: bytes, head: bytes = b"") -> None:
+    def _receive_body(self, data: bytes, head: bytes = b"") -> None:
         assert self.inspection is not None
         body, surplus = data[: self.body_left], data[self.body_left :]
         self.body_left -= len(body)
@@ -251,33 +253,33 @@
         if passed:
             super().data_received(passed)
         if surplus:
-            self._end_for_surplus()
+            self._close_for_surplus()
 
     def _remember_answer(self, inspection: AnswerInspection) -> None:
         """Decide whether the connection rests before it is used again."""
-        fingerprint, question = inspection.fingerprint, self.question
-        subject = None if question is None else question.subject
+        fingerprint, digest = inspection.fingerprint, self.digest
+        subject = None if digest is None else digest.subject
         if fingerprint is None or not self.pool.fingerprints.record(fingerprint, self.request_kind, subject):
-            self.rests = True
+            self.needs_rest = True
             return
         self.pool.counters.equal_answers_passed += inspection.equals_recent
-        names_request = inspection.names_request()
-        is_added = self.recent_answers.add(fingerprint, self._loop.time(), question, names_request)
+        contains_request_id = inspection.contains_request_id()
+        is_added = self.recent_answers.add(fingerprint, self._loop.time(), digest, contains_request_id)
         # Guards the next request: this may be the earlier answer again, and the own one still to come.
-        self.rests = not is_added or self.may_get_earlier and inspection.equals_recent
+        self.needs_rest = not is_added or self.may_get_repetition and inspection.equals_recent
 
     def _drop_repetition(self, surplus: bytes) -> None:
         """Drop an answer that an earlier request has had, and wait for that of the present one."""
         self.pool.counters.repetitions_dropped += 1
-        self.awaits_another = True
+        self.awaits_own_answer = True
         self._record_surplus()
         self.force_close()  # once this exchange is over
         self.in_body = False
         self._start_stall_timer(restart=True)
         if surplus:
-            self._take_head(surplus)
+            self._receive_head(surplus)
 
-    def _take_chunked(self, data: bytes) -> None:
+    def _receive_chunked(self, data: bytes) -> None:
         super().data_received(data)
         if self._payload is not None and self._payload.is_eof():
             self._exchange_done()
@@ -287,13 +289,13 @@
     def _start_stall_timer(self, restart: bool = False) -> None:
         """Start the timer of an answer that has begun and stalls; `restart` replaces one that runs.
 
-        Guards the client's time against such an answer: the rest of it must arrive within rest_within.
+        Guards the client's time against such an answer: the rest of it must arrive within stall_timeout.
         """
         if restart:
             self._cancel_stall_timer()
         if self.stall_timer is None and self.awaiting_answer and not self.streaming:
             self.stall_timer = self._loop.call_later(
-                self.rest_within.total_seconds(), self._fail_exchange, "it stalled"
+                self.stall_timeout.total_seconds(), self._fail_exchange, "it stalled"
             )
 
     def _exchange_done(self) -> None:
@@ -310,16 +312,16 @@
             self.stall_timer = None
 
     # -- ends ---------------------------------------------------------------------------------------------
-    def _end(self) -> None:
+    def _close_now(self) -> None:
         """Never use this connection again; a complete answer stays valid."""
         self.force_close()
         if self.transport is not None:
             self.transport.abort()
 
-    def _end_for_surplus(self) -> None:
+    def _close_for_surplus(self) -> None:
         """End the connection, as it has brought bytes that belong to no request."""
         self._record_surplus()
-        self._end()
+        self._close_now()
 
     def _record_surplus(self) -> None:
         if self.node is not None and self.pool.rest_times.record_surplus(self.node, self._loop.time()):
@@ -339,7 +341,7 @@
         if self._payload is not None and not self._payload.is_eof():
             self._payload.set_exception(error)
         self.set_exception(error)
-        self._end()
+        self._close_now()
 
     def _unread(self) -> bool:
         handle = self.transport.get_extra_info("socket") if self.transport is not None else None
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -14,20 +14,20 @@
 
 from stoatrouter.core import model
 from stoatrouter.net.bodies import StoredBody
-from stoatrouter.net.errors import Broken, NotBegun
+from stoatrouter.net.errors import ExchangeBroken, NotBegun
 from stoatrouter.net.pool import NodePool
-from stoatrouter.net.questions import Question, question_of
 from stoatrouter.net.replies import Reply, read_load, read_reply, read_small
-from stoatrouter.net.tracked_request import TrackedRequest, only_once
+from stoatrouter.net.request_digest import RequestDigest, digest_request
+from stoatrouter.net.tracked_request import TrackedRequest, prevent_resend
 from stoatrouter.policy.interface import Outcome
 
 HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=400)
 # Idle connections are given up at this fraction of the time after which a node closes them: a request written
 # as the node closes would end as a reset.
 IDLE_FRACTION = 0.5
-REST_WITHIN = timedelta(milliseconds=400)  # once an answer has begun, its end
-READ_AHEAD = 64 * 1024  # of a body, before reading pauses
-SKIPPED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+ANSWER_STALL_TIMEOUT = timedelta(milliseconds=400)  # once an answer has begun, its end
+READ_AHEAD_BYTES = 64 * 1024  # of a body, before reading pauses
+SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class NodeClient:
@@ -38,7 +38,7 @@
         connect_timeout: timedelta,
         conn_idle: timedelta,
         max_connections: int,
-        rest_within: timedelta = REST_WITHIN,
+        stall_timeout: timedelta = ANSWER_STALL_TIMEOUT,
     ) -> None:
         """Set up the client of all nodes with an empty pool.
 
@@ -46,18 +46,18 @@
             connect_timeout: How long a connection to a node may take to open.
             conn_idle: How long a node keeps an idle connection open; this head closes it after half of that.
             max_connections: How many connections to nodes may be open at once, idle ones included.
-            rest_within: How long the rest of an answer may take once it has begun.
+            stall_timeout: How long the rest of an answer may take once it has begun.
         """
-        self.pool = NodePool(max_connections, connect_timeout, conn_idle * IDLE_FRACTION, rest_within)
+        self.pool = NodePool(max_connections, connect_timeout, conn_idle * IDLE_FRACTION, stall_timeout)
         self.session = aiohttp.ClientSession(
             connector=self.pool,
             request_class=TrackedRequest,
-            middlewares=(only_once,),
+            middlewares=(prevent_resend,),
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
             trust_env=False,
-            skip_auto_headers=SKIPPED,
-            read_bufsize=READ_AHEAD,
+            skip_auto_headers=SKIPPED_HEADERS,
+            read_bufsize=READ_AHEAD_BYTES,
             timeout=aiohttp.ClientTimeout(total=None),  # the pool bounds how long a connection takes to open
         )
 
@@ -86,13 +86,13 @@
                     headers=headers,
                     data=data,
                     allow_redirects=False,
-                    middlewares=(once_if(may_begin, question_of(request), effect.attempt),),
+                    middlewares=(send_once_if(may_begin, digest_request(request), effect.attempt),),
                 )
                 reply = await read_reply(response, request.passes)
             if reply.stream is not None:
                 response = None  # whoever passes it on closes it
             return reply
-        except (aiohttp.ClientError, NotBegun, Broken, OSError, ValueError) as error:
+        except (aiohttp.ClientError, NotBegun, ExchangeBroken, OSError, ValueError) as error:
             return Reply(failed_outcome(error, effect.address))
         finally:
             if response is not None:
@@ -110,16 +110,16 @@
                     return Reply(Outcome.OK if response.status == 200 else Outcome.FULL, load=load)
         except TimeoutError:
             return Reply(Outcome.TIMEOUT)
-        except (aiohttp.ClientConnectorError, Broken):
+        except (aiohttp.ClientConnectorError, ExchangeBroken):
             return Reply(Outcome.CONNECT_FAILED)
         except (aiohttp.ClientError, OSError, ValueError):
             return Reply(Outcome.RESET)
 
 
-def once_if(
-    may_begin: Callable[[], bool] | None, question: Question, attempt_number: int
+def send_once_if(
+    may_begin: Callable[[], bool] | None, digest: RequestDigest, attempt_number: int
 ) -> ClientMiddlewareType:
-    """The middleware of one attempt, which asks `question`.
+    """The middleware of one attempt, which asks `digest`.
 
     It is sent once, and only if `may_begin` allows it (NodePool.connect).
     """
@@ -127,9 +127,9 @@
     async def send_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
         assert isinstance(request, TrackedRequest)
         request.may_begin = may_begin
-        request.question = question
+        request.digest = digest
         request.attempt_number = attempt_number
-        return await only_once(request, handler)
+        return await prevent_resend(request, handler)
 
     return send_once
 
@@ -165,7 +165,7 @@
             return Outcome.TIMEOUT
         case NotBegun():
             return Outcome.NOT_BEGUN
-        case Broken():
+        case ExchangeBroken():
             return Outcome.RESET if error.written else Outcome.CONNECT_FAILED
         case _:
             # the answer broke off or could not be read: the attempt may have run
--- a/stoatrouter/net/recorder.py
+++ b/stoatrouter/net/recorder.py
@@ -14,9 +14,9 @@
 from stoatrouter.matching.samples import Sampler
 
 WRITE_INTERVAL = timedelta(seconds=1)
-APPEND = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-PRIVATE = 0o600  # requests may hold what others must not read
-MOST_WAITING = 1_000  # records between two writes; what comes beyond is dropped and counted
+APPEND_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND
+PRIVATE_MODE = 0o600  # requests may hold what others must not read
+MAX_WAITING_RECORDS = 1_000  # records between two writes; what comes beyond is dropped and counted
 
 
 class Recorder:
@@ -38,11 +38,11 @@
         self.failing = False
 
     def record(self, matcher_input: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> None:
-        """Record a request if it is one of the sample; beyond MOST_WAITING it is only counted."""
+        """Record a request if it is one of the sample; beyond MAX_WAITING_RECORDS it is only counted."""
         line = self.sampler.sample(matcher_input, target, fields)
         if line is None:
             return
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.waiting) >= MAX_WAITING_RECORDS:
             self.dropped += 1
             return
         self.waiting.append(line)
@@ -75,12 +75,12 @@
 
     def append(self, data: bytes) -> None:
         """Append to the file, which is rotated first where its bound would be exceeded; raises OSError."""
-        descriptor = os.open(self.file, APPEND, PRIVATE)
+        descriptor = os.open(self.file, APPEND_FLAGS, PRIVATE_MODE)
         try:
             if os.fstat(descriptor).st_size + len(data) > self.max_file_bytes:
                 os.replace(self.file, f"{self.file}.1")
                 os.close(descriptor)
-                descriptor = os.open(self.file, APPEND, PRIVATE)
+                descriptor = os.open(self.file, APPEND_FLAGS, PRIVATE_MODE)
             os.write(descriptor, data[: self.max_file_bytes])
         finally:
             os.close(descriptor)
--- a/stoatrouter/net/replies.py
+++ b/stoatrouter/net/replies.py
@@ -10,11 +10,11 @@
 
 from stoatrouter.core import model
 from stoatrouter.net.answer_stream import AnswerStream
-from stoatrouter.net.bodies import SMALL
+from stoatrouter.net.bodies import MAX_IN_MEMORY_BYTES
 from stoatrouter.net.node_connection import NodeConnection
 from stoatrouter.policy.interface import Outcome
 
-LARGEST_COUNT = 1e6  # that a node can mean
+MAX_FIGURE = 1e6  # that a node can mean
 NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 HOP_BY_HOP = frozenset(
     (
@@ -55,7 +55,7 @@
         reply = await read_complete_reply(response)
         return replace(reply, head=model.Head(response.status, end_to_end(response.headers)))
     if response.status != 200:
-        return judge(response.status, response.headers, await read_small(response))
+        return classify_answer(response.status, response.headers, await read_small(response))
     return await read_complete_reply(response)
 
 
@@ -73,28 +73,28 @@
     """Read a successful answer; a large one is returned as an AnswerStream."""
     stated = response.content_length
     body = b""
-    while len(body) <= SMALL and (stated is None or stated <= SMALL or not body):
+    while len(body) <= MAX_IN_MEMORY_BYTES and (stated is None or stated <= MAX_IN_MEMORY_BYTES or not body):
         data = await response.content.readany()
         if not data:
-            return judge(200, response.headers, body)
+            return classify_answer(200, response.headers, body)
         body += data
     if response.connection is not None and isinstance(response.connection.protocol, NodeConnection):
         response.connection.protocol.start_streaming()
-    return replace(judge(200, response.headers, b""), stream=AnswerStream(response, body, stated))
+    return replace(classify_answer(200, response.headers, b""), stream=AnswerStream(response, body, stated))
 
 
 async def read_small(response: aiohttp.ClientResponse) -> bytes:
-    """Read a body that is not passed on; raises ValueError beyond SMALL bytes."""
+    """Read a body that is not passed on; raises ValueError beyond MAX_IN_MEMORY_BYTES bytes."""
     body = b""
     while data := await response.content.readany():
         body += data
         # Guards memory against a node that never ends its answer.
-        if len(body) > SMALL:
+        if len(body) > MAX_IN_MEMORY_BYTES:
             raise ValueError("over the bound")
     return body
 
 
-def judge(status: int, headers: CIMultiDictProxy[str], body: bytes) -> Reply:
+def classify_answer(status: int, headers: CIMultiDictProxy[str], body: bytes) -> Reply:
     """Classify an answer of a node."""
     units = read_number(headers.get("X-Served-Elsewhere")) or 0.0
     load = read_load(headers.get("Srv-Load"))
@@ -114,7 +114,7 @@
     if text is None or not NUMBER.fullmatch(text.strip()):
         return None
     number = float(text)
-    return number if number <= LARGEST_COUNT else None
+    return number if number <= MAX_FIGURE else None
 
 
 def read_load(text: str | None) -> dict[str, float] | None:
--- a/stoatrouter/net/questions.py
+++ b/stoatrouter/net/request_digest.py
@@ -10,14 +10,14 @@
 
 from stoatrouter.core import model
 
-READS = ("GET", "HEAD")
-TARGET_WRITES = ("PUT", "PATCH", "DELETE")  # change what their target names, whatever their body
-UNMISTAKABLE = 16  # bytes of an id that stands in no answer by accident
-NAMED_WITHIN = 512  # bytes of a body in which an id is looked for
-LEAST_ID = 4  # bytes of an id that no answer begins with by accident
+READ_METHODS = ("GET", "HEAD")
+TARGET_WRITE_METHODS = ("PUT", "PATCH", "DELETE")  # change what their target names, whatever their body
+MIN_UNIQUE_ID_BYTES = 16  # bytes of an id that stands in no answer by accident
+ID_SEARCH_BYTES = 512  # bytes of a body in which an id is looked for
+MIN_ID_BYTES = 4  # bytes of an id that no answer begins with by accident
 
 
-class Question(NamedTuple):
+class RequestDigest(NamedTuple):
     """What a request asks for."""
 
     subject: int  # digest of what it is about: answers about different subjects differ, or say nothing
@@ -26,32 +26,32 @@
     content: int | None
     request_id: bytes
 
-    def is_served_by(self, other: Question) -> bool:
+    def is_served_by(self, other: RequestDigest) -> bool:
         """Whether the answer to another request of this subject serves this one too."""
         return self.content is not None and self.content == other.content
 
 
-def question_of(request: model.Request) -> Question:
+def digest_request(request: model.Request) -> RequestDigest:
     """What a request asks for."""
     body = request.body
-    if request.method in TARGET_WRITES:
+    if request.method in TARGET_WRITE_METHODS:
         part: bytes | int = b""
     else:
         part = body if isinstance(body, bytes) else len(body)  # a stored body is not read for this
     subject = hash((request.target, part))
     content = None
-    if request.method in READS and isinstance(body, bytes):
+    if request.method in READ_METHODS and isinstance(body, bytes):
         content = hash((subject, request.method, request.fields))
-    return Question(subject, content, request.id.encode())
+    return RequestDigest(subject, content, request.id.encode())
 
 
-def names_request(body_start: bytes, request_id: bytes) -> bool:
+def contains_request_id(body_start: bytes, request_id: bytes) -> bool:
     """Whether an answer's body names the request: then it answers that one alone.
 
     Args:
         body_start: The first bytes of the body.
         request_id: The request's id.
     """
-    if len(request_id) >= UNMISTAKABLE:
-        return body_start.find(request_id, 0, NAMED_WITHIN) >= 0
-    return len(request_id) >= LEAST_ID and body_start.startswith(request_id)
+    if len(request_id) >= MIN_UNIQUE_ID_BYTES:
+        return body_start.find(request_id, 0, ID_SEARCH_BYTES) >= 0
+    return len(request_id) >= MIN_ID_BYTES and body_start.startswith(request_id)
--- a/stoatrouter/net/rest_times.py
+++ b/stoatrouter/net/rest_times.py
@@ -13,8 +13,8 @@
 
 REUSE_AFTER = timedelta(milliseconds=50)  # where an answer cannot be distinguished from an earlier one
 SUSPECT_REUSE_AFTER = timedelta(milliseconds=100)  # at a node that has lately sent too much
-SUSPECT_FOR = timedelta(seconds=30)
-MOST_SUSPECTS = 4_096  # beyond, the first that was suspected is forgotten
+SUSPICION_TIME = timedelta(seconds=30)
+MAX_SUSPECTS = 4_096  # beyond, the first that was suspected is forgotten
 
 
 class Address(NamedTuple):
@@ -34,9 +34,9 @@
     def record_surplus(self, node: Address, now: float) -> bool:
         """Record that a node has sent bytes that belong to no request; whether it was not suspected yet."""
         is_new = now >= self._suspect_until.get(node, 0.0)
-        self._suspect_until[node] = now + SUSPECT_FOR.total_seconds()
+        self._suspect_until[node] = now + SUSPICION_TIME.total_seconds()
         self._suspect_until.move_to_end(node)
-        if len(self._suspect_until) > MOST_SUSPECTS:
+        if len(self._suspect_until) > MAX_SUSPECTS:
             self._suspect_until.popitem(last=False)
         return is_new
 
--- a/stoatrouter/net/state_format.py
+++ b/stoatrouter/net/state_format.py
@@ -9,7 +9,7 @@
 from stoatrouter.core.spans import micros, span
 from stoatrouter.policy.interface import Phase
 
-UNREADABLE = (KeyError, TypeError, AttributeError, OverflowError, ValueError)
+PARSE_ERRORS = (KeyError, TypeError, AttributeError, OverflowError, ValueError)
 
 
 JsonObject = dict[str, Any]
@@ -68,7 +68,7 @@
                 for node, (since, until) in data["back"].items()
             },
         )
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
 
 
@@ -84,5 +84,5 @@
         return NodeInfo(
             str(name), str(address), int(shard), Phase[phase], int(zone), float(weight), span(int(started))
         )
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
--- a/stoatrouter/net/tables.py
+++ b/stoatrouter/net/tables.py
@@ -24,7 +24,7 @@
 # While a table is compiled in another thread, the loop gets the interpreter back this often (default: 5 ms).
 SWITCH_INTERVAL = timedelta(microseconds=500)
 Result = TypeVar("Result")
-MOST_LOGGED = 20  # lines about one table
+MAX_LOGGED_LINES = 20  # lines about one table
 LOG_INTERVAL = timedelta(seconds=10)
 
 
@@ -122,7 +122,7 @@
             rules=table.size,
             scopes=len(table.scopes),
         )
-        for warning in table.warnings[:MOST_LOGGED]:
+        for warning in table.warnings[:MAX_LOGGED_LINES]:
             logger.warning("rules: {warning}", event="rules.idle", warning=str(sources.locate(warning)))
         return table
 
@@ -163,7 +163,7 @@
             event="rules.refused",
             epoch=self.matcher.table.epoch,
         )
-        for fault in error.faults[:MOST_LOGGED]:
+        for fault in error.faults[:MAX_LOGGED_LINES]:
             logger.error("rules: {wrong}", event="rules.wrong", wrong=str(fault))
 
     def load(self) -> LoadedTables:
@@ -208,7 +208,7 @@
 
     def log_differences(self) -> None:
         """Log the most frequent differences between the table in force and the one in shadow."""
-        for (in_force, other), count in self.matcher.differences.most_common(MOST_LOGGED):
+        for (in_force, other), count in self.matcher.differences.most_common(MAX_LOGGED_LINES):
             logger.info(
                 "rules: shadow differs {count} of {asked} times: {in_force} in force, {other} there",
                 event="rules.shadow",
--- a/stoatrouter/net/tracked_request.py
+++ b/stoatrouter/net/tracked_request.py
@@ -12,9 +12,9 @@
 from aiohttp.client_middlewares import ClientHandlerType
 
 from stoatrouter.net.attempt_record import AttemptRecord, WrittenAttempt
-from stoatrouter.net.errors import Broken
+from stoatrouter.net.errors import ExchangeBroken
 from stoatrouter.net.node_connection import NodeConnection
-from stoatrouter.net.questions import Question
+from stoatrouter.net.request_digest import RequestDigest
 
 
 class TrackedRequest(aiohttp.ClientRequest):
@@ -28,7 +28,7 @@
     attempt_number: int | None = None  # health checks have none
     written = False
     may_begin: Callable[[], bool] | None = None  # called with a connection in hand, before the first byte
-    question: Question | None = None  # what it asks for; None: not known, as of health checks
+    digest: RequestDigest | None = None  # what it asks for; None: not known, as of health checks
 
     def mark_written(self, written: bool, conn: aiohttp.connector.Connection) -> None:
         """Note whether the last byte was handed to the system; such an attempt is counted."""
@@ -108,15 +108,17 @@
     return conn.protocol is not None and conn.protocol.writing_paused
 
 
-async def only_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
+async def prevent_resend(
+    request: aiohttp.ClientRequest, handler: ClientHandlerType
+) -> aiohttp.ClientResponse:
     """Prevent aiohttp from resending GET and PUT over a dropped connection.
 
-    That would be one more attempt that no decision knows of. Raises Broken in place of the errors that set
-    it off.
+    That would be one more attempt that no decision knows of. Raises ExchangeBroken in place of the errors
+    that set it off.
     """
     try:
         return await handler(request)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         raise  # never retried by the client
     except (aiohttp.ClientError, OSError) as error:
-        raise Broken(getattr(request, "written", True), error) from error
+        raise ExchangeBroken(getattr(request, "written", True), error) from error
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -63,7 +63,7 @@
 @pytest.fixture(autouse=True)
 def short_farewell(monkeypatch):
     """Heads inside a test need not wait for late connections; the program's own tests do."""
-    for name in ("LONGEST_ACCEPT", "RESEND_WINDOW"):
+    for name in ("MAX_ACCEPT_TIME", "RESEND_WINDOW"):
         monkeypatch.setattr(listener, name, timedelta(milliseconds=5))
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -63,7 +63,7 @@
             assert b" 413 " in await exchange(there, PUT.encode() + head + body)
             assert not node.seen and not there.body_capacity.reserved
 
-    monkeypatch.setattr(bodies, "LARGEST", 70_000)
+    monkeypatch.setattr(bodies, "MAX_BODY_BYTES", 70_000)
     run(story())
 
 
@@ -85,8 +85,8 @@
 
 
 def test_a_body_that_only_drips_is_left(monkeypatch):
-    monkeypatch.setattr(bodies, "START", timedelta(0))
-    monkeypatch.setattr(bodies, "SLOWEST", 1 << 40)
+    monkeypatch.setattr(bodies, "RATE_GRACE", timedelta(0))
+    monkeypatch.setattr(bodies, "MIN_BYTES_PER_SECOND", 1 << 40)
 
     async def story():
         async with started(Node("a", 0)) as (head, _):
@@ -142,7 +142,7 @@
         capacity.release(60)
         await asyncio.gather(large, small)
         assert capacity.reserved == 100
-        monkeypatch.setattr(bodies, "CAPACITY_WAIT", timedelta(0))
+        monkeypatch.setattr(bodies, "CAPACITY_TIMEOUT", timedelta(0))
         with pytest.raises(NoCapacity):
             await capacity.reserve(1)
         with pytest.raises(TooLarge):
@@ -340,7 +340,7 @@
             slow, writer = await asyncio.open_connection(HOST, head.platform.port)
             stack.callback(writer.close)
             writer.write(GOOD[:50])
-            held = head.clients.by_state[client_table.State.BEGUN]
+            held = head.clients.by_state[client_table.State.READING_HEAD]
             await until(lambda: len(held) == head.clients.max_connections)
             for _ in range(head.clients.max_connections - 1):
                 _, more = await asyncio.open_connection(HOST, head.platform.port)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -48,7 +48,7 @@
 )
 def test_what_cannot_be_read_gets_its_error_and_never_reaches_the_core(monkeypatch, sent, status):
     """Neither a reset over input that was not read, nor one more request out of what is left, nor silence."""
-    monkeypatch.setattr(bodies, "STALL", timedelta(milliseconds=100))
+    monkeypatch.setattr(bodies, "BODY_STALL_TIMEOUT", timedelta(milliseconds=100))
 
     async def story():
         node = Node("a", 0)
@@ -100,7 +100,7 @@
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
                 await reader.readuntil(b"\r\n\r\n")
             fresh = [await asyncio.open_connection(HOST, head.platform.port) for _ in range(10)]
-            await until(lambda: len(head.clients.by_state[client_table.State.SILENT]) == 10)
+            await until(lambda: len(head.clients.by_state[client_table.State.NEW]) == 10)
             for i, (reader, writer) in enumerate(fresh):
                 stack.callback(writer.close)
                 writer.write(GOOD.replace(b"9b1f", b"f%03d" % i))
--- a/tests/test_dial.py
+++ b/tests/test_dial.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from stoatrouter.net.dial import open_in_time
+from stoatrouter.net.dial import open_with_timeout
 from tests.peers import Node, run
 from tests.platform_client import HEADERS, PATH, started
 
@@ -68,7 +68,7 @@
             return Opened()
 
         with pytest.raises(TimeoutError):
-            await open_in_time(opening(), WITHIN)
+            await open_with_timeout(opening(), WITHIN)
         assert len(asyncio.all_tasks()) <= 2
 
     run(story())
@@ -80,7 +80,7 @@
             raise ConnectionRefusedError
 
         with pytest.raises(ConnectionRefusedError):
-            await open_in_time(opening(), 60.0)
+            await open_with_timeout(opening(), 60.0)
 
     run(story())
 
@@ -95,7 +95,7 @@
             await up.wait()
             return connection
 
-        caller = asyncio.create_task(open_in_time(opening(), 60.0))
+        caller = asyncio.create_task(open_with_timeout(opening(), 60.0))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         up.set()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -88,7 +88,7 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
         times = [at for at, _ in peer.calls]
-        assert times[2] - times[0] >= 2 * discovery.LEAST_CALL_INTERVAL.total_seconds()
+        assert times[2] - times[0] >= 2 * discovery.MIN_CALL_INTERVAL.total_seconds()
         assert not watch.failures
 
     run(story())
--- a/tests/test_front_crossings.py
+++ b/tests/test_front_crossings.py
@@ -117,11 +117,11 @@
             sock = connection.transport.get_extra_info("socket")
             os.write(handle, front.request(earlier, body))  # the loop has not read it
             select.select([sock], [], [])
-            clients.end_idle()
+            clients.close_idle()
             await read_answer(reader)
             assert front.attempts == earlier + 1
             await until(lambda: not clients.open)
-            clients.end_idle()
+            clients.close_idle()
             assert await reader.read() == b""
             with contextlib.suppress(OSError):
                 os.write(handle, front.request(earlier + 1, body))
--- a/tests/test_full_pool.py
+++ b/tests/test_full_pool.py
@@ -15,7 +15,7 @@
 import pytest
 
 from stoatrouter.net import rest_times
-from stoatrouter.net.answer_identity import DISTINCT_IN_A_ROW, RequestKind
+from stoatrouter.net.answer_identity import MIN_DISTINCT_IN_A_ROW, RequestKind
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.pool_waiters import PoolWaiters
 from stoatrouter.policy.interface import Outcome
@@ -105,7 +105,7 @@
     async def story():
         nodes = [AlikeNode(names=True) for _ in range(2)]
         async with pool_before(2, *nodes) as client:
-            for number in range(DISTINCT_IN_A_ROW):
+            for number in range(MIN_DISTINCT_IN_A_ROW):
                 client.pool.fingerprints.record(number, RequestKind.READ)
             for number in range(6):
                 assert await ask(client, nodes[number % 2], f"name{number}") is Outcome.OK
@@ -123,7 +123,7 @@
         async with pool_before(1, node) as client:
             assert await ask(client, node, "first") is Outcome.OK
             assert await ask(client, node, "second", within=0.05) is Outcome.TIMEOUT
-            assert not len(client.pool._waiters_at_bound) and node.connections == 1
+            assert not len(client.pool._pool_waiters) and node.connections == 1
 
     run(story())
 
@@ -136,7 +136,7 @@
         async with pool_before(2, node) as client:
             monkeypatch.setattr(rest_times, "REUSE_AFTER", LONG)
             assert await ask(client, node, "rests") is Outcome.OK
-            for number in range(DISTINCT_IN_A_ROW):
+            for number in range(MIN_DISTINCT_IN_A_ROW):
                 client.pool.fingerprints.record(number, RequestKind.READ)
             outcomes = await asyncio.gather(*(ask(client, node, f"name{number}") for number in range(8)))
             assert set(outcomes) == {Outcome.OK} and node.connections == 2
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -31,7 +31,7 @@
 from stoatrouter.net.handover_socket import Predecessor
 from stoatrouter.net.listener import Drain
 from stoatrouter.net.loop_monitor import monitor_loop
-from stoatrouter.net.rest_times import SUSPECT_FOR, SUSPECT_REUSE_AFTER, Address, RestTimes
+from stoatrouter.net.rest_times import SUSPECT_REUSE_AFTER, SUSPICION_TIME, Address, RestTimes
 from stoatrouter.peering.spent_journal import SpentJournal
 from stoatrouter.policy.interface import ListKind, Outcome
 from tests.held import held
@@ -225,7 +225,7 @@
         now = asyncio.get_running_loop().time()
         rest_times = RestTimes()
         for number in range(100):
-            rest_times.record_surplus(Address("n", number), now - SUSPECT_FOR.total_seconds())
+            rest_times.record_surplus(Address("n", number), now - SUSPICION_TIME.total_seconds())
         rest_times.record_surplus(Address("late", 1), now)
         engine = SimpleNamespace(
             reducer=Reducer(SETTINGS, seed=1),
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -95,7 +95,7 @@
                 assert response.status == 200
             await until(lambda: head.clients.open == 0)
 
-    monkeypatch.setattr(listener, "CLOSE_IDLE_AFTER", listener.RESEND_WINDOW)
+    monkeypatch.setattr(listener, "CLOSE_IDLE_DELAY", listener.RESEND_WINDOW)
     run(story())
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -54,7 +54,7 @@
 @contextlib.asynccontextmanager
 async def client_of(script: Script, most: int = 16):
     server = await asyncio.start_server(script.serve, HOST, 0)
-    nodes = NodeClient(timedelta(milliseconds=250), timedelta(seconds=30), most, rest_within=REST)
+    nodes = NodeClient(timedelta(milliseconds=250), timedelta(seconds=30), most, stall_timeout=REST)
     effect = attempt(address_of(server), timeout=timedelta(seconds=20))
     async with server:
         yield nodes, effect
@@ -181,17 +181,17 @@
             assert (await nodes.attempt(effect)).body == b"body"
             now = 1.0
             pool.record_break(idle=0.5)  # another one
-            assert pool.reuse_within < 0.5
+            assert pool.max_reuse_idle < 0.5
             assert (await nodes.attempt(effect)).body == b"good" and script.connections == 2
-            now = 1.0 + pool.reuse_within * 0.9
+            now = 1.0 + pool.max_reuse_idle * 0.9
             assert (await nodes.attempt(effect)).body == b"last" and script.connections == 2
-            assert 0.4 < pool.reuse_within < 0.5
+            assert 0.4 < pool.max_reuse_idle < 0.5
             for _ in range(100):
-                pool.record_success(idle=pool.reuse_within)
-            assert pool.reuse_within == pool.keep
+                pool.record_success(idle=pool.max_reuse_idle)
+            assert pool.max_reuse_idle == pool.keepalive
             for _ in range(100):
                 pool.record_break(idle=10.0)
-            assert pool.reuse_within >= 0.05
+            assert pool.max_reuse_idle >= 0.05
 
     run(story())
 
@@ -333,7 +333,7 @@
                 await asyncio.sleep(5)
 
         server = await asyncio.start_server(serve, HOST, 0, limit=1024)
-        nodes = NodeClient(timedelta(milliseconds=250), timedelta(seconds=30), 4, rest_within=REST)
+        nodes = NodeClient(timedelta(milliseconds=250), timedelta(seconds=30), 4, stall_timeout=REST)
         effect = attempt(address_of(server), timeout=timedelta(seconds=20))
         large = replace(effect.request, method="PUT", body=b"x" * 30_000_000)
         async with server:
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -206,22 +206,22 @@
             reader, writer = await raw(head)
             writer.write(text(HEADERS))
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
-            await until(lambda: head.clients.by_state[State.ONCE])
-            (connection,) = head.clients.by_state[State.ONCE]
+            await until(lambda: head.clients.by_state[State.IDLE_AFTER_FIRST])
+            (connection,) = head.clients.by_state[State.IDLE_AFTER_FIRST]
             # it has rested for long, and its next request comes as it is to be ended: the loop has not read
             # it
             sock = connection.transport.get_extra_info("socket")
             os.write(writer.get_extra_info("socket").fileno(), text(HEADERS | {"Req-Id": "second"}))
             select.select([sock], [], [])
-            assert connection.state is State.ONCE
+            assert connection.state is State.IDLE_AFTER_FIRST
             if ends == "sweep":
-                head.clients.by_state[State.ONCE][connection] -= 3600
+                head.clients.by_state[State.IDLE_AFTER_FIRST][connection] -= 3600
                 head.clients.sweep()
             else:
-                head.clients.end_idle()
+                head.clients.close_idle()
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200") and len(a.seen) == 2
             await until(lambda: connection.state is State.IDLE)
-            head.clients.end_idle()  # with nothing unread it ends
+            head.clients.close_idle()  # with nothing unread it ends
             assert await reader.read() == b""
             writer.close()
 
@@ -233,18 +233,18 @@
         a = Node("a", 0)
         async with started(a) as (head, _):
             reader, writer = await raw(head)
-            await until(lambda: head.clients.by_state[State.SILENT])
+            await until(lambda: head.clients.by_state[State.NEW])
             assert head.clients.any_just_connected()
-            head.clients.end_idle()
+            head.clients.close_idle()
             writer.write(text(HEADERS))
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
             writer.close()
             reader, writer = await raw(head)
-            await until(lambda: head.clients.by_state[State.SILENT])
-            (connection,) = head.clients.by_state[State.SILENT]
-            connection.since -= 3600  # it has had its time
+            await until(lambda: head.clients.by_state[State.NEW])
+            (connection,) = head.clients.by_state[State.NEW]
+            connection.state_since -= 3600  # it has had its time
             assert not head.clients.any_just_connected()
-            head.clients.end_idle()
+            head.clients.close_idle()
             assert await reader.read() == b""
             writer.close()
 
--- a/tests/test_same_question.py
+++ b/tests/test_same_question.py
@@ -15,9 +15,9 @@
 from datetime import timedelta
 
 from stoatrouter.net import rest_times
-from stoatrouter.net.answer_identity import DISTINCT_IN_A_ROW, RequestKind
+from stoatrouter.net.answer_identity import MIN_DISTINCT_IN_A_ROW, RequestKind
 from stoatrouter.net.nodes import NodeClient
-from stoatrouter.net.questions import names_request
+from stoatrouter.net.request_digest import contains_request_id
 from stoatrouter.policy.interface import Outcome
 from tests.peers import HOST, run
 from tests.platform_client import attempt
@@ -97,7 +97,7 @@
 
     async def story():
         async with client_of(ContentNode()) as (nodes, address):
-            targets = [f"/read/{number}" for number in range(2 * DISTINCT_IN_A_ROW)]
+            targets = [f"/read/{number}" for number in range(2 * MIN_DISTINCT_IN_A_ROW)]
             for number, target in enumerate((*targets, "/new", "/new")):
                 body = await ask(nodes, address, f"{number}", read(target))
                 assert body == b"content of " + target.encode()
@@ -129,7 +129,7 @@
     """Play a story: each request gets what it asked for, and no right answer is dropped."""
     node = ContentNode(late)
     async with client_of(node) as (nodes, address):
-        for number in range(DISTINCT_IN_A_ROW):
+        for number in range(MIN_DISTINCT_IN_A_ROW):
             nodes.pool.fingerprints.record(number, RequestKind.READ)
             nodes.pool.fingerprints.record(-1 - number, RequestKind.WRITE)
 
@@ -165,5 +165,7 @@
 def test_an_id_that_stands_in_an_answer_by_accident_names_no_request():
     """Guards right answers: one that seems to name another request is dropped."""
     long = b"9b1f03aa5c7e2d41"
-    assert names_request(b"stored for " + long, long) and names_request(b"10001 is stored", b"10001")
-    assert not names_request(b"price 10001", b"10001") and not names_request(b"77 pieces", b"77")
+    assert contains_request_id(b"stored for " + long, long) and contains_request_id(
+        b"10001 is stored", b"10001"
+    )
+    assert not contains_request_id(b"price 10001", b"10001") and not contains_request_id(b"77 pieces", b"77")
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -18,8 +18,8 @@
 
 from stoatrouter.net import answer_identity, rest_times
 from stoatrouter.net.answer_identity import (
-    DISTINCT_IN_A_ROW,
-    MOST_RECENT,
+    MAX_RECENT_ANSWERS,
+    MIN_DISTINCT_IN_A_ROW,
     PREFIX_BYTES,
     AnswerFingerprints,
     AnswerInspection,
@@ -89,7 +89,7 @@
 
     def make_known(self) -> None:
         """Have the head know that answers name their content."""
-        for number in range(DISTINCT_IN_A_ROW):
+        for number in range(MIN_DISTINCT_IN_A_ROW):
             self.nodes.pool.fingerprints.record(number, RequestKind.READ)
             self.nodes.pool.fingerprints.record(-1 - number, RequestKind.WRITE)
 
@@ -168,7 +168,7 @@
 
 
 def test_a_head_that_uses_connections_at_once_and_compares_nothing_is_seen(monkeypatch):
-    monkeypatch.setattr(RecentAnswers, "holds", lambda *_: False)
+    monkeypatch.setattr(RecentAnswers, "is_repetition", lambda *_: False)
     with pytest.raises(AssertionError):
         run(second_answer_is_nobodys(monkeypatch, 0.2, True, TwiceAnswering(b"first")), LIMIT)
 
@@ -193,8 +193,8 @@
 # -- what is compared ----------------------------------------------------------------------------------------
 def test_answers_are_distinctive_once_many_in_a_row_differed():
     known = AnswerFingerprints()
-    told = [known.record(number, RequestKind.READ) for number in range(DISTINCT_IN_A_ROW + 5)]
-    assert told == [False] * DISTINCT_IN_A_ROW + [True] * 5
+    told = [known.record(number, RequestKind.READ) for number in range(MIN_DISTINCT_IN_A_ROW + 5)]
+    assert told == [False] * MIN_DISTINCT_IN_A_ROW + [True] * 5
     assert not known.record(0, RequestKind.READ), "it came before"
     assert not known.record(-1, RequestKind.READ), "so the next one may as well"
     assert not known.record(-2, RequestKind.WRITE), "nothing is known of writes"
@@ -202,12 +202,14 @@
 
 
 def test_what_is_remembered_of_answers_is_bounded(monkeypatch):
-    monkeypatch.setattr(answer_identity, "MOST_FINGERPRINTS", 8)
+    monkeypatch.setattr(answer_identity, "MAX_FINGERPRINTS", 8)
     known, recent = AnswerFingerprints(), RecentAnswers()
     for number in range(1_000):
         known.record(number, RequestKind.READ)
     assert len(known._seen) == 8
-    assert [recent.add(number, 0.0) for number in range(MOST_RECENT + 1)] == [True] * MOST_RECENT + [False]
+    assert [recent.add(number, 0.0) for number in range(MAX_RECENT_ANSWERS + 1)] == [
+        True
+    ] * MAX_RECENT_ANSWERS + [False]
     assert recent.any(1.0) and not recent.any(2 * GUARDED.total_seconds())
 
 
