--- a/stoatrouter/net/__init__.py
+++ b/stoatrouter/net/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the core's effects: connections to nodes, discovery, health checks, timers, the clock and signals."""
+"""Runs the core's effects: node connections, discovery, health checks, timers, the clock and signals."""
--- a/stoatrouter/net/answer_identity.py
+++ b/stoatrouter/net/answer_identity.py
@@ -1,9 +1,9 @@
-"""Tells a node's answer to a request from one that the node has written a second time.
+"""Detects duplicate answers: ones that a node has already sent for an earlier request on the connection.
 
-Answers name no request, but most of them name their content: two requests for different things then never
-get the same bytes, and an answer that equals an earlier one of its connection to something else is that one
-again. Where answers are alike by nature (errors, acknowledgements, empty bodies), or the same was asked,
-their bytes distinguish nothing, but for those that name their request.
+HTTP/1.1 answers carry no request id, but most bodies are specific to their content: requests for different
+subjects then never get equal bytes, so an answer that equals an earlier one about a different subject is a
+duplicate of it. Equal bytes prove nothing where answers are generic (errors, acknowledgements, empty bodies)
+or where both requests were for the same content, unless the body contains the id of its request.
 """
 
 from __future__ import annotations
@@ -16,45 +16,46 @@
 from stoatrouter.net import rest_times
 from stoatrouter.net.request_digest import RequestDigest, contains_request_id
 
-# The loop may read late what has come in time.
+# How much later than its arrival a busy event loop may read an answer.
 MAX_READ_DELAY = timedelta(milliseconds=150)
-PREFIX_BYTES = 4 * 1024  # of a body that are compared, beside its length
-MAX_FINGERPRINTS = 1_024  # beyond, the one that was last seen longest ago is forgotten
-MAX_RECENT_ANSWERS = 64  # of one connection; beyond, it rests before it is used again
-MIN_DISTINCT_IN_A_ROW = 16  # answers of one kind, until the next one is taken for distinctive
+PREFIX_BYTES = 4 * 1024  # bytes at the start of a body that are compared, in addition to its length
+MAX_FINGERPRINTS = 1_024  # beyond this, the least recently seen one is evicted
+MAX_RECENT_ANSWERS = 64  # per connection; when full, the connection rests before it is reused
+MIN_DISTINCT_IN_A_ROW = 16  # distinct answers of one kind before the next one counts as distinctive
 STATUS_OK = b"200"
 
 
 class RequestKind(Enum):
-    """What a request is to its node, as far as its answers may be alike."""
+    """The kind of a request, by how far the answers to different requests of it may be equal."""
 
     READ = auto()
     WRITE = auto()
-    HEALTH_CHECK = auto()  # answers of these are alike by nature
+    HEALTH_CHECK = auto()  # answers to these are generic
 
 
 class AnswerFingerprints:
-    """The fingerprints of the answers of all nodes, as far as they are remembered."""
+    """A bounded LRU table of the fingerprints of all nodes' answers."""
 
     def __init__(self) -> None:
-        """Remember nothing, and take no answer for distinctive yet."""
+        """Start empty; no answer counts as distinctive yet."""
         self._seen: OrderedDict[int, int | None] = OrderedDict()  # subjects by fingerprint
         self._distinct_in_a_row = dict.fromkeys(RequestKind, 0)
 
     def record(self, fingerprint: int, kind: RequestKind, subject: int | None = None) -> bool:
-        """Record the answer to a request; whether it is distinctive.
+        """Record the answer to a request, and return whether it is distinctive.
 
-        Then no request for something else would get the same.
+        No request about another subject gets an answer equal to a distinctive one.
 
         Args:
-            fingerprint: The answer's.
-            kind: What the request is to its node.
-            subject: What it is about (`RequestDigest.subject`); None: not known, and so different each time.
+            fingerprint: The fingerprint of the answer.
+            kind: The kind of the request.
+            subject: The subject of the request (`RequestDigest.subject`); None: not known, and treated as
+                different from all others.
         """
         if kind is RequestKind.HEALTH_CHECK:
             return False
         is_new = fingerprint not in self._seen
-        # equal answers about one subject prove nothing
+        # equal answers about the same subject do not show whether answers are distinctive
         is_same = not is_new and subject is not None and self._seen[fingerprint] == subject
         self._seen[fingerprint] = subject
         self._seen.move_to_end(fingerprint)
@@ -67,27 +68,27 @@
 
 
 class RecentAnswer(NamedTuple):
-    """A distinctive answer that a connection has brought lately."""
+    """A distinctive answer that a connection received recently."""
 
-    ended: float
+    ended: float  # in the loop's time
     fingerprint: int
-    digest: RequestDigest | None  # None: not known, so different from all others
+    digest: RequestDigest | None  # of its request; None: not known, and treated as different from all others
     contains_request_id: bool
 
     def is_for_another(self, digest: RequestDigest | None) -> bool:
-        """Whether it would be no right answer to a request."""
+        """Return whether it would be a wrong answer to a request with this digest."""
         if digest is None or self.digest is None or digest.subject != self.digest.subject:
             return True
         return self.contains_request_id and digest.request_id != self.digest.request_id
 
 
 class RecentAnswers:
-    """The distinctive answers that a connection has brought lately; times are in seconds of the loop."""
+    """The distinctive answers that a connection received recently; times are in seconds of the loop."""
 
     def __init__(self) -> None:
-        """Hold none."""
+        """Start empty."""
         self._by_fingerprint: dict[int, RecentAnswer] = {}  # the oldest first
-        self._by_subject: dict[int, RecentAnswer] = {}  # of these, the last about each subject
+        self._by_subject: dict[int, RecentAnswer] = {}  # of these, the latest about each subject
 
     def add(
         self,
@@ -96,7 +97,7 @@
         digest: RequestDigest | None = None,
         contains_request_id: bool = False,
     ) -> bool:
-        """Add an answer that has just ended; False where the table is full."""
+        """Add an answer that has just ended; returns False if the table is full."""
         if fingerprint in self._by_fingerprint:
             self._remove(fingerprint)
         elif len(self._by_fingerprint) == MAX_RECENT_ANSWERS:
@@ -110,32 +111,32 @@
         return True
 
     def any(self, now: float) -> bool:
-        """Whether there is any that may still come a second time."""
+        """Return whether there is any whose duplicate may still arrive."""
         self._drop_older(now)
         return bool(self._by_fingerprint)
 
     def is_repetition(self, fingerprint: int, digest: RequestDigest | None = None) -> bool:
-        """Whether an answer equals one of them that would be no right answer to the request."""
+        """Return whether an answer equals one of them that would be a wrong answer to the request."""
         known = self._by_fingerprint.get(fingerprint)
         return known is not None and known.is_for_another(digest)
 
     def contains(self, fingerprint: int) -> bool:
-        """Whether an answer equals one of them, whatever it was the answer to."""
+        """Return whether an answer equals one of them, whatever request that one was for."""
         return fingerprint in self._by_fingerprint
 
     def rest_left(self, digest: RequestDigest, now: float) -> float:
-        """How many seconds the connection has to rest before the request, so that it gets its own answer."""
+        """Return how many seconds the connection must rest for the request to get its own answer."""
         known = self._unrested(digest, now)
         if known is None or known.digest is None or digest.is_served_by(known.digest):
             return 0.0
         return known.ended + rest_times.REUSE_AFTER.total_seconds() - now
 
     def may_serve_again(self, digest: RequestDigest, now: float) -> bool:
-        """Whether one that may still come a second time would serve a request that is written now."""
+        """Return whether a duplicate that may still arrive would be a right answer to a request sent now."""
         return self._unrested(digest, now) is not None
 
     def _unrested(self, digest: RequestDigest, now: float) -> RecentAnswer | None:
-        """The last about a request's subject, where it cannot be distinguished from the request's own."""
+        """Return the latest about a request's subject, if it cannot be told from the request's own answer."""
         known = self._by_subject.get(digest.subject)
         if known is None or now - known.ended >= rest_times.REUSE_AFTER.total_seconds():
             return None
@@ -156,18 +157,18 @@
 
 
 class AnswerInspection:
-    """One answer of a stated length, which is withheld until it is known not to be an earlier one again."""
+    """One answer with a Content-Length, which is withheld until it is known not to be a duplicate."""
 
     def __init__(
         self, status: bytes, length: int, recent: RecentAnswers | None, digest: RequestDigest | None = None
     ) -> None:
-        """Begin to inspect an answer.
+        """Start inspecting an answer.
 
         Args:
-            status: Its three digits.
-            length: The bytes of its body.
-            recent: The answers that it may be a repetition of; None: it is not withheld.
-            digest: What the present request asks for; None: not known.
+            status: The three digits of its status.
+            length: The length of its body in bytes.
+            recent: The answers that it may be a duplicate of; None: it is not withheld.
+            digest: The digest of the current request; None: not known.
         """
         self._digest = digest
         self._compares = status == STATUS_OK and length > 0
@@ -175,16 +176,16 @@
         self._prefix = b""
         self._withheld = b""
         self._recent = recent if self._compares else None
-        self.fingerprint: int | None = None  # None: not known yet, or nothing to tell it by
+        self.fingerprint: int | None = None  # None: not known yet, or the answer is not comparable
         self.is_repetition = False
-        self.equals_recent = False  # and is none: it would be a right answer either way
+        self.equals_recent = False  # equals a recent answer, but would be a right answer either way
 
     def contains_request_id(self) -> bool:
-        """Whether the answer names its request, as far as that is known."""
+        """Return whether the body is known to contain the id of the current request."""
         return self._digest is not None and contains_request_id(self._prefix, self._digest.request_id)
 
     def take(self, head: bytes, body: bytes) -> bytes:
-        """Take a part of the answer, and return what of it may be passed on."""
+        """Add a part of the answer, and return the bytes that may be passed on."""
         if self.is_repetition:
             return b""
         if not self._compares or self.fingerprint is not None:
--- a/stoatrouter/net/background.py
+++ b/stoatrouter/net/background.py
@@ -1,4 +1,4 @@
-"""Tasks that run for as long as the head does: a fault in one is logged at once, and it starts again."""
+"""Background tasks that run as long as the head: a failed one is logged and restarted."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 def start_task(name: str, run: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
-    """Start a task that is kept running; the task's own name is that of what it runs."""
+    """Start a task that is restarted after a failure; it is named after the function that it runs."""
     return asyncio.create_task(keep_running(name, run), name=getattr(run, "__qualname__", name))
 
 
 async def keep_running(name: str, run: Callable[[], Awaitable[None]]) -> None:
-    """Run a task to its end, however often it fails before; until cancelled.
+    """Run a task until it returns or is cancelled, restarting it after each failure.
 
     Args:
-        name: What the log calls it.
-        run: Starts the task; called again after each failure, RESTART_PAUSE later.
+        name: The name of the task in the log.
+        run: Starts the task; called again RESTART_PAUSE after each failure.
     """
     while True:
         try:
             return await run()
         except Exception:
-            # Guards a serving head: a task that nobody awaits would end unseen, and its work with it.
+            # Nobody awaits this task, so without this it would end unnoticed and its work would stop.
             logger.exception(
-                "background: {task} failed in an unforeseen way, it starts again",
+                "background: {task} failed with an unexpected error; restarting it",
                 event="background.fault",
                 task=name,
             )
--- a/stoatrouter/net/bodies.py
+++ b/stoatrouter/net/bodies.py
@@ -1,4 +1,4 @@
-"""Clients' bodies of any size: each is read once and stored, so that any attempt can send it."""
+"""Clients' request bodies: each is read once and stored, so that every attempt can send it."""
 
 from __future__ import annotations
 
@@ -15,39 +15,37 @@
 
 from stoatrouter.net.errors import NoCapacity, TooLarge, TooSlow
 
-MAX_IN_MEMORY_BYTES = 64 * 1024  # in memory, and checked complete
+MAX_IN_MEMORY_BYTES = 64 * 1024  # a body up to this size is kept in memory, and an answer checked as a whole
 MAX_BODY_BYTES = 36 * 1024 * 1024  # legitimate requests reach 32 MB
 PIECE_BYTES = 64 * 1024
-RESERVATION_STEP_BYTES = (
-    1024 * 1024
-)  # by which the capacity reserved for a body without a stated length grows
-# A body that stalls is given up, and so is one far slower than clients in service (64 kB a second).
+RESERVATION_STEP_BYTES = 1024 * 1024  # growth of the capacity reserved for a body without Content-Length
+# A body that stalls is rejected, and so is one much slower than those of real clients (64 kB a second).
 BODY_STALL_TIMEOUT = timedelta(seconds=1)
-MIN_BYTES_PER_SECOND = 24 * 1024  # bytes a second
-RATE_GRACE = timedelta(milliseconds=2500)  # from when on its mean rate counts
+MIN_BYTES_PER_SECOND = 24 * 1024
+RATE_GRACE = timedelta(milliseconds=2500)  # waiting time after which the mean rate is enforced
 CAPACITY_TIMEOUT = timedelta(seconds=4)  # how long a body waits, unread, for capacity
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Reservation:
-    """A body that waits for capacity."""
+    """A pending reservation of capacity for a body."""
 
     size: int
     granted: asyncio.Future[None]
 
 
 class BodyCapacity:
-    """The bytes that stored bodies may take together, granted in order of arrival.
+    """The total size allowed for stored bodies, granted in order of arrival.
 
-    Files count in full, as $TMPDIR may lie in memory.
+    Files count in full, as $TMPDIR may be a file system in memory.
     """
 
     def __init__(self, limit: int, folder: str | None = None) -> None:
         """Start with nothing reserved.
 
         Args:
-            limit: The bytes that stored bodies may take together.
-            folder: Where their files go; None: the system's temporary folder ($TMPDIR).
+            limit: The total size allowed for stored bodies, in bytes.
+            folder: The folder of their files; None: the system's temporary folder ($TMPDIR).
         """
         self.limit = limit
         self.folder = folder
@@ -55,9 +53,9 @@
         self.waiting: deque[Reservation] = deque()
 
     async def reserve(self, size: int) -> None:
-        """Reserve `size` bytes, waiting in turn so that small bodies do not starve a large one.
+        """Reserve `size` bytes, in first-come order so that small bodies do not starve a large one.
 
-        Raises TooLarge where they can never fit, NoCapacity after CAPACITY_TIMEOUT.
+        Raises TooLarge if they exceed the whole capacity, NoCapacity after CAPACITY_TIMEOUT.
         """
         if size > self.limit:
             raise TooLarge(size, self.limit)
@@ -74,19 +72,19 @@
                 self.waiting.remove(reservation)
                 self.grant_waiting()
             elif not reservation.granted.cancelled():
-                self.release(size)  # it was granted as the wait ended
+                self.release(size)  # it was granted just as the wait ended
             if isinstance(error, TimeoutError):
                 waited = CAPACITY_TIMEOUT.total_seconds()
                 raise NoCapacity(f"no {size} bytes became free in {waited:g} s") from None
             raise
 
     def release(self, size: int) -> None:
-        """Give `size` bytes back and grant them to those that wait."""
+        """Release `size` bytes and grant them to waiting reservations."""
         self.reserved -= size
         self.grant_waiting()
 
     def grant_waiting(self) -> None:
-        """Grant capacity to those that wait, in turn, as far as it goes."""
+        """Grant free capacity to waiting reservations, in order."""
         while self.waiting and self.reserved + self.waiting[0].size <= self.limit:
             reservation = self.waiting.popleft()
             self.reserved += reservation.size
@@ -97,23 +95,23 @@
 
 
 class StoredBody:
-    """A large body in an unnamed file; each attempt reads it from its start."""
+    """A large body in an unnamed temporary file; each attempt reads it from the start."""
 
     def __init__(self, capacity: BodyCapacity) -> None:
-        """Open an unnamed file for a body; it reserves no capacity until it grows.
+        """Open an unnamed file for a body; no capacity is reserved until `grow` is called.
 
         Args:
-            capacity: The capacity that the body's bytes are reserved from, and its folder.
+            capacity: The capacity to reserve from, which also names the folder of the file.
 
         Raises:
-            NoCapacity: The file cannot be created, as where the folder is full or gone.
+            NoCapacity: The file cannot be created, for example as the folder is full or was deleted.
         """
         self.capacity = capacity
         self.size = 0  # bytes written
         self.reserved = 0  # bytes
         try:
             self.file = tempfile.TemporaryFile(dir=capacity.folder, buffering=0)  # noqa: SIM115
-        except OSError as error:  # guards against a folder that is full or gone
+        except OSError as error:  # the folder may be full or deleted
             raise NoCapacity(f"no file in {capacity.folder or tempfile.gettempdir()}: {error}") from error
 
     async def grow(self, size: int) -> None:
@@ -123,32 +121,32 @@
             self.reserved = size
 
     def write(self, data: bytes) -> None:
-        """Append to the file; raises NoCapacity where the disk has no space."""
+        """Append to the file; raises NoCapacity if the disk is full."""
         view = memoryview(data)
         try:
             while view:
                 view = view[self.file.write(view) :]
-        except OSError as error:  # guards against a folder that is full
+        except OSError as error:  # the disk may be full
             raise NoCapacity(f"the body's file cannot grow: {error}") from error
         self.size += len(data)
 
     async def pieces(self) -> AsyncIterator[bytes]:
-        """The body in pieces of at most PIECE_BYTES bytes; raises OSError once it is closed."""
+        """Yield the body in pieces of at most PIECE_BYTES bytes; raises OSError once it is closed."""
         offset = 0
         while offset < self.size:
             if self.file.closed:
-                # Guards against an attempt that outlives its request: its descriptor may be another's by now.
+                # An attempt may outlive its request; the descriptor may already belong to another file.
                 raise OSError("the body is no longer stored")
             piece = os.pread(self.file.fileno(), PIECE_BYTES, offset)
             offset += len(piece)
             yield piece
 
     def __len__(self) -> int:
-        """The bytes written so far."""
+        """Return the number of bytes written so far."""
         return self.size
 
     def close(self) -> None:
-        """Delete the file and give its capacity back; calling it again changes nothing."""
+        """Delete the file and release its capacity; further calls have no effect."""
         if not self.file.closed:
             self.file.close()
             self.capacity.release(self.reserved)
@@ -158,13 +156,13 @@
 
 
 class BodyBuffer:
-    """A body as it arrives: in memory while it is small, then in a file."""
+    """A body that is being received: kept in memory while small, then moved to a file."""
 
     def __init__(self, capacity: BodyCapacity) -> None:
         """Start empty.
 
         Args:
-            capacity: The capacity that a file's bytes are reserved from.
+            capacity: The capacity that files are reserved from.
         """
         self.capacity = capacity
         self.small = bytearray()
@@ -176,18 +174,18 @@
         await self.stored.grow(size)
 
     async def append(self, data: bytes) -> None:
-        """Append what has arrived; raises TooLarge or NoCapacity."""
+        """Append received bytes; raises TooLarge or NoCapacity."""
         size = len(data) + (len(self.small) if self.stored is None else self.stored.size)
         if size > MAX_BODY_BYTES:
             raise TooLarge(size, MAX_BODY_BYTES)
         if self.stored is None and size <= MAX_IN_MEMORY_BYTES:
             self.small += data
             return
-        if self.stored is None:  # it stated no length
+        if self.stored is None:  # the request has no Content-Length
             self.stored = StoredBody(self.capacity)
         stored = self.stored
         if size > stored.reserved:
-            # a step further, yet no more than the limit: it would wait for capacity that never becomes free
+            # grow by a step, but not beyond the limit: such a reservation could never be granted
             await stored.grow(max(size, min(stored.reserved + RESERVATION_STEP_BYTES, self.capacity.limit)))
         if self.small:
             stored.write(bytes(self.small))
@@ -195,7 +193,7 @@
         stored.write(data)
 
     def body(self) -> Body:
-        """The body that has arrived; a stored one must be closed by the caller."""
+        """Return the received body; the caller must close a stored one."""
         return bytes(self.small) if self.stored is None else self.stored
 
     def close(self) -> None:
@@ -205,7 +203,7 @@
 
 
 async def read_body(request: web.BaseRequest, capacity: BodyCapacity) -> Body:
-    """Read a whole body; one over MAX_IN_MEMORY_BYTES bytes goes into a file that the caller must close.
+    """Read a whole body; one over MAX_IN_MEMORY_BYTES is stored in a file that the caller must close.
 
     Raises TooLarge, TooSlow or NoCapacity.
     """
@@ -221,7 +219,7 @@
             await buffer.reserve(stated)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            request.writer.output_size = 0  # it is no part of the answer
+            request.writer.output_size = 0  # an interim response does not count as part of the answer
         while data := await rate.wait(request.content):
             await buffer.append(data)
     except BaseException:
@@ -231,18 +229,18 @@
 
 
 class ReceiveRate:
-    """The mean rate at which a body arrives, counting only the time spent waiting for it."""
+    """The mean receive rate of a body, over the time spent waiting for its bytes."""
 
     def __init__(self) -> None:
         """Start with no time spent and no byte received."""
-        self.spent = 0.0  # seconds
+        self.spent = 0.0  # seconds spent waiting
         self.received = 0  # bytes
 
     async def wait(self, content: aiohttp.StreamReader) -> bytes:
-        """The next bytes, empty at the end.
+        """Return the next bytes, empty at the end.
 
-        Raises TooSlow where a body stands still for BODY_STALL_TIMEOUT or is slower than
-        MIN_BYTES_PER_SECOND, so that it cannot hold connections, capacity or a stopping head.
+        Raises TooSlow if a body stalls for BODY_STALL_TIMEOUT or is slower than MIN_BYTES_PER_SECOND, so that
+        it cannot occupy connections or capacity, or delay a shutdown.
         """
         loop = asyncio.get_running_loop()
         started = loop.time()
--- a/stoatrouter/net/clients.py
+++ b/stoatrouter/net/clients.py
@@ -1,4 +1,4 @@
-"""Connections of clients: aiohttp's server connection, with bounds on what a misbehaving client can do."""
+"""Client connections: aiohttp's server connection, with limits on what a misbehaving client can do."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ClientConnection(RequestHandler):
-    """aiohttp's server connection, with bounds on what a misbehaving client can do to it."""
+    """aiohttp's server connection, with limits on what a misbehaving client can do."""
 
     __slots__ = (
         "clients",
@@ -43,17 +43,17 @@
         loop: asyncio.AbstractEventLoop,
         **more: Any,
     ) -> None:
-        """Set up a connection of a client, silent since its start.
+        """Set up a client connection that has sent nothing yet.
 
         Args:
             manager: The server that accepted it.
-            clients: The table the connection enters and leaves.
-            refuse: Called with the bytes that arrived while the head has as many requests open as it may;
-                returns the answer that rejects them, or None to parse them. None: all are parsed.
+            clients: The table that the connection is added to and removed from.
+            refuse: Called with the received bytes while the head has its maximum of open requests; returns
+                the answer that rejects them, or None to parse them. None: all are parsed.
             loop: The event loop that runs the connection.
             **more: Passed on to aiohttp's RequestHandler.
         """
-        # the table's sweep ends idle connections, long before aiohttp's own timer would
+        # the table's sweep closes idle connections long before aiohttp's keep-alive timer would
         super().__init__(
             manager,
             loop=loop,
@@ -65,39 +65,39 @@
         self.refuse = refuse
         self.loop = loop
         self.state = State.NEW
-        # in the loop's time: when it entered its state, and when the head that is under way began
+        # when it entered its state, and when the incomplete request head began, in the loop's time
         self.state_since = 0.0
         self.head_since = 0.0
         # bytes of an answer that the client does not read, and since when, in the loop's time
         self.stalled_bytes = 0
         self.stalled_since = 0.0
-        self.answered = False  # whether any answer was sent
+        self.answered = False  # whether any answer has been sent
 
     def close_now(self) -> None:
-        """Close at once.
+        """Close immediately.
 
-        force_close is used, as close() would leave the socket open and swallow what arrives there.
+        force_close is used, as close() would leave the socket open and discard the bytes that arrive there.
         """
         self.clients.remove(self)
         self.force_close()
 
     def seconds_in_state(self) -> float:
-        """For how many seconds the connection has been in its present state."""
+        """Return how many seconds the connection has been in its current state."""
         return self.loop.time() - self.state_since
 
     def close_unless_unread(self) -> None:
-        """Close at once, unless bytes have arrived that the loop has not yet read.
+        """Close immediately, unless bytes have arrived that the loop has not read yet.
 
-        Closing over unread bytes would reset the connection and lose that request.
+        Closing with unread bytes would reset the connection and lose that request.
         """
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if sock is None or not has_unread_bytes(sock):
             self.close_now()
 
     def seconds_stalled(self) -> float:
-        """For how many seconds the client has read nothing of a waiting answer.
+        """Return how many seconds the client has read nothing of a pending answer.
 
-        It bounds connections and memory, as answers are buffered until they are read.
+        Answers are buffered until they are read, so a limit on this also limits memory and connections.
         """
         unread = self.transport.get_write_buffer_size() if self.writing_paused and self.transport else 0
         if not unread or unread != self.stalled_bytes:
@@ -105,9 +105,9 @@
             self.stalled_since = self.loop.time()
         return self.loop.time() - self.stalled_since
 
-    # -- the protocol's callbacks -------------------------------------------------------------------------
+    # -- protocol callbacks -------------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Enter the connection in the table; that may end another one."""
+        """Add the connection to the table, which may evict another one."""
         super().connection_made(transport)
         self.clients.add(self)
 
@@ -117,9 +117,9 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived and follow the connection's state; an overloaded head rejects requests here."""
+        """Parse received bytes and update the state; an overloaded head rejects requests here."""
         if self.state is State.LINGERING:
-            return  # read only so that the answer arrives
+            return  # input is read and discarded so that the last answer is not lost to a reset
         if (
             self.refuse is not None
             and self.clients.open >= self.clients.busy_limit()
@@ -135,15 +135,15 @@
             return
         if isinstance(self._messages[-1][0], _ErrInfo):
             if open_before or len(self._messages) > 1:
-                # Guards a client's time: unreadable input behind an open request would get its error only
-                # after that. It also may be the rest of a request whose stated length was too short.
+                # The error answer to malformed input after an open request would have to wait for that
+                # request's answer. The input may also be the rest of a body with too small a Content-Length.
                 return self.close_now()
             self.clients.set_state(self, State.LINGERING)
         elif not open_before:
             self.clients.set_state(self, State.BUSY)
 
     def _reject(self, refusal: bytes) -> None:
-        """Reject a request before it is parsed; the connection goes on, unless that was its last answer."""
+        """Reject a request before it is parsed; the connection stays open if the answer allows that."""
         if self.transport is None:
             return
         self.transport.write(refusal)
@@ -154,7 +154,7 @@
             self.answered = True
 
     def _record_head_started(self) -> None:
-        """Record that more of a head has arrived; a first one counts from the connection's start."""
+        """Record that part of a request head has arrived; a first head counts from the connection's start."""
         if self.state is not State.READING_HEAD:
             self.head_since = self.state_since if self.state is State.NEW else self.loop.time()
         self.clients.set_state(self, State.READING_HEAD)
@@ -167,14 +167,14 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """The answer to an unreadable request, or to an unforeseen fault of this program.
+        """Return the answer to a malformed request, or to an unexpected error in this program.
 
-        Raises ConnectionError where an answer has already begun.
+        Raises ConnectionError if an answer has already begun.
         """
         if exc is not None and not isinstance(exc, HttpProcessingError):
-            logger.opt(exception=exc).error("request failed in an unforeseen way", event="request.fault")
+            logger.opt(exception=exc).error("request failed with an unexpected error", event="request.fault")
         if request.writer.output_size > 0:
-            raise ConnectionError("an answer has begun already")
+            raise ConnectionError("an answer has already begun")
         response = web.Response(status=status, text="the request cannot be read\n" if status < 500 else None)
         response.force_close()
         return response
@@ -182,7 +182,7 @@
     async def finish_response(
         self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
     ) -> tuple[web.StreamResponse, bool]:
-        """Write the answer; the last answer of a connection is delivered before it closes."""
+        """Write the answer; after the last one of a connection, linger until the client has received it."""
         resp, reset = await super().finish_response(request, resp, start_time)
         transport = self.transport
         if reset or self._force_close or transport is None:
@@ -196,27 +196,26 @@
         self._linger()
         if not transport.is_reading():
             transport.resume_reading()
-        # the client's own close ends this at once, the sweep at the latest
+        # this ends as soon as the client closes, at the latest with the table's sweep
         await asyncio.sleep(2 * LINGER_TIMEOUT.total_seconds())
         return resp, reset
 
     def _linger(self) -> None:
-        """Send nothing more; the connection ends once the last answer has arrived."""
+        """Send end-of-file and wait for the client to close, so that the last answer is delivered."""
         self.clients.set_state(self, State.LINGERING)
-        with contextlib.suppress(OSError):  # a client may have gone in this moment
+        with contextlib.suppress(OSError):  # the client may just have disconnected
             if self.transport is not None and self.transport.can_write_eof():
                 self.transport.write_eof()
 
     def _can_continue(self, request: web.BaseRequest) -> bool:
-        """Whether the connection can go on.
+        """Return whether the connection can be reused; replaces the parser after a chunked request.
 
-        Guards the next request against trailers of this one, which aiohttp's parser takes for the first
-        headers of whatever arrives next.
+        aiohttp's parser would add the trailers of a chunked request to the headers of the next one.
         """
         if "Transfer-Encoding" not in request.headers:
             return True
         if self._messages:
-            return False  # the next request has them already
+            return False  # the next request was already parsed, with these trailers among its headers
         self._parser = HttpRequestParser(
             self,
             self.loop,
@@ -240,7 +239,7 @@
         Args:
             handler: Answers each request.
             clients: The table of this server's connections.
-            refuse: As ClientConnection takes it.
+            refuse: Passed to each ClientConnection.
             **more: Passed on to aiohttp's Server.
         """
         super().__init__(handler, **more)
@@ -248,5 +247,5 @@
         self.refuse = refuse
 
     def __call__(self) -> RequestHandler:
-        """The protocol of a new connection."""
+        """Return the protocol object of a new connection."""
         return ClientConnection(self, self.clients, self.refuse, self._loop, **self._kwargs)
--- a/stoatrouter/net/clock.py
+++ b/stoatrouter/net/clock.py
@@ -1,4 +1,4 @@
-"""The head's clock: time since the Unix epoch that never goes back."""
+"""The head's clock: time since the Unix epoch that never goes backwards."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class Clock:
-    """A monotonic clock, set once from the system's time.
+    """A monotonic clock, set once from the system time.
 
-    Node starts are Unix times, but the system's clock may be set while the head runs.
+    It is in Unix time, as the start times of nodes are, but unaffected by changes to the system time.
     """
 
     def __init__(self) -> None:
-        """Set the clock from the system's time, now."""
+        """Set the clock to the current system time."""
         self._anchor = timedelta(seconds=time.time()) - timedelta(seconds=time.monotonic())
 
     def now(self) -> timedelta:
-        """The time since the Unix epoch."""
+        """Return the time since the Unix epoch."""
         return self._anchor + timedelta(seconds=time.monotonic())
--- a/stoatrouter/net/connection_counters.py
+++ b/stoatrouter/net/connection_counters.py
@@ -1,4 +1,4 @@
-"""What has become of connections to nodes: the figures that tell costs of the pool apart."""
+"""Counters of the connections to nodes, which show the costs of pooling."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 @dataclass(slots=True)
 class ConnectionCounters:
-    """Counted since the process started."""
+    """Counts since the process started."""
 
-    dials: int = 0  # connections that were asked for, opened or not
-    dials_beside_resting: int = 0  # of these, while an idle connection to the node had to rest
+    dials: int = 0  # attempts to open a connection, successful or not
+    dials_beside_resting: int = 0  # of these, those made while an idle connection to the node had to rest
     reuses: int = 0
-    waits_for_rest: int = 0  # at the bound, for a connection that had to rest
-    ended_for_room: int = 0  # idle connections to other nodes, ended at the bound
-    repetitions_dropped: int = 0  # answers that came a second time, under a later request
-    # of these, those after which no other answer came: the node failed, or it was the request's own
+    waits_for_rest: int = 0  # waits in a full pool for a connection that had to rest
+    ended_for_room: int = 0  # idle connections to other nodes that were closed in a full pool
+    repetitions_dropped: int = 0  # duplicate answers that arrived during a later request
+    # of these, those with no other answer after them: the node failed, or it was the request's own answer
     repetitions_without_another: int = 0
-    equal_answers_passed: int = 0  # equal to an earlier one of the connection, about the same: no repetitions
+    # answers equal to an earlier one on the connection about the same subject, so not treated as duplicates
+    equal_answers_passed: int = 0
--- a/stoatrouter/net/dial.py
+++ b/stoatrouter/net/dial.py
@@ -1,4 +1,4 @@
-"""Opens a connection within a time, and takes one that has come up while the loop was held up."""
+"""Opening a connection with a timeout that tolerates a blocked event loop."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from aiohttp.client_proto import ResponseHandler
 
-EXTRA_ITERATIONS = 10  # of the loop, in which it sees what has come and finishes the opening
+EXTRA_ITERATIONS = 10  # loop iterations after the timeout in which a pending connection may still complete
 
 
-async def open_with_timeout(opening: Coroutine[Any, Any, ResponseHandler], within: float) -> ResponseHandler:
-    """Await the opening of a connection for `within` seconds; raises TimeoutError and its errors.
+async def open_with_timeout(opening: Coroutine[Any, Any, ResponseHandler], timeout: float) -> ResponseHandler:
+    """Wait up to `timeout` seconds for a connection to open; raises TimeoutError and connection errors.
 
-    A loop that was held up for as long finds its timer due and the connection up in the same step. It gets
-    the chance to look at what has come before it blames the peer.
+    After the loop was blocked for longer than that, the timer and the established connection become ready in
+    the same iteration. A few more iterations let the connection complete before the peer is blamed.
     """
     task = asyncio.create_task(opening)
     try:
-        await asyncio.wait((task,), timeout=within)
+        await asyncio.wait((task,), timeout=timeout)
         for _ in range(EXTRA_ITERATIONS):
             if task.done():
                 return task.result()
@@ -32,6 +32,6 @@
 
 
 def close_unused(task: asyncio.Task[ResponseHandler]) -> None:
-    """Close a connection that came up after nobody waited for it any more."""
+    """Close a connection that was established after its caller had given up."""
     if not task.cancelled() and task.exception() is None:
         task.result().close()
--- a/stoatrouter/net/disconnects.py
+++ b/stoatrouter/net/disconnects.py
@@ -1,6 +1,6 @@
-"""Whether a request's client is still connected, polled from the system at the moment it matters.
+"""Checks whether a request's client is still connected by polling its socket directly.
 
-A connection whose reading is paused, or whose loop lags, has not yet been notified that its client has left.
+A transport whose reading is paused, or whose event loop lags, is notified of a disconnect too late.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import socket
 from contextvars import ContextVar
 
-# the connection that the present task works for; tasks that it creates inherit it
+# the client connection that the current task serves; tasks that it creates inherit it
 CLIENT_TRANSPORT: ContextVar[asyncio.Transport | None] = ContextVar("client", default=None)
 HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def has_disconnected(client: asyncio.Transport | None) -> bool:
-    """Whether the client has closed or reset its connection, even behind unread bytes.
+    """Return whether the client has closed or reset its connection, even if unread bytes precede that.
 
-    False for a request without a connection.
+    Returns False for a request without a connection.
     """
     if client is None:
         return False
@@ -31,7 +31,7 @@
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Whether bytes have arrived that were not read, from a peer that is still connected."""
+    """Return whether there are unread bytes from a peer that is still connected."""
     if sock.fileno() < 0:
         return False
     poll = select.poll()
--- a/stoatrouter/net/endpoint_list.py
+++ b/stoatrouter/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Parses the messages of discovery's endpoint list; one unreadable entry leaves the others valid."""
+"""Parses messages of discovery's endpoint list; a malformed entry does not invalidate the others."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from stoatrouter.net.errors import MalformedList
 from stoatrouter.policy.interface import Phase
 
-FIRST_UNNAMED_ZONE = 1 << 16  # numbers from here on are of zones that the settings do not name
-MAX_FAULT_LENGTH = 200  # characters of a fault's description
+FIRST_UNNAMED_ZONE = 1 << 16  # zones that the settings do not name have numbers from here on
+MAX_FAULT_LENGTH = 200  # characters in the description of a fault
 EMPTY_CACHE: Mapping[str, NodeInfo] = MappingProxyType({})
 PHASES = {"SERVING": Phase.ON, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
 
@@ -25,9 +25,9 @@
 
     Attributes:
         generation: The generation of the list after this message.
-        complete: Whether it is the complete list; else it is changes.
-        nodes: The entries; one that cannot be read is omitted, or replaced from the cache.
-        faults: A description of each entry that cannot be read.
+        complete: Whether it holds the complete list; otherwise it holds changes.
+        nodes: The entries; a malformed one is omitted, or replaced by the cached node.
+        faults: A description of each malformed entry.
     """
 
     generation: int
@@ -45,20 +45,20 @@
 
     Args:
         data: The message as JSON data.
-        cached: The entries as last read, which stand in for malformed ones of a complete list.
-        zones: The zones by name, in the order in which the settings number them.
+        cached: The nodes as last received, which replace malformed entries of a complete list.
+        zones: The names of the zones, in the order in which the settings number them.
 
     Raises:
-        MalformedList: The message as a whole breaks the protocol.
+        MalformedList: The message as a whole violates the protocol.
     """
     try:
         generation = int(data["generation"])
         complete = bool(data["reset"])
         entries = data["instances"]
         if not isinstance(entries, list):
-            raise TypeError("instances is no list")
+            raise TypeError("instances is not a list")
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise MalformedList(f"bad list: {type(error).__name__}: {error}") from None
+        raise MalformedList(f"malformed list: {type(error).__name__}: {error}") from None
     nodes, faults = read_entries(entries, cached if complete else EMPTY_CACHE, zones)
     return ListMessage(generation, complete, nodes, faults)
 
@@ -66,36 +66,36 @@
 def read_entries(
     entries: list[Any], cached: Mapping[str, NodeInfo], zones: tuple[str, ...]
 ) -> tuple[tuple[NodeInfo, ...], tuple[str, ...]]:
-    """Parse the entries of a message: those that can be read, and the faults of the others.
+    """Parse the entries of a message; returns the valid ones and the faults of the others.
 
-    An unreadable entry is replaced by the node of its name in `cached`, if there is one.
+    A malformed entry is replaced by the node of the same name in `cached`, if there is one.
     """
     nodes: list[NodeInfo] = []
     faults: list[str] = []
     for entry in entries:
-        # Guards the list against one malformed entry: it would void all others, and the drains among them.
+        # One malformed entry must not invalidate all others, as they may include drains of nodes.
         try:
             nodes.append(read_node(entry, zones))
         except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
             name = entry.get("instanceId") if isinstance(entry, dict) else None
             faults.append(f"{name!r}: {type(error).__name__}: {error}"[:MAX_FAULT_LENGTH])
-            # nor is the node that it stands for considered gone
+            # the node of a malformed entry must not count as removed either
             if isinstance(name, str) and name in cached:
                 nodes.append(cached[name])
     return tuple(nodes), tuple(faults)
 
 
 def zone_number(name: Any, zones: tuple[str, ...]) -> int:
-    """A zone's number as the settings have it.
+    """Return the number of a zone in the settings.
 
-    A zone that the settings do not name gets a number of its own, the same in every process, as some repeats
-    are dropped only within one zone.
+    A zone that the settings do not name gets a number derived from its name. It has to be the same in every
+    process, as some repeats are dropped only within one zone.
     """
     return zones.index(name) if name in zones else FIRST_UNNAMED_ZONE + zlib.crc32(str(name).encode())
 
 
 def read_node(entry: dict[str, Any], zones: tuple[str, ...] = ()) -> NodeInfo:
-    """Parse one entry; only an entry of a node that is gone may lack its address.
+    """Parse one entry; only the entry of a deleted node may have no address.
 
     Raises KeyError, TypeError or ValueError.
     """
--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -1,4 +1,4 @@
-"""The engine: puts events to the reducer, one at a time, and runs the effects it returns."""
+"""The engine: passes events to the reducer, one at a time, and runs the effects it returns."""
 
 from __future__ import annotations
 
@@ -21,50 +21,50 @@
 from stoatrouter.net.state_file import AdministrativeStateFile
 from stoatrouter.policy.interface import ListKind, Outcome
 
-MAX_COMPLETE_ANSWER_BYTES = 1024 * 1024  # of an answer that a front needs complete
+MAX_COMPLETE_ANSWER_BYTES = 1024 * 1024  # the size limit for fronts that need complete answers
 
 
 class Engine:
-    """Tracks open requests and attempts, and runs effects. It makes no decisions."""
+    """Tracks open requests and attempts, and runs effects; all decisions are made by the reducer."""
 
     def __init__(
         self, reducer: Reducer, clock: Clock, nodes: NodeClient, state_file: AdministrativeStateFile
     ) -> None:
-        """Set up an engine with nothing open; it must be created within the running event loop.
+        """Set up an engine without open requests; it must be created in a running event loop.
 
         Args:
             reducer: The core, which makes all decisions.
-            clock: The time of events.
+            clock: The clock for the times of events.
             nodes: The client of all nodes.
-            state_file: Where the administrative state is saved when it changes.
+            state_file: The file in which the administrative state is saved when it changes.
         """
         self.reducer = reducer
         self.clock = clock
         self.nodes = nodes
         self.state_file = state_file
-        self.state_saved = True  # whether the administrative state was saved when it last changed
+        self.state_saved = True  # whether the last change of the administrative state was saved
         self.loop = asyncio.get_running_loop()
         self.waiters: dict[str, asyncio.Future[model.Answer]] = {}  # by request
-        self.client_transports: dict[str, asyncio.Transport | None] = {}  # of those requests
+        self.client_transports: dict[str, asyncio.Transport | None] = {}  # by request
         self.attempts: dict[tuple[str, int], asyncio.Task[Reply]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.answer_deadline: timedelta | None = None  # of a stopping head, for all requests
-        # called before a request is admitted: waits where that helps, and returns whether it did
+        self.answer_deadline: timedelta | None = None  # for all requests, set during shutdown
+        # called before a request is admitted: waits for what it needs, and returns whether it waited
         self.prepare: Callable[[model.Request], Awaitable[bool]] | None = None
         self.preparing = 0
 
     # -- for fronts ---------------------------------------------------------------------------------------
     async def serve(self, request: model.Request) -> model.Answer:
-        """The final answer to a request; cancelling the caller reports that its client has left."""
+        """Return the final answer to a request; cancellation is reported as the client having left."""
         if self.prepare is not None:
             request = await self.prepared(request)
         now = self.clock.now()
         if self.answer_deadline is not None:
-            # Guards what a stopping head still admits: no answer can follow its end.
+            # A stopping head cannot answer after its end, so the deadlines of new requests are capped.
             left = max(timedelta(0), min(request.time_left, self.answer_deadline - now))
             request = replace(request, time_left=left)
         effects = self.reducer.reduce(model.Arrived(now, request))
-        # Guards the waiter of a request that is open under the same id: this answer is not for it.
+        # A rejected request must not replace the waiter of an open request with the same id.
         if effects and isinstance(effects[0], model.RejectRequest):
             return effects[0].answer
         waiter: asyncio.Future[model.Answer] = self.loop.create_future()
@@ -80,7 +80,7 @@
                 self.put(model.ClientLeft(self.clock.now(), request.id))
             raise
         finally:
-            # Guards a request that was admitted under this id once the answer was given: it has a waiter too.
+            # After the answer was given, a new request with this id may have registered its own waiter.
             if self.waiters.get(request.id) is waiter:
                 del self.waiters[request.id]
                 del self.client_transports[request.id]
@@ -88,7 +88,7 @@
     async def prepared(self, request: model.Request) -> model.Request:
         """Wait for what a request needs before it is admitted, such as credit.
 
-        Returns the request with the time that is left of its deadline.
+        Returns the request with its remaining time.
         """
         assert self.prepare is not None
         started = self.clock.now()
@@ -102,7 +102,7 @@
         return replace(request, time_left=left)
 
     async def serve_complete(self, request: model.Request) -> model.Answer:
-        """Serve a request for a front that needs the complete answer, at most MAX_COMPLETE_ANSWER_BYTES."""
+        """Serve a request whose front needs a complete answer of at most MAX_COMPLETE_ANSWER_BYTES."""
         answer = await self.serve(request)
         if not isinstance(answer, model.Served) or answer.stream is None:
             return answer
@@ -118,7 +118,7 @@
             self.stream_ended(request.id, complete)
 
     def stream_ended(self, request: str, complete: bool | None) -> None:
-        """Report the end of a streamed answer: complete, cut off, or None where its client has left."""
+        """Report the end of a streamed answer: complete, truncated, or None if its client has left."""
         self.put(model.StreamEnded(self.clock.now(), request, complete))
 
     def discard_answer(self, request: str, answer: model.Answer) -> None:
@@ -128,7 +128,7 @@
             self.stream_ended(request, None)
 
     def reject(self, request_class: int) -> model.Answer:
-        """The answer to a request that a front rejects for lack of capacity."""
+        """Return the answer to a request that a front rejects for lack of capacity."""
         effects = self.reducer.reduce(model.RejectedByFront(self.clock.now(), request_class))
         assert isinstance(effects[0], model.RejectRequest)
         return effects[0].answer
@@ -136,9 +136,9 @@
     def apply_node_list(
         self, kind: ListKind, nodes: tuple[model.NodeInfo, ...], age: timedelta | None = timedelta(0)
     ) -> None:
-        """Report a node list or changes to it; `age` is for how long they may have been binding.
+        """Report a node list or changes to it.
 
-        None: not known.
+        `age` is how long they may already have been in effect; None: not known.
         """
         logger.info(
             "discovery: {kind} with {entries} entries",
@@ -150,17 +150,17 @@
         self.put(model.EndpointListReceived(now, kind, nodes, timedelta(0) if age is None else now - age))
 
     def hand_over(self) -> model.HandoverState:
-        """The state for the next process; from now on this process only finishes its requests."""
+        """Return the state for the next process; after this, this process only finishes its requests."""
         (state,) = self.reducer.reduce(model.HandedOver(self.clock.now()))
         assert isinstance(state, model.HandoverState)
         return state
 
     def set_administrative_state(self, node: str, out: bool) -> bool | None:
-        """Take a node out or put it back; returns whether that is saved, None for an unknown node."""
+        """Take a node out of service or back in; returns whether that was saved, None for an unknown node."""
         effects = self.reducer.reduce(model.SetAdministrativeState(self.clock.now(), node, out))
         if effects:
             logger.info(
-                "bricks: {node} is {state} by hand",
+                "bricks: {node} set to {state} by an operator",
                 event="bricks.by_hand",
                 node=node,
                 state="out" if out else "back",
@@ -170,7 +170,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether any request is not yet answered."""
+        """Whether any request is unanswered."""
         return bool(self.waiters or self.preparing)
 
     async def close(self) -> None:
@@ -183,7 +183,7 @@
 
     # -- events in, effects out ---------------------------------------------------------------------------
     def put(self, event: model.Event) -> None:
-        """Put one event to the reducer and run the effects."""
+        """Pass one event to the reducer and run its effects."""
         self.run_all(self.reducer.reduce(event))
 
     def run_all(self, effects: list[model.Effect]) -> None:
@@ -218,7 +218,7 @@
         task.add_done_callback(partial(self.attempt_ended, effect))
 
     def give_answer(self, effect: model.GiveAnswer) -> None:
-        """Give a request its answer; nothing is given where its client has left."""
+        """Pass the answer to a waiting request; without effect if its client has left."""
         waiter = self.waiters.get(effect.request)
         if waiter is not None and not waiter.done():
             if isinstance(effect.answer, model.Served) and effect.answer.stream is not None:
@@ -226,24 +226,24 @@
             waiter.set_result(effect.answer)
 
     def may_begin(self, effect: model.SendAttempt) -> bool:
-        """Whether an attempt may still be sent; called once it has a connection and before its first byte."""
+        """Return whether an attempt may still be sent; called with a connection, before the first byte."""
         client = self.client_transports.get(effect.request.id)
         if has_disconnected(client):
-            # Guards nodes against work for nobody: the notice of the client's end is still on its way here.
+            # The loop has not processed the disconnect yet; without this, a node would work for nobody.
             assert client is not None
             client.abort()
             return False
         return self.reducer.may_begin(self.clock.now(), effect.request.id, effect.attempt)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine in a task that is referenced until its end and cancelled by close."""
+        """Run a coroutine in a task that is referenced until it ends, and cancelled by close."""
         task = self.loop.create_task(work)
-        self.tasks.add(task)  # the loop itself references tasks only weakly
+        self.tasks.add(task)  # the loop itself holds only weak references to tasks
         task.add_done_callback(self.tasks.discard)
         return task
 
     def timer_due(self, token: int) -> None:
-        """Report that a timer of the reducer has expired."""
+        """Report that a timer set by the reducer has expired."""
         self.put(model.TimerDue(self.clock.now(), token))
 
     def overdue(self, request: str) -> None:
@@ -253,8 +253,8 @@
     def attempt_ended(self, effect: model.SendAttempt, task: asyncio.Task[Reply]) -> None:
         """Report the end of an attempt, exactly once.
 
-        This is a callback: a task that is cancelled before its first step runs none of its own code, and its
-        attempt would stay open for ever.
+        This is a callback of the task: a task that is cancelled before its first step runs none of its own
+        code, so its attempt would otherwise stay open forever.
         """
         reply = attempt_reply(task)
         self.attempts.pop((effect.request.id, effect.attempt), None)
@@ -271,13 +271,13 @@
                 reply.head,
             )
         )
-        # Guards a connection against an answer that arrived after the one that was given.
+        # Nobody consumes an answer that arrived after another was given; it must release its connection.
         if reply.stream is not None and not reply.stream.is_consumed:
             reply.stream.close()
             self.stream_ended(effect.request.id, None)
 
     async def check_health(self, effect: model.CheckHealth) -> None:
-        """Run a health check on a node and put its outcome and load to the core."""
+        """Check the health of a node, and report the outcome and the load to the reducer."""
         started = self.clock.now()
         reply = await self.nodes.check_health(effect)
         now = self.clock.now()
@@ -285,11 +285,11 @@
 
 
 def attempt_reply(task: asyncio.Task[Reply]) -> Reply:
-    """The reply of an attempt whose task is done; a cancellation or a fault of ours is an outcome as well."""
+    """Return the reply of a finished attempt; cancellation and unexpected errors become outcomes too."""
     if task.cancelled():
         return Reply(Outcome.CANCELLED)
     if (fault := task.exception()) is not None:
-        # Guards against a fault in the client library: the attempt may have run, the head serves on.
-        logger.opt(exception=fault).error("attempt failed in an unforeseen way", event="attempt.fault")
+        # An unexpected error, such as one in the client library: the attempt may have been executed.
+        logger.opt(exception=fault).error("attempt failed with an unexpected error", event="attempt.fault")
         return Reply(Outcome.RESET)
     return task.result()
--- a/stoatrouter/net/handover.py
+++ b/stoatrouter/net/handover.py
@@ -1,4 +1,4 @@
-"""The handover between two processes of one head, from either side."""
+"""The handover between two processes of one head, on both sides."""
 
 from __future__ import annotations
 
@@ -33,9 +33,10 @@
     write_node,
 )
 
-# After each message of the other process: clients move over all at once, to a process that opens all anew.
+# Fewer open requests are admitted for this time after each message of the other process: all clients move at
+# once, to a process that has to open all of its connections.
 SETTLING_TIME = timedelta(seconds=1)
-# A start is due within 6 s and takes one or two.
+# The same while the next process starts, which takes one or two seconds and must not take more than 6 s.
 STARTUP_TIME = timedelta(seconds=4)
 
 
@@ -52,14 +53,14 @@
         stop_accepting: Callable[[], Awaitable[None]],
         resume_accepting: Callable[[], Awaitable[None]],
     ) -> None:
-        """Set up this process; it takes over and hands over only on request.
+        """Set up the handover of this process; `take_over` and `listen` start it.
 
         Args:
             engine: The engine whose state is handed over.
-            watch: The endpoint list's watch, whose generation is handed over.
-            clients: The table of clients' connections.
-            drain: Whether this head is draining or out of service.
-            folder: Where the socket between processes lies ($TMPDIR); None: no handover.
+            watch: The watch of the endpoint list, whose generation is handed over.
+            clients: The table of client connections.
+            drain: The drain state of this head.
+            folder: The folder of the socket between processes ($TMPDIR); None: no handover.
             stop_accepting: Stops the listeners from accepting connections.
             resume_accepting: Makes them accept connections again.
         """
@@ -70,7 +71,7 @@
         self.stop_accepting = stop_accepting
         self.resume_accepting = resume_accepting
         self.socket = HandoverSocket(folder)
-        # the limits of both processes together
+        # the limits for both processes together
         self.max_clients = clients.max_connections
         self.max_node_connections = engine.nodes.pool.max_connections
         self.predecessor: Predecessor | None = None
@@ -78,7 +79,7 @@
 
     # -- the new process ----------------------------------------------------------------------------------
     async def take_over(self) -> bool:
-        """Take over from the previous process; False where there is none or its state is unreadable."""
+        """Take over from the previous process; returns False if there is none or its state is malformed."""
         self.predecessor = await self.socket.take_over()
         if self.predecessor is None:
             return False
@@ -87,13 +88,13 @@
             self.apply_state(state)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             logger.error(
-                "upgrade: what the old process handed over cannot be read: {error}",
+                "upgrade: the old process handed over malformed state: {error}",
                 event="upgrade.unreadable",
                 error=repr(error),
             )
             return False
         logger.info(
-            "upgrade: taken over, the old process holds {holds}",
+            "upgrade: taken over; still open in the old process: {holds}",
             event="upgrade.taken_over",
             holds=state["holds"],
         )
@@ -102,7 +103,7 @@
     def apply_state(self, state: JsonObject) -> None:
         """Apply the state of the previous process.
 
-        Raises KeyError, TypeError, ValueError or AttributeError where another version wrote it.
+        Raises KeyError, TypeError, ValueError or AttributeError if it was written by another version.
         """
         nodes = tuple(read_node(node) for node in state["nodes"])
         administrative_state = read_administrative_state(state["by_hand"])
@@ -115,13 +116,13 @@
         self.apply_holdings(read_holdings(state["holds"]))
 
     async def follow(self) -> None:
-        """Follow the holdings of the previous process to its end; returns at once where there is none."""
+        """Apply the holdings of the previous process until it ends; returns at once if there is none."""
         if self.predecessor is not None:
             await self.predecessor.follow(self.apply_holdings)
             self.predecessor = None
 
     def apply_holdings(self, holdings: Holdings) -> None:
-        """Reduce this process's limits by the holdings of the previous one, as both count as one head."""
+        """Reduce this process's limits by the holdings of the previous one, as both are one head."""
         self.clients.max_connections = max(1, self.max_clients - holdings.clients)
         self.clients.busy_at_predecessor = holdings.busy
         self.clients.tighten_busy_limit(SETTLING_TIME)
@@ -130,19 +131,19 @@
 
     # -- the old process ----------------------------------------------------------------------------------
     async def listen(self) -> None:
-        """Let the next process find this one."""
+        """Listen for the next process."""
         await self.socket.listen(self.on_connection)
 
     def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Leave a starting process some of this host's time, and serve its request for the state."""
-        # it connects as it starts, long before it requests the state
+        """Leave processor time to a starting process, and serve its request for the state."""
+        # it connects early in its startup, long before it requests the state
         self.clients.tighten_busy_limit(STARTUP_TIME)
         task = asyncio.get_running_loop().create_task(self.serve_takeover(reader, writer))
         self.takeover_tasks.add(task)
         task.add_done_callback(self.takeover_tasks.discard)
 
     async def serve_takeover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one takeover request: send the state, and serve on where the new process dies."""
+        """Serve one takeover request: send the state, and resume service if the new process dies."""
         try:
             line = await reader.readline()
             if not line or json.loads(line).get("take") != PROTOCOL_VERSION or self.drain.handed_over:
@@ -155,9 +156,9 @@
             writer.close()
 
     async def hand_over(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Stop accepting and send the new process all state; serve on where it dies before this one ends."""
+        """Stop accepting and send the state to the new process; resume if it dies before this one ends."""
         logger.info(
-            "upgrade: handing over, {open} requests open",
+            "upgrade: handing over with {open} open requests",
             event="upgrade.handing_over",
             open=self.engine.reducer.open,
         )
@@ -169,15 +170,15 @@
             await self.report_holdings(reader, writer)
         except OSError as error:
             logger.warning(
-                "upgrade: the new process broke off: {error}", event="upgrade.broke_off", error=repr(error)
+                "upgrade: lost the new process: {error}", event="upgrade.broke_off", error=repr(error)
             )
         except Exception:
-            # Guards against a fault in the handover: without this, no process would accept clients.
-            logger.exception("upgrade: handing over failed", event="upgrade.fault")
+            # After an unexpected error in the handover, no process would accept clients without this.
+            logger.exception("upgrade: handover failed with an unexpected error", event="upgrade.fault")
         await self.take_back()
 
     def state(self) -> JsonObject:
-        """The state for the new process; from now on this process only finishes its requests."""
+        """Return the state for the new process; after this, this process only finishes its requests."""
         state = self.engine.hand_over()
         return {
             "v": PROTOCOL_VERSION,
@@ -192,7 +193,7 @@
     async def report_holdings(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Send the holdings every HOLDINGS_INTERVAL until the new process closes the connection.
 
-        Raises OSError where the connection breaks.
+        Raises OSError if the connection breaks.
         """
         ended = asyncio.ensure_future(reader.read())
         try:
@@ -203,15 +204,15 @@
             ended.cancel()
 
     async def take_back(self) -> None:
-        """Accept clients again, as the new process is gone."""
-        logger.warning("upgrade: the new process is gone, this one serves on", event="upgrade.taken_back")
+        """Accept clients again, as the new process has ended."""
+        logger.warning("upgrade: the new process has ended; resuming service", event="upgrade.taken_back")
         self.engine.put(model.TakenBack(self.engine.clock.now(), self.engine.state_file.read()))
         self.drain.handed_over = False
         await self.resume_accepting()
         await self.listen()
 
     def holdings(self) -> Holdings:
-        """What this process still has open, as the new one needs it to keep the limits of both."""
+        """Return what this process still has open, from which the new one computes its limits."""
         return Holdings(
             clients=len(self.clients),
             connections=len(self.engine.nodes.pool.alive),
@@ -220,7 +221,7 @@
         )
 
     async def close(self) -> None:
-        """Stop listening for new processes and cancel what is under way with them."""
+        """Stop listening for new processes and cancel handovers in progress."""
         await self.socket.close()
         for task in list(self.takeover_tasks):
             task.cancel()
--- a/stoatrouter/net/handover_socket.py
+++ b/stoatrouter/net/handover_socket.py
@@ -1,8 +1,8 @@
 """The protocol between two processes of one head, over a Unix-domain socket in $TMPDIR.
 
-The new process connects and requests the state. The old one stops accepting and sends its state in one
-line, then, line by line, its holdings (state_format.Holdings). The end of the connection notifies each that
-the other is gone.
+The new process connects and requests the state. The old one stops accepting and sends its state as one line
+of JSON, followed by its holdings (state_format.Holdings), one line each. The end of the connection tells each
+process that the other one has ended.
 """
 
 from __future__ import annotations
@@ -23,63 +23,63 @@
 from stoatrouter.net.state_format import Holdings, JsonObject, read_holdings
 
 PROTOCOL_VERSION = 1
-# A new process is due to serve within 6 s: an old one that does not answer is ignored after this time.
+# A new process has to serve within 6 s, so it stops waiting for an unresponsive old one after this time.
 ANSWER_TIMEOUT = timedelta(seconds=2)
 HOLDINGS_INTERVAL = timedelta(milliseconds=25)
 MAX_LINE_BYTES = 16 * 1024 * 1024
 
 
 class Predecessor:
-    """The previous process, as the new one sees it."""
+    """The new process's connection to the previous one."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, state: JsonObject) -> None:
-        """Keep the connection to the previous process and what it handed over.
+        """Keep the connection to the previous process and the state it handed over.
 
         Args:
-            reader: The connection's reading end.
-            writer: The connection's writing end.
-            state: What the previous process handed over, as JSON data.
+            reader: The reader of the connection.
+            writer: The writer of the connection.
+            state: The state that was handed over, as JSON data.
         """
         self.reader = reader
         self.writer = writer
         self._state = state
 
     def take_state(self) -> JsonObject:
-        """What the previous process handed over; it is held no longer, as it may be large."""
+        """Return the state that was handed over, and drop the reference to it, as it may be large."""
         state, self._state = self._state, {}
         return state
 
     async def follow(self, on_holdings: Callable[[Holdings], None]) -> None:
-        """Report the holdings of the previous process, and at its end that it has none."""
+        """Report the holdings of the previous process as they change, and empty ones once it has ended."""
         try:
             while line := await self.reader.readline():
                 on_holdings(read_holdings(json.loads(line)))
         except (OSError, ValueError) as error:
             logger.warning(
-                "upgrade: the old process cannot be followed: {error}",
+                "upgrade: lost the connection to the old process: {error}",
                 event="upgrade.unfollowed",
                 error=repr(error),
             )
         finally:
             self.writer.close()
             on_holdings(Holdings())
-        logger.info("upgrade: the old process is gone", event="upgrade.old_gone")
+        logger.info("upgrade: the old process has ended", event="upgrade.old_gone")
 
 
 class HandoverSocket:
-    """The socket at which the next process finds this one."""
+    """The socket on which this process listens for the next one."""
 
     def __init__(self, folder: str | None) -> None:
-        """Set up the socket's place; nothing listens until `listen`.
+        """Set the socket's folder; nothing listens until `listen` is called.
 
         Args:
-            folder: Where the socket lies ($TMPDIR); None: there is no handover.
+            folder: The folder of the socket ($TMPDIR); None: there is no handover.
         """
         self.folder = folder
         self.server: asyncio.Server | None = None
 
     async def take_over(self) -> Predecessor | None:
-        """Request the state of the previous process; None where there is none or it does not answer."""
+        """Request the state of the previous process; None if there is none or it does not answer."""
         if self.folder is None or not (Path(self.folder) / SOCKET_NAME).exists():
             return None
         try:
@@ -91,12 +91,12 @@
                 writer.write(json.dumps({"take": PROTOCOL_VERSION}).encode() + b"\n")
                 state = json.loads(await reader.readline())
                 if state["v"] != PROTOCOL_VERSION:
-                    raise ValueError(f"version {state['v']}")
+                    raise ValueError(f"protocol version {state['v']}")
                 return Predecessor(reader, writer, state)
         except (OSError, TimeoutError, ValueError, KeyError, TypeError) as error:
-            # Guards a start against the stale socket of a process that died.
+            # A process that died leaves a stale socket behind, which must not prevent a start.
             logger.warning(
-                "upgrade: no old process hands over: {error}", event="upgrade.none", error=repr(error)
+                "upgrade: no handover from an old process: {error}", event="upgrade.none", error=repr(error)
             )
             return None
 
@@ -118,10 +118,11 @@
                 self.server = await asyncio.start_unix_server(
                     on_connection, sock=listening_socket.dup(), limit=MAX_LINE_BYTES
                 )
-                os.replace(temporary, Path(short) / SOCKET_NAME)  # never without one that answers
+                # the previous socket is replaced atomically, so that there is always one that answers
+                os.replace(temporary, Path(short) / SOCKET_NAME)
         except OSError as error:
             logger.error(
-                "upgrade: a new process will not find this one: {error}",
+                "upgrade: cannot listen for a new process: {error}",
                 event="upgrade.unfindable",
                 error=str(error),
             )
@@ -134,6 +135,6 @@
 
 
 async def send_line(writer: asyncio.StreamWriter, state: JsonObject) -> None:
-    """Send a state as one line of JSON; raises OSError where the other process is gone."""
+    """Send a state as one line of JSON; raises OSError if the other process has ended."""
     writer.write(json.dumps(state).encode() + b"\n")
     await writer.drain()
--- a/stoatrouter/net/loop_monitor.py
+++ b/stoatrouter/net/loop_monitor.py
@@ -1,4 +1,4 @@
-"""Measures the event loop's lag, sheds load while it is late, logs the core's tally, forgets old suspects."""
+"""Measures event loop lag, sheds load while it is high, logs the core's tally, and expires suspect nodes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 CHECK_INTERVAL = timedelta(milliseconds=100)
 MIN_LOGGED_LAG = timedelta(milliseconds=100)
-# A loop this late has too little of its core; in quiet times it is late by a few milliseconds.
+# A lag above this means that the process gets too little processor time; normally it is a few milliseconds.
 MIN_TIGHTENING_LAG = timedelta(milliseconds=30)
 TIGHTENING_TIME = timedelta(milliseconds=500)
 CHECKS_PER_TALLY = 100
@@ -22,9 +22,10 @@
     """Check the event loop's lag every CHECK_INTERVAL, until cancelled.
 
     Args:
-        engine: Its tally is logged every CHECKS_PER_TALLY checks, with the worst lag since the last time;
-            then nodes that are suspected no more are forgotten.
-        clients: Their table admits fewer open requests for a while after a lag above MIN_TIGHTENING_LAG.
+        engine: The engine whose tally is logged every CHECKS_PER_TALLY checks, with the worst lag since the
+            last time; nodes that are no longer suspect are dropped then.
+        clients: The table that admits fewer open requests for TIGHTENING_TIME after a lag above
+            MIN_TIGHTENING_LAG.
     """
     loop = asyncio.get_running_loop()
     checks = 0
@@ -46,7 +47,7 @@
 
 
 def log_tally(engine: Engine, worst_lag: float) -> None:
-    """Log the counts since the last time, if there are any; `worst_lag` in seconds."""
+    """Log the counts since the last call, if there are any; `worst_lag` is in seconds."""
     counts = engine.reducer.tally.take()
     if counts:
         logger.info(
--- a/stoatrouter/net/node_connection.py
+++ b/stoatrouter/net/node_connection.py
@@ -1,8 +1,8 @@
-"""Connections to nodes: only a complete, well-formed answer passes, and nothing after it.
+"""Connections to nodes, which pass on only a complete, well-formed answer and nothing after it.
 
-Three behaviours of aiohttp's client prevent that, as experiments have shown: noise in one segment with a good
-answer makes its parser drop that answer too; an answer that arrives on an idle connection is buffered and
-given to the next request; and a message without a length is read until the connection ends.
+aiohttp's client alone does not ensure this, as experiments have shown: invalid bytes in the same segment as a
+valid answer make its parser drop that answer too; an answer that arrives on an idle connection is buffered
+and given to the next request; and a message without a length is read until the connection closes.
 """
 
 from __future__ import annotations
@@ -28,21 +28,19 @@
 from stoatrouter.net.rest_times import Address, RestTimes
 
 MAX_HEAD_BYTES = 16 * 1024
-SUCCESS_CLASS = b"2"  # the first digit of a status
-MAX_RECEIVE_BYTES = (
-    64 * 1024
-)  # bytes read at once: asyncio's default would cost each of many large answers more memory
+SUCCESS_CLASS = b"2"  # the first digit of a success status
+MAX_RECEIVE_BYTES = 64 * 1024  # per read; with asyncio's default many large answers would use more memory
 
 
 class ConnectionOwner(Protocol):
-    """What a connection to a node needs of the pool that it belongs to."""
+    """The interface of the pool that a connection belongs to."""
 
     alive: set[NodeConnection]
-    max_reuse_idle: float  # seconds that a connection may have been idle to be reused
-    attempts_written: int  # attempts written complete
+    max_reuse_idle: float  # the longest idle time in seconds after which a connection is reused
+    attempts_written: int  # attempts that were written completely
 
     def record_closed(self, connection: NodeConnection) -> None:
-        """Record that a connection has ended."""
+        """Record that a connection has closed."""
 
     def record_break(self, idle: float) -> None:
         """Record that a connection which had been idle for `idle` seconds broke before any answer."""
@@ -52,15 +50,15 @@
 
     @property
     def rest_times(self) -> RestTimes:
-        """How long connections rest before they are used again."""
+        """How long connections rest before they are reused."""
 
     @property
     def fingerprints(self) -> AnswerFingerprints:
-        """What tells the answers of all nodes apart."""
+        """The fingerprints of all nodes' answers."""
 
     @property
     def counters(self) -> ConnectionCounters:
-        """What has become of connections to nodes."""
+        """The counters of connections to nodes."""
 
 
 class NodeConnection(ResponseHandler):
@@ -69,51 +67,51 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, pool: ConnectionOwner, stall_timeout: timedelta
     ) -> None:
-        """Set up a connection to a node, with no exchange yet.
+        """Set up a connection to a node, without an exchange.
 
         Args:
             loop: The event loop that runs the connection.
             pool: The pool that the connection belongs to.
-            stall_timeout: How long the rest of an answer may take once it has begun.
+            stall_timeout: How long a complete head may take to arrive from its first byte, and how long the
+                body may go without new bytes.
         """
         super().__init__(loop)
         self.pool = pool
         self.stall_timeout = stall_timeout
         self.awaiting_answer = False
         self.chunked = False
-        self.ends_with_connection = False  # no length is stated: the body ends as the connection does
-        # its client has the first of it, and waits for the rest however slowly it arrives
-        self.streaming = False
-        self.head = b""  # of the present answer: what has arrived of its head
-        self.body_left = 0  # how many bytes its body lacks
+        self.ends_with_connection = False  # without a length: the end of the connection ends the body
+        self.streaming = False  # the client has the first part, and waits for the rest however slow it is
+        self.head = b""  # the received part of the current answer's head
+        self.body_left = 0  # remaining bytes of the current answer's body
         self.in_body = False
-        self.bodiless = False  # whatever length it states: the answer to HEAD
+        self.bodiless = False  # the answer to HEAD has no body, whatever its Content-Length
         self.stall_timer: asyncio.TimerHandle | None = None
         self.idle_since: float | None = None  # in the loop's time
-        self.idle_for = 0.0  # seconds before the present request
+        self.idle_for = 0.0  # seconds before the current request
         self.node: Address | None = None  # set once the connection is open
-        self.request_kind = RequestKind.HEALTH_CHECK  # of the present request
-        self.digest: RequestDigest | None = None  # of the present request; None: not known
-        # whether an answer that came before it may come again, and would serve it
+        self.request_kind = RequestKind.HEALTH_CHECK  # of the current request
+        self.digest: RequestDigest | None = None  # of the current request; None: not known
+        # whether a duplicate of an earlier answer may arrive and would be a right answer to the request
         self.may_get_repetition = False
-        self.awaits_own_answer = False  # a repetition was dropped, and no other answer has begun
-        self.needs_rest = False  # whether its last answer may be brought again and not be known
-        self.inspection: AnswerInspection | None = None  # of the present answer
+        self.awaits_own_answer = False  # a duplicate was dropped, and no other answer has begun
+        self.needs_rest = False  # whether a duplicate of the last answer could not be detected
+        self.inspection: AnswerInspection | None = None  # of the current answer
         self.recent_answers = RecentAnswers()
 
-    # -- what aiohttp calls -------------------------------------------------------------------------------
+    # -- called by aiohttp --------------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection among those that are alive."""
+        """Add the connection to the pool's open ones."""
         super().connection_made(transport)
         transport.max_size = MAX_RECEIVE_BYTES  # type: ignore[attr-defined]
         self.pool.alive.add(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End the exchange; a body without a stated length is complete only after a clean end."""
+        """End the exchange; a body without a length is complete only if the connection closed cleanly."""
         self.pool.record_closed(self)
         self.pool.counters.repetitions_without_another += self.awaits_own_answer
         self.awaits_own_answer = False
-        by_peer = self.transport is not None  # an end of our own has dropped it already
+        by_peer = self.transport is not None  # a local close has already removed it
         if by_peer and self.awaiting_answer and not self.head and not self.in_body:
             self.pool.record_break(self.idle_for)
         if (
@@ -122,19 +120,19 @@
             and exc is not None
             and self._payload is not None
         ):
-            # Guards against a break that aiohttp treats as the end of an answer without a length.
-            self._payload.set_exception(MalformedAnswer("it broke off"))
+            # aiohttp treats a broken connection as the end of an answer without a length.
+            self._payload.set_exception(MalformedAnswer("connection broke before the end of the answer"))
             self._parser = None
         self._exchange_done()
         super().connection_lost(exc)
 
     def assign(self, node: Address, kind: RequestKind, digest: RequestDigest | None) -> None:
-        """Assign the connection to a request, of which nothing is written yet.
+        """Assign the connection to a request of which nothing has been written.
 
         Args:
-            node: Where the connection leads to.
-            kind: What the request is to the node.
-            digest: What it asks for; None: not known.
+            node: The address of the node.
+            kind: The kind of the request.
+            digest: The digest of the request; None: not known.
         """
         self.node, self.request_kind, self.digest = node, kind, digest
         self.may_get_repetition = digest is not None and self.recent_answers.may_serve_again(
@@ -142,7 +140,7 @@
         )
 
     def set_response_params(self, **params: Any) -> None:
-        """Begin an exchange: a request is about to be written."""
+        """Start an exchange: a request is about to be written."""
         self.awaiting_answer = True
         self.in_body = self.ends_with_connection = self.streaming = False
         self.needs_rest = True
@@ -152,19 +150,19 @@
         super().set_response_params(**params)
 
     def is_connected(self) -> bool:
-        """Whether the connection can be reused.
+        """Return whether the connection can be reused.
 
-        It cannot where unread bytes or an end have arrived since the last answer: they would be treated as
-        the next one.
+        It cannot if unread bytes or end-of-file have arrived since the last answer: they would be treated as
+        the next answer.
         """
         return super().is_connected() and (
             self.awaiting_answer or not self._idle_too_long() and not self._unread()
         )
 
     def rest_left(self, now: float, digest: RequestDigest | None = None) -> float:
-        """How many seconds it has to rest still, before it is used again for what a request asks."""
+        """Return how many more seconds it has to rest before it is reused for a request with this digest."""
         if self.idle_since is None or self.node is None:
-            return 0.0  # it has brought no answer yet
+            return 0.0  # it has not received any answer
         rest = self.pool.rest_times.rest_of(self.node, now, self.needs_rest)
         left = max(0.0, self.idle_since + rest - now)
         return left if digest is None else max(left, self.recent_answers.rest_left(digest, now))
@@ -174,11 +172,11 @@
         return self.should_close or idle > self.pool.max_reuse_idle
 
     def data_received(self, data: bytes) -> None:
-        """Pass on one complete, well-formed answer, and end the connection on anything else."""
+        """Pass on one complete, well-formed answer, and close the connection on anything else."""
         if not data:
-            super().data_received(data)  # aiohttp continues with what it has
+            super().data_received(data)  # aiohttp continues with the bytes it has buffered
         elif not self.awaiting_answer:
-            # Guards the next request on this connection: bytes behind an answer belong to nobody.
+            # Bytes after an answer belong to no request, and must not reach the next one on the connection.
             self._close_for_surplus()
         elif not self.in_body:
             self._receive_head(data)
@@ -188,37 +186,37 @@
             self._receive_body(data)
 
     def start_streaming(self) -> None:
-        """Stop the stall timer, as whoever streams the answer watches for a standstill."""
+        """Cancel the stall timer, as the consumer of a streamed answer detects stalls itself."""
         self.streaming = True
         self._cancel_stall_timer()
 
-    # -- one answer ---------------------------------------------------------------------------------------
+    # -- parsing one answer -------------------------------------------------------------------------------
     def _receive_head(self, data: bytes) -> None:
         self.head += data
         while (end := self.head.find(HEAD_END)) >= 0:
             head, rest = self.head[: end + len(HEAD_END)], self.head[end + len(HEAD_END) :]
             status = head[9:12]
             if status == b"101":
-                return self._fail_exchange("another protocol, which nobody asked for")
+                return self._fail_exchange("unsolicited protocol switch (status 101)")
             if not status.isdigit() or status[:1] != b"1":
                 return self._begin_answer(head, rest)
-            self.head = rest  # an interim answer: the final one is still to come
+            self.head = rest  # an interim response: the final one is still to come
         self._start_stall_timer()
-        # Guards memory against a head that never ends, and time against what is no head at all.
+        # Limits the memory used by an endless head, and fails early on bytes that cannot begin a head.
         if len(self.head) > MAX_HEAD_BYTES or self.head[:7] != b"HTTP/1."[: len(self.head)]:
-            self._fail_exchange("no head")
+            self._fail_exchange("answer head is malformed or too large")
 
     def _begin_answer(self, head: bytes, rest: bytes) -> None:
         if head[9:10] == SUCCESS_CLASS and self._request_is_unwritten():
-            # Guards a client against another one's answer: the node has not got this request yet.
+            # The node has not received this request yet, so the answer belongs to another client's request.
             self._record_surplus()
-            return self._fail_exchange("a success before the request was written")
+            return self._fail_exchange("success answer before the request was written")
         try:
-            # RFC 9112, 6.3: no body follows these, whatever length they state
+            # RFC 9112, 6.3: these have no body, whatever their Content-Length
             length = 0 if self.bodiless or head[9:12] in (b"204", b"304") else body_length(head)
         except ValueError as error:
             return self._fail_exchange(str(error))
-        # Guards memory: it may pin the large block that it was read into, as long as the connection lives.
+        # Frees memory: these bytes may keep the large block they were read into alive with the connection.
         self.head = b""
         self.in_body = True
         self.awaits_own_answer = False
@@ -234,7 +232,7 @@
     def _inspect(self, status: bytes, length: int) -> AnswerInspection | None:
         if length < 0:
             return None
-        # a connection that has brought an answer again is not compared any more: the next one is the own
+        # after a duplicate was dropped, the next answer is the request's own and is not compared
         compares = not self.should_close and self.recent_answers.any(self._loop.time())
         return AnswerInspection(status, length, self.recent_answers if compares else None, self.digest)
 
@@ -256,7 +254,7 @@
             self._close_for_surplus()
 
     def _remember_answer(self, inspection: AnswerInspection) -> None:
-        """Decide whether the connection rests before it is used again."""
+        """Record the answer, and decide whether the connection rests before it is reused."""
         fingerprint, digest = inspection.fingerprint, self.digest
         subject = None if digest is None else digest.subject
         if fingerprint is None or not self.pool.fingerprints.record(fingerprint, self.request_kind, subject):
@@ -265,15 +263,15 @@
         self.pool.counters.equal_answers_passed += inspection.equals_recent
         contains_request_id = inspection.contains_request_id()
         is_added = self.recent_answers.add(fingerprint, self._loop.time(), digest, contains_request_id)
-        # Guards the next request: this may be the earlier answer again, and the own one still to come.
+        # This answer may be a duplicate of the earlier one, with the request's own answer still to come.
         self.needs_rest = not is_added or self.may_get_repetition and inspection.equals_recent
 
     def _drop_repetition(self, surplus: bytes) -> None:
-        """Drop an answer that an earlier request has had, and wait for that of the present one."""
+        """Drop a duplicate of an earlier request's answer, and wait for the current request's own."""
         self.pool.counters.repetitions_dropped += 1
         self.awaits_own_answer = True
         self._record_surplus()
-        self.force_close()  # once this exchange is over
+        self.force_close()  # takes effect once this exchange is over
         self.in_body = False
         self._start_stall_timer(restart=True)
         if surplus:
@@ -287,19 +285,19 @@
             self._start_stall_timer(restart=True)
 
     def _start_stall_timer(self, restart: bool = False) -> None:
-        """Start the timer of an answer that has begun and stalls; `restart` replaces one that runs.
+        """Start the timer that fails an answer which stalls; `restart` restarts a running timer.
 
-        Guards the client's time against such an answer: the rest of it must arrive within stall_timeout.
+        Without it, a client would wait for the rest of such an answer until the attempt times out.
         """
         if restart:
             self._cancel_stall_timer()
         if self.stall_timer is None and self.awaiting_answer and not self.streaming:
             self.stall_timer = self._loop.call_later(
-                self.stall_timeout.total_seconds(), self._fail_exchange, "it stalled"
+                self.stall_timeout.total_seconds(), self._fail_exchange, "answer stalled"
             )
 
     def _exchange_done(self) -> None:
-        """End the exchange: nothing is due any more."""
+        """End the exchange: no more bytes are expected."""
         if self.awaiting_answer and self.in_body:
             self.pool.record_success(self.idle_for)
         self.awaiting_answer = False
@@ -311,15 +309,15 @@
             self.stall_timer.cancel()
             self.stall_timer = None
 
-    # -- ends ---------------------------------------------------------------------------------------------
+    # -- closing ------------------------------------------------------------------------------------------
     def _close_now(self) -> None:
-        """Never use this connection again; a complete answer stays valid."""
+        """Abort the connection, so that it is not reused; a complete answer stays valid."""
         self.force_close()
         if self.transport is not None:
             self.transport.abort()
 
     def _close_for_surplus(self) -> None:
-        """End the connection, as it has brought bytes that belong to no request."""
+        """Close the connection, as it received bytes that belong to no request."""
         self._record_surplus()
         self._close_now()
 
@@ -332,7 +330,7 @@
             )
 
     def _request_is_unwritten(self) -> bool:
-        """Whether the system has not yet taken all of the request that was handed to it."""
+        """Return whether part of the request is still buffered, as the kernel has not accepted it yet."""
         transport = self.transport
         return isinstance(transport, asyncio.WriteTransport) and transport.get_write_buffer_size() > 0
 
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -22,16 +22,16 @@
 from stoatrouter.policy.interface import Outcome
 
 HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=400)
-# Idle connections are given up at this fraction of the time after which a node closes them: a request written
-# as the node closes would end as a reset.
+# Idle connections are closed after this fraction of the time after which a node closes them: a request that
+# is written while the node closes would end with a reset.
 IDLE_FRACTION = 0.5
-ANSWER_STALL_TIMEOUT = timedelta(milliseconds=400)  # once an answer has begun, its end
-READ_AHEAD_BYTES = 64 * 1024  # of a body, before reading pauses
+ANSWER_STALL_TIMEOUT = timedelta(milliseconds=400)  # how long an answer that has begun may stall
+READ_AHEAD_BYTES = 64 * 1024  # bytes of a body that are buffered before reading pauses
 SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class NodeClient:
-    """The client of all nodes, with one bounded pool of connections."""
+    """The HTTP client for all nodes, with one bounded connection pool."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         max_connections: int,
         stall_timeout: timedelta = ANSWER_STALL_TIMEOUT,
     ) -> None:
-        """Set up the client of all nodes with an empty pool.
+        """Set up the client with an empty pool.
 
         Args:
-            connect_timeout: How long a connection to a node may take to open.
+            connect_timeout: How long opening a connection to a node may take.
             conn_idle: How long a node keeps an idle connection open; this head closes it after half of that.
-            max_connections: How many connections to nodes may be open at once, idle ones included.
-            stall_timeout: How long the rest of an answer may take once it has begun.
+            max_connections: The maximum number of open connections to nodes, idle ones included.
+            stall_timeout: How long an answer that has begun may stall.
         """
         self.pool = NodePool(max_connections, connect_timeout, conn_idle * IDLE_FRACTION, stall_timeout)
         self.session = aiohttp.ClientSession(
@@ -58,7 +58,7 @@
             trust_env=False,
             skip_auto_headers=SKIPPED_HEADERS,
             read_bufsize=READ_AHEAD_BYTES,
-            timeout=aiohttp.ClientTimeout(total=None),  # the pool bounds how long a connection takes to open
+            timeout=aiohttp.ClientTimeout(total=None),  # the pool has its own timeout for connecting
         )
 
     async def close(self) -> None:
@@ -69,12 +69,12 @@
         """Make one attempt; every error becomes an outcome.
 
         Args:
-            effect: The request, the node's address, and the timeout of all of it.
-            may_begin: Called with a connection in hand, before the first byte: whether the decision to send
-                still holds; None: it does.
+            effect: The request, the node's address, and the timeout of the whole attempt.
+            may_begin: Called with a connection, before the first byte: whether the decision to send is still
+                valid; None: it always is.
         """
         request = effect.request
-        url = URL(f"http://{effect.address}{request.target}", encoded=True)  # encoded: bytes pass unchanged
+        url = URL(f"http://{effect.address}{request.target}", encoded=True)  # encoded: sent unchanged
         headers = attempt_headers(effect)
         data = attempt_data(request)
         response: aiohttp.ClientResponse | None = None
@@ -90,13 +90,13 @@
                 )
                 reply = await read_reply(response, request.passes)
             if reply.stream is not None:
-                response = None  # whoever passes it on closes it
+                response = None  # its consumer closes it
             return reply
         except (aiohttp.ClientError, NotBegun, ExchangeBroken, OSError, ValueError) as error:
             return Reply(failed_outcome(error, effect.address))
         finally:
             if response is not None:
-                response.close()  # a complete answer has given its connection back already
+                response.close()  # a complete answer has already released its connection
 
     async def check_health(self, effect: model.CheckHealth) -> Reply:
         """Request a node's load report; every error becomes an outcome."""
@@ -119,9 +119,9 @@
 def send_once_if(
     may_begin: Callable[[], bool] | None, digest: RequestDigest, attempt_number: int
 ) -> ClientMiddlewareType:
-    """The middleware of one attempt, which asks `digest`.
+    """Return the middleware of one attempt, whose request has this digest.
 
-    It is sent once, and only if `may_begin` allows it (NodePool.connect).
+    The request is sent only once, and only if `may_begin` allows it (NodePool.connect).
     """
 
     async def send_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
@@ -135,7 +135,7 @@
 
 
 def attempt_headers(effect: model.SendAttempt) -> CIMultiDict[str] | dict[str, str]:
-    """The header fields of an attempt: the nodes' protocol, and what the front adds."""
+    """Return the header fields of an attempt: those of the node protocol, and those that the front adds."""
     request = effect.request
     wait_ms = max(1, effect.timeout // timedelta(milliseconds=1))
     headers: CIMultiDict[str] | dict[str, str] = {"Req-Id": request.id, "Req-Deadline-Ms": str(wait_ms)}
@@ -149,7 +149,7 @@
 
 
 def attempt_data(request: model.Request) -> AsyncIterator[bytes] | bytes | None:
-    """The body of an attempt, read from its start; None where there is none."""
+    """Return the body of an attempt, read from its start; None if there is none."""
     if isinstance(request.body, StoredBody):
         return request.body.pieces()
     body: bytes = request.body
@@ -157,7 +157,7 @@
 
 
 def failed_outcome(error: Exception, address: str) -> Outcome:
-    """The outcome of an attempt that ended with an error; an unclear one may have run and is logged."""
+    """Return the outcome of an attempt that ended with an error; log errors of uncertain effect."""
     match error:
         case aiohttp.ConnectionTimeoutError() | aiohttp.ClientConnectorError():
             return Outcome.CONNECT_FAILED
@@ -168,8 +168,11 @@
         case ExchangeBroken():
             return Outcome.RESET if error.written else Outcome.CONNECT_FAILED
         case _:
-            # the answer broke off or could not be read: the attempt may have run
+            # the answer was truncated or malformed: the attempt may have been executed
             logger.debug(
-                "attempt at {address}: {error}", event="attempt.broke", address=address, error=repr(error)
+                "attempt at {address} failed: {error}",
+                event="attempt.broke",
+                address=address,
+                error=repr(error),
             )
             return Outcome.RESET
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to nodes: bounded, and reusing idle ones only while the path keeps them alive."""
+"""The bounded pool of connections to nodes; idle ones are reused only while the network path keeps them."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from stoatrouter.net.request_digest import READ_METHODS, RequestDigest
 from stoatrouter.net.rest_times import Address, RestTimes
 
-# How long an idle connection may be reused adapts to what becomes of those that are reused.
+# The maximum idle time for reuse adapts to whether reused connections work or break.
 MIN_REUSE_IDLE = 0.05  # seconds
-REUSE_IDLE_DECREASE = 0.8  # by a break
-REUSE_IDLE_INCREASE = 1.05  # by a success near the bound
-# What the request asks for that a connection is sought for: aiohttp hands _get the node alone.
+REUSE_IDLE_DECREASE = 0.8  # factor after a break
+REUSE_IDLE_INCREASE = 1.05  # factor after a success near the maximum
+# The digest of the request that needs a connection: aiohttp passes only the node's key to _get.
 requested_digest: ContextVar[RequestDigest | None] = ContextVar("asked", default=None)
 
 
 class NodePool(aiohttp.TCPConnector):
-    """Connections to all nodes; idle ones count against the bound as well."""
+    """Connections to all nodes; idle ones count towards the limit as well."""
 
     def __init__(
         self, max_connections: int, connect_timeout: timedelta, keepalive: timedelta, stall_timeout: timedelta
@@ -38,27 +38,27 @@
         """Set up an empty pool.
 
         Args:
-            max_connections: How many connections may be open at once, idle ones included.
-            connect_timeout: How long a connection may take to open.
+            max_connections: The maximum number of open connections, idle ones included.
+            connect_timeout: How long opening a connection may take.
             keepalive: How long an idle connection is kept.
-            stall_timeout: How long the rest of an answer may take once it has begun.
+            stall_timeout: How long an answer that has begun may stall.
         """
-        # no limit of aiohttp's: it counts connections in use only, and opens one more than it allows where
-        # the one that was waited for is another request's meanwhile
+        # aiohttp's own limit is not used: it counts only connections in use, and is exceeded by one if
+        # another request takes the connection that a request has waited for
         super().__init__(limit=0, keepalive_timeout=keepalive.total_seconds(), use_dns_cache=False)
         self.max_connections = max_connections
         self.connect_timeout = connect_timeout.total_seconds()
         self.keepalive = keepalive.total_seconds()
-        self.max_reuse_idle = self.keepalive  # seconds that a connection may have been idle to be reused
+        self.max_reuse_idle = self.keepalive  # the longest idle time in seconds after which one is reused
         self.alive: set[NodeConnection] = set()
-        self.attempts_written = 0  # attempts written complete, since the start
+        self.attempts_written = 0  # attempts that were written completely, since the start
         self.rest_times = RestTimes()
         self.fingerprints = AnswerFingerprints()
         self.counters = ConnectionCounters()
         self._dials_in_progress = 0  # connections that are being opened
         self._pool_waiters = PoolWaiters()
-        # aiohttp has no public way to choose the class of a connector's connections
-        self._factory = partial(  # type: ignore[assignment]  # partial is invariant in what it returns
+        # aiohttp has no public API to choose the class of a connector's connections
+        self._factory = partial(  # type: ignore[assignment]  # partial is invariant in its return type
             NodeConnection,
             loop=asyncio.get_running_loop(),
             pool=self,
@@ -66,20 +66,20 @@
         )
 
     def set_limit(self, max_connections: int) -> None:
-        """Set the bound, as the previous process still has connections open."""
+        """Set the limit, which depends on how many connections the previous process still has open."""
         self.max_connections = max_connections
         self._pool_waiters.wake_all()
 
     def record_closed(self, connection: NodeConnection) -> None:
-        """Record that a connection has ended: another one may open."""
+        """Record that a connection has closed, so that another one may open."""
         self.alive.discard(connection)
         self._pool_waiters.wake(None)
 
     def record_break(self, idle: float) -> None:
         """Record that a connection which had been idle for `idle` seconds broke before any answer.
 
-        Some paths drop idle connections silently, far earlier than nodes do: connections idle for that long
-        are not reused.
+        Some network paths drop idle connections silently, much earlier than nodes do, so connections that
+        have been idle for that long are no longer reused.
         """
         if idle > MIN_REUSE_IDLE:
             self.max_reuse_idle = max(MIN_REUSE_IDLE, min(self.max_reuse_idle, idle) * REUSE_IDLE_DECREASE)
@@ -87,22 +87,23 @@
     def record_success(self, idle: float) -> None:
         """Record that a connection which had been idle for `idle` seconds served a request.
 
-        Where that is near the bound, longer idle times are tried again.
+        If that is near the maximum, longer idle times are tried again.
         """
         if idle > self.max_reuse_idle / 2:
             self.max_reuse_idle = min(self.keepalive, self.max_reuse_idle * REUSE_IDLE_INCREASE)
 
     async def connect(self, req: Any, traces: Any, timeout: Any) -> Any:
-        """A connection for a request; raises NotBegun where the decision to send it no longer holds."""
+        """Return a connection for a request; raises NotBegun if the decision to send is no longer valid."""
         digest = getattr(req, "digest", None)
         requested_digest.set(digest)
         connection = await super().connect(req, traces, timeout)
         protocol = connection.protocol
         may_begin = getattr(req, "may_begin", None)
         if may_begin is not None and not may_begin():
-            # Guards drains, windows for repeats and clients that have gone: a dial may outlast all of them.
+            # While the connection was opened, the node may have started to drain, the repeat window may have
+            # ended, or the client may have left.
             if isinstance(protocol, NodeConnection) and protocol.idle_since is None:
-                protocol.idle_since = asyncio.get_running_loop().time()  # it has just been opened
+                protocol.idle_since = asyncio.get_running_loop().time()  # it was just opened
             connection.release()
             raise NotBegun
         if isinstance(protocol, NodeConnection):
@@ -110,14 +111,14 @@
         return connection
 
     async def _get(self, key: Any, traces: Any) -> Any:
-        """An idle connection that may be used; None: there is none, and one may be opened."""
+        """Return an idle connection that may be reused, or None if one may be opened instead."""
         while (connection := self._take_idle(key)) is None:
             if len(self.alive) + self._dials_in_progress < self.max_connections:
                 return None
             rest = self._shortest_rest(key)
             if rest is None and self._close_oldest_idle():
                 return None
-            # Guards the node: in place of one that rests it would get a new connection, which costs it more.
+            # Waiting for a resting connection costs the node less than replacing it by a new one.
             self.counters.waits_for_rest += rest is not None
             await self._pool_waiters.wait(key, rest)
         self.counters.reuses += 1
@@ -139,13 +140,13 @@
             self._pool_waiters.wake(None)
 
     def _take_idle(self, key: Any) -> Connection | None:
-        """The connection that was released first, of those that are whole and need not rest."""
+        """Return the first released idle connection that is intact and need not rest; None if none is."""
         idle, now = self._conns.get(key, deque()), asyncio.get_running_loop().time()
         digest = requested_digest.get()
         position = 0
         while position < len(idle):
             protocol = idle[position][0]
-            # Guards a client against another one's answer.
+            # A resting connection may still receive a duplicate of another client's answer.
             if isinstance(protocol, NodeConnection) and protocol.rest_left(now, digest):
                 position += 1
                 continue
@@ -159,21 +160,21 @@
         return None
 
     def _shortest_rest(self, key: Any) -> float | None:
-        """How many seconds the idle connections of a node have to rest at least; None: there are none.
+        """Return the shortest remaining rest, in seconds, of a node's idle connections; None if it has none.
 
-        The one that is used first rests for all requests until then.
+        Until then, that connection rests for all requests.
         """
         now, digest = asyncio.get_running_loop().time(), requested_digest.get()
         idle = [protocol for protocol, _ in self._conns.get(key, ()) if isinstance(protocol, NodeConnection)]
         if not idle:
             return None
         first = min(idle, key=lambda protocol: protocol.rest_left(now, digest))
-        # Guards a write's turn: reads of its object in the meantime would put it off again and again.
+        # Otherwise reads of the same object could use the connection first and delay a write repeatedly.
         first.needs_rest = True
         return first.rest_left(now, digest)
 
     def _close_oldest_idle(self) -> bool:
-        """End the connection that has been idle for longest; False where none is idle."""
+        """Close the connection that has been idle for longest; returns False if none is idle."""
         oldest = ((conns[0][1], key) for key, conns in self._conns.items() if conns)
         _, key = min(oldest, key=lambda pair: pair[0], default=(0.0, None))
         if key is None:
@@ -183,13 +184,13 @@
             del self._conns[key]
         self.counters.ended_for_room += 1
         if isinstance(connection, NodeConnection):
-            self.alive.discard(connection)  # another one may open at once, though its end comes later
+            self.alive.discard(connection)  # it is closed later, but another one may open at once
         connection.close()
         return True
 
 
 def kind_of(request: aiohttp.ClientRequest) -> RequestKind:
-    """What a request is to its node, as far as its answers may be alike."""
+    """Return the kind of a request."""
     if "Req-Id" not in request.headers:
         return RequestKind.HEALTH_CHECK
     return RequestKind.READ if request.method in READ_METHODS else RequestKind.WRITE
--- a/stoatrouter/net/pool_waiters.py
+++ b/stoatrouter/net/pool_waiters.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a connection of a full pool, by node, in the order in which they came."""
+"""Requests that wait for a connection of a full pool, by node, in order of arrival."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 
 class PoolWaiters:
-    """Who waits for a connection; bounded by the requests that are under way."""
+    """The requests that wait for a connection, which are bounded by the open requests."""
 
     def __init__(self) -> None:
-        """Set up with nobody waiting."""
+        """Start without waiters."""
         self._by_node: OrderedDict[Hashable, deque[asyncio.Future[None]]] = OrderedDict()
-        # of these, who waits without a time of its own, as its node has no idle connection
+        # of these, the ones without a time limit, as their node has no idle connection
         self._for_capacity: OrderedDict[asyncio.Future[None], Hashable] = OrderedDict()
 
     def __len__(self) -> int:
-        """How many wait."""
+        """Return the number of waiters."""
         return sum(len(waiters) for waiters in self._by_node.values())
 
-    async def wait(self, node: Hashable, at_most: float | None) -> None:
-        """Wait until woken, `at_most` seconds; None: until woken.
+    async def wait(self, node: Hashable, timeout: float | None) -> None:
+        """Wait until woken, or until the timeout has passed.
 
         Args:
-            node: For a connection of which node.
-            at_most: Seconds after which the wait is over.
+            node: The node whose connection is waited for.
+            timeout: The maximum wait in seconds; None: wait until woken.
         """
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._by_node.setdefault(node, deque()).append(waiter)
-        if at_most is None:
+        if timeout is None:
             self._for_capacity[waiter] = node
         try:
-            await asyncio.wait((waiter,), timeout=at_most)
+            await asyncio.wait((waiter,), timeout=timeout)
         except asyncio.CancelledError:
             if waiter.done():
-                self.wake(node)  # what it was woken for is another one's now
+                self.wake(node)  # pass the wake-up on to another waiter
             raise
         finally:
             self._remove(node, waiter)
 
     def wake(self, node: Hashable) -> None:
-        """Wake the first that waits for a connection of a node.
+        """Wake the first waiter for a connection of a node.
 
-        Where there is none, the first that waits for capacity, then the first of any node.
+        If it has none, wake the first one that waits for capacity, or else the first one of any node.
         """
         if not self._by_node:
             return
@@ -58,7 +58,7 @@
             waiter.set_result(None)
 
     def wake_all(self) -> None:
-        """Wake all that wait."""
+        """Wake all waiters."""
         while self._by_node:
             self.wake(None)
 
--- a/stoatrouter/net/recorder.py
+++ b/stoatrouter/net/recorder.py
@@ -1,4 +1,4 @@
-"""Writes a sample of request heads to a file, in batches and within a bound of two files."""
+"""Records a sample of request heads, in batches, to two rotated files of bounded size."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 WRITE_INTERVAL = timedelta(seconds=1)
 APPEND_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-PRIVATE_MODE = 0o600  # requests may hold what others must not read
-MAX_WAITING_RECORDS = 1_000  # records between two writes; what comes beyond is dropped and counted
+PRIVATE_MODE = 0o600  # requests may contain confidential data
+MAX_WAITING_RECORDS = 1_000  # records between two writes; further ones are dropped and counted
 
 
 class Recorder:
-    """The recorder of one head. It writes to `file`, which becomes `file.1` at half of the bound."""
+    """The recorder of one head. It writes to `file`, which is renamed to `file.1` at half of the limit."""
 
-    def __init__(self, file: Path, most_bytes: int, sampler: Sampler) -> None:
-        """Set up a recorder with nothing waiting to be written.
+    def __init__(self, file: Path, max_bytes: int, sampler: Sampler) -> None:
+        """Set up a recorder without records.
 
         Args:
-            file: The file written to.
-            most_bytes: The bound on the bytes of `file` and `file.1` together.
-            sampler: Chooses the requests that are recorded.
+            file: The file to write to.
+            max_bytes: The limit on the size of `file` and `file.1` together.
+            sampler: Selects the requests that are recorded.
         """
         self.file = file
-        self.max_file_bytes = most_bytes // 2
+        self.max_file_bytes = max_bytes // 2
         self.sampler = sampler
         self.waiting: list[str] = []
         self.dropped = 0
         self.failing = False
 
     def record(self, matcher_input: Input, target: str, fields: Iterable[tuple[bytes, bytes]]) -> None:
-        """Record a request if it is one of the sample; beyond MAX_WAITING_RECORDS it is only counted."""
+        """Record a request if the sampler selects it; beyond MAX_WAITING_RECORDS it is only counted."""
         line = self.sampler.sample(matcher_input, target, fields)
         if line is None:
             return
@@ -57,7 +57,7 @@
             self.write()
 
     def write(self) -> None:
-        """Append the waiting records; the first of several failures is logged, and the head serves on."""
+        """Append the waiting records; of consecutive failures only the first is logged."""
         lines = self.waiting
         self.waiting = []
         if not lines:
@@ -69,12 +69,12 @@
         except OSError as error:
             if not self.failing:
                 logger.warning(
-                    "record: requests cannot be recorded: {error}", event="record.failed", error=str(error)
+                    "record: cannot write recorded requests: {error}", event="record.failed", error=str(error)
                 )
             self.failing = True
 
     def append(self, data: bytes) -> None:
-        """Append to the file, which is rotated first where its bound would be exceeded; raises OSError."""
+        """Append to the file, after rotating it if its limit would be exceeded; raises OSError."""
         descriptor = os.open(self.file, APPEND_FLAGS, PRIVATE_MODE)
         try:
             if os.fstat(descriptor).st_size + len(data) > self.max_file_bytes:
--- a/stoatrouter/net/replies.py
+++ b/stoatrouter/net/replies.py
@@ -1,4 +1,4 @@
-"""Reads a node's answer: its body, its outcome, and the load and figures that it reports."""
+"""Reads a node's answer: its body, its outcome, and the load and other figures that it reports."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from stoatrouter.net.node_connection import NodeConnection
 from stoatrouter.policy.interface import Outcome
 
-MAX_FIGURE = 1e6  # that a node can mean
+MAX_FIGURE = 1e6  # a larger figure in a node's report is ignored as implausible
 NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 HOP_BY_HOP = frozenset(
     (
@@ -42,12 +42,12 @@
     body: bytes = b""
     units_by_others: float = 0.0
     load: dict[str, float] | None = None
-    stream: AnswerStream | None = None  # of an answer that is too large to be checked whole
-    head: model.Head | None = None  # for a request that passes it on
+    stream: AnswerStream | None = None  # set for an answer that is too large to be checked as a whole
+    head: model.Head | None = None  # set for a request whose front passes status and fields on
 
 
 async def read_reply(response: aiohttp.ClientResponse, passes: bool = False) -> Reply:
-    """Read an answer: complete if it is small, else its first part, to be streamed with the rest.
+    """Read an answer: a small one completely, of a large one the first part, with a stream for the rest.
 
     With `passes` any answer below 500 is returned with its status and fields.
     """
@@ -60,9 +60,9 @@
 
 
 def end_to_end(headers: CIMultiDictProxy[str]) -> tuple[tuple[str, str], ...]:
-    """The header fields of an answer that are meant for the client.
+    """Return the end-to-end header fields of an answer, which are passed on to the client.
 
-    Fields of this connection (RFC 9110, 7.6.1) and of the nodes' protocol are omitted.
+    Hop-by-hop fields (RFC 9110, 7.6.1) and those of the node protocol are omitted.
     """
     named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     omitted = HOP_BY_HOP | named
@@ -84,32 +84,33 @@
 
 
 async def read_small(response: aiohttp.ClientResponse) -> bytes:
-    """Read a body that is not passed on; raises ValueError beyond MAX_IN_MEMORY_BYTES bytes."""
+    """Read a body that is not passed on; raises ValueError if it exceeds MAX_IN_MEMORY_BYTES."""
     body = b""
     while data := await response.content.readany():
         body += data
-        # Guards memory against a node that never ends its answer.
+        # Limits the memory that an endless answer can use.
         if len(body) > MAX_IN_MEMORY_BYTES:
-            raise ValueError("over the bound")
+            raise ValueError("body exceeds the size limit")
     return body
 
 
 def classify_answer(status: int, headers: CIMultiDictProxy[str], body: bytes) -> Reply:
-    """Classify an answer of a node."""
+    """Return the reply for an answer, with the outcome that its status and fields mean."""
     units = read_number(headers.get("X-Served-Elsewhere")) or 0.0
     load = read_load(headers.get("Srv-Load"))
     if status == 200:
         return Reply(Outcome.OK, body, units, load)
     if headers.get("Srv-Declined") != "1" or status not in (503, 504):
         return Reply(Outcome.ERROR, b"", units, load)
-    # Guards a node's window: 504 is no sign of its load. The request is over, or its data lies elsewhere.
+    # A declining 504 must not shrink the node's window, as it is no sign of load: the request's deadline has
+    # passed, or its data is on another node.
     return Reply(Outcome.FULL if status == 503 else Outcome.MOOT, b"", units, load)
 
 
 def read_number(text: str | None) -> float | None:
-    """Parse a figure that a node reports; None where it is absent, malformed or out of range.
+    """Parse a figure in a node's report; None if it is absent, malformed or out of range.
 
-    NaN or infinity would corrupt a volume's limits, and an unreadable load is not a load of 0.
+    NaN or infinity would corrupt the limits of a volume, and a malformed load must not count as a load of 0.
     """
     if text is None or not NUMBER.fullmatch(text.strip()):
         return None
@@ -118,7 +119,7 @@
 
 
 def read_load(text: str | None) -> dict[str, float] | None:
-    """Parse a load report such as `inflight=7,queue=2,util=0.61`; None where it has no figures."""
+    """Parse a load report such as `inflight=7,queue=2,util=0.61`; None if it has no valid figures."""
     pairs = (pair.partition("=") for pair in (text or "").split(","))
     figures = {name.strip(): read_number(value) for name, _, value in pairs if name.strip()}
     return {name: figure for name, figure in figures.items() if figure is not None} or None
--- a/stoatrouter/net/rest_times.py
+++ b/stoatrouter/net/rest_times.py
@@ -1,8 +1,9 @@
-"""How long a connection to a node rests before it is used again, so that a second answer shows itself.
+"""Rest times: how long a connection to a node stays unused after an answer, to detect duplicate answers.
 
-An answer names no request: one that a node writes twice would be given to whoever uses the connection next,
-and that request's own answer to the one after it. Bytes that come while a connection rests belong to nobody,
-and end it (`node_connection`). What comes later, once the next request is written, cannot be distinguished.
+An answer carries no request id. If a node sends one twice, the duplicate would be given to the next request
+on the connection, and that request's own answer to the one after it. Bytes that arrive while a connection
+rests belong to no request, so the connection is closed (`node_connection`). Bytes that arrive later, after
+the next request was written, cannot be distinguished from its answer.
 """
 
 from __future__ import annotations
@@ -11,28 +12,28 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-REUSE_AFTER = timedelta(milliseconds=50)  # where an answer cannot be distinguished from an earlier one
-SUSPECT_REUSE_AFTER = timedelta(milliseconds=100)  # at a node that has lately sent too much
-SUSPICION_TIME = timedelta(seconds=30)
-MAX_SUSPECTS = 4_096  # beyond, the first that was suspected is forgotten
+REUSE_AFTER = timedelta(milliseconds=50)  # after an answer whose duplicate could not be detected
+SUSPECT_REUSE_AFTER = timedelta(milliseconds=100)  # for a node that recently sent surplus bytes
+SUSPICION_TIME = timedelta(seconds=30)  # how long a node stays suspect after surplus bytes
+MAX_SUSPECTS = 4_096  # beyond this, the one with the oldest surplus is dropped
 
 
 class Address(NamedTuple):
-    """A node's host and port."""
+    """The host and port of a node."""
 
     host: str
     port: int
 
 
 class RestTimes:
-    """How long connections rest, by node; times are in seconds of the loop."""
+    """The rest times of connections, by node; times are in seconds of the loop."""
 
     def __init__(self) -> None:
-        """Suspect no node."""
+        """Start without suspect nodes."""
         self._suspect_until: OrderedDict[Address, float] = OrderedDict()
 
     def record_surplus(self, node: Address, now: float) -> bool:
-        """Record that a node has sent bytes that belong to no request; whether it was not suspected yet."""
+        """Record that a node sent bytes that belong to no request; returns whether it is newly suspect."""
         is_new = now >= self._suspect_until.get(node, 0.0)
         self._suspect_until[node] = now + SUSPICION_TIME.total_seconds()
         self._suspect_until.move_to_end(node)
@@ -41,18 +42,18 @@
         return is_new
 
     def forget_old(self, now: float) -> None:
-        """Forget the nodes that are suspected no more; the first that was suspected goes first."""
+        """Drop the nodes that are no longer suspect; they are ordered by the time of their last surplus."""
         while self._suspect_until and next(iter(self._suspect_until.values())) <= now:
             self._suspect_until.popitem(last=False)
 
-    def rest_of(self, node: Address, now: float, is_alike: bool) -> float:
-        """How long a connection to a node has to rest, in seconds.
+    def rest_of(self, node: Address, now: float, needs_rest: bool) -> float:
+        """Return how long a connection to a node has to rest, in seconds.
 
         Args:
-            node: Where it leads to.
-            now: The present time.
-            is_alike: Whether its last answer could not be distinguished from a second one of the same.
+            node: The address of the node.
+            now: The current time.
+            needs_rest: Whether a duplicate of its last answer could not be detected.
         """
         if self._suspect_until and now < self._suspect_until.get(node, 0.0):
             return SUSPECT_REUSE_AFTER.total_seconds()
-        return REUSE_AFTER.total_seconds() if is_alike else 0.0
+        return REUSE_AFTER.total_seconds() if needs_rest else 0.0
--- a/stoatrouter/net/sighup.py
+++ b/stoatrouter/net/sighup.py
@@ -1,4 +1,4 @@
-"""SIGHUP handling before there is an event loop. It imports little, to be in force first."""
+"""SIGHUP handling before the event loop runs; imports little, so that it can be installed early."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class HangupSignal:
-    """Whether SIGHUP was received while the program was still starting."""
+    """Records whether SIGHUP was received while the program was starting."""
 
     def __init__(self) -> None:
         """Start with no SIGHUP received."""
         self.received = False
 
     def install_handler(self) -> None:
-        """Install the handler of SIGHUP, which records that it was received.
+        """Install a handler that records SIGHUP.
 
-        By default SIGHUP would end the process, and imports alone take half a second.
+        By default SIGHUP ends the process, and the program's imports alone take half a second.
         """
         signal.signal(signal.SIGHUP, self._record)
 
--- a/stoatrouter/net/startup_notification.py
+++ b/stoatrouter/net/startup_notification.py
@@ -1,4 +1,4 @@
-"""Notifies the previous process that this one is starting. It imports little, to be early."""
+"""Notifies the previous process that this one is starting; imports little, so that it can run early."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @contextlib.contextmanager
 def short_path(folder: str) -> Iterator[str]:
-    """A short path of a folder, as the path of a Unix-domain socket has 107 bytes at most."""
+    """Yield a short path to a folder, as the path of a Unix-domain socket may have at most 107 bytes."""
     handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{handle}"
@@ -21,7 +21,7 @@
 
 
 class StartupNotification:
-    """A connection to the previous process, open for as long as this one is starting."""
+    """A connection to the previous process, which is open while this one is starting."""
 
     def __init__(self) -> None:
         """Start without a connection to the previous process."""
@@ -30,7 +30,7 @@
     def connect(self, folder: str | None) -> None:
         """Connect to the previous process, if there is one.
 
-        A start uses much processor time, so the previous process admits fewer open requests from now on.
+        Startup uses much processor time, so the previous process then admits fewer open requests.
         """
         if not folder:
             return
@@ -41,10 +41,10 @@
                 connection.connect(f"{short}/{SOCKET_NAME}")
             self.connection = connection
         except OSError:
-            connection.close()  # there is none
+            connection.close()  # there is no previous process
 
     def close(self) -> None:
-        """Close the connection: this process now accepts clients, or is about to end."""
+        """Close the connection, as this process now accepts clients or is about to end."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
--- a/stoatrouter/net/state_file.py
+++ b/stoatrouter/net/state_file.py
@@ -1,4 +1,4 @@
-"""The file in $TMPDIR that persists the administrative state over restarts and upgrades."""
+"""The file in $TMPDIR that persists the administrative state across restarts and upgrades."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """The file of the administrative state; without a folder nothing is saved."""
 
     def __init__(self, folder: str | None) -> None:
-        """Name the file.
+        """Set the path of the file.
 
         Args:
             folder: The folder of the file stoatrouter-bricks.json ($TMPDIR); None: nothing is saved.
@@ -24,9 +24,9 @@
         self.path = Path(folder) / "stoatrouter-bricks.json" if folder else None
 
     def write(self, administrative_state: AdministrativeState) -> bool:
-        """Save the state; returns whether that worked.
+        """Save the state; returns whether that succeeded.
 
-        The file is replaced in one step, so that a process that dies here leaves the old one.
+        The file is replaced atomically, so that a process that dies here leaves the old one intact.
         """
         if self.path is None:
             return True
@@ -35,19 +35,23 @@
             temporary.write_text(json.dumps(write_administrative_state(administrative_state)))
             os.replace(temporary, self.path)
         except OSError as error:
-            logger.error("bricks: cannot be kept: {error}", event="bricks.unkept", error=str(error))
+            logger.error(
+                "bricks: cannot save the administrative state: {error}",
+                event="bricks.unkept",
+                error=str(error),
+            )
             return False
         return True
 
     def read(self) -> AdministrativeState:
-        """The saved state; an empty one where there is no file or it is unreadable."""
+        """Return the saved state; an empty one if there is no file or it is malformed."""
         if self.path is None or not self.path.exists():
             return AdministrativeState()
         try:
             return read_administrative_state(json.loads(self.path.read_text()))
         except (OSError, ValueError, RecursionError) as error:
             logger.error(
-                "bricks: what was kept cannot be read, no brick is out: {error}",
+                "bricks: cannot read the saved administrative state; no brick is out of service: {error}",
                 event="bricks.unreadable",
                 error=str(error),
             )
--- a/stoatrouter/net/state_format.py
+++ b/stoatrouter/net/state_format.py
@@ -1,4 +1,4 @@
-"""The JSON form of state that processes of one head hand over or save."""
+"""The JSON format of the state that processes of a head hand over or save."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Holdings:
-    """What a process still has open while its successor serves; both count as one head."""
+    """What a process still has open while its successor serves, as limits apply to both together."""
 
-    clients: int = 0  # connections of clients
-    connections: int = 0  # to nodes
-    attempts: dict[str, int] = field(default_factory=dict)  # in flight, by node
-    busy: int = 0  # connections of clients with a request open
+    clients: int = 0  # client connections
+    connections: int = 0  # connections to nodes
+    attempts: dict[str, int] = field(default_factory=dict)  # attempts in flight, by node
+    busy: int = 0  # client connections with an open request
 
 
 def write_holdings(holdings: Holdings) -> JsonObject:
-    """The holdings as plain data, which read_holdings reads."""
+    """Return the holdings as plain data, to be read by read_holdings."""
     return {
         "clients": holdings.clients,
         "connections": holdings.connections,
@@ -36,9 +36,9 @@
 
 
 def read_holdings(data: Any) -> Holdings:
-    """Read what write_holdings wrote; what is missing counts as nothing.
+    """Read the output of write_holdings; missing figures count as zero.
 
-    Raises TypeError, ValueError or AttributeError where a figure is malformed.
+    Raises TypeError, ValueError or AttributeError if a figure is malformed.
     """
     return Holdings(
         clients=int(data.get("clients", 0)),
@@ -49,7 +49,7 @@
 
 
 def write_administrative_state(administrative_state: AdministrativeState) -> JsonObject:
-    """The administrative state as plain data; times in microseconds since the Unix epoch."""
+    """Return the administrative state as plain data; times are in microseconds since the Unix epoch."""
     return {
         "out": {node: micros(at) for node, at in administrative_state.out.items()},
         "back": {
@@ -59,7 +59,7 @@
 
 
 def read_administrative_state(data: Any) -> AdministrativeState:
-    """Read what write_administrative_state wrote; raises ValueError where it is anything else."""
+    """Read the output of write_administrative_state; raises ValueError if it is malformed."""
     try:
         return AdministrativeState(
             {str(node): span(int(at)) for node, at in data["out"].items()},
@@ -73,12 +73,12 @@
 
 
 def write_node(node: NodeInfo) -> list[Any]:
-    """A node as a list of plain data, which read_node reads."""
+    """Return a node as a list of plain data, to be read by read_node."""
     return [node.id, node.address, node.shard, node.phase.name, node.zone, node.weight, micros(node.started)]
 
 
 def read_node(data: Any) -> NodeInfo:
-    """Read what write_node wrote; raises ValueError where it is anything else."""
+    """Read the output of write_node; raises ValueError if it is malformed."""
     try:
         name, address, shard, phase, zone, weight, started = data
         return NodeInfo(
--- a/stoatrouter/net/tables.py
+++ b/stoatrouter/net/tables.py
@@ -1,4 +1,4 @@
-"""Rule tables of a running head: loaded at its start, and again on SIGHUP while it serves."""
+"""Rule tables of a running head: loaded at startup, and reloaded on SIGHUP while it serves."""
 
 from __future__ import annotations
 
@@ -21,33 +21,34 @@
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
 
-# While a table is compiled in another thread, the loop gets the interpreter back this often (default: 5 ms).
+# The thread switch interval while a table is compiled in another thread, so that the event loop gets to run
+# more often than with the default of 5 ms.
 SWITCH_INTERVAL = timedelta(microseconds=500)
 Result = TypeVar("Result")
-MAX_LOGGED_LINES = 20  # lines about one table
+MAX_LOGGED_LINES = 20  # about one table
 LOG_INTERVAL = timedelta(seconds=10)
 
 
 async def in_thread(work: Callable[[], Result]) -> Result:
-    """The result of work in a daemon thread of its own.
+    """Run work in a daemon thread of its own, and return the result.
 
-    An executor's threads would be waited for at the end of the process, however long they take.
+    The process would wait for the threads of an executor at exit, however long they take.
     """
     loop = asyncio.get_running_loop()
     result: asyncio.Future[Result] = loop.create_future()
 
     def resolve(set_outcome: Callable[[Any], None], outcome: Any) -> None:
-        if not result.done():  # else nobody waits for it any more
+        if not result.done():  # it is done if the caller was cancelled
             set_outcome(outcome)
 
     def run() -> None:
         try:
             value = work()
-        except BaseException as error:  # noqa: BLE001 - it is raised where it is awaited
+        except BaseException as error:  # noqa: BLE001 - raised again in the coroutine that awaits it
             deliver = partial(resolve, result.set_exception, error)
         else:
             deliver = partial(resolve, result.set_result, value)
-        with contextlib.suppress(RuntimeError):  # the loop has ended
+        with contextlib.suppress(RuntimeError):  # the loop is closed
             loop.call_soon_threadsafe(deliver)
 
     threading.Thread(target=run, daemon=True, name="rules").start()
@@ -55,14 +56,14 @@
 
 
 def without_long_pauses(work: Callable[[], Result]) -> Result:
-    """Run work that creates many objects with short switches between threads and no garbage collection.
+    """Run work that creates many objects, with a short switch interval and without garbage collection.
 
-    A collection would stop requests for up to a second. What is created stays for good, so it is frozen.
+    A collection would stall requests for up to a second. The new objects are long-lived, so they are frozen.
     """
     previous_interval = sys.getswitchinterval()
     sys.setswitchinterval(SWITCH_INTERVAL.total_seconds())
-    # Guards requests against stalls: collecting garbage among the new objects takes a third of the time, and
-    # a second at once at the end. The new objects stay; all else is freed by reference count.
+    # Collecting garbage among the new objects would take a third of the time, and a second without pause at
+    # the end, in which requests stall. The new objects are kept; reference counting frees everything else.
     gc.disable()
     try:
         return work()
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CompiledTable:
-    """A compiled table, where it was read from, and its files as they were read."""
+    """A compiled table, the place it was loaded from, and its files as they were read."""
 
     tables: Tables
     table: Table
@@ -83,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadedTables:
-    """The tables loaded from the operator's files: the one to put in force, and the one in shadow, if any."""
+    """The tables loaded from the operator's files: the one to activate, and the shadow table, if any."""
 
     table: Table
     sources: Sources
@@ -91,14 +92,14 @@
 
 
 class TableService:
-    """Loads tables and puts them in force, one at a time."""
+    """Loads rule tables and activates them, one at a time."""
 
     def __init__(self, tables: Tables, shadow: Tables | None, windows: dict[int, timedelta]) -> None:
-        """Load the tables and put them in force at once.
+        """Load the tables and activate them at once.
 
         Args:
-            tables: Where the tables in force are read from.
-            shadow: Where the table in shadow is read from; None: no table in shadow.
+            tables: The place that the active table is loaded from.
+            shadow: The place that the shadow table is loaded from; None: no shadow table.
             windows: The repeat windows of idempotent classes, by class number.
 
         Raises:
@@ -111,12 +112,12 @@
         self.matcher.put_in_shadow(loaded.shadow)
         self.reloading: asyncio.Task[None] | None = None
         self.reload_again = False
-        self.managed = False  # the table comes from the heads' history, not from this head's files
+        self.managed = False  # whether the table comes from the heads' history, not from this head's files
 
     def log_in_force(self, table: Table, sources: Sources) -> Table:
-        """Log which table is in force, and its warnings; returns the table."""
+        """Log which table is active, and its warnings; returns the table."""
         logger.info(
-            "rules: table {epoch} with {rules} rules in {scopes} scopes is in force",
+            "rules: table {epoch} with {rules} rules in {scopes} scopes is active",
             event="rules.in_force",
             epoch=table.epoch,
             rules=table.size,
@@ -127,10 +128,10 @@
         return table
 
     def reload(self) -> None:
-        """Load the files again while requests go on; a call during a reload causes one more."""
+        """Reload the files in the background; a call during a reload causes another one after it."""
         if self.managed:
             logger.warning(
-                "rules: the files are not read, the table comes from the heads' history",
+                "rules: files are not reloaded, as the table comes from the heads' history",
                 event="rules.managed",
             )
             return
@@ -140,18 +141,18 @@
         self.reloading = asyncio.get_running_loop().create_task(self.load_again())
 
     async def load_again(self) -> None:
-        """Load the files in a thread and put the table in force; a rejected one leaves the old in force."""
+        """Load the files in a thread and activate the table; if it is rejected, the old one stays active."""
         self.reload_again = True
         while self.reload_again:
             self.reload_again = False
             try:
                 loaded = await in_thread(self.load)
             except SettingsError as error:
-                # Guards a serving head against rules that are faulty or half written.
+                # Rules that are faulty or only partly written must not affect a serving head.
                 self.log_rejected(error)
                 continue
             except Exception:
-                logger.exception("rules: loading failed in an unforeseen way", event="rules.fault")
+                logger.exception("rules: loading failed with an unexpected error", event="rules.fault")
                 continue
             self.matcher.replace(self.log_in_force(loaded.table, loaded.sources))
             self.matcher.put_in_shadow(loaded.shadow)
@@ -159,7 +160,7 @@
     def log_rejected(self, error: SettingsError) -> None:
         """Log that the files were rejected, and their faults."""
         logger.error(
-            "rules: refused, table {epoch} stays in force",
+            "rules: new rules rejected; table {epoch} stays active",
             event="rules.refused",
             epoch=self.matcher.table.epoch,
         )
@@ -176,19 +177,19 @@
         return LoadedTables(table, sources, shadow)
 
     async def compile(self, path: Path) -> CompiledTable:
-        """Compile a table of other files without putting it in force; raises SettingsError."""
+        """Compile a table from other files without activating it; raises SettingsError."""
         now = self.tables
         tables = Tables(path, now.vocabulary, now.environment, now.buckets, cache=now.cache)
         table, sources = await in_thread(lambda: without_long_pauses(tables.load))
         return CompiledTable(tables, table, sources)
 
     def put(self, compiled: CompiledTable) -> None:
-        """Put a compiled table in force."""
+        """Activate a compiled table."""
         self.tables = compiled.tables
         self.matcher.replace(self.log_in_force(compiled.table, compiled.sources))
 
     async def log_periodically(self) -> None:
-        """Log from time to time where the shadow table differs, and placements that were forgotten."""
+        """Log differences from the shadow table and forgotten placements every LOG_INTERVAL."""
         logged_differences = 0
         forgotten = 0
         while True:
@@ -201,16 +202,16 @@
             if matcher.placements.forgotten != forgotten:
                 forgotten = matcher.placements.forgotten
                 logger.warning(
-                    "rules: {count} placements forgotten before their time",
+                    "rules: {count} placements evicted before they expired",
                     event="rules.forgotten",
                     count=forgotten,
                 )
 
     def log_differences(self) -> None:
-        """Log the most frequent differences between the table in force and the one in shadow."""
+        """Log the most frequent differences between the active table and the shadow table."""
         for (in_force, other), count in self.matcher.differences.most_common(MAX_LOGGED_LINES):
             logger.info(
-                "rules: shadow differs {count} of {asked} times: {in_force} in force, {other} there",
+                "rules: shadow differs in {count} of {asked} requests: active {in_force}, shadow {other}",
                 event="rules.shadow",
                 count=count,
                 asked=self.matcher.shadowed,
@@ -219,7 +220,7 @@
             )
 
     async def close(self) -> None:
-        """Cancel a reload that is under way."""
+        """Cancel a reload in progress."""
         if self.reloading is not None:
             self.reloading.cancel()
             await asyncio.gather(self.reloading, return_exceptions=True)
--- a/stoatrouter/net/tracked_request.py
+++ b/stoatrouter/net/tracked_request.py
@@ -1,4 +1,4 @@
-"""Requests to nodes and to discovery that are sent once and know whether they were written."""
+"""Requests to nodes and discovery that are sent only once and track whether they were written."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 class TrackedRequest(aiohttp.ClientRequest):
-    """A client request that knows whether its last byte was handed to the system.
+    """A client request that tracks whether its last byte was passed to the kernel.
 
-    A node can start a request only once that byte has arrived; a request that breaks before was never
+    A node can execute a request only once that byte has arrived, so a request that fails earlier was never
     executed.
     """
 
     attempt_record: ClassVar[AttemptRecord | None] = None  # a debug record; None: it is off
     attempt_number: int | None = None  # health checks have none
     written = False
-    may_begin: Callable[[], bool] | None = None  # called with a connection in hand, before the first byte
-    digest: RequestDigest | None = None  # what it asks for; None: not known, as of health checks
+    may_begin: Callable[[], bool] | None = None  # called with a connection, before the first byte
+    digest: RequestDigest | None = None  # None: not known, as for health checks
 
     def mark_written(self, written: bool, conn: aiohttp.connector.Connection) -> None:
-        """Note whether the last byte was handed to the system; such an attempt is counted."""
+        """Record whether the last byte was passed to the kernel; written attempts are counted."""
         self.written = written
         if written and "Req-Id" in self.headers and isinstance(conn.protocol, NodeConnection):
-            conn.protocol.pool.attempts_written += 1  # health checks are none
+            conn.protocol.pool.attempts_written += 1  # health checks, without Req-Id, do not count
 
     async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
-        """Send the request; drain() waits until the system has accepted the last byte."""
+        """Send the request; drain() waits until the kernel has accepted the last byte."""
         transport = conn.transport
         if transport is not None:
             transport.set_write_buffer_limits(high=0)  # drain() then waits for the last byte
@@ -47,7 +47,7 @@
         if recorded:
             self._record_first_byte(conn, began)
         if not self.body and transport is not None:
-            # what the system has not sent yet may still go out: there is no second check before a break
+            # bytes in the kernel's buffer may still be sent after a break, so this is decided only once
             self.mark_written(not transport.is_closing(), conn)
         return response
 
@@ -57,41 +57,44 @@
         conn: aiohttp.connector.Connection,
         content_length: int | None = None,
     ) -> None:
-        """Write the body, and note whether the system has accepted all of it."""
+        """Write the body, and record whether the kernel has accepted all of it."""
         transport = conn.transport
-        broken = transport is None or transport.is_closing()  # then nothing goes out; the call below raises
+        broken = (
+            transport is None or transport.is_closing()
+        )  # then nothing is sent, and the call below raises
         if self.attempt_record is not None:
             writer.on_body_write = partial(self._record_first_byte_of_body, writer, conn, time.monotonic())
         await super().write_bytes(writer, conn, content_length)
         if broken or conn.transport is None and writer.output_size < (content_length or 0):
-            return  # it broke before the last byte was handed to the system
-        await writer.drain()  # raises where the system had not accepted all of it
-        # Guards against a second effect: a node may begin the request and reset its connection before this
-        # task resumes, so an end that arrived meanwhile proves nothing.
+            return  # the connection broke before the last byte was passed to the kernel
+        await writer.drain()  # raises if the kernel had not accepted all of it
+        # A node may start executing the request and reset the connection before this task resumes, so a
+        # connection that is closed by now does not show that the request can be repeated without a second
+        # effect.
         self.mark_written(True, conn)
 
     def _record_first_byte_of_body(
         self, writer: AbstractStreamWriter, conn: aiohttp.connector.Connection, began: float, *_: int
     ) -> None:
-        """Record the first byte of a request with a body: its head goes out with the body's first piece."""
+        """Record the first byte of a request with a body, whose head is sent with the first part of it."""
         writer.on_body_write = None
         self._record_first_byte(conn, began, writer.output_size)
 
     def _record_first_byte(
         self, conn: aiohttp.connector.Connection, began: float, handed_over: int = 1
     ) -> None:
-        """Record that the first byte was written since `began`, if the system has accepted it.
+        """Record the time at which the first byte was written, if the kernel has accepted it.
 
         Args:
-            conn: The connection, to which nothing else was written meanwhile.
-            began: When it was about to be handed over.
-            handed_over: So many bytes were, at least.
+            conn: The connection, to which nothing else was written in the meantime.
+            began: The time just before the byte was passed to the transport.
+            handed_over: The minimum number of bytes passed to the transport since then.
         """
         transport = conn.transport
         if self.attempt_record is None or self.attempt_number is None or transport is None:
             return
         if transport.is_closing() or transport.get_write_buffer_size() >= handed_over:
-            return  # the first byte may wait in the buffer: its time is not known
+            return  # the first byte may still be in the transport's buffer, so its time is not known
         self.attempt_record.append(
             WrittenAttempt(
                 self.headers["Req-Id"],
@@ -104,17 +107,17 @@
 
 
 def is_paused(conn: aiohttp.connector.Connection) -> bool:
-    """Whether a connection is full: then even a request without a body is written later."""
+    """Return whether writing is paused, so that even a request without a body is written later."""
     return conn.protocol is not None and conn.protocol.writing_paused
 
 
 async def prevent_resend(
     request: aiohttp.ClientRequest, handler: ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Prevent aiohttp from resending GET and PUT over a dropped connection.
+    """Middleware that prevents aiohttp from resending GET and PUT after a dropped connection.
 
-    That would be one more attempt that no decision knows of. Raises ExchangeBroken in place of the errors
-    that set it off.
+    A resend would be another attempt that the reducer does not know of. Raises ExchangeBroken in place of the
+    errors that trigger it.
     """
     try:
         return await handler(request)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -34,7 +34,7 @@
             await until(lambda: agent.calls)
             send_signal(process, signal.SIGTERM)
             _, said = await process.communicate()
-            assert process.returncode == 0 and b"stop: all that was taken is answered" in said
+            assert process.returncode == 0 and b"stop: all accepted requests are answered" in said
 
     run(story())
 
