--- a/stoatrouter/net/engine.py
+++ b/stoatrouter/net/engine.py
@@ -71,13 +71,13 @@
         self.waiters[request.id] = waiter
         self.client_transports[request.id] = CLIENT_TRANSPORT.get()
         try:
-            self.run_all(effects)
+            self.run_effects(effects)
             return await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
                 self.discard_answer(request.id, waiter.result())
             else:
-                self.put(model.ClientLeft(self.clock.now(), request.id))
+                self.dispatch(model.ClientLeft(self.clock.now(), request.id))
             raise
         finally:
             # After the answer was given, a new request with this id may have registered its own waiter.
@@ -119,7 +119,7 @@
 
     def stream_ended(self, request: str, complete: bool | None) -> None:
         """Report the end of a streamed answer: complete, truncated, or None if its client has left."""
-        self.put(model.StreamEnded(self.clock.now(), request, complete))
+        self.dispatch(model.StreamEnded(self.clock.now(), request, complete))
 
     def discard_answer(self, request: str, answer: model.Answer) -> None:
         """Release an answer whose client has left."""
@@ -147,7 +147,9 @@
             entries=len(nodes),
         )
         now = self.clock.now()
-        self.put(model.EndpointListReceived(now, kind, nodes, timedelta(0) if age is None else now - age))
+        self.dispatch(
+            model.EndpointListReceived(now, kind, nodes, timedelta(0) if age is None else now - age)
+        )
 
     def hand_over(self) -> model.HandoverState:
         """Return the state for the next process; after this, this process only finishes its requests."""
@@ -165,7 +167,7 @@
                 node=node,
                 state="out" if out else "back",
             )
-        self.run_all(effects)
+        self.run_effects(effects)
         return self.state_saved if effects else None
 
     @property
@@ -182,16 +184,16 @@
         await self.nodes.close()
 
     # -- events in, effects out ---------------------------------------------------------------------------
-    def put(self, event: model.Event) -> None:
-        """Pass one event to the reducer and run its effects."""
-        self.run_all(self.reducer.reduce(event))
+    def dispatch(self, event: model.Event) -> None:
+        """Pass one event to the reducer and run the effects that it returns."""
+        self.run_effects(self.reducer.reduce(event))
 
-    def run_all(self, effects: list[model.Effect]) -> None:
+    def run_effects(self, effects: list[model.Effect]) -> None:
         """Run effects in order."""
         for effect in effects:
-            self.run(effect)
+            self.run_effect(effect)
 
-    def run(self, effect: model.Effect) -> None:
+    def run_effect(self, effect: model.Effect) -> None:
         """Run one effect."""
         match effect:
             case model.SendAttempt():
@@ -244,11 +246,11 @@
 
     def timer_due(self, token: int) -> None:
         """Report that a timer set by the reducer has expired."""
-        self.put(model.TimerDue(self.clock.now(), token))
+        self.dispatch(model.TimerDue(self.clock.now(), token))
 
     def overdue(self, request: str) -> None:
         """Report that a request's deadline has passed."""
-        self.put(model.Overdue(self.clock.now(), request))
+        self.dispatch(model.Overdue(self.clock.now(), request))
 
     def attempt_ended(self, effect: model.SendAttempt, task: asyncio.Task[Reply]) -> None:
         """Report the end of an attempt, exactly once.
@@ -258,7 +260,7 @@
         """
         reply = attempt_reply(task)
         self.attempts.pop((effect.request.id, effect.attempt), None)
-        self.put(
+        self.dispatch(
             model.AttemptEnded(
                 self.clock.now(),
                 effect.request.id,
@@ -281,7 +283,7 @@
         started = self.clock.now()
         reply = await self.nodes.check_health(effect)
         now = self.clock.now()
-        self.put(model.HealthCheckEnded(now, effect.node, reply.outcome, now - started, reply.load))
+        self.dispatch(model.HealthCheckEnded(now, effect.node, reply.outcome, now - started, reply.load))
 
 
 def attempt_reply(task: asyncio.Task[Reply]) -> Reply:
--- a/stoatrouter/net/handover.py
+++ b/stoatrouter/net/handover.py
@@ -107,7 +107,7 @@
         """
         nodes = tuple(read_node(node) for node in state["nodes"])
         administrative_state = read_administrative_state(state["by_hand"])
-        self.engine.put(
+        self.engine.dispatch(
             model.TakenOver(self.engine.clock.now(), nodes, administrative_state, state["module"])
         )
         self.watch.generation = state["generation"]
@@ -127,7 +127,7 @@
         self.clients.busy_at_predecessor = holdings.busy
         self.clients.tighten_busy_limit(SETTLING_TIME)
         self.engine.nodes.pool.set_limit(max(1, self.max_node_connections - holdings.connections))
-        self.engine.put(model.AttemptsElsewhere(self.engine.clock.now(), holdings.attempts))
+        self.engine.dispatch(model.AttemptsElsewhere(self.engine.clock.now(), holdings.attempts))
 
     # -- the old process ----------------------------------------------------------------------------------
     async def listen(self) -> None:
@@ -206,7 +206,7 @@
     async def take_back(self) -> None:
         """Accept clients again, as the new process has ended."""
         logger.warning("upgrade: the new process has ended; resuming service", event="upgrade.taken_back")
-        self.engine.put(model.TakenBack(self.engine.clock.now(), self.engine.state_file.read()))
+        self.engine.dispatch(model.TakenBack(self.engine.clock.now(), self.engine.state_file.read()))
         self.drain.handed_over = False
         await self.resume_accepting()
         await self.listen()
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -249,7 +249,9 @@
         clients = SimpleNamespace(max_connections=9, tighten_busy_limit=lambda span: None)
         pool = SimpleNamespace(max_connections=9, set_limit=lambda limit: None)
         engine = SimpleNamespace(
-            nodes=SimpleNamespace(pool=pool), put=lambda event: None, clock=SimpleNamespace(now=lambda: START)
+            nodes=SimpleNamespace(pool=pool),
+            dispatch=lambda event: None,
+            clock=SimpleNamespace(now=lambda: START),
         )
         handover = Handover(engine, SimpleNamespace(), clients, Drain(clients), None, run, run)
         state = {"generation": 1, "out_of_service": False, "nodes": [], "holds": {}}
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -234,9 +234,9 @@
         async with started(node) as (head, _):
             engine, now = head.engine, head.engine.clock.now()
             request = model.Request("r", 0, 1, "v", "k", 0, 1.0, 1, timedelta(seconds=2), False)
-            engine.put(model.Arrived(now, request))
+            engine.dispatch(model.Arrived(now, request))
             assert engine.attempts
-            engine.put(model.ClientLeft(now, "r"))
+            engine.dispatch(model.ClientLeft(now, "r"))
             await until(lambda: not engine.attempts)
             assert engine.reducer.open == 0 and not engine.reducer.scheduler.requests
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -307,11 +307,11 @@
         first = asyncio.create_task(engine.serve(request()))
         await asyncio.sleep(0)
         second = asyncio.create_task(engine.serve(request()))  # its first step comes before the first's last
-        engine.put(model.AttemptEnded(clock.now(), "r", 0, Outcome.OK, b"1"))
+        engine.dispatch(model.AttemptEnded(clock.now(), "r", 0, Outcome.OK, b"1"))
         if first_leaves:
             first.cancel()
         await asyncio.wait([first])
-        engine.put(model.AttemptEnded(clock.now(), "r", 0, Outcome.OK, b"2"))
+        engine.dispatch(model.AttemptEnded(clock.now(), "r", 0, Outcome.OK, b"2"))
         assert await asyncio.wait_for(second, 1) == model.Served(b"2", 0)
         assert not engine.waiters and not engine.client_transports
         for left in engine.attempts.values():
