--- a/stoatrouter/net/connection_counters.py
+++ b/stoatrouter/net/connection_counters.py
@@ -9,7 +9,7 @@
 class ConnectionCounters:
     """Counts since the process started."""
 
-    dials: int = 0  # attempts to open a connection, successful or not
+    dials: int = 0  # connections that were requested, whether they opened or not
     dials_beside_resting: int = 0  # of these, those made while an idle connection to the node had to rest
     reuses: int = 0
     waits_for_rest: int = 0  # waits in a full pool for a connection that had to rest
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -111,7 +111,7 @@
         return connection
 
     async def _get(self, key: Any, traces: Any) -> Any:
-        """Return an idle connection that may be reused, or None if one may be opened instead."""
+        """Return an idle connection for reuse, or None if one may be opened; waits while the pool is full."""
         while (connection := self._take_idle(key)) is None:
             if len(self.alive) + self._dials_in_progress < self.max_connections:
                 return None
--- a/stoatrouter/net/replies.py
+++ b/stoatrouter/net/replies.py
@@ -102,8 +102,8 @@
         return Reply(Outcome.OK, body, units, load)
     if headers.get("Srv-Declined") != "1" or status not in (503, 504):
         return Reply(Outcome.ERROR, b"", units, load)
-    # A declining 504 must not shrink the node's window, as it is no sign of load: the request's deadline has
-    # passed, or its data is on another node.
+    # A declining 504 must not shrink the node's window, as it is no sign of load: the request is already
+    # over, or its data is on another node.
     return Reply(Outcome.FULL if status == 503 else Outcome.MOOT, b"", units, load)
 
 
