--- a/stoatrouter/net/disconnects.py
+++ b/stoatrouter/net/disconnects.py
@@ -1,6 +1,6 @@
-"""Whether a request's client is still connected, polled from the system at the moment it matters.
+"""Checks whether a request's client is still connected by polling its socket directly.
 
-A connection whose reading is paused, or whose loop lags, has not yet been notified that its client has left.
+A transport whose reading is paused, or whose event loop lags, is notified of a disconnect too late.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import socket
 from contextvars import ContextVar
 
-# the connection that the present task works for; tasks that it creates inherit it
+# the client connection that the current task serves; tasks that it creates inherit it
 CLIENT_TRANSPORT: ContextVar[asyncio.Transport | None] = ContextVar("client", default=None)
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def has_disconnected(client: asyncio.Transport | None) -> bool:
-    """Whether the client has closed or reset its connection, even behind unread bytes.
+    """Return whether the client has closed or reset its connection, even if unread bytes precede that.
 
-    False for a request without a connection.
+    Returns False for a request without a connection.
     """
     if client is None:
         return False
@@ -27,14 +27,14 @@
         return True
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLRDHUP)
-    return any(events & ENDED for _, events in poll.poll(0))
+    return any(events & HANGUP_EVENTS for _, events in poll.poll(0))
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Whether bytes have arrived that were not read, from a peer that is still connected."""
+    """Return whether there are unread bytes from a peer that is still connected."""
     if sock.fileno() < 0:
         return False
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN | select.POLLRDHUP)
     events = dict(poll.poll(0)).get(sock.fileno(), 0)
-    return bool(events & select.POLLIN) and not events & ENDED
+    return bool(events & select.POLLIN) and not events & HANGUP_EVENTS
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -14,51 +14,51 @@
 
 from stoatrouter.core import model
 from stoatrouter.net.bodies import StoredBody
-from stoatrouter.net.errors import Broken, NotBegun
+from stoatrouter.net.errors import ExchangeBroken, NotBegun
 from stoatrouter.net.pool import NodePool
-from stoatrouter.net.questions import Question, question_of
 from stoatrouter.net.replies import Reply, read_load, read_reply, read_small
-from stoatrouter.net.tracked_request import TrackedRequest, only_once
+from stoatrouter.net.request_digest import RequestDigest, digest_request
+from stoatrouter.net.tracked_request import TrackedRequest, prevent_resend
 from stoatrouter.policy.interface import Outcome
 
 HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=400)
-# Idle connections are given up at this fraction of the time after which a node closes them: a request written
-# as the node closes would end as a reset.
+# Idle connections are closed after this fraction of the time after which a node closes them: a request that
+# is written while the node closes would end with a reset.
 IDLE_FRACTION = 0.5
-REST_WITHIN = timedelta(milliseconds=400)  # once an answer has begun, its end
-READ_AHEAD = 64 * 1024  # of a body, before reading pauses
-SKIPPED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+ANSWER_STALL_TIMEOUT = timedelta(milliseconds=400)  # how long an answer that has begun may stall
+READ_AHEAD_BYTES = 64 * 1024  # bytes of a body that are buffered before reading pauses
+SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class NodeClient:
-    """The client of all nodes, with one bounded pool of connections."""
+    """The HTTP client for all nodes, with one bounded connection pool."""
 
     def __init__(
         self,
         connect_timeout: timedelta,
         conn_idle: timedelta,
         max_connections: int,
-        rest_within: timedelta = REST_WITHIN,
+        stall_timeout: timedelta = ANSWER_STALL_TIMEOUT,
     ) -> None:
-        """Set up the client of all nodes with an empty pool.
+        """Set up the client with an empty pool.
 
         Args:
-            connect_timeout: How long a connection to a node may take to open.
+            connect_timeout: How long opening a connection to a node may take.
             conn_idle: How long a node keeps an idle connection open; this head closes it after half of that.
-            max_connections: How many connections to nodes may be open at once, idle ones included.
-            rest_within: How long the rest of an answer may take once it has begun.
+            max_connections: The maximum number of open connections to nodes, idle ones included.
+            stall_timeout: How long an answer that has begun may stall.
         """
-        self.pool = NodePool(max_connections, connect_timeout, conn_idle * IDLE_FRACTION, rest_within)
+        self.pool = NodePool(max_connections, connect_timeout, conn_idle * IDLE_FRACTION, stall_timeout)
         self.session = aiohttp.ClientSession(
             connector=self.pool,
             request_class=TrackedRequest,
-            middlewares=(only_once,),
+            middlewares=(prevent_resend,),
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
             trust_env=False,
-            skip_auto_headers=SKIPPED,
-            read_bufsize=READ_AHEAD,
-            timeout=aiohttp.ClientTimeout(total=None),  # the pool bounds how long a connection takes to open
+            skip_auto_headers=SKIPPED_HEADERS,
+            read_bufsize=READ_AHEAD_BYTES,
+            timeout=aiohttp.ClientTimeout(total=None),  # the pool has its own timeout for connecting
         )
 
     async def close(self) -> None:
@@ -69,12 +69,12 @@
         """Make one attempt; every error becomes an outcome.
 
         Args:
-            effect: The request, the node's address, and the timeout of all of it.
-            may_begin: Called with a connection in hand, before the first byte: whether the decision to send
-                still holds; None: it does.
+            effect: The request, the node's address, and the timeout of the whole attempt.
+            may_begin: Called with a connection, before the first byte: whether the decision to send is still
+                valid; None: it always is.
         """
         request = effect.request
-        url = URL(f"http://{effect.address}{request.target}", encoded=True)  # encoded: bytes pass unchanged
+        url = URL(f"http://{effect.address}{request.target}", encoded=True)  # encoded: sent unchanged
         headers = attempt_headers(effect)
         data = attempt_data(request)
         response: aiohttp.ClientResponse | None = None
@@ -86,17 +86,17 @@
                     headers=headers,
                     data=data,
                     allow_redirects=False,
-                    middlewares=(once_if(may_begin, question_of(request), effect.attempt),),
+                    middlewares=(send_once_if(may_begin, digest_request(request), effect.attempt),),
                 )
                 reply = await read_reply(response, request.pass_through)
             if reply.stream is not None:
-                response = None  # whoever passes it on closes it
+                response = None  # its consumer closes it
             return reply
-        except (aiohttp.ClientError, NotBegun, Broken, OSError, ValueError) as error:
+        except (aiohttp.ClientError, NotBegun, ExchangeBroken, OSError, ValueError) as error:
             return Reply(failed_outcome(error, effect.address))
         finally:
             if response is not None:
-                response.close()  # a complete answer has given its connection back already
+                response.close()  # a complete answer has already released its connection
 
     async def check_health(self, effect: model.CheckHealth) -> Reply:
         """Request a node's load report; every error becomes an outcome."""
@@ -110,32 +110,32 @@
                     return Reply(Outcome.OK if response.status == 200 else Outcome.FULL, load=load)
         except TimeoutError:
             return Reply(Outcome.TIMEOUT)
-        except (aiohttp.ClientConnectorError, Broken):
+        except (aiohttp.ClientConnectorError, ExchangeBroken):
             return Reply(Outcome.CONNECT_FAILED)
         except (aiohttp.ClientError, OSError, ValueError):
             return Reply(Outcome.RESET)
 
 
-def once_if(
-    may_begin: Callable[[], bool] | None, question: Question, attempt_number: int
+def send_once_if(
+    may_begin: Callable[[], bool] | None, digest: RequestDigest, attempt_number: int
 ) -> ClientMiddlewareType:
-    """The middleware of one attempt, which asks `question`.
+    """Return the middleware of one attempt, whose request has this digest.
 
-    It is sent once, and only if `may_begin` allows it (NodePool.connect).
+    The request is sent only once, and only if `may_begin` allows it (NodePool.connect).
     """
 
     async def send_once(request: aiohttp.ClientRequest, handler: ClientHandlerType) -> aiohttp.ClientResponse:
         assert isinstance(request, TrackedRequest)
         request.may_begin = may_begin
-        request.question = question
+        request.digest = digest
         request.attempt_number = attempt_number
-        return await only_once(request, handler)
+        return await prevent_resend(request, handler)
 
     return send_once
 
 
 def attempt_headers(effect: model.SendAttempt) -> CIMultiDict[str] | dict[str, str]:
-    """The header fields of an attempt: the nodes' protocol, and what the front adds."""
+    """Return the header fields of an attempt: those of the node protocol, and those that the front adds."""
     request = effect.request
     wait_ms = max(1, effect.timeout // timedelta(milliseconds=1))
     headers: CIMultiDict[str] | dict[str, str] = {"Req-Id": request.id, "Req-Deadline-Ms": str(wait_ms)}
@@ -149,7 +149,7 @@
 
 
 def attempt_data(request: model.Request) -> AsyncIterator[bytes] | bytes | None:
-    """The body of an attempt, read from its start; None where there is none."""
+    """Return the body of an attempt, read from its start; None if there is none."""
     if isinstance(request.body, StoredBody):
         return request.body.pieces()
     body: bytes = request.body
@@ -157,7 +157,7 @@
 
 
 def failed_outcome(error: Exception, address: str) -> Outcome:
-    """The outcome of an attempt that ended with an error; an unclear one may have run and is logged."""
+    """Return the outcome of an attempt that ended with an error; log errors of uncertain effect."""
     match error:
         case aiohttp.ConnectionTimeoutError() | aiohttp.ClientConnectorError():
             return Outcome.CONNECT_FAILED
@@ -165,11 +165,14 @@
             return Outcome.TIMEOUT
         case NotBegun():
             return Outcome.NOT_BEGUN
-        case Broken():
+        case ExchangeBroken():
             return Outcome.RESET if error.written else Outcome.CONNECT_FAILED
         case _:
-            # the answer broke off or could not be read: the attempt may have run
+            # the answer was truncated or malformed: the attempt may have been executed
             logger.debug(
-                "attempt at {address}: {error}", event="attempt.broke", address=address, error=repr(error)
+                "attempt at {address} failed: {error}",
+                event="attempt.broke",
+                address=address,
+                error=repr(error),
             )
             return Outcome.RESET
