--- a/stoatrouter/core/descriptors.py
+++ b/stoatrouter/core/descriptors.py
@@ -13,7 +13,8 @@
 # The watch, its successor after a change of address, and those that the system has not closed yet.
 DISCOVERY_DESCRIPTORS = 4
 FILE_DESCRIPTORS = 16  # standard streams, the loop's own, listening sockets, the old process, the state file
-# Clients accepted before others have closed: client_table.SPARE_CONNECTIONS and two rounds of MAX_ACCEPT_BATCH.
+# Clients accepted before others have closed: client_table.SPARE_CONNECTIONS and two rounds of
+# MAX_ACCEPT_BATCH.
 ACCEPT_DESCRIPTORS = 40
 # Fractions of the remainder. From a thousand descriptors on, they leave a margin for large bodies stored in
 # files.
