--- a/benchmarks/capacity/guests.py
+++ b/benchmarks/capacity/guests.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.decision import HEADS, demo_settings
 from benchmarks.capacity.request import Setting, bench, measured
 from benchmarks.capacity.virtual import SECOND, Load, VirtualHead, node_entries
-from tests.test_fleet import COLD, FALL, FROM, cold_sends
+from tests.test_fleet import OVERLOAD_WINDOW, WARM_UP_FROM, WARM_UP_TIME, sends_to_restarted_nodes
 
 CLIENTS = 50
 IDLE_EXPIRY_S = 15.0  # half of ConnIdle, after which a head gives an idle connection up
@@ -81,7 +81,9 @@
 
 def bears(end: int, units: float) -> float:
     """How many requests the slowest cold node bears in a window that ends so long after its start."""
-    return units / MEAN_UNITS * (1 + (1 / FROM - 1) * max(0, end - FALL / 2) / COLD)
+    return (
+        units / MEAN_UNITS * (1 + (1 / WARM_UP_FROM - 1) * max(0, end - OVERLOAD_WINDOW / 2) / WARM_UP_TIME)
+    )
 
 
 def fullest(sent: list[tuple[int, float]], units: float) -> tuple[float, float]:
@@ -90,7 +92,7 @@
     over_bound, over = -math.inf, -math.inf
     for end, size in ordered:
         held += size / MEAN_UNITS
-        while ordered[first][0] <= end - FALL:
+        while ordered[first][0] <= end - OVERLOAD_WINDOW:
             held -= ordered[first][1] / MEAN_UNITS
             first += 1
         most = bears(end, units)
@@ -102,7 +104,7 @@
 def cold_ramp(case: tuple[int, int, float, bool]) -> tuple[float, float, int, int]:
     """All heads and their nodes: the fullest windows, how many nodes are over the bound, and all sends."""
     seed, heads, units, restarts = case
-    nodes = [sent for sent in cold_sends(seed, heads, units, restarts) if sent]
+    nodes = [sent for sent in sends_to_restarted_nodes(seed, heads, units, restarts) if sent]
     found = [fullest(sent, units) for sent in nodes]
     return (
         max(bound for bound, _ in found),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,8 +12,20 @@
 from stoatrouter.policy.units import NEVER
 from tests.scheduler_driver import MS, SECOND, SchedulerDriver, answer_after
 
-FLEET, START, COLD, FALL, FROM, UNITS = 60, 100 * SECOND, 18 * SECOND, 3 * SECOND, 0.16, 34.0
-RULES = {"warm_up_from": FROM, "warm_up_time": COLD, "warm_up_units": UNITS, "overload_window": FALL}
+FLEET, START, WARM_UP_TIME, OVERLOAD_WINDOW, WARM_UP_FROM, UNITS = (
+    60,
+    100 * SECOND,
+    18 * SECOND,
+    3 * SECOND,
+    0.16,
+    34.0,
+)
+RULES = {
+    "warm_up_from": WARM_UP_FROM,
+    "warm_up_time": WARM_UP_TIME,
+    "warm_up_units": UNITS,
+    "overload_window": OVERLOAD_WINDOW,
+}
 
 
 def test_hosts_with_nothing_out_put_new_data_at_nodes_drawn_at_random():
@@ -77,7 +89,9 @@
     """Of what a node was sent in any window, the largest part of what it bears then."""
     return max(
         (
-            sum(u for at, u in sent if end - FALL < at <= end) / units / (1 + (1 / FROM - 1) * end / COLD)
+            sum(u for at, u in sent if end - OVERLOAD_WINDOW < at <= end)
+            / units
+            / (1 + (1 / WARM_UP_FROM - 1) * end / WARM_UP_TIME)
             for end, _ in sent
         ),
         default=0.0,
@@ -99,7 +113,7 @@
     rules = RULES | {"warm_up_units": UNITS / 8, "overload_multiple": 3.0}
     all_sent = ask_all_while_nodes_restart(1, rules, took)
     sent = sum(u for sent in all_sent for _, u in sent)
-    bears = rules["overload_multiple"] * FALL / took * FROM  # with one place
+    bears = rules["overload_multiple"] * OVERLOAD_WINDOW / took * WARM_UP_FROM  # with one place
     assert max(most_in_a_window(sent, max(bears, UNITS / 8)) for sent in all_sent) <= 1.5
     print("sent", sent)
     assert (sent > 2 * FLEET * 2 * UNITS / 8) == quick
@@ -124,7 +138,7 @@
 HEARD = SECOND // 2  # after a node's start its heads are told
 
 
-def cold_sends(seed, heads, units, restarts, count=12):
+def sends_to_restarted_nodes(seed, heads, units, restarts, count=12):
     """Units sent to each node that restarted, by heads that had been told of it: some nodes restart, seven in
     ten heads in the same seconds or none, nodes are asked for several times as often as others, and heads ask
     differently."""
@@ -168,10 +182,12 @@
     chance."""
     mean = 2.0  # units of a call
     print("seed 1", heads, restarts, units)
-    sends = cold_sends(1, heads, units, restarts)
+    sends = sends_to_restarted_nodes(1, heads, units, restarts)
     assert sum(len(sent) for sent in sends) > 20
     for sent in sends:
         for end, _ in sent:
-            bears = units / mean * (1 + (1 / FROM - 1) * max(0, end - FALL / 2) / COLD)
-            calls = sum(u for at, u in sent if end - FALL < at <= end) / mean
+            bears = (
+                units / mean * (1 + (1 / WARM_UP_FROM - 1) * max(0, end - OVERLOAD_WINDOW / 2) / WARM_UP_TIME)
+            )
+            calls = sum(u for at, u in sent if end - OVERLOAD_WINDOW < at <= end) / mean
             assert calls <= bears + 2 * math.sqrt(bears) + 2
