--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: each message of the wire in the shapes its page shows, and plain words on bad input."""
+"""The adapter: each wire message in its documented form, and a one-line error on bad input."""
 
 from __future__ import annotations
 
@@ -151,38 +151,42 @@
 }
 
 
-def play(*batches: list) -> list[dict]:
+def process_batches(*batches: list) -> list[dict]:
     bridge = simhost.Bridge()
+    batch_times = (8_412_250 + 2000 * i for i in range(len(batches)))  # microseconds
     return [
-        json.loads(bridge.process_batch(json.dumps({"Time": 8_412_250 + 2000 * i, "events": events})))
-        for i, events in enumerate(batches)
+        json.loads(bridge.process_batch(json.dumps({"Time": at, "events": events})))
+        for at, events in zip(batch_times, batches, strict=True)
     ]
 
 
 def commands(reply: dict, name: str) -> list[dict]:
-    return [c for c in reply["cmds"] if c["cmd"] == name]
+    return [command for command in reply["cmds"] if command["cmd"] == name]
 
 
 def test_an_empty_batch_gets_an_empty_reply():
-    assert play([]) == [{"cmds": []}]
+    assert process_batches([]) == [{"cmds": []}]
 
 
 def test_settings_are_read():
-    s = simhost.read_settings(SETTINGS)
-    assert s.hosts == 3 and s.max_attempts == 3 and s.health_checks and s.meters_others
-    assert s.classes[1] == api.RequestClass(
+    settings = simhost.read_settings(SETTINGS)
+    assert settings.hosts == 3 and settings.max_attempts == 3
+    assert settings.health_checks and settings.meters_others
+    assert settings.classes[1] == api.RequestClass(
         "put", 3.0, 400000, 2500000, 0.2, api.Effect.IDEMPOTENT, api.Group.SHARD, 4000000, True, True
     )
-    assert s.plans[0] == api.Plan("small", 4.0, 2.0, 1.0, 0.8, 16.0, 40.0, 8.0)
-    assert s.rules == api.Rules(
+    assert settings.plans[0] == api.Plan("small", 4.0, 2.0, 1.0, 0.8, 16.0, 40.0, 8.0)
+    assert settings.rules == api.Rules(
         8000, 2000000, 0.25, 13000000, 60.0, 3000000, 4.0, 10000000, 700000, 5000000, 3.0, 0.2
     )
 
 
 def test_figures_of_rules_that_are_not_stated_are_none():
-    rules = {k: v for k, v in SETTINGS["Contract"].items() if k not in ("CountedOver", "KeyRest")}
-    s = simhost.read_settings({**SETTINGS, "Contract": rules})
-    assert s.rules.retry_budget_window is None and s.rules.key_hold_down is None
+    rules = {
+        name: value for name, value in SETTINGS["Contract"].items() if name not in ("CountedOver", "KeyRest")
+    }
+    settings = simhost.read_settings({**SETTINGS, "Contract": rules})
+    assert settings.rules.retry_budget_window is None and settings.rules.key_hold_down is None
 
 
 def test_messages_are_read():
@@ -199,11 +203,11 @@
     assert simhost.read_outcome(RESULT) == api.AttemptEnded(
         JOB, 0, "10.18.74.7:5003", api.Outcome.OK, 18500, True, 86, 3, None
     )
-    read = simhost.READERS
-    assert read["LEFT"]({"MsgId": JOB}) == api.ClientGone(JOB)
-    assert read["DUE"]({"Cookie": 77}) == api.TimerFired(77)
-    assert read["HEADERS"]({"MsgId": JOB, "SeqNo": 1, "Brick": "b"}) == api.StreamStarted(JOB, 1, "b")
-    assert read["CHECK_RESULT"]({"Brick": "b", "Status": 1, "TimeTaken": 9, "Load": {"util": 0.5}}) == (
+    readers = simhost.READERS
+    assert readers["LEFT"]({"MsgId": JOB}) == api.ClientGone(JOB)
+    assert readers["DUE"]({"Cookie": 77}) == api.TimerFired(77)
+    assert readers["HEADERS"]({"MsgId": JOB, "SeqNo": 1, "Brick": "b"}) == api.StreamStarted(JOB, 1, "b")
+    assert readers["CHECK_RESULT"]({"Brick": "b", "Status": 1, "TimeTaken": 9, "Load": {"util": 0.5}}) == (
         api.HealthCheckEnded("b", api.Outcome.OK, 9, {"util": 0.5})
     )
     assert simhost.read_list({"Form": "unavailable", "NodesList": None}).kind is api.ListKind.UNAVAILABLE
@@ -226,7 +230,7 @@
 
 
 def test_a_request_is_sent_and_its_answer_taken():
-    replies = play([ATTACH, LIST], [JOB_IN], [RESULT])
+    replies = process_batches([ATTACH, LIST], [JOB_IN], [RESULT])
     sent = commands(replies[1], "CALL_OUT")
     assert [(c["HostId"], c["MsgId"], c["Brick"]) for c in sent] == [("host/3", JOB, "10.18.74.7:5003")]
     assert not commands(replies[2], "SHED") and not commands(replies[2], "REPORT_FAILURE")
@@ -234,7 +238,7 @@
 
 def test_instances_share_nothing_and_a_killed_one_forgets():
     other = {"HostId": "host/5"}
-    replies = play(
+    replies = process_batches(
         [ATTACH, LIST, {**ATTACH, **other}, {**LIST, **other}],
         [JOB_IN],
         [{"cmd": "HALT", "HostId": "host/3"}, ATTACH, LIST, RESULT],
@@ -257,10 +261,10 @@
     ],
 )
 def test_bad_input_ends_with_one_plain_line(line, word, capsys):
-    sink = io.StringIO()
-    assert simhost.main(io.StringIO(line + "\n"), sink) != 0
-    said = capsys.readouterr().err
-    assert word in said and said.count("\n") == 1 and "Traceback" not in said and sink.getvalue() == ""
+    output = io.StringIO()
+    assert simhost.main(io.StringIO(line + "\n"), output) != 0
+    error = capsys.readouterr().err
+    assert word in error and error.count("\n") == 1 and "Traceback" not in error and output.getvalue() == ""
 
 
 def test_an_exception_in_a_decision_is_sent_as_a_fault(monkeypatch):
@@ -268,12 +272,12 @@
         raise RuntimeError("no such thing")
 
     monkeypatch.setattr(simhost.Scheduler, "handle", broken)
-    fault = play([ATTACH, LIST])[0]["cmds"]
+    fault = process_batches([ATTACH, LIST])[0]["cmds"]
     assert fault == [{"cmd": "FAULT", "HostId": "host/3", "NoteText": "RuntimeError: no such thing"}]
 
 
 def test_the_adapter_runs_and_exits_at_the_end_of_input():
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-B", "-m", "stoatrouter.policy.simhost"],
         cwd=ROOT,
         text=True,
@@ -282,4 +286,4 @@
         timeout=30,
         check=False,
     )
-    assert (done.returncode, done.stdout, done.stderr) == (0, '{"cmds":[]}\n', "")
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, '{"cmds":[]}\n', "")
--- a/tests/test_administrative_state.py
+++ b/tests/test_administrative_state.py
@@ -1,4 +1,4 @@
-"""Nodes taken out by an operator: an overlay that no list, restart of the node or new process undoes."""
+"""The administrative state of nodes: no list, node restart or new process undoes an operator's call."""
 
 from __future__ import annotations
 
@@ -18,70 +18,76 @@
 SECOND = 1000 * MS
 
 
-def put(r, out: bool, at: timedelta = START, name: str = "n1"):
-    return r.reduce(model.SetAdministrativeState(at, name, out))
+def take_out(r, at: timedelta = START, name: str = "n1"):
+    return r.reduce(model.SetAdministrativeState(at, name, True))
 
 
-def sends(r, at: timedelta, name: str) -> bool:
+def put_back(r, at: timedelta = START, name: str = "n1"):
+    return r.reduce(model.SetAdministrativeState(at, name, False))
+
+
+def is_request_sent(r, at: timedelta, name: str) -> bool:
     return bool(only(r.reduce(model.Arrived(at, request(name))), model.SendAttempt))
 
 
 @pytest.mark.parametrize("kind", [ListKind.CHANGES, ListKind.FULL, ListKind.RESTORED])
 def test_what_is_out_gets_nothing_new_whatever_is_listed(kind):
     r = reducer(node())
-    assert only(put(r, True), model.SaveAdministrativeState)
+    assert only(take_out(r), model.SaveAdministrativeState)
     r.reduce(model.EndpointListReceived(START + SECOND, kind, (node(),)))
     assert r.scheduler.nodes["n1"].phase is Phase.DRAINING
-    assert not sends(r, START + 3 * SECOND, "late")
-    assert r.nodes["n1"].phase is Phase.ON  # what is listed stays known
+    assert not is_request_sent(r, START + 3 * SECOND, "late")
+    assert r.nodes["n1"].phase is Phase.ON  # the listed phase stays known
 
 
 def test_gone_from_the_list_and_back_gives_no_new_grace():
-    """A node that is restarted while it is out leaves the list and comes back."""
+    """A node that is restarted while it is out leaves the endpoint list and comes back."""
     r = reducer(node())
-    put(r, True)
+    take_out(r)
     r.reduce(model.EndpointListReceived(START + 3 * SECOND, ListKind.CHANGES, (node(phase=Phase.GONE),)))
     r.reduce(model.EndpointListReceived(START + 5 * SECOND, ListKind.CHANGES, (node(),)))
-    assert not sends(r, START + 5 * SECOND, "late")
+    assert not is_request_sent(r, START + 5 * SECOND, "late")
 
 
 def test_out_twice_is_out_once():
     r = reducer(node())
-    put(r, True), put(r, True, START + SECOND)
-    assert put(r, False, START + 2 * SECOND)
-    assert sends(r, START + 3 * SECOND, "r")
+    take_out(r)
+    take_out(r, START + SECOND)
+    assert put_back(r, START + 2 * SECOND)
+    assert is_request_sent(r, START + 3 * SECOND, "r")
 
 
 def test_an_unknown_node_is_owed_a_no_and_one_that_is_out_stays_known():
     r = reducer(node())
-    assert put(r, True, name="n2") == [] and put(r, False, name="n2") == []
-    put(r, True)
+    assert take_out(r, name="n2") == [] and put_back(r, name="n2") == []
+    take_out(r)
     r.reduce(model.EndpointListReceived(START, ListKind.FULL, ()))
-    assert put(r, True) and put(r, False)
+    assert take_out(r) and put_back(r)
 
 
 @pytest.mark.parametrize("restarted", [False, True])
 def test_put_back_it_is_cold_until_a_list_tells_of_its_restart(restarted):
-    """The list may be late: taken for warm, the node would be pushed over."""
+    """The list may report a restart late; until then a node treated as warm would be overloaded."""
     r = reducer(node())
-    put(r, True)
+    take_out(r)
     if restarted:
-        told = model.NodeInfo("n1", "n1:80", 0, Phase.ON, started=START + 2 * SECOND)
-        r.reduce(model.EndpointListReceived(START + 3 * SECOND, ListKind.CHANGES, (told,)))
-    put(r, False, START + 5 * SECOND)
+        entry = model.NodeInfo("n1", "n1:80", 0, Phase.ON, started=START + 2 * SECOND)
+        r.reduce(model.EndpointListReceived(START + 3 * SECOND, ListKind.CHANGES, (entry,)))
+    put_back(r, START + 5 * SECOND)
     r.reduce(model.EndpointListReceived(START + 6 * SECOND, ListKind.FULL, tuple(r.nodes.values())))
     since = START + (2 if restarted else 5) * SECOND
     assert r.scheduler.nodes["n1"].up_since == to_microseconds(since)
-    assert sends(r, START + 7 * SECOND, "r")
+    assert is_request_sent(r, START + 7 * SECOND, "r")
 
 
 def test_what_is_out_is_kept_for_a_new_process(tmp_path):
-    out = model.AdministrativeState()
-    out.take_out("n1", START)
-    out.take_out("n2", START), out.put_back("n2", START + SECOND)
-    assert AdministrativeStateFile(str(tmp_path)).write(out)
-    assert AdministrativeStateFile(str(tmp_path)).read() == out
-    assert [p.name for p in tmp_path.iterdir()] == ["stoatrouter-bricks.json"]
+    state = model.AdministrativeState()
+    state.take_out("n1", START)
+    state.take_out("n2", START)
+    state.put_back("n2", START + SECOND)
+    assert AdministrativeStateFile(str(tmp_path)).write(state)
+    assert AdministrativeStateFile(str(tmp_path)).read() == state
+    assert [path.name for path in tmp_path.iterdir()] == ["stoatrouter-bricks.json"]
 
 
 @pytest.mark.parametrize(
@@ -105,21 +111,22 @@
 
 
 def test_what_was_learnt_of_a_node_outlives_the_record_that_it_was_put_back():
-    """Guards nodes: an hour after one was put back it counted as restarted, its window as never cut."""
+    """Guards nodes: an hour after one was put back it counted as restarted, and lost its reduced window."""
     listed = (node("n1"), replace(node("n2"), shard=1))
     r = reducer(*listed)
-    put(r, True), put(r, False, START + SECOND)
+    take_out(r)
+    put_back(r, START + SECOND)
     late = START + 3 * RETURNED_NODE_RETENTION
     r.reduce(model.Arrived(late, request()))
     r.reduce(model.AttemptEnded(late + MS, "r", 0, Outcome.FULL))
-    known = r.scheduler.nodes["n1"]
-    cut = known.window
-    assert cut < known.window_quota
-    put(r, True, late, "n2")  # a call forgets what is old
+    state = r.scheduler.nodes["n1"]
+    reduced_window = state.window
+    assert reduced_window < state.window_quota
+    take_out(r, late, "n2")  # a call drops expired records
     r.reduce(model.EndpointListReceived(late, ListKind.FULL, listed))
-    assert known.window == cut
-    # restarted, as the list shows: the record has no use any more
+    assert state.window == reduced_window
+    # the list shows a restart: the record is no longer needed
     restarted = replace(node("n1"), started=late)
     r.reduce(model.EndpointListReceived(late, ListKind.CHANGES, (restarted,)))
-    put(r, False, late, "n2")
-    assert list(r.administrative_state.back) == ["n2"] and known.window == known.window_quota
+    put_back(r, late, "n2")
+    assert list(r.administrative_state.back) == ["n2"] and state.window == state.window_quota
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,7 +1,7 @@
-"""Tasks that nobody awaits: a fault in one is seen at once, and its work goes on.
+"""Background tasks that nothing awaits: an exception in one is logged at once, and the task is restarted.
 
-What happened: a head's background tasks (discovery, sweeps of clients, credit, rules, agreement) were looked
-at only as the head ended. One that failed was gone without a word, for as long as the head served.
+A head's background tasks (discovery, sweeps of clients, credit, rules, agreement) used to be awaited only
+when the head stopped. One that failed was gone without a log line for as long as the head served.
 """
 
 from __future__ import annotations
@@ -21,23 +21,25 @@
 from tests.platform_client import HEADERS, PATH, started
 
 
-class Fails:
-    """Fails the first calls, then goes on as `then` does."""
+class FailingFunction:
+    """Raises on the first calls, then calls `function`."""
 
-    def __init__(self, times: int, then) -> None:
-        self.left, self.calls, self.then = times, 0, then
+    def __init__(self, failures: int, function) -> None:
+        self.failures_left = failures
+        self.calls = 0
+        self.function = function
 
     def __call__(self, *arguments):
         self.calls += 1
-        if self.left:
-            self.left -= 1
+        if self.failures_left:
+            self.failures_left -= 1
             raise LookupError("unforeseen")
-        return self.then(*arguments)
+        return self.function(*arguments)
 
 
 @pytest.fixture
 def logged(monkeypatch):
-    """What is logged of faults, with restarts that come at once."""
+    """Return the tasks whose faults were logged; failed tasks are restarted almost at once."""
     monkeypatch.setattr(background, "RESTART_PAUSE", timedelta(milliseconds=1))
     records = []
     sink = logger.add(lambda message: records.append(message.record))
@@ -46,19 +48,19 @@
 
 
 def test_a_task_that_fails_is_logged_and_started_again_until_it_ends(logged):
-    async def story():
+    async def scenario():
         async def work() -> None:
-            attempt()
+            step()
 
-        attempt = Fails(3, lambda: None)
+        step = FailingFunction(3, lambda: None)
         await keep_running("work", work)
-        assert attempt.calls == 4 and logged() == ["work"] * 3
+        assert step.calls == 4 and logged() == ["work"] * 3
 
-    run(story())
+    run(scenario())
 
 
 def test_a_task_that_is_cancelled_is_not_started_again(logged):
-    async def story():
+    async def scenario():
         task = asyncio.create_task(keep_running("sleep", lambda: asyncio.sleep(3600)))
         await asyncio.sleep(0)
         task.cancel()
@@ -66,22 +68,22 @@
             await task
         assert logged() == []
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
     ("task", "owner", "name"),
     [
         ("clients", ClientTable, "sweep"),
-        ("discovery's watch", Watch, "backoff"),  # called where discovery is not reached, as here
+        ("discovery's watch", Watch, "backoff"),  # called because discovery cannot be reached here
         ("loop monitor", head, "monitor_loop"),
     ],
 )
 def test_a_head_goes_on_with_what_failed_once(logged, monkeypatch, task, owner, name):
-    """Sweeps end idle clients, the list is asked for, lag is measured, after a fault as before."""
+    """After a fault, sweeps of clients, the discovery watch and the lag measurement go on."""
 
-    async def story():
-        failing = Fails(2, getattr(owner, name))
+    async def scenario():
+        failing = FailingFunction(2, getattr(owner, name))
         monkeypatch.setattr(owner, name, lambda *arguments: failing(*arguments))
         async with started(Node("a", 0)) as (_, session):
             await until(lambda: failing.calls >= 3)
@@ -89,4 +91,4 @@
             async with session.get(PATH, headers=HEADERS) as response:
                 assert response.status == 200
 
-    run(story())
+    run(scenario())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as a person at a shell has it; the demo; and the log as JSON."""
+"""The command line as a user runs it, the demo, and the log as JSON."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def command(*words, **more):
-    return CliRunner().invoke(main, [str(word) for word in words], **more)
+def invoke(*arguments, **options):
+    return CliRunner().invoke(main, [str(argument) for argument in arguments], **options)
 
 
 @pytest.fixture
@@ -33,63 +33,67 @@
 
 
 @pytest.fixture
-def conf(tmp_path):
+def config_path(tmp_path):
     (tmp_path / "config.json").write_text(json.dumps(config_data(node_list(1))))
     return tmp_path / "config.json"
 
 
-def test_check_says_all_that_is_wrong_and_ends_with_1(rules, conf, tmp_path):
-    fine = command("rules", "check", rules, "--config", conf)
-    assert fine.exit_code == 0 and "feed: 2 rules, at most" in fine.output
-    assert command("config", "check", rules).output.endswith("fine (rules)\n")
+def test_check_says_all_that_is_wrong_and_ends_with_1(rules, config_path, tmp_path):
+    checked = invoke("rules", "check", rules, "--config", config_path)
+    assert checked.exit_code == 0 and "feed: 2 rules, at most" in checked.output
+    assert invoke("config", "check", rules).output.endswith("fine (rules)\n")
     write_rules(tmp_path, feed='rules: [{name: "x", when: "request.headers.y == \\"\\"", class: "nope"}]')
-    bad = command("rules", "check", rules, "--config", conf)
-    assert (
-        bad.exit_code == 1
-        and 'feed.cue:1: scopes.feed.rules[0].when: 1:17: request.headers["y"]' in bad.output
-    )
-    assert "class 'nope' is not of this scope" in bad.output and "2 errors" in bad.output
-    data = json.loads(command("rules", "check", rules, "--config", conf, "--json").output)
-    assert not data["ok"] and {(e["line"], e["path"]) for e in data["errors"]} == {
+    rejected = invoke("rules", "check", rules, "--config", config_path)
+    assert rejected.exit_code == 1
+    assert 'feed.cue:1: scopes.feed.rules[0].when: 1:17: request.headers["y"]' in rejected.output
+    assert "class 'nope' is not of this scope" in rejected.output and "2 errors" in rejected.output
+    data = json.loads(invoke("rules", "check", rules, "--config", config_path, "--json").output)
+    assert not data["ok"] and {(error["line"], error["path"]) for error in data["errors"]} == {
         (1, "scopes.feed.rules[0].when"),
         (1, "scopes.feed.rules[0].class"),
     }
 
 
-def test_names_are_checked_against_the_configuration(rules, conf, tmp_path):
+def test_names_are_checked_against_the_configuration(rules, config_path, tmp_path):
     write_rules(tmp_path, operator=OPERATOR.replace('plans: ["premium"]', 'plans: ["gold"]'))
-    unknown = command("rules", "check", rules, "--config", conf)
+    unknown = invoke("rules", "check", rules, "--config", config_path)
     assert unknown.exit_code == 1 and "there is no plan 'gold' (there is: basic, premium)" in unknown.output
-    unchecked = command("rules", "check", rules, env={"NODE_CONFIG": ""})
+    unchecked = invoke("rules", "check", rules, env={"NODE_CONFIG": ""})
     assert unchecked.exit_code == 0 and "were not checked" in unchecked.output
 
 
 @pytest.mark.parametrize(
     ("name", "kind"), [("http.cue", "http"), ("objects.cue", "objects"), ("http-rules.cue", "rules")]
 )
-def test_the_files_that_are_shipped_are_fine(name, kind, conf):
-    made = command("config", "check", ROOT / "deploy" / name, "--config", conf)
-    assert made.exit_code == 0 and f"fine ({kind})" in made.output, made.output
-
-
-def test_explain_names_the_conjunct_that_failed_and_the_cost(rules, conf):
-    made = command(
-        "rules", "explain", rules, "--config", conf, "--request", "PUT /feed/x", "-H", "Host: scores.example"
-    )
-    assert made.exit_code == 0
-    assert (
-        'reads: no: (request.method in ["GET", "HEAD"])' in made.output and "writes: matched" in made.output
-    )
-    assert "class: event-write" in made.output and re.search(
-        r"cost: \d+ steps in the worst case", made.output
+def test_the_files_that_are_shipped_are_fine(name, kind, config_path):
+    result = invoke("config", "check", ROOT / "deploy" / name, "--config", config_path)
+    assert result.exit_code == 0 and f"fine ({kind})" in result.output, result.output
+
+
+def test_explain_names_the_conjunct_that_failed_and_the_cost(rules, config_path):
+    result = invoke(
+        "rules",
+        "explain",
+        rules,
+        "--config",
+        config_path,
+        "--request",
+        "PUT /feed/x",
+        "-H",
+        "Host: scores.example",
     )
+    assert result.exit_code == 0
+    assert 'reads: no: (request.method in ["GET", "HEAD"])' in result.output
+    assert "writes: matched" in result.output
+    assert "class: event-write" in result.output
+    assert re.search(r"cost: \d+ steps in the worst case", result.output)
     data = json.loads(
-        command(
+        invoke(
             "rules",
             "explain",
             rules,
             "--config",
-            conf,
+            config_path,
             "--json",
             "--request",
             "GET /archive/x",
@@ -99,50 +103,59 @@
     )
     assert data["decided"] == {"refused": 403, "reason": "banned", "scope": "archive", "rule": "blocked"}
     assert data["looked"][0]["matched"] and len(data["looked"]) == 1
-    assert "no scope claims" in command("rules", "explain", rules, "--request", "GET /x").output
+    assert "no scope claims" in invoke("rules", "explain", rules, "--request", "GET /x").output
     assert (
-        "answered 400 before any rule"
-        in command("rules", "explain", rules, "--request", "GET /a/../b").output
+        "answered 400 before any rule" in invoke("rules", "explain", rules, "--request", "GET /a/../b").output
     )
-    assert command("rules", "explain", rules, "--request", "nonsense").exit_code == 2
+    assert invoke("rules", "explain", rules, "--request", "nonsense").exit_code == 2
 
 
-def test_diff_says_by_rule_which_recorded_requests_change(rules, conf, tmp_path):
+def test_diff_says_by_rule_which_recorded_requests_change(rules, config_path, tmp_path):
     (tmp_path / "new").mkdir()
     new = write_rules(tmp_path / "new", feed=f"rules: [{READS[:-1]}, units: 3}}, {WRITES}]")
     log = tmp_path / "heads.jsonl"
     record = {"fields": [["Host", "scores.example"]], "peer": "10.0.0.1", "size": -1}
     log.write_text(
         "".join(
-            json.dumps({"method": m, "target": t, **record}) + "\n"
-            for m, t in (("GET", "/feed/a"), ("PUT", "/feed/a"), ("GET", "/app/a"), ("GET", "/feed/b"))
+            json.dumps({"method": method, "target": target, **record}) + "\n"
+            for method, target in (
+                ("GET", "/feed/a"),
+                ("PUT", "/feed/a"),
+                ("GET", "/app/a"),
+                ("GET", "/feed/b"),
+            )
         )
         + "spoilt\n"
     )
-    made = command("rules", "diff", rules, new, "--requests", log, "--config", conf)
-    assert made.exit_code == 1 and "2 feed/reads -> feed/reads: units: 1.0 -> 3.0 (lines 1, 4)" in made.output
-    assert "2 of 4 requests change; 1 lines cannot be read" in made.output
+    result = invoke("rules", "diff", rules, new, "--requests", log, "--config", config_path)
+    assert (
+        result.exit_code == 1
+        and "2 feed/reads -> feed/reads: units: 1.0 -> 3.0 (lines 1, 4)" in result.output
+    )
+    assert "2 of 4 requests change; 1 lines cannot be read" in result.output
     data = json.loads(
-        command("rules", "diff", rules, new, "--requests", log, "--config", conf, "--json").output
+        invoke("rules", "diff", rules, new, "--requests", log, "--config", config_path, "--json").output
     )
     assert (data["requests"], data["changed"], data["differences"][0]["lines"]) == (4, 2, [1, 4])
-    assert command("rules", "diff", rules, rules, "--requests", log, "--config", conf).exit_code == 0
-    lined = command("rules", "explain", rules, "--config", conf, "--request", f"{log}:2")
-    assert "writes: matched" in lined.output
+    assert invoke("rules", "diff", rules, rules, "--requests", log, "--config", config_path).exit_code == 0
+    explained = invoke("rules", "explain", rules, "--config", config_path, "--request", f"{log}:2")
+    assert "writes: matched" in explained.output
 
 
-def test_bench_times_requests_made_from_the_rules(rules, conf):
-    data = json.loads(command("rules", "bench", rules, "--config", conf, "--rounds", "2", "--json").output)
+def test_bench_times_requests_made_from_the_rules(rules, config_path):
+    data = json.loads(
+        invoke("rules", "bench", rules, "--config", config_path, "--rounds", "2", "--json").output
+    )
     assert data["rules"] == 7 and data["requests"] == 7 and data["median_us"] > 0
 
 
 def test_usage_is_2_and_run_needs_a_configuration():
-    assert command("rules", "check", "/nonexistent.cue").exit_code == 2
-    assert command("run", env={"NODE_CONFIG": ""}).exit_code == 2
-    assert command("--help").exit_code == 0
+    assert invoke("rules", "check", "/nonexistent.cue").exit_code == 2
+    assert invoke("run", env={"NODE_CONFIG": ""}).exit_code == 2
+    assert invoke("--help").exit_code == 0
 
 
-# -- the demo, as the README has it -------------------------------------------------------------------------
+# -- the demo, as the README describes it -------------------------------------------------------------------
 def test_the_demo_shows_calls_that_work_and_ends_on_interrupt():
     process = subprocess.Popen(
         [sys.executable, "-m", "stoatrouter", "demo"],
@@ -151,19 +164,19 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
     )
-    seen = []
+    printed = []
     try:
         for line in process.stdout:
-            seen.append(line)
+            printed.append(line)
             if "what becomes of requests" in line:
                 break
-        base = {m[1]: m[2] for m in re.finditer(r"^(\w+) +(http://\S+)$", "".join(seen), re.MULTILINE)}
+        addresses = re.finditer(r"^(\w+) +(http://\S+)$", "".join(printed), re.MULTILINE)
+        base = {match[1]: match[2] for match in addresses}
         assert set(base) == {"platform", "objects", "http", "management"}
 
         def call(url, method="GET", data=None, **fields):
-            request = urllib.request.Request(
-                url, data, {k.replace("_", "-"): v for k, v in fields.items()}, method=method
-            )
+            headers = {name.replace("_", "-"): value for name, value in fields.items()}
+            request = urllib.request.Request(url, data, headers, method=method)
             with urllib.request.urlopen(request, timeout=20) as answer:
                 return answer.read()
 
@@ -183,10 +196,11 @@
         )
         assert b"app.responses.event-write.ok" in call(base["management"] + "/control/counters")
         process.send_signal(signal.SIGINT)
-        rest, _ = process.communicate(timeout=60)
+        output, _ = process.communicate(timeout=60)
         assert process.returncode == 0
-        assert "PUT  /feed/matches/7  event-write, volume 00000000f0a70011" in rest and "served: 200" in rest
-        assert "requests of the core, by node: node-0" in rest and "Traceback" not in rest
+        assert "PUT  /feed/matches/7  event-write, volume 00000000f0a70011" in output
+        assert "served: 200" in output
+        assert "requests of the core, by node: node-0" in output and "Traceback" not in output
     finally:
         if process.poll() is None:
             process.kill()
@@ -194,29 +208,30 @@
 
 
 # -- logs ---------------------------------------------------------------------------------------------------
-def test_a_head_logs_json_with_event_and_fields(conf):
+def test_a_head_logs_json_with_event_and_fields(config_path):
     environ = os.environ | {
-        "NODE_CONFIG": str(conf),
+        "NODE_CONFIG": str(config_path),
         "STOATROUTER_LOG_FORMAT": "json",
-        "TMPDIR": str(conf.parent),
+        "TMPDIR": str(config_path.parent),
     }
     process = subprocess.Popen(
         [sys.executable, "-m", "stoatrouter"], cwd=ROOT, env=environ, text=True, stderr=subprocess.PIPE
     )
-    began, found = time.monotonic(), []
+    started_at = time.monotonic()
+    records = []
     for line in process.stderr:
         record = json.loads(line)["record"]
-        found.append((record["extra"]["event"], record["extra"]))
+        records.append((record["extra"]["event"], record["extra"]))
         if record["extra"]["event"] == "start":
             process.send_signal(signal.SIGTERM)
-    assert process.wait() == 0 and time.monotonic() - began < 60
-    events = [event for event, _ in found]
+    assert process.wait() == 0 and time.monotonic() - started_at < 60
+    events = [event for event, _ in records]
     assert events[0] == "discovery.told" and {"start", "stop.asked", "stop.answered"} <= set(events)
-    assert dict(found)["start"]["name"] == "n0"
+    assert dict(records)["start"]["name"] == "n0"
 
 
-def logged():
-    """Each call of the logger: its file, line, text and event."""
+def logger_calls():
+    """Yield the place, text and event of each call of the logger."""
     for path in sorted((ROOT / "stoatrouter").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if (
@@ -225,13 +240,13 @@
                 and node.func.attr in ("info", "warning", "error", "exception", "debug")
                 and "logger" in ast.unparse(node.func.value)
             ):
-                event = [k.value.value for k in node.keywords if k.arg == "event"]
-                yield f"{path.name}:{node.lineno}", node.args[0].value, event[0] if event else None
+                events = [keyword.value.value for keyword in node.keywords if keyword.arg == "event"]
+                yield f"{path.name}:{node.lineno}", node.args[0].value, events[0] if events else None
 
 
 def test_each_log_line_has_an_event_that_the_page_for_on_call_names():
     page = (ROOT / "docs" / "on-call.md").read_text()
-    calls = list(logged())
+    calls = list(logger_calls())
     assert len(calls) > 40
     assert [place for place, _, event in calls if event is None] == []
     assert [(place, event) for place, _, event in calls if f"`{event}`" not in page] == []
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Stories of bad clients, told over raw sockets: each gets an error or a close, and none costs a good one."""
+"""Misbehaving clients over raw sockets: each gets an error or is disconnected, and good clients go on."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 async def exchange(head, sent: bytes) -> bytes:
-    """All that a head says to this until it ends the connection."""
+    """Send bytes to a head and return all that it answers until it closes the connection."""
     reader, writer = await asyncio.open_connection(HOST, head.platform.port)
     with contextlib.suppress(ConnectionError):
         writer.write(sent)
         await writer.drain()
-    said = await reader.read()
+    answer = await reader.read()
     writer.close()
-    return said
+    return answer
 
 
 @pytest.mark.parametrize(
@@ -47,18 +47,18 @@
     ],
 )
 def test_what_cannot_be_read_gets_its_error_and_never_reaches_the_core(monkeypatch, sent, status):
-    """Neither a reset over input that was not read, nor one more request out of what is left, nor silence."""
+    """No reset over unread input loses the answer, and the rest of the input is not taken for a request."""
     monkeypatch.setattr(bodies, "STALL", timedelta(milliseconds=100))
 
-    async def story():
+    async def scenario():
         node = Node("a", 0)
         async with started(node) as (head, _):
-            said = await exchange(head, sent)
-            assert re.findall(rb"HTTP/1\.[01] (\d+) ", said) == [b"%d" % status]
+            answer = await exchange(head, sent)
+            assert re.findall(rb"HTTP/1\.[01] (\d+) ", answer) == [b"%d" % status]
             assert not node.seen and not head.engine.reducer.tally.counts
             await until(lambda: not len(head.clients))
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("begun", [b"", GOOD[:40]])
@@ -66,15 +66,15 @@
     monkeypatch.setattr(client_table, "IDLE_TIMEOUT", timedelta(milliseconds=50))
     monkeypatch.setattr(client_table, "HEAD_TIMEOUT", timedelta(milliseconds=50))
 
-    async def story():
+    async def scenario():
         async with started(Node("a", 0)) as (head, _):
             assert await exchange(head, begun) == b""
 
-    run(story())
+    run(scenario())
 
 
 def test_silent_and_idle_connections_make_room_for_those_that_ask():
-    async def story():
+    async def scenario():
         node = Node("a", 0)
         async with started(node, sockets=32) as (head, session), contextlib.AsyncExitStack() as stack:
             for i in range(3 * head.clients.max_connections):
@@ -86,15 +86,15 @@
                     assert response.status == 200
             assert len(head.clients) <= head.clients.max_connections + client_table.SPARE_CONNECTIONS
 
-    run(story())
+    run(scenario())
 
 
 def test_one_that_has_just_come_is_not_ended_for_the_next_while_others_are_idle():
-    async def story():
+    async def scenario():
         node = Node("a", 0)
         async with started(node, sockets=64) as (head, _), contextlib.AsyncExitStack() as stack:
             head.clients.max_idle = head.clients.max_connections
-            for i in range(head.clients.max_connections):  # asked once, then kept
+            for i in range(head.clients.max_connections):  # each sends one request and stays connected
                 reader, writer = await asyncio.open_connection(HOST, head.platform.port)
                 stack.callback(writer.close)
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
@@ -106,35 +106,35 @@
                 writer.write(GOOD.replace(b"9b1f", b"f%03d" % i))
                 assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
 
-    run(story())
+    run(scenario())
 
 
 def test_clients_that_ask_once_and_stay_hold_a_few_connections_only():
-    """The oldest of those between requests ends at once: all clients together may hold only so many."""
+    """The oldest idle connection is closed at once when there are more than `max_idle`."""
 
-    async def story():
+    async def scenario():
         async with started(Node("a", 0), sockets=64) as (head, session), contextlib.AsyncExitStack() as stack:
             assert head.clients.max_idle == 8
-            kept = []
+            readers = []
             for i in range(9):
                 async with session.get(PATH, headers=HEADERS | {"Req-Id": f"s{i}"}) as response:
-                    assert response.status == 200  # one that asks again keeps its connection
+                    assert response.status == 200  # a client that sends another request keeps its connection
                 reader, writer = await asyncio.open_connection(HOST, head.platform.port)
                 stack.callback(writer.close)
                 writer.write(GOOD.replace(b"9b1f", b"%04d" % i))
                 await reader.readuntil(b"\r\n\r\n")
-                kept.append(reader)
+                readers.append(reader)
             await until(lambda: len(head.clients) == 9)
-            assert kept[0].at_eof() or await kept[0].read() == b""
-            assert len(session.connector._conns) == 1 and not kept[-1].at_eof()
+            assert readers[0].at_eof() or await readers[0].read() == b""
+            assert len(session.connector._conns) == 1 and not readers[-1].at_eof()
 
-    run(story())
+    run(scenario())
 
 
 def test_connections_that_ask_again_are_not_held_to_that_bound():
-    """At a high rate many are between two requests at any moment, and new ones cost a core its time."""
+    """At a high rate many connections are between two requests at any moment, and new ones cost CPU time."""
 
-    async def story():
+    async def scenario():
         async with started(Node("a", 0), sockets=64) as (head, _), contextlib.AsyncExitStack() as stack:
             opened = [await asyncio.open_connection(HOST, head.platform.port) for _ in range(20)]
             for i in range(2 * len(opened)):
@@ -144,11 +144,11 @@
                 stack.callback(writer.close)
             assert len(head.clients.by_state[client_table.State.IDLE]) == 20 > head.clients.max_idle
 
-    run(story())
+    run(scenario())
 
 
 def test_unreadable_input_ends_a_connection_though_a_request_is_open_on_it():
-    async def story():
+    async def scenario():
         node = Node("a", 0, "silent")
         async with started(node) as (head, _):
             reader, writer = await asyncio.open_connection(HOST, head.platform.port)
@@ -158,27 +158,28 @@
             assert await reader.read() == b""
             writer.close()
             await until(lambda: not head.engine.reducer.open)
-            # in one piece, the readable part does not pass either: its length may be wrong
-            assert b" 400 " in await exchange(head, GOOD + b"\x00\x01 noise\r\n\r\n") and len(node.seen) == 1
+            # sent in one piece, the valid request is not forwarded either: its length may be wrong
+            assert b" 400 " in await exchange(head, GOOD + b"\x00\x01 noise\r\n\r\n")
+            assert len(node.seen) == 1
 
-    run(story())
+    run(scenario())
 
 
 def test_pipelined_requests_are_answered_in_turn():
-    async def story():
+    async def scenario():
         node = Node("a", 0)
         async with started(node) as (head, _):
             last = GOOD.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n").replace(b"9b1f", b"0000")
             assert (await exchange(head, GOOD + last)).count(b"HTTP/1.1 200 ") == 2
             assert len(node.seen) == 2
 
-    run(story())
+    run(scenario())
 
 
 def test_a_client_that_takes_nothing_of_its_answer_is_left(monkeypatch):
     monkeypatch.setattr(client_table, "WRITE_STALL_TIMEOUT", timedelta(milliseconds=50))
 
-    async def story():
+    async def scenario():
         node = Node("a", 0)
         node.pieces[PATH.split("/", 2)[2]] = b"b" * 1_000_000
         async with started(node) as (head, _):
@@ -189,7 +190,7 @@
             await until(lambda: not len(head.clients))
             connection.close()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -203,27 +204,30 @@
     ],
 )
 def test_a_crowded_head_refuses_plain_requests_as_they_come(sent, plain):
-    """Cheaply, counted, and on a connection that goes on; what is unusual takes the ordinary way."""
+    """Plain requests are refused before they are parsed, are counted, and keep their connection.
 
-    async def story():
+    Unusual ones are parsed in the ordinary way and refused then.
+    """
+
+    async def scenario():
         node = Node("a", 0)
         async with started(node) as (head, _):
             head.clients.max_busy = 0
             reader, writer = await asyncio.open_connection(HOST, head.platform.port)
             for shed in (1, 2) if plain else (1,):
                 writer.write(sent)
-                said = await reader.readuntil(b"\r\n\r\n")
-                assert said.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 0.500\r\n" in said
+                answer = await reader.readuntil(b"\r\n\r\n")
+                assert answer.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 0.500\r\n" in answer
                 assert sum(head.engine.reducer.counters.shed) == shed
-                assert (b"Date" in said) is not plain
-            if plain:  # and once there is room, it is heard
+                assert (b"Date" in answer) is not plain
+            if plain:  # served once there is room
                 head.clients.max_busy = 8
                 writer.write(sent)
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
             assert len(node.seen) == int(plain)
             writer.close()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -236,32 +240,33 @@
     ],
 )
 def test_what_is_not_one_whole_request_is_never_refused_so(sent):
-    async def story():
+    async def scenario():
         async with started(Node("a", 0)) as (head, _):
             assert head.platform.server.refuse(sent) is None
 
-    run(story())
+    run(scenario())
 
 
 def test_a_head_that_sends_clients_away_ends_the_connections_it_refuses_on():
-    async def story():
+    async def scenario():
         async with started(Node("a", 0)) as (head, _):
-            head.clients.max_busy, head.drain.out = 0, True
-            said = await exchange(head, GOOD)
-            assert b"Connection: close\r\n" in said and said.startswith(b"HTTP/1.1 503 ")
+            head.clients.max_busy = 0
+            head.drain.out = True
+            answer = await exchange(head, GOOD)
+            assert b"Connection: close\r\n" in answer and answer.startswith(b"HTTP/1.1 503 ")
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("sockets", "most"), [(1024, 136), (384, 51), (256, 48), (192, 48), (128, 32), (1, 1)]
+    ("sockets", "max_busy"), [(1024, 136), (384, 51), (256, 48), (192, 48), (128, 32), (1, 1)]
 )
-def test_how_many_may_be_open_while_time_is_short_follows_what_clients_may_hold(sockets, most):
-    assert tightened_busy_limit(sockets) == most
+def test_how_many_may_be_open_while_time_is_short_follows_what_clients_may_hold(sockets, max_busy):
+    assert tightened_busy_limit(sockets) == max_busy
 
 
 def test_fewer_may_be_open_while_the_loop_is_late_or_a_new_process_takes_over():
-    async def story():
+    async def scenario():
         async with started(Node("a", 0)) as (head, _):
             table = head.clients
             assert table.busy_limit() == table.max_busy > table.max_busy_tightened
@@ -273,4 +278,4 @@
             table.tighten_busy_limit(timedelta(seconds=60))
             assert table.busy_limit() == table.max_busy_tightened
 
-    run(story())
+    run(scenario())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""A head's configuration: one that cannot be used is refused with place, fault and what would be right."""
+"""A head's configuration: an invalid one is refused with the path, the fault and the allowed values."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from stoatrouter.faults import explain
 from tests.peers import config_data, node_list
 
-GOOD = config_data(node_list(1))
+VALID = config_data(node_list(1))
 
 
 def changed(path: str, value: object) -> dict:
-    data = copy.deepcopy(GOOD)
-    *before, last = [int(p) if p.isdigit() else p for p in path.split(".")]
-    at = data
-    for part in before:
-        at = at[part]
+    """Return the valid configuration with the value at a path replaced, or deleted for `...`."""
+    data = copy.deepcopy(VALID)
+    *parents, last = [int(part) if part.isdigit() else part for part in path.split(".")]
+    container = data
+    for part in parents:
+        container = container[part]
     if value is ...:
-        del at[last]
+        del container[last]
     else:
-        at[last] = value
+        container[last] = value
     return data
 
 
@@ -31,15 +32,15 @@
     data = config_data({"generation": 1, "reset": True, "instances": []})
     data["settings"] = data["settings"] | {"RegistryMode": "gossip"}
     (tmp_path / "config.json").write_text(json.dumps(data))
-    said = "settings.RegistryMode: found 'gossip' .allowed: automatic, subscribe"
-    with pytest.raises(config.ConfigError, match=said):
+    message = "settings.RegistryMode: found 'gossip' .allowed: automatic, subscribe"
+    with pytest.raises(config.ConfigError, match=message):
         config.load({"NODE_CONFIG": str(tmp_path / "config.json")})
 
 
 def test_a_good_one_is_read_and_nothing_is_found_wrong_with_it(tmp_path):
-    (tmp_path / "c.json").write_text(json.dumps(GOOD))
+    (tmp_path / "c.json").write_text(json.dumps(VALID))
     assert config.load({"NODE_CONFIG": str(tmp_path / "c.json")}).name == "n0"
-    assert explain(GOOD) == []
+    assert explain(VALID) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The reducer, event by event: exactly one final answer, and no state but through reduce."""
+"""The reducer, event by event: each request gets exactly one answer, and only `reduce` changes state."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 def reducer(*nodes: model.NodeInfo, **more) -> Reducer:
-    made = Reducer(SETTINGS, seed=1, **more)
-    made.reduce(model.EndpointListReceived(START, ListKind.RESTORED, nodes))
-    return made
+    created = Reducer(SETTINGS, seed=1, **more)
+    created.reduce(model.EndpointListReceived(START, ListKind.RESTORED, nodes))
+    return created
 
 
 def only(effects, kind):
-    return [e for e in effects if isinstance(e, kind)]
+    return [effect for effect in effects if isinstance(effect, kind)]
 
 
 def test_a_request_is_sent_and_its_answer_passed_on():
@@ -62,12 +62,10 @@
 def test_what_the_client_left_is_cancelled_and_answers_nothing():
     r = reducer(node())
     r.reduce(model.Arrived(START, request()))
-    assert only(r.reduce(model.ClientLeft(START + MS, "r")), model.CancelAttempt) == [
-        model.CancelAttempt("r", 0)
-    ]
-    assert not only(
-        r.reduce(model.AttemptEnded(START + 2 * MS, "r", 0, Outcome.OK, b"late")), model.GiveAnswer
-    )
+    cancelled = r.reduce(model.ClientLeft(START + MS, "r"))
+    assert only(cancelled, model.CancelAttempt) == [model.CancelAttempt("r", 0)]
+    ended = r.reduce(model.AttemptEnded(START + 2 * MS, "r", 0, Outcome.OK, b"late"))
+    assert not only(ended, model.GiveAnswer)
     assert r.open == 0
 
 
@@ -96,7 +94,7 @@
 
 def test_a_send_to_a_node_that_just_left_never_ran():
     r = reducer(node())
-    r.nodes.clear()  # a decision made just before
+    r.nodes.clear()  # as if the node left just after the decision
     effects = r.reduce(model.Arrived(START, request()))
     assert not only(effects, model.SendAttempt)
     assert only(effects, model.GiveAnswer)[0].answer == model.Refused(timedelta(0))
@@ -112,11 +110,12 @@
 def test_every_request_has_its_last_moment_watched():
     r = reducer()
     (watch,) = only(r.reduce(model.Arrived(START, request(left=300 * MS))), model.WatchOverdue)
-    assert 300 * MS < watch.after < 358 * MS  # after the module's own word, within the slack of the rule
+    # after the decision module's own deadline, within the slack of the rule
+    assert 300 * MS < watch.after < 358 * MS
 
 
 def test_the_watch_of_an_answered_request_ends_no_later_one_of_its_id():
-    """Guards clients that use an id again: their request failed at the deadline of the earlier one."""
+    """Guards clients that reuse an id: the new request failed at the deadline of the earlier one."""
     r = reducer(node())
     (first,) = only(r.reduce(model.Arrived(START, request())), model.WatchOverdue)
     r.reduce(model.AttemptEnded(START + MS, "r", 0, Outcome.OK))
@@ -133,12 +132,12 @@
 r = reducer(node())
 def broken(*_): raise RuntimeError("no such thing")
 r.scheduler.handle = broken
-assert_not = only(r.reduce(model.Arrived(START, request())), model.GiveAnswer)
+early_answers = only(r.reduce(model.Arrived(START, request())), model.GiveAnswer)
 given = only(r.reduce(model.Overdue(START + 2015 * MS, "r")), model.GiveAnswer)
 from stoatrouter.core.invariants import violations as counted
-print(assert_not, given[0].answer, sum(counted.values()), r.tally.counts["decision_failed"])
+print(early_answers, given[0].answer, sum(counted.values()), r.tally.counts["decision_failed"])
 """
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-O", "-B", "-c", code],
         cwd=ROOT,
         capture_output=True,
@@ -146,8 +145,8 @@
         timeout=60,
         check=False,
     )
-    assert done.stdout == "[] Failed() 1 1\n", done.stderr
-    assert "decision failed on RequestArrived" in done.stderr and "invariant broken" in done.stderr
+    assert completed.stdout == "[] Failed() 1 1\n", completed.stderr
+    assert "decision failed on RequestArrived" in completed.stderr and "invariant broken" in completed.stderr
 
 
 def test_a_broken_invariant_raises_a_typed_assertion_in_debug_builds():
@@ -163,10 +162,8 @@
 
 
 def test_spans_and_counts_are_each_others_inverse():
-    assert (
-        to_microseconds(from_microseconds(1_234_567)) == 1_234_567
-        and to_microseconds(timedelta(seconds=1.5)) == 1_500_000
-    )
+    assert to_microseconds(from_microseconds(1_234_567)) == 1_234_567
+    assert to_microseconds(timedelta(seconds=1.5)) == 1_500_000
 
 
 def test_on_sockets_the_grace_of_drains_leaves_time_to_connect():
@@ -201,8 +198,9 @@
     assert r.counters.active == 1
     for event in events:
         r.reduce(event)
-    f = r.counters
-    assert (sum(f.ok), sum(f.shed), sum(f.errors), f.active) == (*counts, 0)
+    counters = r.counters
+    totals = (sum(counters.ok), sum(counters.shed), sum(counters.errors), counters.active)
+    assert totals == (*counts, 0)
 
 
 def test_what_is_turned_away_counts_as_shed_or_failed():
@@ -210,12 +208,13 @@
     for arrived in request(), request(), request("s"):
         r.reduce(model.Arrived(START, arrived))
     r.reduce(model.RejectedByFront(START, 0))
-    f = r.counters
-    assert (sum(f.ok), sum(f.shed), sum(f.errors), f.active) == (0, 2, 1, 1)
+    counters = r.counters
+    totals = (sum(counters.ok), sum(counters.shed), sum(counters.errors), counters.active)
+    assert totals == (0, 2, 1, 1)
 
 
-def moved_write(r):
-    """A new object is written through this head, and n2 takes it."""
+def write_new_object(r):
+    """Write a new object through this head, and return the shard where it was placed."""
     new = replace(request("w"), shard=-1, write=True, key="new")
     (sent,) = only(r.reduce(model.Arrived(START, new)), model.SendAttempt)
     r.reduce(model.AttemptEnded(START + MS, "w", 0, Outcome.OK, b""))
@@ -223,17 +222,17 @@
 
 
 def test_a_read_with_an_older_place_is_sent_to_where_its_data_was_put():
-    """A client may have begun its request before the write of that data was answered."""
+    """A client may send a read with the old shard before the write of that data is answered."""
     r = reducer(node(), replace(node("n2"), shard=1))
-    there = moved_write(r)
-    read = replace(request(), shard=1 - there, key="new")
+    placed_at = write_new_object(r)
+    read = replace(request(), shard=1 - placed_at, key="new")
     (first,) = only(r.reduce(model.Arrived(START + 2 * MS, read)), model.SendAttempt)
     window = r.scheduler.nodes[first.address[:2]].window
     effects = r.reduce(model.AttemptEnded(START + 3 * MS, "r", 0, Outcome.MOOT))
-    assert r.scheduler.nodes[first.address[:2]].window == window  # it tells nothing of the node's load
-    (now,) = [e for e in only(effects, model.SetTimer) if not e.after]
-    (second,) = only(r.reduce(model.TimerDue(START + 3 * MS, now.token)), model.SendAttempt)
-    assert second.address == f"n{there + 1}:80"
+    assert r.scheduler.nodes[first.address[:2]].window == window  # the outcome says nothing about the load
+    (timer,) = [timer for timer in only(effects, model.SetTimer) if not timer.after]
+    (second,) = only(r.reduce(model.TimerDue(START + 3 * MS, timer.token)), model.SendAttempt)
+    assert second.address == f"n{placed_at + 1}:80"
 
 
 def test_what_no_node_holds_is_given_up_at_once():
--- a/tests/test_dial.py
+++ b/tests/test_dial.py
@@ -1,8 +1,8 @@
-"""A head that is held up does not blame its nodes for it.
+"""A head whose event loop stalls does not count the delay as a failure of its nodes.
 
-What happened: a loop that stood for longer than a connection may take to open found its timer due and the
-connection up in the same step, and gave the connection up. All nodes that were being connected to counted as
-not reached at once: after a stall of 0.7 s a head rejected 20 of 24 requests, though each had 1.3 s left.
+After a stall longer than the connect timeout, the loop finds the timer due and the connection open in the
+same iteration. It used to abandon the connection then, and all nodes being dialled counted as unreachable:
+after a stall of 0.7 s a head rejected 20 of 24 requests, though each had 1.3 s left.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from tests.platform_client import HEADERS, PATH, started
 
 REQUESTS = 24
-WITHIN = 0.01  # seconds
+CONNECT_TIMEOUT = 0.01  # seconds
 
 
-class Opened:
-    """Stands for a connection that came up."""
+class OpenConnection:
+    """A stand-in for a connection that has been established."""
 
     closed = False
 
@@ -31,13 +31,15 @@
 
 @pytest.mark.parametrize("stall", [0.15, 0.7])
 def test_requests_whose_dials_are_held_up_are_served(stall):
-    """Forced: the loop stands for that long once six connections are being opened."""
+    """The loop is blocked for that long while six connections are being opened."""
 
-    async def story():
+    async def scenario():
         nodes = [Node(f"n{number}", 0) for number in range(4)]
         async with started(*nodes) as (head, session):
-            loop, pool = asyncio.get_running_loop(), head.engine.nodes.pool
-            create, dials = pool._create_connection, 0
+            loop = asyncio.get_running_loop()
+            pool = head.engine.nodes.pool
+            create = pool._create_connection
+            dials = 0
 
             async def create_slowly(*arguments):
                 nonlocal dials
@@ -56,49 +58,50 @@
             counts = head.engine.reducer.tally.take()
             assert counts["ok"] == REQUESTS and "connect_failed" not in counts
 
-    run(story())
+    run(scenario())
 
 
 def test_what_does_not_come_up_in_time_is_given_up():
-    async def story():
+    async def scenario():
         forever = asyncio.Event()
 
         async def opening():
             await forever.wait()
-            return Opened()
+            return OpenConnection()
 
         with pytest.raises(TimeoutError):
-            await open_in_time(opening(), WITHIN)
+            await open_in_time(opening(), CONNECT_TIMEOUT)
         assert len(asyncio.all_tasks()) <= 2
 
-    run(story())
+    run(scenario())
 
 
 def test_an_error_of_a_dial_is_its_callers():
-    async def story():
+    async def scenario():
         async def opening():
             raise ConnectionRefusedError
 
         with pytest.raises(ConnectionRefusedError):
             await open_in_time(opening(), 60.0)
 
-    run(story())
+    run(scenario())
 
 
 def test_a_connection_that_comes_up_for_nobody_is_closed():
-    """Its caller is cancelled in the step in which it is up."""
+    """The caller is cancelled in the loop iteration in which the connection is established."""
 
-    async def story():
-        connection, up = Opened(), asyncio.Event()
+    async def scenario():
+        connection = OpenConnection()
+        established = asyncio.Event()
 
         async def opening():
-            await up.wait()
+            await established.wait()
             return connection
 
         caller = asyncio.create_task(open_in_time(opening(), 60.0))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        up.set()
+        established.set()
         await asyncio.sleep(0)
         caller.cancel()
         with pytest.raises(asyncio.CancelledError):
@@ -106,4 +109,4 @@
         await asyncio.sleep(0)
         assert connection.closed
 
-    run(story())
+    run(scenario())
--- a/tests/test_early_refusals.py
+++ b/tests/test_early_refusals.py
@@ -1,4 +1,4 @@
-"""Requests that can no longer be answered in time are refused or failed at once."""
+"""Requests that can no longer be answered before their deadline are refused or failed at once."""
 
 from __future__ import annotations
 
@@ -7,13 +7,16 @@
 from tests.scheduler_driver import MS, PLAN, SECOND, SchedulerDriver, answer_after
 
 
-def never_held_in_vain(driver: SchedulerDriver) -> None:
-    """No request is held that could not be sent and answered any more."""
-    s = driver.scheduler
-    for r in s.requests.values():
-        if not r.done and not r.in_flight() and r.node is not None:
-            opens = max(driver.now, r.wait_until, s.send_rules.blocked_until(r, r.node, driver.now))
-            assert opens < r.deadline, f"{r.id} is held though it can only go at {opens}"
+def assert_held_requests_can_be_sent(driver: SchedulerDriver) -> None:
+    """Check that each request waiting to be sent can still be sent before its deadline."""
+    scheduler = driver.scheduler
+    for request in scheduler.requests.values():
+        if not request.done and not request.in_flight() and request.node is not None:
+            blocked_until = scheduler.send_rules.blocked_until(request, request.node, driver.now)
+            sendable_at = max(driver.now, request.wait_until, blocked_until)
+            assert sendable_at < request.deadline, (
+                f"{request.id} is held but cannot be sent before {sendable_at}"
+            )
 
 
 def test_a_request_beyond_the_limits_store_is_refused_in_the_same_call_with_when_to_come_back():
@@ -21,12 +24,14 @@
     driver = SchedulerDriver(plans=(plan,), accepts_retry_after=True, max_retry_after=500 * MS)
     driver.wait(2100 * MS)
     driver.request("first", units=3.9, left=1 * SECOND)
-    driver.request("second", units=3.9, left=1 * SECOND)  # the store fills in two seconds, the client has one
+    # the bucket refills in two seconds, but the client waits for only one
+    driver.request("second", units=3.9, left=1 * SECOND)
     assert driver.sends("first") and driver.finals("second") == [api.Reject("second", 500 * MS)]
     driver.end("first")
-    driver.request("third", units=0.5, left=1 * SECOND)  # a quarter of a second away: held, then sent
+    # can be sent in a quarter of a second: held, then sent
+    driver.request("third", units=0.5, left=1 * SECOND)
     assert not driver.finals("third")
-    driver.wait(400 * MS, never_held_in_vain)
+    driver.wait(400 * MS, assert_held_requests_can_be_sent)
     assert driver.sends("third")
 
 
@@ -65,11 +70,9 @@
 def test_late_requests_at_a_paced_node_are_refused_at_once_and_told_its_pace():
     driver = SchedulerDriver(hosts=200, accepts_retry_after=True, max_retry_after=500 * MS)
     node = driver.scheduler.nodes["n1"]
-    node.window, node.last_sent_at, node.last_round_trip = (
-        0.1,
-        driver.now,
-        300.0 * MS,
-    )  # the next turn is three seconds away
+    node.window = 0.1
+    node.last_sent_at = driver.now
+    node.last_round_trip = 300.0 * MS  # paced by the window: the next send is three seconds away
     driver.request("r", left=2 * SECOND)
     assert driver.finals("r") == [api.Reject("r", 500 * MS)]
 
@@ -84,7 +87,7 @@
             f"r{i}", i % 3, volume=f"v{i % 5}", plan=i % 2, left=(100 + 37 * i % 900) * MS, units=1 + i % 4
         )
         driver.wait(30 * MS, answer_after((5 + 31 * i % 400) * MS, outcomes[i % 6]))
-        never_held_in_vain(driver)
+        assert_held_requests_can_be_sent(driver)
     driver.wait(2 * SECOND)
     done = {a.request for _, a in driver.log if isinstance(a, api.Reject | api.Fail)}
     assert len(done) > 20 and all(len(driver.finals(f"r{i}")) <= 1 for i in range(200))
--- a/tests/test_endpoint_list_and_descriptors.py
+++ b/tests/test_endpoint_list_and_descriptors.py
@@ -1,5 +1,7 @@
-"""The list is known in time whatever a watch does, and clients take nobody else's descriptors: forced on real
-sockets."""
+"""The endpoint list arrives in time whatever fails, and clients take no one else's descriptors.
+
+All tests run on real sockets.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +43,7 @@
 from tests.program_process import end_with_parent, program_environ, start_program
 from tests.test_program import ready
 
-AT_ONCE = replace(
+SHORT_TIMES = replace(
     list_times(True, 2000 * MS),
     hold=30 * MS,
     hold_grace=30 * MS,
@@ -56,24 +58,23 @@
 def test_the_budget_of_the_list_keeps_to_the_term(grace):
     for pushed in (True, False):
         times = list_times(pushed, grace * MS)
-        assert (
-            times.max_change_delay < MAX_NOTIFICATION_DELAY
-            and times.max_recovery_delay < MAX_NOTIFICATION_DELAY
-        )
+        assert times.max_change_delay < MAX_NOTIFICATION_DELAY
+        assert times.max_recovery_delay < MAX_NOTIFICATION_DELAY
         assert times.first_answer <= timedelta(seconds=1)
-    if grace >= 1000:  # what an agent got at its return counts at once: it is known within the grace
+    if grace >= 1000:  # a change that an agent gets as it recovers counts at once: due within the grace
         assert list_times(True, grace * MS).max_recovery_delay < grace * MS
 
 
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("fault", ["silent", "half", "trickle", "refused", "reset", "cut"])
 def test_a_watch_that_goes_wrong_in_any_way_is_asked_anew_and_briefly(fault, pushed):
-    async def story():
-        a, heard = Node("a", 0), []
+    async def scenario():
+        node = Node("a", 0)
+        received = []
         agent = Agent(
-            json.dumps(node_list(2, a.entry())).encode(),
+            json.dumps(node_list(2, node.entry())).encode(),
             fault,
-            json.dumps(node_list(3, a.entry(lifecycle="DRAINING"), reset=False)).encode(),
+            json.dumps(node_list(3, node.entry(lifecycle="DRAINING"), reset=False)).encode(),
             json.dumps(node_list(3, reset=False)).encode(),
         )
         async with agent_up(agent) as port:
@@ -81,35 +82,39 @@
                 f"{HOST}:{port}",
                 node_list(1),
                 pushed=pushed,
-                times=AT_ONCE,
-                on_list=lambda kind, nodes, age: heard.append((nodes[0].phase, age)),
+                times=SHORT_TIMES,
+                on_list=lambda kind, nodes, age: received.append((nodes[0].phase, age)),
             )
             task = asyncio.create_task(watch.run())
-            await until(lambda: len(heard) == 2 and len(agent.calls) == 4)
+            await until(lambda: len(received) == 2 and len(agent.calls) == 4)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        held, brief = AT_ONCE.hold / MS, AT_ONCE.short_hold / MS
-        asked = [int(call.partition("hold_ms=")[2] or 0) for call in agent.calls]
-        assert asked[1] >= 0.7 * held and asked[2] == brief and asked[3] >= 0.7 * held
-        assert [phase for phase, _ in heard] == [Phase.ON, Phase.DRAINING]
-        # pushed, it counted from when the agent had it: some time since the last answer that was whole
-        assert (heard[1][1] > timedelta(0)) == pushed and heard[0][1] == (None if pushed else timedelta(0))
+        hold_ms = SHORT_TIMES.hold / MS
+        short_hold_ms = SHORT_TIMES.short_hold / MS
+        holds = [int(call.partition("hold_ms=")[2] or 0) for call in agent.calls]
+        assert holds[1] >= 0.7 * hold_ms and holds[2] == short_hold_ms and holds[3] >= 0.7 * hold_ms
+        assert [phase for phase, _ in received] == [Phase.ON, Phase.DRAINING]
+        # in pushed mode a change counts from when the agent may have got it: after the last complete answer
+        ages = [age for _, age in received]
+        assert (ages[1] > timedelta(0)) == pushed and ages[0] == (None if pushed else timedelta(0))
 
-    run(story())
+    run(scenario())
 
 
 def test_a_connection_to_discovery_that_never_comes_up_costs_the_dial_alone():
-    async def story():
+    async def scenario():
         with socket.socket() as full, contextlib.ExitStack() as stack:
             full.bind((HOST, 0))
             full.listen(0)
-            for _ in range(3):  # nobody accepts: the next one never comes up
+            for _ in range(3):  # fill the accept queue, so that the next connection is never established
                 waiting = stack.enter_context(socket.socket())
                 waiting.setblocking(False)
                 waiting.connect_ex(full.getsockname())
             agent = Agent()
             async with agent_up(agent) as port:
-                watch = Watch(f"{HOST}:{full.getsockname()[1]}", node_list(1), lambda *_: None, times=AT_ONCE)
+                watch = Watch(
+                    f"{HOST}:{full.getsockname()[1]}", node_list(1), lambda *_: None, times=SHORT_TIMES
+                )
                 task = asyncio.create_task(watch.run())
                 await until(lambda: watch.failures >= 2)
                 watch.change_address(f"{HOST}:{port}")
@@ -117,40 +122,42 @@
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("discovery", ["answers", "silent"])
 def test_a_new_process_asks_before_it_accepts_yet_does_not_wait_for_long(discovery, monkeypatch):
-    monkeypatch.setattr(head_module, "list_times", list_times)  # as in service
-
-    async def story():
-        a, b, known = Node("a", 0), Node("b", 0), []
-        says = [node_list(2, a.entry(lifecycle="DRAINING"), reset=False)] if discovery == "answers" else []
-        peer = Discovery(*says)
+    monkeypatch.setattr(head_module, "list_times", list_times)  # the production times
+
+    async def scenario():
+        a = Node("a", 0)
+        b = Node("b", 0)
+        known_at_accept = []  # calls of discovery and the phase of node a
+        script = [node_list(2, a.entry(lifecycle="DRAINING"), reset=False)] if discovery == "answers" else []
+        peer = Discovery(*script)
         async with nodes_up(a, b), listening(peer.handle) as port:
             head = Head(head_config(a, b, discovery=port))
             accept = head.accept
 
             async def accepting():
-                known.append((len(peer.calls), head.engine.reducer.nodes["a"].phase))
+                known_at_accept.append((len(peer.calls), head.engine.reducer.nodes["a"].phase))
                 await accept()
 
             head.accept = accepting
             await head.start()
             try:
                 if discovery == "answers":
-                    # counted as told from this process's first moment, so there is no grace
-                    assert known in ([(1, Phase.DRAINING)], [(2, Phase.DRAINING)])
+                    # a change known before the process accepts counts from its start, so there is no grace
+                    assert known_at_accept in ([(1, Phase.DRAINING)], [(2, Phase.DRAINING)])
                     assert not head.engine.reducer.scheduler.nodes["a"].accepts(
                         to_microseconds(head.engine.clock.now())
                     )
                 else:
-                    assert known[0][1] is Phase.ON and len(known) == 1 and head.serving
+                    assert known_at_accept[0][1] is Phase.ON and len(known_at_accept) == 1 and head.serving
             finally:
                 await head.stop()
 
-    run(story())
+    run(scenario())
 
 
 # -- descriptors ---------------------------------------------------------------------------------------------
@@ -163,42 +170,48 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_leave_discovery_nodes_and_operators_theirs(tmp_path):
-    """Discovery is down, clients come and rest; it is reached the moment it returns, and a node it names is
-    dialled."""
-    most = 160
+    """While discovery is down, idle clients connect; once it is back, it and a new node can be reached."""
+    max_descriptors = 160
 
-    async def story():
-        a, b = Node("a", 0), Node("b", 1)
+    async def scenario():
+        a = Node("a", 0)
+        b = Node("b", 1)
         async with nodes_up(a, b):
             host = own_host()
-            port, management, at = free_ports(host, 3)
-            data = config_data(node_list(1, a.entry()), at, port, f"{host}:{management}", sockets=most)
-            data |= {"listen": f"{host}:{port}", "discovery": f"{host}:{at}"}
+            port, management, discovery_port = free_ports(host, 3)
+            data = config_data(
+                node_list(1, a.entry()),
+                discovery_port,
+                port,
+                f"{host}:{management}",
+                sockets=max_descriptors,
+            )
+            data |= {"listen": f"{host}:{port}", "discovery": f"{host}:{discovery_port}"}
             (tmp_path / "config.json").write_text(json.dumps(data))
 
-            def limit():
+            def limit_descriptors():
                 end_with_parent()
-                resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+                resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
 
             process = await start_program(
                 tmp_path,
                 program_environ(tmp_path / "config.json"),
-                preexec_fn=limit,
+                preexec_fn=limit_descriptors,
                 stderr=asyncio.subprocess.DEVNULL,
             )
             clients = []
             try:
                 async with aiohttp.ClientSession() as session:
                     await ready(session, f"http://{host}:{port}")
-                    for _ in range(2 * most):  # more than there are descriptors, as fast as they are taken
+                    for _ in range(2 * max_descriptors):  # more than the limit, as fast as they are accepted
                         clients.append(await asyncio.open_connection(host, port))
-                    held = len(os.listdir(f"/proc/{process.pid}/fd"))
-                    assert held <= most
+                    open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
+                    assert open_descriptors <= max_descriptors
                     async with session.get(f"http://{host}:{management}/control/ready") as answer:
                         assert answer.status == 200
                     agent = Agent(json.dumps(node_list(2, a.entry(), b.entry())).encode())
-                    server = await asyncio.start_server(agent.serve, host, at)
-                    await until(lambda: len(agent.calls) >= 2)  # it has the list, and asks for what is newer
+                    server = await asyncio.start_server(agent.serve, host, discovery_port)
+                    await until(lambda: len(agent.calls) >= 2)  # the head has the list and asks for changes
                     headers = HEADERS | {"X-IO": "units=2,shard=1,hosts=1"}
                     async with (
                         aiohttp.ClientSession() as fresh,
@@ -214,4 +227,4 @@
                 kill(process)
                 await process.wait()
 
-    run(story())
+    run(scenario())
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -1,4 +1,4 @@
-"""The language: its conformance table, generated expressions against the reference, bounds, any text at all."""
+"""The expression language: conformance table, a reference implementation, bounds and arbitrary text."""
 
 from __future__ import annotations
 
@@ -37,20 +37,21 @@
     "score-read",
 )
 VARIABLES = {name: getattr(REQUEST, v.attribute) for name, v in HTTP_ENVIRONMENT.variables.items()}
+# Hypothesis seeds a derandomized test with a digest of its source: editing such a test changes its examples.
 DETERMINED = settings(
     max_examples=400, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
 )
 
 
-def cases():
+def conformance_cases():
     for line in (Path(__file__).parent / "data" / "expressions.txt").read_text().splitlines():
         if line and not line.startswith("#"):
             source, _, value = line.partition(" ==> ")
             yield source, value.strip()
 
 
-def meant(text):
-    """A value of the table."""
+def parse_expected(text):
+    """Return a value that the conformance table states."""
     if text in ("inf", "-inf"):
         return float(text)
     if found := re.fullmatch(r"duration\((.+)\)", text):
@@ -58,7 +59,7 @@
     return None if text == "none" else ast.literal_eval(text)
 
 
-@pytest.mark.parametrize(("source", "value"), list(cases()), ids=lambda text: text[:60])
+@pytest.mark.parametrize(("source", "value"), list(conformance_cases()), ids=lambda text: text[:60])
 def test_conformance(source, value):
     if value.startswith("!"):
         with pytest.raises(ex.ExpressionError) as refusal:
@@ -66,7 +67,7 @@
         assert value[1:].strip() in str(refusal.value)
         return
     made = ex.load(source, HTTP_ENVIRONMENT).run(REQUEST)
-    assert made == meant(value) and type(made) is type(meant(value))
+    assert made == parse_expected(value) and type(made) is type(parse_expected(value))
 
 
 def test_a_refusal_names_place_header_and_guard():
@@ -78,7 +79,7 @@
     first, *others = refusal.value.problems
     assert str(first.at) == "2:19" and 'request.headers["x-team"]' in first.what
     assert ".orValue(" in first.remedy and '"x-team" in request.headers && ' in first.remedy
-    assert [problem.what for problem in others] == ["there is no 'x'"]  # and all others in the same go
+    assert [problem.what for problem in others] == ["there is no 'x'"]  # all problems are reported at once
 
 
 # -- generated expressions ----------------------------------------------------------------------------------
@@ -112,7 +113,8 @@
         '["b"].filter(x, x == "c")',
     ],
 }
-# b, i, s, d and l stand for expressions of a kind: bool, int, string, double, list of strings; <=> for an order
+# b, i, s, d and l stand for expressions of a kind: bool, int, string, double, list of strings; <=> for a
+# comparison; V for a new variable
 FORMS = {
     "b": """({b} && {b}) | ({b} || {b} || {b}) | !({b}) | ({i} <=> {i}) | ({s} <=> {s}) | ({d} <=> {d}) | ({s} in {l})
         | ({l} == {l}) | {s}.startsWith({s}) | {s}.contains({s}) | {s}.endsWith({s}) | {s}.matches("^[a-z]+[0-9]?$")
@@ -134,56 +136,53 @@
 
 
 @st.composite
-def expressions(draw, kinds="bisdl", most_depth=4):
-    """Sources of well-typed expressions. They may still fail: agrees() wraps those in try()."""
+def expressions(draw, kinds="bisdl", max_depth=4):
+    """Generate sources of well-typed expressions. Some may fail: agrees() wraps those in try()."""
     names = iter(f"v{i}" for i in range(100_000))
 
-    def of(kind, depth):
+    def expression_of(kind, depth):
         if depth == 0 or draw(st.integers(0, 5)) == 0:
             leaves = LEAVES[kind]
-            pick = (
-                draw(st.integers(0, 2 * len(leaves) - 1))
-                if kind in "is"
-                else draw(st.integers(0, len(leaves) - 1))
-            )
-            if pick < len(leaves):
-                return leaves[pick]
+            choices = 2 * len(leaves) if kind in "is" else len(leaves)
+            choice = draw(st.integers(0, choices - 1))
+            if choice < len(leaves):
+                return leaves[choice]
             return str(draw(INTS)) if kind == "i" else quoted(draw(TEXTS))
         form = re.sub(r"\bV\b", next(names), draw(st.sampled_from(PARTS[kind])))
         form = form.replace("<=>", draw(st.sampled_from(["==", "!=", "<", "<=", ">", ">="])))
         form = re.sub(
             r"(?<!\{)\{([bisdl])\}",
-            lambda found: of(found[1], depth - 1).replace("{", "{{").replace("}", "}}"),
+            lambda match: expression_of(match[1], depth - 1).replace("{", "{{").replace("}", "}}"),
             form,
         )
         return form.replace("{{", "{").replace("}}", "}")
 
-    return of(draw(st.sampled_from(kinds)), most_depth)
+    return expression_of(draw(st.sampled_from(kinds)), max_depth)
 
 
-ROOMY = ex.Limits(steps=10**15, result=10**12, largest=10**12)
+HIGH_LIMITS = ex.Limits(steps=10**15, result=10**12, largest=10**12)
 
 
-def alike(a, b):
+def same_value(a, b):
     return a == b or (isinstance(a, float) and isinstance(b, float) and math.isnan(a) and math.isnan(b))
 
 
 def agrees(source):
-    """One generated expression, compiled and by the reference: the same value, and steps within the bound."""
+    """Check that a compiled expression and the reference yield the same value, within the bound of steps."""
     tree = ex.parse(source)
     try:
-        checked = ex.check(tree, HTTP_ENVIRONMENT, None, ROOMY)
+        checked = ex.check(tree, HTTP_ENVIRONMENT, None, HIGH_LIMITS)
     except ex.ExpressionError as error:
         assert all("may" in problem.what for problem in error.problems), (source, str(error))
-        tree = ex.parse(f"try({source})")  # it may fail, and then has to say so to be accepted
-        checked = ex.check(tree, HTTP_ENVIRONMENT, None, ROOMY)
+        tree = ex.parse(f"try({source})")  # an expression that may fail is accepted only within try()
+        checked = ex.check(tree, HTTP_ENVIRONMENT, None, HIGH_LIMITS)
     reference = Reference(VARIABLES, ("request.headers",))
     value = ex.compile_checked(checked).run(REQUEST)
-    wanted = reference.of(tree)
-    if isinstance(wanted, Opt):
-        assert (value is not None) == bool(wanted.value), source
-        wanted = wanted.value[0] if wanted.value else None
-    assert alike(value, wanted) and type(value) is type(wanted), (source, value, wanted)
+    expected = reference.of(tree)
+    if isinstance(expected, Opt):
+        assert (value is not None) == bool(expected.value), source
+        expected = expected.value[0] if expected.value else None
+    assert same_value(value, expected) and type(value) is type(expected), (source, value, expected)
     assert reference.steps <= checked.cost, (source, reference.steps, checked.cost)
     return value, checked
 
@@ -260,7 +259,7 @@
         assert error.problems and all(p.at.line >= 1 and p.at.column >= 1 and p.what for p in error.problems)
 
 
-# -- written to loop or to grow -----------------------------------------------------------------------------
+# -- expressions written to loop or to grow -----------------------------------------------------------------
 HOSTILE = {
     "parentheses": "(" * 10_000 + "1" + ")" * 10_000,
     "parentheses that fit": "(" * 4_000 + "1" + ")" * 4_000,
@@ -285,11 +284,8 @@
     tracemalloc.start()
     try:
         value = ex.load(HOSTILE[kind], HTTP_ENVIRONMENT).run(REQUEST)
-        assert kind in ("parentheses that fit", "alternatives", "backtracking") and value in (
-            1,
-            True,
-            False,
-        ), kind
+        assert kind in ("parentheses that fit", "alternatives", "backtracking"), kind
+        assert value in (1, True, False), kind
     except ex.ExpressionError as error:
         assert error.problems
     finally:
@@ -299,16 +295,16 @@
 
 
 def test_a_pattern_that_backtracks_elsewhere_is_linear_here():
-    """Work grows with the text, not with its square: counted in time against itself, with a wide margin."""
+    """The pattern takes linear time: a backtracking matcher would not finish within the wide margin."""
     program = ex.load('request.headers[?"x-long"].orValue("").matches("(a+)+$")', HTTP_ENVIRONMENT)
 
-    def run(length):
-        given = read_input("GET", "/", ((b"X-Long", b"a" * length + b"!"),), "10.0.0.1")
-        began = time.perf_counter()
-        program.run(given)
-        return time.perf_counter() - began
+    def measure(length):
+        request = read_input("GET", "/", ((b"X-Long", b"a" * length + b"!"),), "10.0.0.1")
+        started_at = time.perf_counter()
+        program.run(request)
+        return time.perf_counter() - started_at
 
-    assert min(run(8000) for _ in range(5)) < 1  # a backtracking matcher would need 2 ** 8000 steps
+    assert min(measure(8000) for _ in range(5)) < 1  # seconds; backtracking would need 2 ** 8000 steps
 
 
 def test_no_builtins_are_in_reach():
@@ -332,28 +328,27 @@
 
 
 def test_reference_has_faults_of_its_own():
-    """The reference is no copy: it reaches an error value where the compiled form would need try()."""
+    """The reference is independent: it yields a fault where the compiled form requires try()."""
     with pytest.raises(Fault):
         Reference(VARIABLES, ("request.headers",)).of(ex.parse('request.headers["nope"]'))
 
 
 # -- the reference page -------------------------------------------------------------------------------------
 def examples():
-    """The examples of docs/expressions.md, with what they are said to yield."""
+    """Yield the examples of docs/expressions.md, with their stated results."""
     page = (Path(__file__).parents[1] / "docs" / "expressions.md").read_text()
     for block in re.findall(r"```cel\n(.*?)```", page, re.DOTALL):
         for line in block.splitlines():
-            source, _, said = line.partition(" // ")
-            yield source.strip(), said.strip()
+            source, _, result = line.partition(" // ")
+            yield source.strip(), result.strip()
 
 
-@pytest.mark.parametrize(("source", "said"), list(examples()), ids=lambda text: text[:60])
-def test_examples_of_the_page(source, said):
-    if said.startswith("refused: "):
-        with pytest.raises(ex.ExpressionError, match=re.escape(said.removeprefix("refused: "))):
+@pytest.mark.parametrize(("source", "stated"), list(examples()), ids=lambda text: text[:60])
+def test_examples_of_the_page(source, stated):
+    if stated.startswith("refused: "):
+        with pytest.raises(ex.ExpressionError, match=re.escape(stated.removeprefix("refused: "))):
             ex.load(source, HTTP_ENVIRONMENT)
     else:
-        assert said.startswith("-> "), said
-        assert ex.load(source, HTTP_ENVIRONMENT).run(REQUEST) == ex.load(said[3:], HTTP_ENVIRONMENT).run(
-            REQUEST
-        )
+        assert stated.startswith("-> "), stated
+        value = ex.load(source, HTTP_ENVIRONMENT).run(REQUEST)
+        assert value == ex.load(stated[3:], HTTP_ENVIRONMENT).run(REQUEST)
--- a/tests/test_front_crossings.py
+++ b/tests/test_front_crossings.py
@@ -1,8 +1,8 @@
-"""Requests that cross the end of their connection, at both fronts: answered, or provably never run.
+"""Requests sent while their connection or listener is being closed, at both fronts: answered, or never run.
 
-What happened: an upgrade's clients at the HTTP front, whose address no socket is inherited for, now and then
-had their connection reset, though they had connected and sent a request: the system resets what waits at a
-listening socket that is closed.
+During an upgrade, clients of the HTTP front, whose listening socket the new process does not inherit,
+sometimes had their connection reset although they had connected and sent a request. The operating system
+resets the connections that wait in the accept queue of a listening socket when it is closed.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, WRITE, started
 
-WAITING = 20  # clients that have connected, and are not accepted yet
+WAITING_CLIENTS = 20  # connected but not yet accepted
 OK = b"HTTP/1.1 200"
 
 
 @dataclass
 class Front:
-    """A head's front, and how many attempts its nodes have had."""
+    """A front of a running head, and the nodes behind it."""
 
     head: Head
     listener: Listener
@@ -43,11 +43,11 @@
         return sum(len(node.seen if self.is_platform else node.asked) for node in self.nodes)
 
     def request(self, number: int, body: bytes) -> bytes:
-        """A request's bytes."""
+        """Return the bytes of a request."""
         path = (WRITE if body else PATH) if self.is_platform else "/feed/x"
-        own = HEADERS | {"Req-Id": f"r{number}", "Idempotency-Key": f"k{number}"}
-        fields = own if self.is_platform else {}
-        fields = {"Host": "scores.example", "Content-Length": str(len(body))} | fields
+        fields = {"Host": "scores.example", "Content-Length": str(len(body))}
+        if self.is_platform:
+            fields |= HEADERS | {"Req-Id": f"r{number}", "Idempotency-Key": f"k{number}"}
         lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
         return f"{'PUT' if body else 'GET'} {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
@@ -65,7 +65,7 @@
 
 
 def read_status(client: socket.socket) -> bytes:
-    """The first bytes of an answer; raises ConnectionResetError where the connection was reset."""
+    """Return the first bytes of an answer; raise ConnectionResetError if the connection was reset."""
     client.settimeout(10.0)
     return client.recv(len(OK))
 
@@ -74,12 +74,13 @@
 @pytest.mark.parametrize("body", [b"", b"data"])
 @pytest.mark.parametrize("ends", ["stop", "handover"])
 def test_who_has_connected_as_a_front_stops_to_accept_is_answered(tmp_path, kind, body, ends):
-    """Forced: they connect and send while the loop stands, in the step in which the socket is closed."""
+    """The clients connect and send while the loop is blocked, in the iteration that closes the socket."""
 
-    async def story():
+    async def scenario():
         async with front_up(kind, tmp_path) as front:
-            port, clients = front.listener.port, []
-            for number in range(WAITING):
+            port = front.listener.port
+            clients = []
+            for number in range(WAITING_CLIENTS):
                 clients.append(socket.create_connection((HOST, port)))
                 clients[-1].sendall(front.request(number, body))
             if ends == "handover":
@@ -87,7 +88,7 @@
             front.listener.stop_accepting()
             stopping = asyncio.create_task(front.head.stop()) if ends == "stop" else None
             answers = await asyncio.gather(*(asyncio.to_thread(read_status, client) for client in clients))
-            assert answers == [OK] * WAITING and front.attempts == WAITING
+            assert answers == [OK] * WAITING_CLIENTS and front.attempts == WAITING_CLIENTS
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection((HOST, port))
             for client in clients:
@@ -95,27 +96,27 @@
             if stopping is not None:
                 await stopping
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("kind", ["platform", "http"])
 @pytest.mark.parametrize("body", [b"", b"data"])
 @pytest.mark.parametrize("earlier", [0, 1, 2])
 def test_a_request_on_a_kept_connection_that_is_ended_is_answered_or_never_run(tmp_path, kind, body, earlier):
-    """Written before the head ends the connection, it is answered; afterwards it is dropped unread."""
+    """A request sent before the head closes the connection is answered; a later one is dropped unread."""
 
-    async def story():
+    async def scenario():
         async with front_up(kind, tmp_path) as front:
             reader, writer = await asyncio.open_connection(HOST, front.listener.port)
-            handle = writer.get_extra_info("socket").fileno()
+            descriptor = writer.get_extra_info("socket").fileno()
             for number in range(earlier):
                 writer.write(front.request(number, body))
                 await read_answer(reader)
             clients = front.head.clients
             await until(lambda: len(clients) == 1 and not clients.open)
-            (connection,) = (each for state in State for each in clients.by_state[state])
+            (connection,) = (open_one for state in State for open_one in clients.by_state[state])
             sock = connection.transport.get_extra_info("socket")
-            os.write(handle, front.request(earlier, body))  # the loop has not read it
+            os.write(descriptor, front.request(earlier, body))  # not read by the loop yet
             select.select([sock], [], [])
             clients.end_idle()
             await read_answer(reader)
@@ -124,16 +125,16 @@
             clients.end_idle()
             assert await reader.read() == b""
             with contextlib.suppress(OSError):
-                os.write(handle, front.request(earlier + 1, body))
+                os.write(descriptor, front.request(earlier + 1, body))
             await asyncio.sleep(0.05)
             assert front.attempts == earlier + 1
             writer.close()
 
-    run(story())
+    run(scenario())
 
 
 async def read_answer(reader: asyncio.StreamReader) -> None:
-    """Read one good answer."""
+    """Read one answer and check that it is a success."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     assert head.startswith(OK.lower()), head
     await reader.readexactly(int(head.split(b"content-length: ")[1].split(b"\r\n")[0]))
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -1,6 +1,6 @@
-"""After quiet, the core and credit hold what they hold without requests: no state outlives its use.
+"""After a quiet period the core and the credit code hold what an idle head holds: no state outlives its use.
 
-The decision module under drawn rules has its test in tests/test_held_memory.py.
+tests/test_held_memory.py tests the decision module with generated rules.
 """
 
 from __future__ import annotations
@@ -39,26 +39,28 @@
 from tests.test_core import MS, SETTINGS, START, node
 
 SECOND = 1000 * MS
-LEASE = 2 * SECOND
+LEASE_TIME = 2 * SECOND
 REQUESTS = 150
-QUIET = 70 * SECOND  # longer than anything is held but what operators have said
+QUIET_PERIOD = 70 * SECOND  # longer than any state is retained, except the effects of operators' calls
 OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.FULL, Outcome.RESET)
 
 
 class CoreDriver:
-    """Feeds events to a reducer: timers come when due, and each attempt ends after 10 ms."""
+    """Feeds events to a reducer in virtual time; each attempt ends after 10 ms."""
 
     def __init__(self, outcome: Outcome, streamed: bool = False) -> None:
-        self.outcome, self.stream = outcome, object() if streamed else None
+        self.outcome = outcome
+        self.stream = object() if streamed else None
         self.now = START
         self.reducer = Reducer(SETTINGS, seed=1)
         self.due: list[tuple[timedelta, int, Callable[[], model.Event]]] = []
-        self.numbers, self.names = count(), count()
+        self.event_numbers = count()
+        self.request_numbers = count()
         nodes = (node("n0"), node("n1"))
         self.put(model.EndpointListReceived(START, ListKind.FULL, nodes))
 
-    def later(self, after: timedelta, make: Callable[[], model.Event]) -> None:
-        heapq.heappush(self.due, (self.now + after, next(self.numbers), make))
+    def schedule(self, after: timedelta, make_event: Callable[[], model.Event]) -> None:
+        heapq.heappush(self.due, (self.now + after, next(self.event_numbers), make_event))
 
     def put(self, event: model.Event) -> None:
         for effect in self.reducer.reduce(event):
@@ -67,76 +69,78 @@
     def run(self, effect: model.Effect) -> None:
         match effect:
             case model.SetTimer(after, token):
-                self.later(after, lambda: model.TimerDue(self.now, token))
+                self.schedule(after, lambda: model.TimerDue(self.now, token))
             case model.WatchOverdue(after, name):
-                self.later(after, lambda: model.Overdue(self.now, name))
+                self.schedule(after, lambda: model.Overdue(self.now, name))
             case model.SendAttempt(request, number):
-                self.later(10 * MS, lambda: self.ended(request.id, number, self.outcome))
+                self.schedule(10 * MS, lambda: self.attempt_ended(request.id, number, self.outcome))
             case model.CancelAttempt(name, number):
-                self.later(MS, lambda: self.ended(name, number, Outcome.CANCELLED))
+                self.schedule(MS, lambda: self.attempt_ended(name, number, Outcome.CANCELLED))
             case model.GiveAnswer(name, model.Served(stream=stream)) if stream is not None:
-                self.later(10 * MS, lambda: model.StreamEnded(self.now, name, True))
+                self.schedule(10 * MS, lambda: model.StreamEnded(self.now, name, True))
 
-    def ended(self, name: str, number: int, outcome: Outcome) -> model.Event:
+    def attempt_ended(self, name: str, number: int, outcome: Outcome) -> model.Event:
         stream = self.stream if outcome is Outcome.OK else None
         return model.AttemptEnded(self.now, name, number, outcome, b"", stream=stream)
 
     def wait(self, span: timedelta) -> None:
         until = self.now + span
         while self.due and self.due[0][0] <= until:
-            at, _, make = heapq.heappop(self.due)
+            at, _, make_event = heapq.heappop(self.due)
             self.now = max(self.now, at)
-            self.put(make())
+            self.put(make_event())
         self.now = until
 
-    def play(self, requests: int) -> None:
+    def send_requests(self, requests: int) -> None:
         for i in range(requests):
-            name = f"r{next(self.names)}"  # no id is used twice
+            name = f"r{next(self.request_numbers)}"  # no id is used twice
             sent = model.Request(name, i % 3, 0, f"v{i}", f"k{i}", 0, 1.0, 1, 2 * SECOND, i % 3 == 1)
             self.put(model.Arrived(self.now, sent))
             if i % 7 == 0:
                 self.put(model.ClientLeft(self.now, name))
             self.wait(20 * MS)
 
-    def rest(self) -> None:
-        self.wait(QUIET)
-        self.reducer.tally.take()  # as the log does, every few seconds
+    def stay_quiet(self) -> None:
+        self.wait(QUIET_PERIOD)
+        self.reducer.tally.take()  # the loop monitor does this every few seconds
 
 
-def held_without_credit(driver: CoreDriver) -> int:
-    """What a core holds, the decision module with it; credit is counted by itself."""
+def count_held_without_credit(driver: CoreDriver) -> int:
+    """Return the number of elements held by a core and its decision module, without credit."""
     return held({name: value for name, value in vars(driver.reducer).items() if name != "gate"})
 
 
 @pytest.mark.parametrize("streamed", [False, True])
 @pytest.mark.parametrize("outcome", OUTCOMES)
 def test_the_core_holds_after_quiet_what_it_holds_without_requests(outcome, streamed):
-    """Guards memory: records, streams, attempts or counts by name that outlive the requests they are of."""
-    met, idle = CoreDriver(outcome, streamed), CoreDriver(outcome, streamed)
-    met.play(REQUESTS)
-    assert len(met.reducer.tally.counts) > 1
-    idle.wait(met.now - START)
-    met.rest(), idle.rest()
-    assert held_without_credit(met) == held_without_credit(idle)
-    assert not met.reducer.open and not met.reducer.nodes_in_flight()
+    """Guards against records, streams, attempts or named counts that outlive their requests."""
+    busy = CoreDriver(outcome, streamed)
+    idle = CoreDriver(outcome, streamed)
+    busy.send_requests(REQUESTS)
+    assert len(busy.reducer.tally.counts) > 1
+    idle.wait(busy.now - START)
+    busy.stay_quiet()
+    idle.stay_quiet()
+    assert count_held_without_credit(busy) == count_held_without_credit(idle)
+    assert not busy.reducer.open and not busy.reducer.nodes_in_flight()
 
 
 def test_nodes_that_were_put_back_are_forgotten_without_another_call():
-    """Guards memory and handovers: a record was dropped by an operator's next call alone."""
+    """Guards memory and handovers: only the operator's next call dropped the record of a returned node."""
     driver = CoreDriver(Outcome.OK)
     for name in ("n0", "n1"):
         driver.put(model.SetAdministrativeState(driver.now, name, True))
         driver.put(model.SetAdministrativeState(driver.now, name, False))
     driver.put(model.EndpointListReceived(driver.now, ListKind.FULL, (node("n2"),)))
-    driver.wait(QUIET)
+    driver.wait(QUIET_PERIOD)
     assert list(driver.reducer.administrative_state.back) == ["n0", "n1"]
     driver.now += RETURNED_NODE_RETENTION
-    driver.rest()
+    driver.stay_quiet()
     assert not driver.reducer.administrative_state.back
     idle = CoreDriver(Outcome.OK)
     idle.put(model.EndpointListReceived(idle.now, ListKind.FULL, (node("n2"),)))
-    idle.rest()
-    assert held_without_credit(driver) == held_without_credit(idle)
+    idle.stay_quiet()
+    assert count_held_without_credit(driver) == count_held_without_credit(idle)
 
 
 # -- credit -----------------------------------------------------------------------------------------------
@@ -150,13 +154,16 @@
 
 
 class CreditDriver(CoreDriver):
-    """A core whose requests are charged, and which exchanges with the account every 50 ms."""
+    """Drives a core whose requests are charged; it reports to the ledger every 50 ms."""
 
     def __init__(self, outcome: Outcome) -> None:
         super().__init__(outcome)
-        self.ledger, self.journal, self.ages = new_ledger(), SpentJournal(None), AllotmentAges(LEASE)
-        self.escrow = HeadEscrow(LEASE, self.journal)
-        settings, background = self.reducer.scheduler.settings, self.reducer.scheduler.background_classes
+        self.ledger = new_ledger()
+        self.journal = SpentJournal(None)
+        self.ages = AllotmentAges(LEASE_TIME)
+        self.escrow = HeadEscrow(LEASE_TIME, self.journal)
+        settings = self.reducer.scheduler.settings
+        background = self.reducer.scheduler.background_classes
         self.reducer.gate = self.gate = Gate(
             self.escrow,
             self.ledger.customer_of,
@@ -164,7 +171,7 @@
             ranks(settings.classes, background),
             lambda: LedgerFreshness.CURRENT,
         )
-        self.number = 0
+        self.report_number = 0
 
     def put(self, event: model.Event) -> None:
         if isinstance(event, model.Arrived) and self.gate.may_wait(event.request, self.now):
@@ -176,9 +183,9 @@
     def exchange(self) -> None:
         reports = self.escrow.due_reports(self.now) if self.escrow.reachable else []
         if reports:
-            self.number += 1
-            command = CreditReport("h", "disk", self.number, tuple(reports))
-            grants = self.ledger.apply_report(100 + self.number, command).grants
+            self.report_number += 1
+            command = CreditReport("h", "disk", self.report_number, tuple(reports))
+            grants = self.ledger.apply_report(100 + self.report_number, command).grants
             for report, grant in zip(reports, grants, strict=True):
                 self.escrow.apply_grant(report, grant, self.now, self.now)
         self.ages.observe(self.ledger.customer_by_allotment.keys(), self.now)
@@ -194,34 +201,34 @@
 @pytest.mark.parametrize("cut_off", [False, True])
 @pytest.mark.parametrize("outcome", OUTCOMES)
 def test_credit_holds_after_quiet_what_it_holds_without_requests(outcome, cut_off):
-    """Guards the sum and memory: an allotment, reservation, slot or local account that stays behind."""
+    """Guards against an allotment, reservation, slot or local account that is never released."""
     driver = CreditDriver(outcome)
-    driver.play(REQUESTS // 2)
+    driver.send_requests(REQUESTS // 2)
     assert driver.ledger.customer_by_allotment and driver.ages._known_since and driver.journal._slots
     driver.escrow.reachable = not cut_off
-    driver.play(REQUESTS)
+    driver.send_requests(REQUESTS)
     driver.escrow.reachable = True
-    driver.rest()
+    driver.stay_quiet()
     idle = CoreDriver(outcome)
-    idle.rest()
-    assert held_without_credit(driver) == held_without_credit(idle)
-    assert held(driver.escrow) == held(HeadEscrow(LEASE, SpentJournal(None)))
-    assert held(driver.ages) == held(AllotmentAges(LEASE))
+    idle.stay_quiet()
+    assert count_held_without_credit(driver) == count_held_without_credit(idle)
+    assert held(driver.escrow) == held(HeadEscrow(LEASE_TIME, SpentJournal(None)))
+    assert held(driver.ages) == held(AllotmentAges(LEASE_TIME))
     assert not driver.escrow.accounts and not driver.escrow.reservations and not driver.journal._slots
-    # what stays: what customers were charged, and the number of this head's latest report
+    # only the customers' charges and the number of this head's latest report remain
     expected = new_ledger()
     for name, account in expected.accounts.items():
         account.charged = driver.ledger.accounts[name].charged
-    expected.heads["h"] = HeadRegistration("disk", driver.number)
+    expected.heads["h"] = HeadRegistration("disk", driver.report_number)
     assert driver.ledger == expected
-    assert driver.escrow.charged == sum(a.charged for a in expected.accounts.values())
+    assert driver.escrow.charged == sum(account.charged for account in expected.accounts.values())
 
 
 # -- the network ------------------------------------------------------------------------------------------
 def test_nodes_are_forgotten_as_suspects_though_no_connection_is_used(monkeypatch):
-    """Guards memory: a suspicion of 30 s was held until 4,096 other nodes were suspected."""
+    """Guards against a leak: a suspicion of 30 s was kept until 4,096 other nodes were suspected."""
 
-    async def story():
+    async def scenario():
         now = asyncio.get_running_loop().time()
         rest_times = RestTimes()
         for number in range(100):
@@ -237,13 +244,13 @@
         assert rest_times.rest_of(Address("late", 1), now, False) == SUSPECT_REUSE_AFTER.total_seconds()
 
     monkeypatch.setattr(loop_monitor, "CHECKS_PER_TALLY", 1)
-    run(story())
+    run(scenario())
 
 
 def test_what_the_previous_process_handed_over_is_not_held_on():
-    """Guards memory: all of it stayed as JSON data for as long as the new process ran."""
+    """Guards against a leak: the new process kept all handover data as decoded JSON for as long as it ran."""
 
-    async def story():
+    async def scenario():
         reader = asyncio.StreamReader()
         reader.feed_eof()
         clients = SimpleNamespace(max_connections=9, tighten_busy_limit=lambda span: None)
@@ -252,8 +259,14 @@
             nodes=SimpleNamespace(pool=pool), put=lambda event: None, clock=SimpleNamespace(now=lambda: START)
         )
         handover = Handover(engine, SimpleNamespace(), clients, Drain(clients), None, run, run)
-        state = {"generation": 1, "out_of_service": False, "nodes": [], "holds": {}}
-        state |= {"by_hand": {"out": {}, "back": {}}, "module": {"nodes": dict.fromkeys(range(1000))}}
+        state = {
+            "generation": 1,
+            "out_of_service": False,
+            "nodes": [],
+            "holds": {},
+            "by_hand": {"out": {}, "back": {}},
+            "module": {"nodes": dict.fromkeys(range(1000))},
+        }
         predecessor = Predecessor(reader, SimpleNamespace(close=lambda: None), state)
         handover.socket.take_over = AsyncMock(return_value=predecessor)
         assert await handover.take_over()
@@ -261,4 +274,4 @@
         await handover.follow()
         assert handover.predecessor is None
 
-    run(story())
+    run(scenario())
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -1,4 +1,4 @@
-"""The HTTP front, whole paths: clients over loopback, a head, and scripted nodes."""
+"""The HTTP front end to end: clients over loopback, a head and scripted nodes."""
 
 from __future__ import annotations
 
@@ -12,40 +12,34 @@
 
 
 def test_answers_pass_with_status_fields_and_bodies_of_any_size(tmp_path):
-    async def story():
+    async def scenario():
         nodes = two()
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
             status, fields, data = await client.ask(
                 "GET", "/feed/x?y=%2F1", X_Client="c", Connection="x-gone", X_Gone="1"
             )
             assert (status, fields["Content-Type"], fields["ETag"]) == (200, "text/x-node", '"7"')
-            asked = (nodes[0].asked + nodes[1].asked)[0]
-            assert asked[1] == "/feed/x?y=%2F1" and asked[2]["Host"] == "scores.example"  # bytes unchanged
-            assert (
-                asked[2]["X-Client"] == "c"
-                and "X-Gone" not in asked[2]
-                and asked[2]["X-Forwarded-For"] == HOST
-            )
+            _, target, sent_fields, *_ = (nodes[0].asked + nodes[1].asked)[0]
+            assert target == "/feed/x?y=%2F1" and sent_fields["Host"] == "scores.example"  # bytes unchanged
+            assert sent_fields["X-Client"] == "c" and "X-Gone" not in sent_fields
+            assert sent_fields["X-Forwarded-For"] == HOST
             assert (await client.ask("GET", "/feed/missing"))[::2] == (404, b"nothing here")
             assert (await client.ask("GET", "/feed/same"))[0] == 304
             status, fields, _ = await client.ask("GET", "/feed/moved")
             assert (status, fields["Location"]) == (302, "/elsewhere") and "X-Hop" not in fields
             status, fields, data = await client.ask("GET", "/feed/large")
-            assert (status, len(data), fields["Content-Type"]) == (
-                200,
-                3_000_000,
-                "video/mp4",
-            ) and "Srv-Load" not in fields
+            assert (status, len(data), fields["Content-Type"]) == (200, 3_000_000, "video/mp4")
+            assert "Srv-Load" not in fields
             status, fields, data = await client.ask("HEAD", "/feed/large")
             assert (status, data, fields["Content-Length"]) == (200, b"", "3000000")
             body = bytes(i % 251 for i in range(900_000))
             assert (await client.ask("PUT", "/feed/up", body, Content_Type="a/b"))[::2] == (200, body)
-            assert [n.asked[-1][2]["Content-Type"] for n in nodes if n.asked and n.asked[-1][0] == "PUT"] == [
-                "a/b"
-            ]
+            last_requests = [node.asked[-1] for node in nodes if node.asked]
+            puts = [request for request in last_requests if request[0] == "PUT"]
+            assert [request[2]["Content-Type"] for request in puts] == ["a/b"]
             settled(head, client)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -65,60 +59,61 @@
     ],
 )
 def test_what_no_rule_lets_through_never_reaches_a_node(tmp_path, method, target, fields, status):
-    async def story():
+    async def scenario():
         nodes = two()
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
             assert (await client.ask(method, target, **fields))[0] == status
             assert not nodes[0].asked and not nodes[1].asked
             settled(head, client)
 
-    run(story())
+    run(scenario())
 
 
 def test_repeats_only_as_the_class_allows(tmp_path):
-    async def story():
+    async def scenario():
         reads, writes = two("reset"), two("reset")
         async with gateway(tmp_path, *reads) as head, client_of(head) as client:
-            assert (await client.ask("GET", "/feed/x"))[0] == 200  # safe: sent again after a break
-            assert sum(len(n.asked) for n in reads) == 2
+            assert (await client.ask("GET", "/feed/x"))[0] == 200  # safe: sent again after a reset
+            assert sum(len(node.asked) for node in reads) == 2
         async with gateway(tmp_path, *writes) as head, client_of(head) as client:
-            status, _, _ = await client.ask("PUT", "/feed/x", b"1")  # keyed: again, under the head's own key
-            asked = [a for n in writes for a in n.asked]
-            assert status == 200 and len({a[2]["Idempotency-Key"] for a in asked}) == 1 and len(asked) <= 2
+            # idempotent, under a key that the head makes
+            status, _, _ = await client.ask("PUT", "/feed/x", b"1")
+            requests = [request for node in writes for request in node.asked]
+            assert status == 200 and len(requests) <= 2
+            assert len({request[2]["Idempotency-Key"] for request in requests}) == 1
             await client.ask("PUT", "/feed/x", b"2")
-            assert (
-                len({a[2]["Idempotency-Key"] for n in writes for a in n.asked}) == 2
-            )  # another request, another key
+            requests = [request for node in writes for request in node.asked]
+            assert len({request[2]["Idempotency-Key"] for request in requests}) == 2  # one key per request
             settled(head, client)
 
-    run(story())
+    run(scenario())
 
 
 def test_a_client_that_leaves_and_a_head_that_drains(tmp_path):
-    async def story():
+    async def scenario():
         nodes = two()
-        held = asyncio.Event()
+        released = asyncio.Event()
 
         async def gate(request):
-            await held.wait()
+            await released.wait()
 
         nodes[0].gate = nodes[1].gate = gate
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
-            gone = asyncio.create_task(client.ask("GET", "/feed/x"))
+            abandoned = asyncio.create_task(client.ask("GET", "/feed/x"))
             await until(lambda: head.engine.attempts)
-            gone.cancel()
+            abandoned.cancel()
             await until(lambda: not head.engine.waiters and not head.engine.attempts)
             last = asyncio.create_task(client.ask("GET", "/feed/y"))
             await until(lambda: head.engine.attempts)
             head.drain.out_of_service()
-            held.set()
+            released.set()
             status, fields, _ = await last
             assert status == 200 and fields["Connection"] == "close"
             assert (await client.ask("GET", "/healthz"))[0] == 503
             client.answers.pop(0)
             settled(head, client)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -131,10 +126,10 @@
     ],
 )
 def test_a_head_does_not_start_with_settings_that_are_wrong(tmp_path, settings, what):
-    async def story():
+    async def scenario():
         async with gateway(tmp_path, settings=settings):
             pass
 
     with pytest.raises(ConfigError) as refusal:
-        run(story())
+        run(scenario())
     assert what in str(refusal.value)
--- a/tests/test_http_tables.py
+++ b/tests/test_http_tables.py
@@ -1,4 +1,4 @@
-"""Rule tables of the HTTP front in service: reloads, repeats across them, a table in shadow."""
+"""Rule tables of the HTTP front under traffic: reloads, retries across a reload, a shadow table."""
 
 from __future__ import annotations
 
@@ -14,43 +14,56 @@
 from tests.rules import APP, ARCHIVE, FEED, READS, WRITES, write_rules
 
 
-def tagged(tag, extra=""):
-    """A team's rules whose reads say by which table they were decided: by their units."""
-    return f"rules: [{extra}{READS[:-1]}, units: {tag}}}, {WRITES[:-1]}, units: {tag}}}]"
+def rules_with_units(units, extra=""):
+    """Return a team's rules whose units show which table decided a request."""
+    return f"rules: [{extra}{READS[:-1]}, units: {units}}}, {WRITES[:-1]}, units: {units}}}]"
+
+
+def assert_limit_kept(sends, plan):
+    """Check that sends, as pairs of time in seconds and units, keep to a plan in any stretch of time."""
+    level = plan["Burst"]
+    last = sends[0][0] if sends else 0
+    for at, units in sorted(sends):
+        level = min(plan["Burst"], level + (at - last) * plan["Limit"]) - units
+        last = at
+        assert level >= -plan["Tolerance"] - 0.15 * plan["Limit"]
 
 
 def test_three_teams_a_reload_in_service_and_no_limit_passed(tmp_path):
-    """Every request gets one answer, by one table; `basic` is kept in rate and at once; a bad table changes nothing."""
+    """One table decides each request, the limit of `basic` holds, and an invalid table changes nothing."""
     seed = 20261201
     print("seed", seed)
 
-    async def story():
-        nodes, drawn = two(), random.Random(seed)
+    async def scenario():
+        nodes = two()
+        rng = random.Random(seed)
         decisions = []
-        async with gateway(tmp_path, *nodes, app=tagged(2)) as head, client_of(head) as client:
-            matcher, serve = head.http_front.matcher, head.engine.serve
+        async with gateway(tmp_path, *nodes, app=rules_with_units(2)) as head, client_of(head) as client:
+            matcher = head.http_front.matcher
+            serve = head.engine.serve
 
-            class Noting:
+            class RecordingMatcher:
                 def decide(self, given, now, key=None):
-                    made = matcher.decide(given, now, key)
-                    decisions.append((matcher.table.epoch, given.path, made))
-                    return made
+                    decision = matcher.decide(given, now, key)
+                    decisions.append((matcher.table.epoch, given.path, decision))
+                    return decision
 
-            taken = []
+            served = []
 
-            async def serving(request):
-                taken.append(request)
+            async def serve_recorded(request):
+                served.append(request)
                 return await serve(request)
 
-            head.http_front.matcher, head.engine.serve = Noting(), serving
+            head.http_front.matcher = RecordingMatcher()
+            head.engine.serve = serve_recorded
             outcomes = Counter()
             done = False
 
-            async def asking(team):
+            async def send_requests(team):
                 while not done:
-                    method = drawn.choice(["GET", "GET", "PUT"])
+                    method = rng.choice(["GET", "GET", "PUT"])
                     status, fields, _ = await client.ask(
-                        method, f"/{team}/{drawn.randrange(50)}", b"x" if method == "PUT" else None
+                        method, f"/{team}/{rng.randrange(50)}", b"x" if method == "PUT" else None
                     )
                     outcomes[team, status] += 1
                     if status == 503:
@@ -58,74 +71,61 @@
                         await asyncio.sleep(0.02)
 
             clients = [
-                asyncio.create_task(asking(team))
+                asyncio.create_task(send_requests(team))
                 for team in ("feed", "app", "app", "archive")
                 for _ in range(4)
             ]
             epochs = [matcher.table.epoch]
-            for text, good in (
-                (tagged(4), True),
+            for text, valid in (
+                (rules_with_units(4), True),
                 ("rules: [", False),
-                (tagged(3, '{name: "x", when: "1"}, '), False),
-                (tagged(1), True),
+                (rules_with_units(3, '{name: "x", when: "1"}, '), False),
+                (rules_with_units(1), True),
             ):
                 await asyncio.sleep(0.25)
                 write_rules(tmp_path, app=text)
                 service = head.tables[0]
                 service.reload()
-                service.reload()  # right after: it is read once more, not beside itself
+                service.reload()  # during the first reload: a second one follows it, not beside it
                 await service.reloading
-                assert (matcher.table.epoch != epochs[-1]) is good
+                assert (matcher.table.epoch != epochs[-1]) is valid
                 epochs.append(matcher.table.epoch)
             await asyncio.sleep(0.25)
             done = True
             await asyncio.gather(*clients)
             settled(head, client)
-            # each request of the core is what one table made of it
-            units = {epochs[0]: 2, epochs[1]: 4, epochs[4]: 1}
-            for epoch, path, made in decisions:
-                assert not path.startswith("/app/") or made.units == units[epoch]
-            assert {epoch for epoch, _, _ in decisions} == set(units)
-            assert Counter((r.volume, r.units) for r in taken) == Counter(
-                (d.volume, d.units) for _, _, d in decisions
+            # each request of the core has the volume and units of one table's decision
+            units_by_epoch = {epochs[0]: 2, epochs[1]: 4, epochs[4]: 1}
+            for epoch, path, decision in decisions:
+                assert not path.startswith("/app/") or decision.units == units_by_epoch[epoch]
+            assert {epoch for epoch, _, _ in decisions} == set(units_by_epoch)
+            assert Counter((request.volume, request.units) for request in served) == Counter(
+                (decision.volume, decision.units) for _, _, decision in decisions
             )
-            assert {r.volume for r in taken} == {FEED, APP, ARCHIVE}
+            assert {request.volume for request in served} == {FEED, APP, ARCHIVE}
             assert outcomes["app", 200] and outcomes["app", 503]  # the limit was reached
-            # what came to the nodes for `basic`, in any stretch of time
-            by_id = {r.id: r for r in taken}
+            # the sends of plan `basic` to the nodes, without retries
+            by_id = {request.id: request for request in served}
             plan = SETTINGS["Contracts"][0]
             for volume in (APP, ARCHIVE):
-                sent = sorted(
-                    (a[4], by_id[a[2]["Req-Id"]].units)
-                    for n in nodes
-                    for a in n.asked
-                    if by_id[a[2]["Req-Id"]].volume == volume
+                sent = [(a[4], a[2]["Req-Id"]) for node in nodes for a in node.asked]
+                names = [name for _, name in sent if by_id[name].volume == volume]
+                times_and_units = sorted(
+                    (at, by_id[name].units) for at, name in sent if by_id[name].volume == volume
                 )
-                seen, first = set(), []
-                for (at, units_of), name in zip(
-                    sent,
-                    [
-                        a[2]["Req-Id"]
-                        for n in nodes
-                        for a in n.asked
-                        if by_id[a[2]["Req-Id"]].volume == volume
-                    ],
-                    strict=True,
-                ):
+                seen = set()
+                first_sends = []
+                for send, name in zip(times_and_units, names, strict=True):
                     if name not in seen:
-                        first.append((at, units_of))
+                        first_sends.append(send)
                     seen.add(name)
-                level, last = plan["Burst"], first[0][0] if first else 0
-                for at, amount in sorted(first):
-                    level = min(plan["Burst"], level + (at - last) * plan["Limit"]) - amount
-                    last = at
-                    assert level >= -plan["Tolerance"] - 0.15 * plan["Limit"]
+                assert_limit_kept(first_sends, plan)
 
-    run(story())
+    run(scenario())
 
 
 def test_ten_thousand_rules_reloaded_beside_requests(tmp_path):
-    """A large table is made beside the requests: they are answered meanwhile, by the old one."""
+    """Requests are answered by the old table while a large one is compiled."""
 
     def large(change):
         rules = ", ".join(
@@ -135,13 +135,13 @@
         )
         return f"rules: [{rules}]"
 
-    async def story():
+    async def scenario():
         nodes = two()
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
-            service, epoch = head.tables[0], head.tables[0].matcher.table.epoch
-            write_rules(
-                tmp_path, feed=large("").replace('"/feed/9999"', '"/app/9999"')
-            )  # the last one is bad
+            service = head.tables[0]
+            epoch = service.matcher.table.epoch
+            last_rule_invalid = large("").replace('"/feed/9999"', '"/app/9999"')
+            write_rules(tmp_path, feed=last_rule_invalid)
             service.reload()
             answered = 0
             while not service.reloading.done():
@@ -152,31 +152,31 @@
             service.reload()
             await service.reloading
             assert service.matcher.table.size == 10_005
-            assert (await client.ask("GET", "/feed/9999"))[0] == 200 and (await client.ask("GET", "/feed/x"))[
-                0
-            ] == 404
+            assert (await client.ask("GET", "/feed/9999"))[0] == 200
+            assert (await client.ask("GET", "/feed/x"))[0] == 404
             settled(head, client)
 
-    run(story(), 90)
+    run(scenario(), 90)
 
 
 def test_a_head_that_is_asked_to_stop_does_not_wait_for_a_table(tmp_path):
-    held = threading.Event()
+    may_load = threading.Event()
 
-    async def story():
+    async def scenario():
         async with gateway(tmp_path, *two()) as head:
-            service, load = head.tables[0], head.tables[0].load
-            service.load = lambda: held.wait() and load()
+            service = head.tables[0]
+            load = service.load
+            service.load = lambda: may_load.wait() and load()
             service.reload()
             await asyncio.sleep(0)
-        assert service.reloading.done() and not held.is_set()
+        assert service.reloading.done() and not may_load.is_set()
 
-    run(story())  # an executor's thread would hold up the end of the loop
-    held.set()
+    run(scenario())  # a thread of an executor would delay the end of the loop
+    may_load.set()
 
 
 def test_a_repeat_across_a_reload_goes_where_the_first_went(tmp_path):
-    async def story():
+    async def scenario():
         nodes = two()
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
             assert (await client.ask("PUT", "/feed/x", b"1", Idempotency_Key="k1"))[0] == 200
@@ -191,11 +191,11 @@
             assert len(nodes[other].asked) == 1
             assert (await client.ask("PUT", "/feed/x?v=2", b"1", Idempotency_Key="k1"))[0] == 422
 
-    run(story())
+    run(scenario())
 
 
 def test_shadow_and_recorded_requests(tmp_path):
-    async def story():
+    async def scenario():
         settings = (
             'listen: "127.0.0.1:0"\nrules: "rules.cue"\nshadow: "next.cue"\n'
             'record: {file: "heads.jsonl", one_in: 1, most_bytes: 4096, mask: ["x-secret"]}\n'
@@ -212,17 +212,17 @@
             assert matcher.differences == {("feed/reads", "feed/-"): 30} and matcher.shadowed == 31
             head.recorder.write()
             head.recorder.max_file_bytes = 2048
-            head.recorder.sampler.sample(
-                matcher_input := next(iter(read_samples([first_line(tmp_path)])))[1], "/feed/0", ()
-            )
-            assert matcher_input.path == "/feed/0" and matcher_input.headers["x-secret"] == "***"
+            _, sample = next(iter(read_samples([first_line(tmp_path)])))
+            head.recorder.sampler.sample(sample, "/feed/0", ())
+            assert sample.path == "/feed/0" and sample.headers["x-secret"] == "***"
             for i in range(60):
                 await client.ask("GET", f"/feed/{i}")
                 head.recorder.write()
-            sizes = [p.stat().st_size for p in (tmp_path / "heads.jsonl", tmp_path / "heads.jsonl.1")]
+            paths = (tmp_path / "heads.jsonl", tmp_path / "heads.jsonl.1")
+            sizes = [path.stat().st_size for path in paths]
             assert max(sizes) <= 8192 and "s3cret" not in (tmp_path / "heads.jsonl.1").read_text()
 
-    run(story())
+    run(scenario())
 
 
 def first_line(folder):
