--- a/stoatrouter/expressions/__init__.py
+++ b/stoatrouter/expressions/__init__.py
@@ -26,16 +26,18 @@
 ]
 
 
-def load(source: str, environment: Environment, want: object = None, limits: Limits | None = None) -> Program:
+def load(
+    source: str, environment: Environment, expected_type: object = None, limits: Limits | None = None
+) -> Program:
     """Parse, check and compile one expression.
 
     Args:
         source: The expression.
         environment: The inputs that it may refer to.
-        want: The type that it must yield; any type where it is None.
+        expected_type: The type that it must yield; any type where it is None.
         limits: What it may take; the default limits where it is None.
 
     Raises:
         ExpressionError: Every problem that was found.
     """
-    return compile_checked(check(parse(source), environment, want, limits or Limits()))
+    return compile_checked(check(parse(source), environment, expected_type, limits or Limits()))
--- a/stoatrouter/expressions/bounds.py
+++ b/stoatrouter/expressions/bounds.py
@@ -12,7 +12,7 @@
 from stoatrouter.expressions.literals import MAX_INT, MIN_INT
 
 MAX_DURATION = 315_576_000_000 * 1_000_000  # microseconds: CEL's 10,000 years, in what timedelta counts
-INT_DIGITS = 20  # of an int of 64 bits with its sign
+MAX_INT_LENGTH = 20  # of an int of 64 bits with its sign
 ELEMENTS_PER_STEP = 10
 
 
@@ -22,25 +22,25 @@
 
     Attributes:
         length: The most code points, bytes or elements; 1 for a value without a length.
-        least: The fewest of these.
+        min_length: The fewest of these.
         low: The least value of an int, or of a duration in microseconds.
         high: The greatest value of one.
         inner: The bound of an element, or of a map's values.
-        cap: The most code points, bytes or scalars of all elements together, where that is known.
+        max_total: The most code points, bytes or scalars of all elements together, where that is known.
     """
 
     length: int = 1
-    least: int = 0
+    min_length: int = 0
     low: int = MIN_INT
     high: int = MAX_INT
     inner: Bound | None = None
-    cap: int | None = None
+    max_total: int | None = None
 
     @property
     def total(self) -> int:
         """The most code points, bytes or scalars in all."""
         total = max(1, self.length) * (self.inner.total if self.inner is not None else 1)
-        return total if self.cap is None else min(total, self.cap)
+        return total if self.max_total is None else min(total, self.max_total)
 
     def union(self, other: Bound) -> Bound:
         """The bound of a value that is one of the two."""
@@ -49,11 +49,13 @@
             inner = self.inner.union(other.inner)
         return Bound(
             max(self.length, other.length),
-            min(self.least, other.least),
+            min(self.min_length, other.min_length),
             min(self.low, other.low),
             max(self.high, other.high),
             inner,
-            None if None in (self.cap, other.cap) else max(self.cap or 0, other.cap or 0),
+            None
+            if None in (self.max_total, other.max_total)
+            else max(self.max_total or 0, other.max_total or 0),
         )
 
 
@@ -61,9 +63,9 @@
 BOOL_BOUND = Bound(low=0, high=1)
 
 
-def text_bound(most: int, least: int = 0) -> Bound:
+def text_bound(max_length: int, min_length: int = 0) -> Bound:
     """The bound of a text of so many code points."""
-    return Bound(most, least)
+    return Bound(max_length, min_length)
 
 
 def int_bound(low: int, high: int) -> Bound:
@@ -71,9 +73,9 @@
     return Bound(low=low, high=high)
 
 
-def list_bound(most: int, inner: Bound, least: int = 0, cap: int | None = None) -> Bound:
-    """The bound of a list of so many elements, or of a map of so many keys; `cap` as in `Bound`."""
-    return Bound(most, least, inner=inner, cap=cap)
+def list_bound(max_length: int, inner: Bound, min_length: int = 0, max_total: int | None = None) -> Bound:
+    """The bound of a list of so many elements, or of a map of so many keys; `max_total` as in `Bound`."""
+    return Bound(max_length, min_length, inner=inner, max_total=max_total)
 
 
 def fits_type(low: int, high: int, kind: t.Type = t.INT) -> bool:
@@ -85,8 +87,8 @@
 
 def clip(low: int, high: int, kind: t.Type = t.INT) -> Bound:
     """The bound of a checked result: what overflows is an error, not a value."""
-    least, most = (-MAX_DURATION, MAX_DURATION) if kind == t.DURATION else (MIN_INT, MAX_INT)
-    return int_bound(min(max(low, least), most), max(min(high, most), least))
+    minimum, maximum = (-MAX_DURATION, MAX_DURATION) if kind == t.DURATION else (MIN_INT, MAX_INT)
+    return int_bound(min(max(low, minimum), maximum), max(min(high, maximum), minimum))
 
 
 def arithmetic_interval(operator: str, left: Bound, right: Bound) -> tuple[int, int]:
@@ -105,20 +107,20 @@
     if operator == "/":
         low = 0 if left.low >= 0 and right.low >= 0 else -greatest_dividend
         return low, greatest_dividend
-    most = min(max(abs(right.low), abs(right.high)) - 1, greatest_dividend)
-    return (0 if left.low >= 0 else -most), (0 if left.high <= 0 else most)
+    greatest_remainder = min(max(abs(right.low), abs(right.high)) - 1, greatest_dividend)
+    return (0 if left.low >= 0 else -greatest_remainder), (0 if left.high <= 0 else greatest_remainder)
 
 
-def walk_steps(length: int) -> int:
+def scan_steps(length: int) -> int:
     """The steps of going through so many code points, bytes or elements, rounded up."""
     return -(-length // ELEMENTS_PER_STEP)
 
 
 def comparison_steps(left: Bound, right: Bound) -> int:
     """The steps of comparing two values: the shorter one is gone through."""
-    return 1 + walk_steps(min(left.total, right.total))
+    return 1 + scan_steps(min(left.total, right.total))
 
 
-def with_least_length(bound: Bound, least: int) -> Bound:
+def with_min_length(bound: Bound, min_length: int) -> Bound:
     """The same bound for a value that is known to be so long at least."""
-    return replace(bound, least=max(bound.least, least))
+    return replace(bound, min_length=max(bound.min_length, min_length))
--- a/stoatrouter/expressions/calls.py
+++ b/stoatrouter/expressions/calls.py
@@ -9,13 +9,13 @@
 from stoatrouter.expressions import functions as fn
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.checks import CheckerBase, failure
+from stoatrouter.expressions.checks import CheckerBase, failure_problem
 from stoatrouter.expressions.conversions import MICROSECOND, duration_of_text
 from stoatrouter.expressions.errors import EvaluationError, Problem
 from stoatrouter.expressions.show import show
 from stoatrouter.expressions.typed import Op, Scope, Typed, fold_key
 
-MAX_PATTERN = 256  # code points of a regular expression
+MAX_PATTERN_LENGTH = 256  # code points of a regular expression
 
 
 class CallDetail(NamedTuple):
@@ -42,10 +42,10 @@
             return self.check_duration_literal(node, parts, bound)
         faults: tuple[Problem, ...] = ()
         if function.fails and not cannot_fail(function, parts, scope):
-            faults = (failure(node, function.fails),)
+            faults = (failure_problem(node, function.fails),)
         constant = self.prepare_literal(function, parts[-1]) if function.literal else None
         if function.name == "split" and len(parts) == 2 and parts[1].is_literal and parts[1].detail:
-            bound = b.with_least_length(bound, 1)  # a separator that is not empty leaves one piece at least
+            bound = b.with_min_length(bound, 1)  # a separator that is not empty leaves one piece at least
         return self.typed_node(
             node,
             function.result,
@@ -53,7 +53,7 @@
             parts,
             detail=CallDetail(function, constant),
             bound=bound,
-            own=function.cost(given),
+            own_steps=function.cost(given),
             faults=faults,
         )
 
@@ -79,7 +79,7 @@
         assert isinstance(span, timedelta)
         micros = span // MICROSECOND
         bound = b.int_bound(micros, micros)
-        return self.typed_node(node, t.DURATION, Op.LITERAL, detail=span, bound=bound, own=0)
+        return self.typed_node(node, t.DURATION, Op.LITERAL, detail=span, bound=bound, own_steps=0)
 
     def prepare_literal(self, function: fn.Function, part: Typed) -> Any:
         """What a function prepares at load of its last argument, which has to be a literal."""
@@ -90,9 +90,9 @@
             what = f"the last argument of {function.name} must be a literal"
             raise self.reject(part.node, what, "it is read once, when the rule is loaded")
         is_pattern = function.name == "matches"
-        if is_pattern and len(part.detail) > MAX_PATTERN:
+        if is_pattern and len(part.detail) > MAX_PATTERN_LENGTH:
             what = f"a pattern of {len(part.detail)} characters"
-            raise self.reject(part.node, what, f"{MAX_PATTERN} at most")
+            raise self.reject(part.node, what, f"{MAX_PATTERN_LENGTH} at most")
         try:
             return (prepared.compile_pattern if is_pattern else prepared.parse_network)(part.detail)
         except ValueError as error:
@@ -104,9 +104,9 @@
     if function.name != "substring":
         return False
     text, *ends = parts
-    least = max(text.bound.least, scope.least_length(text.node))
+    min_length = max(text.bound.min_length, scope.known_length(text.node))
     first, last = ends[0].bound, ends[-1].bound
-    return first.low >= 0 and last.high <= least and (len(ends) == 1 or first.high <= last.low)
+    return first.low >= 0 and last.high <= min_length and (len(ends) == 1 or first.high <= last.low)
 
 
 def explain_mismatch(node: s.Call, overloads: list[fn.Function], kinds: list[t.Type]) -> tuple[str, str]:
@@ -115,8 +115,8 @@
     if overloads:
         forms = "; ".join(map(format_signature, overloads))
         return f"{name} does not take ({', '.join(map(str, kinds))})", f"it is {forms}"
-    if name in fn.LEFT_OUT:
-        return f"{name}() is left out", fn.LEFT_OUT[name]
+    if name in fn.UNSUPPORTED:
+        return f"{name}() is left out", fn.UNSUPPORTED[name]
     what = f"there is no function {name!r}"
     if (name, node.receiver is None) not in fn.BY_NAME:
         return what, ""
--- a/stoatrouter/expressions/checker.py
+++ b/stoatrouter/expressions/checker.py
@@ -14,22 +14,25 @@
 from stoatrouter.expressions.checks import LIST_STEPS, MAP_STEPS, UntypedError
 from stoatrouter.expressions.environment import Environment, Limits
 from stoatrouter.expressions.errors import ExpressionError, Position, Problem
-from stoatrouter.expressions.guards import shown_facts
+from stoatrouter.expressions.guards import implied_facts
 from stoatrouter.expressions.show import show
 from stoatrouter.expressions.typed import Checked, Op, Scope, Typed
 
-EXPENSIVE_SHOWN = 3  # operations that are named where an expression costs too much
+MAX_OPERATIONS_SHOWN = 3  # operations that are named where an expression costs too much
 
 
 def check(
-    node: s.Node, environment: Environment, want: t.Type | object | None = None, limits: Limits | None = None
+    node: s.Node,
+    environment: Environment,
+    expected_type: t.Type | object | None = None,
+    limits: Limits | None = None,
 ) -> Checked:
     """Check a whole expression.
 
     Args:
         node: The tree of the expression.
         environment: The inputs that it may refer to.
-        want: The type that it must yield; anything but a type stands for any.
+        expected_type: The type that it must yield; anything but a type stands for any.
         limits: What it may take; the default limits where it is None.
 
     Raises:
@@ -41,35 +44,35 @@
         root = checker.check_node(node, Scope())
     except UntypedError:
         raise ExpressionError(*checker.problems) from None
-    problems = [*checker.problems, *root.faults, *limit_problems(root, limits)]
-    if isinstance(want, t.Type) and t.common_type(root.type, want) != want:
-        problems.append(Problem(node.at, f"this yields {root.type}, but {want} is wanted here"))
+    problems = [*checker.problems, *root.faults, *exceeded_limits(root, limits)]
+    if isinstance(expected_type, t.Type) and t.common_type(root.type, expected_type) != expected_type:
+        problems.append(Problem(node.at, f"this yields {root.type}, but {expected_type} is wanted here"))
     if problems:
         raise ExpressionError(*problems)
     return Checked(root, environment)
 
 
-def limit_problems(root: Typed, limits: Limits) -> list[Problem]:
+def exceeded_limits(root: Typed, limits: Limits) -> list[Problem]:
     """The limits of steps and size that an expression exceeds."""
     at = root.node.at
     problems = []
-    if root.cost > limits.steps:
-        what = f"it may take {root.cost} steps, {limits.steps} at most"
-        problems.append(Problem(at, what, "most of them: " + ", ".join(most_expensive(root))))
-    if root.bound.total > limits.result:
-        what = f"its value may have a size of {root.bound.total}, {limits.result} at most"
+    if root.cost > limits.max_steps:
+        what = f"it may take {root.cost} steps, {limits.max_steps} at most"
+        problems.append(Problem(at, what, "most of them: " + ", ".join(most_expensive_operations(root))))
+    if root.bound.total > limits.max_result_size:
+        what = f"its value may have a size of {root.bound.total}, {limits.max_result_size} at most"
         problems.append(Problem(at, what, "use substring or fewer parts"))
     return problems
 
 
-def most_expensive(root: Typed, count: int = EXPENSIVE_SHOWN) -> list[str]:
+def most_expensive_operations(root: Typed, count: int = MAX_OPERATIONS_SHOWN) -> list[str]:
     """The most expensive operations, with their places and steps in the worst case."""
     found: list[tuple[int, Position, str]] = []
-    waiting = [(root, 1)]
-    while waiting:
-        typed, times = waiting.pop()
-        found.append((typed.own * times, typed.node.at, show(typed.node)))
-        waiting += [(part, times * typed.times(i)) for i, part in enumerate(typed.parts)]
+    pending = [(root, 1)]
+    while pending:
+        typed, times = pending.pop()
+        found.append((typed.own_steps * times, typed.node.at, show(typed.node)))
+        pending += [(part, times * typed.times(i)) for i, part in enumerate(typed.parts)]
     found.sort(key=lambda entry: (-entry[0], entry[1]))
     return [f"{steps} for {text} at {at}" for steps, at, text in found[:count]]
 
@@ -120,12 +123,18 @@
                 parts.append(part)
             except UntypedError:
                 failed = True
-            inner = inner.with_facts(shown_facts(term, node.operator == "&&", self.environment))
+            inner = inner.with_facts(implied_facts(term, node.operator == "&&", self.environment))
         if failed:
             raise self.abandon(parts)
-        own = len(parts) - 1
+        own_steps = len(parts) - 1
         return self.typed_node(
-            node, t.BOOL, Op.LOGIC, tuple(parts), detail=node.operator, bound=b.BOOL_BOUND, own=own
+            node,
+            t.BOOL,
+            Op.LOGIC,
+            tuple(parts),
+            detail=node.operator,
+            bound=b.BOOL_BOUND,
+            own_steps=own_steps,
         )
 
     def check_conditional(self, node: s.Conditional, scope: Scope) -> Typed:
@@ -154,7 +163,7 @@
 
     def branch_scope(self, node: s.Conditional, truth: bool, scope: Scope) -> Scope:
         """The scope of the branch that is taken where the condition is `truth`."""
-        return scope.with_facts(shown_facts(node.condition, truth, self.environment))
+        return scope.with_facts(implied_facts(node.condition, truth, self.environment))
 
     def check_list(self, node: s.ListLiteral, scope: Scope) -> Typed:
         """Check a list literal.
@@ -173,7 +182,7 @@
         if isinstance(kind, t.OptionalOf):
             raise self.reject(node, "a list of optionals is left out", "use orValue first")
         bound = b.list_bound(len(parts), common_bound(parts), len(parts))
-        return self.typed_node(node, t.ListOf(kind), Op.LIST, parts, bound=bound, own=LIST_STEPS)
+        return self.typed_node(node, t.ListOf(kind), Op.LIST, parts, bound=bound, own_steps=LIST_STEPS)
 
     def check_map(self, node: s.MapLiteral, scope: Scope) -> Typed:
         """Check a map literal.
@@ -197,7 +206,7 @@
             kind = together
         count = len(node.items)
         bound = b.list_bound(count, common_bound(parts[1::2]), count)
-        return self.typed_node(node, t.MapOf(kind), Op.MAP, parts, own=MAP_STEPS, bound=bound)
+        return self.typed_node(node, t.MapOf(kind), Op.MAP, parts, own_steps=MAP_STEPS, bound=bound)
 
     def check_call(self, node: s.Call, scope: Scope) -> Typed:
         """Check a call: a macro, an operator, an optional's method or a function.
--- a/stoatrouter/expressions/checks.py
+++ b/stoatrouter/expressions/checks.py
@@ -74,10 +74,12 @@
         inherited = tuple(fault for part in parts for fault in part.faults)
         typed = Typed(node, kind, op, parts, faults=inherited + faults, **more)
         if total is None:
-            total = typed.own + sum(part.cost * typed.times(i) for i, part in enumerate(parts))
+            total = typed.own_steps + sum(part.cost * typed.times(i) for i, part in enumerate(parts))
         # Guards memory: no value on the way may be larger than this, however few steps it takes.
-        if op is not Op.VARIABLE and typed.bound.total > self.limits.largest:
-            what = f"{show(node)} may have a size of {typed.bound.total}, {self.limits.largest} at most"
+        if op is not Op.VARIABLE and typed.bound.total > self.limits.max_value_size:
+            what = (
+                f"{show(node)} may have a size of {typed.bound.total}, {self.limits.max_value_size} at most"
+            )
             self.reject(node, what, "limit what it is made of")
         return replace(typed, cost=total)
 
@@ -105,7 +107,7 @@
         return UntypedError()
 
 
-def failure(node: s.Node, why: str) -> Problem:
+def failure_problem(node: s.Node, why: str) -> Problem:
     """The fault of an operation that may fail."""
     text = show(node)
     return Problem(node.at, f"{text} may fail: {why}", f"give it a fallback: try({text}).orValue(...)")
--- a/stoatrouter/expressions/environment.py
+++ b/stoatrouter/expressions/environment.py
@@ -31,9 +31,9 @@
         largest: The same, of any value on the way.
     """
 
-    steps: int = 20_000
-    result: int = 16_384
-    largest: int = 262_144
+    max_steps: int = 20_000
+    max_result_size: int = 16_384
+    max_value_size: int = 262_144
 
 
 @dataclass(slots=True, frozen=True)
--- a/stoatrouter/expressions/guards.py
+++ b/stoatrouter/expressions/guards.py
@@ -20,7 +20,7 @@
     """What a fact is about."""
 
     KEY = auto()  # the map `subject` has the key `key`
-    LENGTH = auto()  # the list or text `subject` has the length `least` at least
+    LENGTH = auto()  # the list or text `subject` has the length at least `min_length`
     VALUE = auto()  # the optional `subject` has a value
 
 
@@ -31,7 +31,7 @@
     kind: FactKind
     subject: s.Node
     key: s.Node | None = None
-    least: int = 0
+    min_length: int = 0
 
 
 def key_fact(mapping: s.Node, key: s.Node, fold: bool) -> Fact:
@@ -41,9 +41,9 @@
     return Fact(FactKind.KEY, mapping, key)
 
 
-def length_fact(subject: s.Node, least: int) -> Fact:
+def length_fact(subject: s.Node, min_length: int) -> Fact:
     """The fact that a list or text is so long at least."""
-    return Fact(FactKind.LENGTH, subject, least=least)
+    return Fact(FactKind.LENGTH, subject, min_length=min_length)
 
 
 def value_fact(optional: s.Node) -> Fact:
@@ -51,13 +51,13 @@
     return Fact(FactKind.VALUE, optional)
 
 
-def shown_facts(node: s.Node, truth: bool, environment: Environment) -> frozenset[Fact]:
+def implied_facts(node: s.Node, truth: bool, environment: Environment) -> frozenset[Fact]:
     """What is known where this condition is `truth`."""
     match node:
         case s.Logic() if (node.operator == "&&") is truth:
-            return frozenset().union(*(shown_facts(term, truth, environment) for term in node.terms))
+            return frozenset().union(*(implied_facts(term, truth, environment) for term in node.terms))
         case s.Call(function="!", arguments=(operand,)):
-            return shown_facts(operand, not truth, environment)
+            return implied_facts(operand, not truth, environment)
         case s.Call(function="in", arguments=(key, mapping)) if truth:
             return frozenset((key_fact(mapping, key, has_folded_keys(mapping, environment)),))
         case s.Call(function="has", arguments=(s.Select() as field,), receiver=None) if truth:
@@ -86,8 +86,8 @@
     assert isinstance(right.value, int)
     if operator == "!=":  # only not being empty shows something
         return frozenset((length_fact(subject, 1),)) if right.value == 0 else frozenset()
-    least = {">": right.value + 1, ">=": right.value, "==": right.value}.get(operator, 0)
-    return frozenset((length_fact(subject, least),)) if least > 0 else frozenset()
+    min_length = {">": right.value + 1, ">=": right.value, "==": right.value}.get(operator, 0)
+    return frozenset((length_fact(subject, min_length),)) if min_length > 0 else frozenset()
 
 
 def sized_operand(node: s.Node) -> s.Node | None:
--- a/stoatrouter/expressions/literals.py
+++ b/stoatrouter/expressions/literals.py
@@ -6,7 +6,7 @@
 
 MIN_INT = -(1 << 63)
 MAX_INT = (1 << 63) - 1
-MAX_DIGITS = 100  # characters of an int
+MAX_INT_LITERAL_LENGTH = 100  # characters of an int
 
 ESCAPE = re.compile(
     r"""\\(?:([abfnrtv\\?"'`])|[xX]([0-9a-fA-F]{2})|u([0-9a-fA-F]{4})|U([0-9a-fA-F]{8})"""
@@ -92,8 +92,8 @@
         LiteralError: It is longer than `MAX_DIGITS`, or has more than 64 bits.
     """
     # Guards against Python's own bound on the digits of a number, and against the time that they take.
-    if len(text) > MAX_DIGITS:
-        raise LiteralError(f"a number of more than {MAX_DIGITS} digits")
+    if len(text) > MAX_INT_LITERAL_LENGTH:
+        raise LiteralError(f"a number of more than {MAX_INT_LITERAL_LENGTH} digits")
     number = int(text, 16) if text[:2].lower() == "0x" else int(text)
     if number > MAX_INT + 1:
         raise LiteralError(f"{text} is out of an int's 64 bits")
--- a/stoatrouter/expressions/lookups.py
+++ b/stoatrouter/expressions/lookups.py
@@ -28,7 +28,7 @@
             if not in_range(value):
                 raise self.reject(node, f"{value} is out of an int's 64 bits")
             bound = b.int_bound(int(value), int(value))
-        return self.typed_node(node, SCALARS[node.kind], Op.LITERAL, detail=value, bound=bound, own=0)
+        return self.typed_node(node, SCALARS[node.kind], Op.LITERAL, detail=value, bound=bound, own_steps=0)
 
     def check_name(self, node: s.Name | s.Select, scope: Scope) -> Typed:
         """Check a name or field: a macro's variable, an input, or a key of a map."""
@@ -77,8 +77,8 @@
             raise self.reject(node, "an empty list has no elements")
         if node.optional:
             return self.optional_node(node, kind, Op.ELEMENT_OPTIONAL, parts, bound=bound)
-        least = max(operand.bound.least, scope.least_length(node.operand))
-        if index.bound.low >= 0 and index.bound.high < least:
+        min_length = max(operand.bound.min_length, scope.known_length(node.operand))
+        if index.bound.low >= 0 and index.bound.high < min_length:
             return self.typed_node(node, kind, Op.ELEMENT_SURE, parts, bound=bound)
         return self.typed_node(node, kind, Op.ELEMENT, parts, bound=bound, faults=(out_of_range(node),))
 
@@ -92,8 +92,8 @@
         parts = (operand, key)
         if optional:
             return self.optional_node(node, kind, Op.KEY_OPTIONAL, parts, bound=bound)
-        is_shown = key_fact(operand.node, key.node, operand.type.folded) in scope.facts
-        if is_shown or is_literal_key(operand, key):
+        is_known = key_fact(operand.node, key.node, operand.type.folded) in scope.facts
+        if is_known or is_literal_key(operand, key):
             return self.typed_node(node, kind, Op.KEY_SURE, parts, bound=bound)
         text, name = show(operand.node), show(key.node)
         remedy = f"write {text}[?{name}].orValue(...), or guard it: {name} in {text} && ..."
--- a/stoatrouter/expressions/macros.py
+++ b/stoatrouter/expressions/macros.py
@@ -9,7 +9,7 @@
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
 from stoatrouter.expressions.checks import LIST_STEPS
-from stoatrouter.expressions.guards import shown_facts
+from stoatrouter.expressions.guards import implied_facts
 from stoatrouter.expressions.lookups import LookupChecks
 from stoatrouter.expressions.show import show
 from stoatrouter.expressions.typed import Op, Scope, Typed, fold_key
@@ -83,7 +83,7 @@
         if name == "map":
             run.append(self.check_map_body(node, inner, has_test))
         kind, bound = macro_result(name, items, run[-1], has_test)
-        most = items.bound.length
+        max_items = items.bound.length
         return self.typed_node(
             node,
             kind,
@@ -91,8 +91,8 @@
             (items, *run),
             detail=MacroDetail(name, self.variable_name(node), has_test),
             bound=bound,
-            own=1 + most + (LIST_STEPS if isinstance(kind, t.ListOf) else 0),
-            repeats=(1, *(most for _ in run)),
+            own_steps=1 + max_items + (LIST_STEPS if isinstance(kind, t.ListOf) else 0),
+            repeats=(1, *(max_items for _ in run)),
         )
 
     def check_macro_items(self, node: s.Call, scope: Scope) -> Typed:
@@ -117,8 +117,8 @@
 
     def check_map_body(self, node: s.Call, inner: Scope, has_test: bool) -> Typed:
         """Check the body of map(), with what its test has shown."""
-        shown = shown_facts(node.arguments[1], True, self.environment) if has_test else ()
-        body = self.check_node(node.arguments[-1], inner.with_facts(shown))
+        implied = implied_facts(node.arguments[1], True, self.environment) if has_test else ()
+        body = self.check_node(node.arguments[-1], inner.with_facts(implied))
         if isinstance(body.type, t.OptionalOf):
             raise self.reject(node.arguments[-1], "a list of optionals is left out", "use orValue first")
         return body
@@ -126,9 +126,11 @@
 
 def macro_result(name: str, items: Typed, last: Typed, has_test: bool) -> tuple[t.Type, b.Bound]:
     """The type and bound of what a macro yields; `last` is its body, or its test where it has none."""
-    most = items.bound.length
+    max_items = items.bound.length
     if name == "filter":
-        return items.type, b.list_bound(most, items.bound.inner or b.ANY)
+        return items.type, b.list_bound(max_items, items.bound.inner or b.ANY)
     if name == "map":
-        return t.ListOf(last.type), b.list_bound(most, last.bound, 0 if has_test else items.bound.least)
+        return t.ListOf(last.type), b.list_bound(
+            max_items, last.bound, 0 if has_test else items.bound.min_length
+        )
     return t.BOOL, b.BOOL_BOUND
--- a/stoatrouter/expressions/operators.py
+++ b/stoatrouter/expressions/operators.py
@@ -8,7 +8,7 @@
 from stoatrouter.expressions import bounds as b
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions import types as t
-from stoatrouter.expressions.checks import CheckerBase, UntypedError, failure
+from stoatrouter.expressions.checks import CheckerBase, UntypedError, failure_problem
 from stoatrouter.expressions.typed import Op, Scope, Typed, fold_key
 
 EQUALITY = ("==", "!=")
@@ -53,9 +53,9 @@
         kind = t.common_type(left.type, right.type)
         if kind is None or not is_comparable(kind, node.function):
             raise self.reject_operands(node, parts)
-        own = b.comparison_steps(left.bound, right.bound)
+        own_steps = b.comparison_steps(left.bound, right.bound)
         return self.typed_node(
-            node, t.BOOL, Op.COMPARE, parts, detail=node.function, bound=b.BOOL_BOUND, own=own
+            node, t.BOOL, Op.COMPARE, parts, detail=node.function, bound=b.BOOL_BOUND, own_steps=own_steps
         )
 
     def check_in(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
@@ -63,13 +63,15 @@
         item, items = parts
         if isinstance(items.type, t.MapOf) and item.type == t.STRING:
             key = fold_key(item) if items.type.folded else item
-            own = 1 + b.walk_steps(key.bound.length)
-            return self.typed_node(node, t.BOOL, Op.IN_MAP, (key, items), bound=b.BOOL_BOUND, own=own)
+            own_steps = 1 + b.scan_steps(key.bound.length)
+            return self.typed_node(
+                node, t.BOOL, Op.IN_MAP, (key, items), bound=b.BOOL_BOUND, own_steps=own_steps
+            )
         if not isinstance(items.type, t.ListOf) or not is_element(item.type, items.type):
             raise self.reject(node, f"in is not defined for {item.type} and {items.type}")
         each = b.comparison_steps(item.bound, items.bound.inner or b.ANY)
-        own = 1 + each * items.bound.length
-        return self.typed_node(node, t.BOOL, Op.IN_LIST, parts, bound=b.BOOL_BOUND, own=own)
+        own_steps = 1 + each * items.bound.length
+        return self.typed_node(node, t.BOOL, Op.IN_LIST, parts, bound=b.BOOL_BOUND, own_steps=own_steps)
 
     def check_arithmetic(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
         """Check + - * / % and the sign, concatenation included."""
@@ -83,12 +85,14 @@
         if isinstance(kind, t.ListOf):
             inner = [bound.inner for bound in (left, right) if bound.inner is not None and bound.length]
             element = inner[0].union(inner[-1]) if inner else b.ANY
-            bound = b.list_bound(left.length + right.length, element, left.least + right.least)
+            bound = b.list_bound(left.length + right.length, element, left.min_length + right.min_length)
         elif kind in (t.STRING, t.BYTES):
-            bound = b.Bound(left.length + right.length, left.least + right.least)
+            bound = b.Bound(left.length + right.length, left.min_length + right.min_length)
         else:
             return self.check_numeric(node, parts, parts)
-        return self.typed_node(node, kind, Op.ADD, parts, bound=bound, own=1 + b.walk_steps(bound.length))
+        return self.typed_node(
+            node, kind, Op.ADD, parts, bound=bound, own_steps=1 + b.scan_steps(bound.length)
+        )
 
     def check_numeric(self, node: s.Call, operands: tuple[Typed, ...], parts: tuple[Typed, ...]) -> Typed:
         """Check arithmetic of numbers, which may overflow unless their bounds rule it out.
@@ -110,8 +114,8 @@
         left, right = (operand.bound for operand in operands)
         interval = b.division_interval if name in DIVISION else b.arithmetic_interval
         low, high = interval(name, left, right)
-        why = why_failing(name, right, b.fits_type(low, high, kind))
-        faults = (failure(node, why),) if why else ()
+        why = failure_reason(name, right, b.fits_type(low, high, kind))
+        faults = (failure_problem(node, why),) if why else ()
         truncates = name in DIVISION and (left.low < 0 or right.low < 0)
         detail = ArithmeticDetail(name, not why and not truncates)
         bound = b.clip(low, high, kind)
@@ -130,8 +134,8 @@
         (part,) = parts
         if part.type not in (t.STRING, t.BYTES) and not isinstance(part.type, t.ListOf | t.MapOf):
             raise self.reject(node, f"{part.type} has no size")
-        least = max(part.bound.least, scope.least_length(part.node))
-        bound = b.int_bound(least, max(least, part.bound.length))
+        min_length = max(part.bound.min_length, scope.known_length(part.node))
+        bound = b.int_bound(min_length, max(min_length, part.bound.length))
         return self.typed_node(node, t.INT, Op.SIZE, parts, bound=bound)
 
 
@@ -150,7 +154,7 @@
     return t.common_type(items.element, kind) is not None
 
 
-def why_failing(operator: str, divisor: b.Bound, fits: bool) -> str:
+def failure_reason(operator: str, divisor: b.Bound, fits: bool) -> str:
     """Why arithmetic of ints or durations may fail; empty where it cannot."""
     if operator in DIVISION and divisor.low <= 0 <= divisor.high:
         return "the divisor may be 0"
--- a/stoatrouter/expressions/parser.py
+++ b/stoatrouter/expressions/parser.py
@@ -20,7 +20,7 @@
 
 MAX_LENGTH = 8192  # code points of a source; longer ones are rejected unread
 MAX_NODES = 2000  # of a tree
-LONGEST_TOKEN = 40  # characters of a token in a message
+MAX_TOKEN_LENGTH = 40  # characters of a token in a message
 SURROGATE = re.compile("[\ud800-\udfff]")
 RESERVED_WORDS = """as break const continue else for function if import in let loop package namespace return
     var void while"""
@@ -105,7 +105,7 @@
     if token.type == "$END":
         return rejection(end_of(source), "the expression ends too early", remedy)
     place = Position(token.line, token.column)
-    return rejection(place, f"{str(token)[:LONGEST_TOKEN]!r} cannot stand here", remedy)
+    return rejection(place, f"{str(token)[:MAX_TOKEN_LENGTH]!r} cannot stand here", remedy)
 
 
 def end_of(source: str) -> Position:
@@ -142,10 +142,10 @@
 def count_nodes(tree: s.Node) -> int:
     """How many nodes a tree has."""
     count = 0
-    waiting = [tree]
-    while waiting:
+    pending = [tree]
+    while pending:
         count += 1
-        waiting += children(waiting.pop())
+        pending += children(pending.pop())
     return count
 
 
--- a/stoatrouter/expressions/runtime.py
+++ b/stoatrouter/expressions/runtime.py
@@ -27,7 +27,7 @@
 LOWER = {c: c + 32 for c in range(ord("A"), ord("Z") + 1)}
 UPPER = {c: c - 32 for c in range(ord("a"), ord("z") + 1)}
 MAX_ADDRESS_LENGTH = 64  # characters of a text that is read as an address; longer ones are none
-ADDRESS_CACHE = 4096  # addresses that are parsed once; the least recently used are dropped
+ADDRESS_CACHE_SIZE = 4096  # addresses that are parsed once; the least recently used are dropped
 
 
 class Fields(dict[str, str]):
@@ -64,16 +64,16 @@
     return text.strip(WHITE_SPACE)
 
 
-def split(text: str, separator: str, most: int = -1) -> list[str]:
+def split(text: str, separator: str, limit: int = -1) -> list[str]:
     """CEL's `split`: an empty separator splits into code points.
 
     A limit of 0 gives nothing, a negative one is none.
     """
-    if most == 0:
+    if limit == 0:
         return []
     if not separator:
-        return list(text) if most < 0 or len(text) <= most else [*text[: most - 1], text[most - 1 :]]
-    return text.split(separator, most - 1 if most > 0 else -1)
+        return list(text) if limit < 0 or len(text) <= limit else [*text[: limit - 1], text[limit - 1 :]]
+    return text.split(separator, limit - 1 if limit > 0 else -1)
 
 
 def substring(text: str, start: int, stop: int | None = None) -> str:
@@ -102,7 +102,7 @@
 
 
 # -- addresses ----------------------------------------------------------------------------------------------
-@lru_cache(maxsize=ADDRESS_CACHE)  # clients come from few addresses, and reading one takes microseconds
+@lru_cache(maxsize=ADDRESS_CACHE_SIZE)  # clients come from few addresses, and reading one takes microseconds
 def read_ip(text: str) -> Address | None:
     """The address that a text is, or None. A zone (fe80::1%eth0) has no meaning beyond its machine."""
     try:
@@ -239,9 +239,9 @@
     return any(number == item for item in items)
 
 
-def join(items: Iterable[str], between: str = "") -> str:
+def join(items: Iterable[str], separator: str = "") -> str:
     """CEL's `join`."""
-    return between.join(items)
+    return separator.join(items)
 
 
 def encode(text: str) -> bytes:
--- a/stoatrouter/expressions/show.py
+++ b/stoatrouter/expressions/show.py
@@ -6,14 +6,14 @@
 
 from stoatrouter.expressions import syntax as s
 
-LONGEST_TEXT = 60  # characters of an expression in a message
+MAX_SHOWN_LENGTH = 60  # characters of an expression in a message
 ELLIPSIS = "..."
 
 
 def show(node: s.Node) -> str:
     """The text of a node, cut to `LONGEST_TEXT` characters."""
     text = format_node(node)
-    return text if len(text) <= LONGEST_TEXT else text[: LONGEST_TEXT - len(ELLIPSIS)] + ELLIPSIS
+    return text if len(text) <= MAX_SHOWN_LENGTH else text[: MAX_SHOWN_LENGTH - len(ELLIPSIS)] + ELLIPSIS
 
 
 def format_node(node: s.Node) -> str:
--- a/stoatrouter/expressions/typed.py
+++ b/stoatrouter/expressions/typed.py
@@ -58,7 +58,7 @@
     """A node with its type, bound and cost; `op` and `detail` tell the compiler what to emit.
 
     Attributes:
-        own: The steps of the node without those of its parts.
+        own_steps: The steps of the node without those of its parts.
         repeats: How often each part is run, where that is not once.
         faults: Why evaluation may fail.
         cost: The steps in the worst case, parts included.
@@ -70,7 +70,7 @@
     parts: tuple[Typed, ...] = ()
     detail: Any = None
     bound: b.Bound = b.ANY
-    own: int = 1
+    own_steps: int = 1
     repeats: tuple[int, ...] = ()
     faults: tuple[Problem, ...] = ()
     cost: int = 0
@@ -123,10 +123,10 @@
         """This scope with one more variable of a macro."""
         return Scope({**self.variables, name: element}, self.facts)
 
-    def least_length(self, node: s.Node) -> int:
+    def known_length(self, node: s.Node) -> int:
         """The least length that a list or text is known to have."""
         lengths = (fact for fact in self.facts if fact.kind is FactKind.LENGTH)
-        return max((fact.least for fact in lengths if fact.subject == node), default=0)
+        return max((fact.min_length for fact in lengths if fact.subject == node), default=0)
 
 
 def fold_key(key: Typed) -> Typed:
@@ -134,5 +134,7 @@
     if key.is_literal and isinstance(key.node, s.Literal):
         lower = key.detail.lower()
         return replace(key, detail=lower, node=replace(key.node, value=lower))
-    own = 1 + b.walk_steps(key.bound.length)
-    return replace(key, op=Op.FOLDED, parts=(key,), own=own, repeats=(), cost=key.cost + own)
+    own_steps = 1 + b.scan_steps(key.bound.length)
+    return replace(
+        key, op=Op.FOLDED, parts=(key,), own_steps=own_steps, repeats=(), cost=key.cost + own_steps
+    )
--- a/stoatrouter/matching/cache.py
+++ b/stoatrouter/matching/cache.py
@@ -105,7 +105,7 @@
         self.used.add(key)
         expression = self.expressions.get(key)
         if expression is None:
-            limits = Limits(steps=min(Limits().steps, max_steps))
+            limits = Limits(max_steps=min(Limits().max_steps, max_steps))
             checked = check(parse(source), environment, wanted_type, limits)
             expression = self.expressions[key] = Expression(checked, compile_many([checked])[0])
         return expression
--- a/stoatrouter/matching/explain.py
+++ b/stoatrouter/matching/explain.py
@@ -21,7 +21,7 @@
 from stoatrouter.matching.table import CompiledRule, CompiledScope, Table
 
 MAX_EXAMPLES = 5  # requests listed for each difference
-UNLIMITED_STEPS = Limits(steps=1 << 40)  # the limits of the rule were checked when it was loaded
+UNLIMITED_STEPS = Limits(max_steps=1 << 40)  # the limits of the rule were checked when it was loaded
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -161,7 +161,7 @@
     return of(draw(st.sampled_from(kinds)), most_depth)
 
 
-ROOMY = ex.Limits(steps=10**15, result=10**12, largest=10**12)
+ROOMY = ex.Limits(max_steps=10**15, max_result_size=10**12, max_value_size=10**12)
 
 
 def alike(a, b):
