--- a/stoatrouter/expressions/__init__.py
+++ b/stoatrouter/expressions/__init__.py
@@ -1,7 +1,8 @@
-"""A named subset of the Common Expression Language: parsed, typed, bounded and compiled once, at load.
+"""A subset of the Common Expression Language (CEL): parsed, checked, bounded and compiled once, at load.
 
-It knows nothing of HTTP, sockets or clocks: an `Environment` names the inputs, their types and their bounds.
-What is there of CEL, what is left out and where it is stricter: docs/expressions.md.
+The package is independent of HTTP, sockets and clocks: an `Environment` declares the inputs, their types and
+their bounds. docs/expressions.md lists what is supported, what is not, and where this subset is stricter
+than CEL.
 """
 
 from stoatrouter.expressions.checker import check
@@ -33,11 +34,11 @@
 
     Args:
         source: The expression.
-        environment: The inputs that it may refer to.
-        expected_type: The type that it must yield; any type where it is None.
-        limits: What it may take; the default limits where it is None.
+        environment: The inputs that the expression may refer to.
+        expected_type: The type that the expression must yield; None allows any type.
+        limits: Limits of its cost and sizes; None for the default limits.
 
     Raises:
-        ExpressionError: Every problem that was found.
+        ExpressionError: All problems that were found.
     """
     return compile_checked(check(parse(source), environment, expected_type, limits or Limits()))
--- a/stoatrouter/expressions/calls.py
+++ b/stoatrouter/expressions/calls.py
@@ -1,4 +1,4 @@
-"""Checks of calls of functions."""
+"""Checks of function calls."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class CallDetail(NamedTuple):
-    """The function that is called, and what was prepared of its literal argument, if it wants one."""
+    """The function that is called, and the object prepared from its literal argument, if it requires one."""
 
     function: fn.Function
     constant: Any
 
 
 class FunctionChecks(CheckerBase):
-    """Checks calls of functions, and prepares their literal arguments.
+    """Checks function calls and prepares their literal arguments.
 
-    All methods raise UntypedError for what has no type, or for a literal that is malformed.
+    All methods raise UntypedError if the node cannot be typed or a literal is malformed.
     """
 
     def check_function(self, node: s.Call, parts: tuple[Typed, ...], scope: Scope) -> Typed:
-        """Check a call of a function by its overloads."""
+        """Check a function call against the overloads of the function."""
         function = self.select_overload(node, parts)
         if parts and isinstance(parts[0].type, t.MapOf) and parts[0].type.folded:
             parts = (parts[0], fold_key(parts[1]))
@@ -45,7 +45,7 @@
             faults = (failure_problem(node, function.fails),)
         constant = self.prepare_literal(function, parts[-1]) if function.literal else None
         if function.name == "split" and len(parts) == 2 and parts[1].is_literal and parts[1].detail:
-            bound = b.with_min_length(bound, 1)  # a separator that is not empty leaves one piece at least
+            bound = b.with_min_length(bound, 1)  # a non-empty separator yields at least one piece
         return self.typed_node(
             node,
             function.result,
@@ -58,7 +58,7 @@
         )
 
     def select_overload(self, node: s.Call, parts: tuple[Typed, ...]) -> fn.Function:
-        """The overload that takes arguments of these types."""
+        """Return the overload that accepts arguments of these types."""
         overloads = fn.BY_NAME.get((node.function, node.receiver is not None), [])
         kinds = [part.type for part in parts]
         for function in overloads:
@@ -67,7 +67,7 @@
         raise self.reject(node, *explain_mismatch(node, overloads, kinds))
 
     def check_duration_literal(self, node: s.Call, parts: tuple[Typed, ...], bound: b.Bound) -> Typed:
-        """Check duration() of a literal, which is read at load: a constant."""
+        """Check duration() of a literal, which is parsed at load and becomes a constant."""
         (text,) = parts
         span = text.detail
         if text.type == t.STRING:
@@ -75,24 +75,24 @@
                 span = duration_of_text(text.detail)
             except EvaluationError as error:
                 what = f"{show(text.node)}: {error}"
-                raise self.reject(text.node, what, "like '1h30m' or '250ms'") from None
+                raise self.reject(text.node, what, "for example '1h30m' or '250ms'") from None
         assert isinstance(span, timedelta)
         micros = span // MICROSECOND
         bound = b.int_bound(micros, micros)
         return self.typed_node(node, t.DURATION, Op.LITERAL, detail=span, bound=bound, own_steps=0)
 
     def prepare_literal(self, function: fn.Function, part: Typed) -> Any:
-        """What a function prepares at load of its last argument, which has to be a literal."""
-        # imported here: the matcher is loaded only where an expression has a pattern
+        """Return the object prepared at load from the last argument, which must be a literal."""
+        # imported here so that RE2 is loaded only if an expression has a pattern
         from stoatrouter.expressions import prepared
 
         if not part.is_literal:
             what = f"the last argument of {function.name} must be a literal"
-            raise self.reject(part.node, what, "it is read once, when the rule is loaded")
+            raise self.reject(part.node, what, "it is compiled once, when the rule is loaded")
         is_pattern = function.name == "matches"
         if is_pattern and len(part.detail) > MAX_PATTERN_LENGTH:
-            what = f"a pattern of {len(part.detail)} characters"
-            raise self.reject(part.node, what, f"{MAX_PATTERN_LENGTH} at most")
+            what = f"the pattern has {len(part.detail)} characters"
+            raise self.reject(part.node, what, f"the limit is {MAX_PATTERN_LENGTH}")
         try:
             return (prepared.compile_pattern if is_pattern else prepared.parse_network)(part.detail)
         except ValueError as error:
@@ -100,7 +100,7 @@
 
 
 def cannot_fail(function: fn.Function, parts: tuple[Typed, ...], scope: Scope) -> bool:
-    """Whether a call that may fail in general cannot fail with these arguments: substring within the text."""
+    """Return whether a call of a fallible function cannot fail: substring with a range inside the string."""
     if function.name != "substring":
         return False
     text, *ends = parts
@@ -110,13 +110,13 @@
 
 
 def explain_mismatch(node: s.Call, overloads: list[fn.Function], kinds: list[t.Type]) -> tuple[str, str]:
-    """Why no function fits a call, and what to write in its place."""
+    """Return why no overload matches a call, and what to write instead."""
     name = node.function
     if overloads:
         forms = "; ".join(map(format_signature, overloads))
-        return f"{name} does not take ({', '.join(map(str, kinds))})", f"it is {forms}"
+        return f"{name} does not accept ({', '.join(map(str, kinds))})", f"available: {forms}"
     if name in fn.UNSUPPORTED:
-        return f"{name}() is left out", fn.UNSUPPORTED[name]
+        return f"{name}() is not supported", fn.UNSUPPORTED[name]
     what = f"there is no function {name!r}"
     if (name, node.receiver is None) not in fn.BY_NAME:
         return what, ""
@@ -126,7 +126,7 @@
 
 
 def format_signature(function: fn.Function) -> str:
-    """A function with its types, as the reference writes it."""
+    """Return the signature of a function, as docs/expressions.md shows it."""
     kinds = [str(kind) for kind in function.arguments]
     if function.method:
         return f"{kinds[0]}.{function.name}({', '.join(kinds[1:])}) -> {function.result}"
--- a/stoatrouter/expressions/checker.py
+++ b/stoatrouter/expressions/checker.py
@@ -1,7 +1,7 @@
 """Checks an expression once at load: its type, possible failures, sizes and cost.
 
-An operation that may fail is no error by itself: it may stand inside `try(...)`, or be guarded. An unguarded
-one at the top is rejected, with the place, the reason and the way to guard it.
+An operation that may fail is allowed inside `try(...)` or behind a guard. Anywhere else it is rejected, with
+its position, the reason and a way to guard it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from stoatrouter.expressions.show import show
 from stoatrouter.expressions.typed import Checked, Op, Scope, Typed
 
-MAX_OPERATIONS_SHOWN = 3  # operations that are named where an expression costs too much
+MAX_OPERATIONS_SHOWN = 3  # operations that the message about an expression over the cost limit lists
 
 
 def check(
@@ -30,13 +30,13 @@
     """Check a whole expression.
 
     Args:
-        node: The tree of the expression.
-        environment: The inputs that it may refer to.
-        expected_type: The type that it must yield; anything but a type stands for any.
-        limits: What it may take; the default limits where it is None.
+        node: The syntax tree of the expression.
+        environment: The inputs that the expression may refer to.
+        expected_type: The type that the expression must yield; a value that is not a `Type` allows any.
+        limits: Limits of its cost and sizes; None for the default limits.
 
     Raises:
-        ExpressionError: All problems.
+        ExpressionError: All problems that were found.
     """
     limits = limits or Limits()
     checker = Checker(environment, limits)
@@ -46,27 +46,27 @@
         raise ExpressionError(*checker.problems) from None
     problems = [*checker.problems, *root.faults, *exceeded_limits(root, limits)]
     if isinstance(expected_type, t.Type) and t.common_type(root.type, expected_type) != expected_type:
-        problems.append(Problem(node.at, f"this yields {root.type}, but {expected_type} is wanted here"))
+        problems.append(Problem(node.at, f"this yields {root.type}, but {expected_type} is expected here"))
     if problems:
         raise ExpressionError(*problems)
     return Checked(root, environment)
 
 
 def exceeded_limits(root: Typed, limits: Limits) -> list[Problem]:
-    """The limits of steps and size that an expression exceeds."""
+    """Return a problem for each limit that the expression exceeds: its steps or the size of its result."""
     at = root.node.at
     problems = []
     if root.cost > limits.max_steps:
-        what = f"it may take {root.cost} steps, {limits.max_steps} at most"
-        problems.append(Problem(at, what, "most of them: " + ", ".join(most_expensive_operations(root))))
+        what = f"this may take {root.cost} steps; the limit is {limits.max_steps}"
+        problems.append(Problem(at, what, "most expensive: " + ", ".join(most_expensive_operations(root))))
     if root.bound.total > limits.max_result_size:
-        what = f"its value may have a size of {root.bound.total}, {limits.max_result_size} at most"
-        problems.append(Problem(at, what, "use substring or fewer parts"))
+        what = f"the result may have a size of {root.bound.total}; the limit is {limits.max_result_size}"
+        problems.append(Problem(at, what, "use substring() or fewer operands"))
     return problems
 
 
 def most_expensive_operations(root: Typed, count: int = MAX_OPERATIONS_SHOWN) -> list[str]:
-    """The most expensive operations, with their places and steps in the worst case."""
+    """Return the most expensive operations, with their positions and worst-case steps."""
     found: list[tuple[int, Position, str]] = []
     pending = [(root, 1)]
     while pending:
@@ -78,13 +78,13 @@
 
 
 class Checker(optionals.OptionalChecks, operators.OperatorChecks, FunctionChecks):
-    """One check of one expression; it collects the problems."""
+    """Checks one expression and collects its problems."""
 
     def check_node(self, node: s.Node, scope: Scope) -> Typed:
         """Check a node by its kind.
 
         Raises:
-            UntypedError: It has no type.
+            UntypedError: The node cannot be typed.
         """
         match node:
             case s.Literal():
@@ -106,10 +106,10 @@
         raise AssertionError(node)
 
     def check_logic(self, node: s.Logic, scope: Scope) -> Typed:
-        """Check && or ||: each term is checked with what those before it have shown.
+        """Check && or ||: each term is checked with the facts that the terms before it imply.
 
         Raises:
-            UntypedError: A term has no type, or is no bool.
+            UntypedError: A term cannot be typed or is not a bool.
         """
         parts = []
         inner = scope
@@ -118,8 +118,8 @@
             try:
                 part = self.check_node(term, inner)
                 if part.type != t.BOOL:
-                    what = f"{node.operator} wants bool, not {part.type}"
-                    raise self.reject(term, what, "nothing is converted by itself: compare it")
+                    what = f"{node.operator} requires bool, not {part.type}"
+                    raise self.reject(term, what, "there is no implicit conversion: write a comparison")
                 parts.append(part)
             except UntypedError:
                 failed = True
@@ -138,20 +138,20 @@
         )
 
     def check_conditional(self, node: s.Conditional, scope: Scope) -> Typed:
-        """Check ?: with what the condition shows in either branch; the cost is that of the dearer one.
+        """Check ?: with the facts that the condition implies in each branch; the costlier branch counts.
 
         Raises:
-            UntypedError: The condition is no bool, or the branches are of two types.
+            UntypedError: The condition is not a bool, or the branches have no common type.
         """
         condition = self.check_node(node.condition, scope)
         if condition.type != t.BOOL:
-            raise self.reject(node.condition, f"?: wants bool, not {condition.type}", "compare it")
+            raise self.reject(node.condition, f"?: requires bool, not {condition.type}", "write a comparison")
         then = self.check_node(node.then, self.branch_scope(node, True, scope))
         other = self.check_node(node.other, self.branch_scope(node, False, scope))
         kind = t.common_type(then.type, other.type)
         if kind is None:
             what = f"?: yields {then.type} or {other.type}"
-            raise self.reject(node.other, what, "both must be of one type")
+            raise self.reject(node.other, what, "both branches must have the same type")
         return self.typed_node(
             node,
             kind,
@@ -162,25 +162,25 @@
         )
 
     def branch_scope(self, node: s.Conditional, truth: bool, scope: Scope) -> Scope:
-        """The scope of the branch that is taken where the condition is `truth`."""
+        """Return the scope of the branch that is taken if the condition equals `truth`."""
         return scope.with_facts(implied_facts(node.condition, truth, self.environment))
 
     def check_list(self, node: s.ListLiteral, scope: Scope) -> Typed:
         """Check a list literal.
 
         Raises:
-            UntypedError: Its items are not of one type, or are optionals.
+            UntypedError: The items have no common type, or are optionals.
         """
         parts = self.check_siblings(node.items, scope)
         kind: t.Type = t.NEVER
         for part in parts:
             together = t.common_type(kind, part.type)
             if together is None:
-                what = f"a list of {kind} has no {part.type}"
-                raise self.reject(part.node, what, "all must be of one type")
+                what = f"a list of {kind} cannot hold {part.type}"
+                raise self.reject(part.node, what, "all elements must have the same type")
             kind = together
         if isinstance(kind, t.OptionalOf):
-            raise self.reject(node, "a list of optionals is left out", "use orValue first")
+            raise self.reject(node, "a list of optionals is not supported", "use orValue first")
         bound = b.list_bound(len(parts), common_bound(parts), len(parts))
         return self.typed_node(node, t.ListOf(kind), Op.LIST, parts, bound=bound, own_steps=LIST_STEPS)
 
@@ -188,21 +188,21 @@
         """Check a map literal.
 
         Raises:
-            UntypedError: A key is no string literal, or stands twice, or the values are not of one type.
+            UntypedError: A key is not a string literal or is repeated, or the values have no common type.
         """
         parts = self.check_siblings((part for item in node.items for part in item), scope)
         kind: t.Type = t.NEVER
         seen = set()
         for key, value in zip(parts[::2], parts[1::2], strict=True):
             if key.type != t.STRING or not key.is_literal:
-                raise self.reject(key.node, "a key of a map is a string literal")
+                raise self.reject(key.node, "a key of a map must be a string literal")
             if key.detail in seen:
-                raise self.reject(key.node, f"the key {key.detail!r} stands twice")
+                raise self.reject(key.node, f"duplicate key {key.detail!r}")
             seen.add(key.detail)
             together = t.common_type(kind, value.type)
             if together is None or isinstance(value.type, t.OptionalOf):
-                what = f"a map to {kind} has no {value.type}"
-                raise self.reject(value.node, what, "all must be of one type")
+                what = f"a map to {kind} cannot hold {value.type}"
+                raise self.reject(value.node, what, "all values must have the same type")
             kind = together
         count = len(node.items)
         bound = b.list_bound(count, common_bound(parts[1::2]), count)
@@ -212,7 +212,7 @@
         """Check a call: a macro, an operator, an optional's method or a function.
 
         Raises:
-            UntypedError: It has no type.
+            UntypedError: The call cannot be typed.
         """
         macro = self.check_macro_call(node, scope)
         if macro is not None:
@@ -232,7 +232,7 @@
         return self.check_function(node, parts, scope)
 
     def check_macro_call(self, node: s.Call, scope: Scope) -> Typed | None:
-        """Check a call whose arguments are not all values, to be checked before it; None for others."""
+        """Check a call whose arguments are not all plain values; return None for any other call."""
         name, count = node.function, len(node.arguments)
         if node.receiver is None:
             if name == "has" and count == 1:
@@ -251,7 +251,7 @@
 
 
 def common_bound(parts: tuple[Typed, ...]) -> b.Bound:
-    """The bound of a value that is any of these; any bound where there are none."""
+    """Return the bound of a value that is any of the parts; without parts, the widest bound."""
     if not parts:
         return b.ANY
     bound = parts[0].bound
--- a/stoatrouter/expressions/compiler.py
+++ b/stoatrouter/expressions/compiler.py
@@ -1,8 +1,8 @@
-"""From a checked expression to one Python function, by the `ast` module, at load.
+"""Compiles a checked expression to a Python function at load, by means of the `ast` module.
 
-The function sees the object of inputs, the helpers of runtime.py and conversions.py that it names, and what
-was prepared of its literals. There are no builtins in its reach, and no text of the expression becomes Python
-text.
+The function can access only the object of inputs, the helpers of runtime.py and conversions.py that it uses,
+and the objects prepared from its literals. It has no `__builtins__`, and no text of the expression becomes
+Python source.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 }
 BUILTINS: dict[str, Any] = {"len": len, "any": any, "all": all, "float": float, "str": str}
 TRUTH_HELPERS = {"all": "all", "exists": "any", "exists_one": "exactly_one"}
-EMITTERS = {op: f"emit_{op.name.lower()}" for op in Op}  # names of the methods of Emitter
+EMITTERS = {op: f"emit_{op.name.lower()}" for op in Op}  # names of methods of Emitter
 
 
 @dataclass(slots=True, frozen=True)
 class Program:
-    """A compiled expression. `run` takes the object of inputs; it does not raise."""
+    """A compiled expression. `run` takes the object of inputs and does not raise."""
 
     run: Callable[[Any], Any]
     checked: Checked
 
     @property
     def type(self) -> t.Type:
-        """The type of the value."""
+        """Return the type of the value."""
         return self.checked.type
 
     @property
     def cost(self) -> int:
-        """The steps in the worst case."""
+        """Return the number of steps in the worst case."""
         return self.checked.cost
 
 
@@ -66,7 +66,7 @@
 
 
 def compile_many(expressions: list[Checked]) -> list[Callable[[Any], Any]]:
-    """Compile several expressions as one module of Python, which costs less than one module for each."""
+    """Compile several expressions as one Python module, which is cheaper than one module for each."""
     emitter = Emitter()
     names = [f"f{i}" for i in range(len(expressions))]
     body: list[ast.stmt] = [
@@ -76,66 +76,66 @@
     module = ast.fix_missing_locations(ast.Module(body=body, type_ignores=[]))
     scope = {"__builtins__": {}, **emitter.names}
     exec(compile(module, "<expressions>", "exec", dont_inherit=True, optimize=0), scope)  # noqa: S102
-    # taken out of their globals: a function that holds itself would be left to the garbage collector
+    # removed from their globals: a reference cycle would keep the functions until the garbage collector runs
     return [scope.pop(name) for name in names]
 
 
 def find_function(name: str) -> Any:
-    """A function of runtime.py or conversions.py by its name."""
+    """Return a function of runtime.py or conversions.py by its name."""
     return getattr(conversions, name, None) or getattr(runtime, name)
 
 
 class Emitter:
-    """Builds Python's syntax tree of typed nodes, and gathers the names that it refers to.
+    """Builds the Python syntax tree of typed nodes and collects the names that it refers to.
 
-    Each `emit_` method has the Python form of one `Op`.
+    Each `emit_` method returns the Python expression of one `Op`.
     """
 
     def __init__(self) -> None:
-        """Begin without names."""
+        """Start without names."""
         self.names: dict[str, Any] = {}
 
     def emit(self, typed: Typed) -> ast.expr:
-        """The Python form of a node."""
+        """Return the Python expression of a node."""
         method: Callable[[Typed], ast.expr] = getattr(self, EMITTERS[typed.op])
         return method(typed)
 
     def emit_parts(self, typed: Typed) -> list[ast.expr]:
-        """The Python forms of the parts of a node."""
+        """Return the Python expressions of the parts of a node."""
         return [self.emit(part) for part in typed.parts]
 
     def call_helper(self, name: str, *given: ast.expr) -> ast.Call:
-        """A call of a builtin or of a function of runtime.py or conversions.py."""
+        """Return a call of a builtin or of a function of runtime.py or conversions.py."""
         self.names[f"h_{name}"] = BUILTINS.get(name) or find_function(name)
         return ast.Call(py.load(f"h_{name}"), list(given), [])
 
     def constant(self, value: Any) -> ast.expr:
-        """What Python has no literal for, under a name."""
+        """Return a reference to a value that has no Python literal, bound to a new name."""
         name = f"k{len(self.names)}"
         self.names[name] = value
         return py.load(name)
 
     # -- values -------------------------------------------------------------------------------------------
     def emit_literal(self, typed: Typed) -> ast.expr:
-        """A literal; a duration is a constant."""
+        """Emit a literal; a duration becomes a named constant."""
         if typed.type == t.DURATION:
             return self.constant(typed.detail)
         return ast.Constant(typed.detail)
 
     def emit_variable(self, typed: Typed) -> ast.expr:
-        """An attribute of the object of inputs."""
+        """Emit an attribute of the object of inputs."""
         return ast.Attribute(py.load(py.INPUT), typed.detail, ast.Load())
 
     def emit_local(self, typed: Typed) -> ast.expr:
-        """The variable of a comprehension or lambda."""
+        """Emit the variable of a comprehension or lambda."""
         return py.load(py.local_name(typed.detail))
 
     def emit_list(self, typed: Typed) -> ast.expr:
-        """A list display."""
+        """Emit a list display."""
         return ast.List(self.emit_parts(typed), ast.Load())
 
     def emit_map(self, typed: Typed) -> ast.expr:
-        """A dict display, or a constant where all is known at load."""
+        """Emit a dict display, or a named constant if all keys and values are literals."""
         parts = self.emit_parts(typed)
         if all(part.is_literal for part in typed.parts):
             keys, values = typed.parts[::2], typed.parts[1::2]
@@ -143,43 +143,43 @@
         return ast.Dict(list(parts[::2]), parts[1::2])
 
     def emit_same(self, typed: Typed) -> ast.expr:
-        """The part itself: an optional that has a value is that value."""
+        """Emit the part itself: an optional with a value is represented by that value."""
         return self.emit(typed.parts[0])
 
     def emit_folded(self, typed: Typed) -> ast.expr:
-        """`key.lower()`."""
+        """Emit `key.lower()`."""
         return py.call_method(self.emit(typed.parts[0]), "lower")
 
     # -- look-ups -----------------------------------------------------------------------------------------
     def emit_key_sure(self, typed: Typed) -> ast.expr:
-        """`mapping[key]`, for a key that is known to be there."""
+        """Emit `mapping[key]`, for a key that is known to exist."""
         container, index = self.emit_parts(typed)
         return ast.Subscript(container, index, ast.Load())
 
     def emit_element_sure(self, typed: Typed) -> ast.expr:
-        """`items[index]`, for an index that is known to lie within."""
+        """Emit `items[index]`, for an index that is known to be in range."""
         return self.emit_key_sure(typed)
 
     def emit_key(self, typed: Typed) -> ast.expr:
-        """A helper that raises EvaluationError for a missing key."""
+        """Emit a helper that raises EvaluationError for a missing key."""
         return self.call_helper("key", *self.emit_parts(typed))
 
     def emit_element(self, typed: Typed) -> ast.expr:
-        """A helper that raises EvaluationError for an index outside."""
+        """Emit a helper that raises EvaluationError for an index out of range."""
         return self.call_helper("element", *self.emit_parts(typed))
 
     def emit_key_optional(self, typed: Typed) -> ast.expr:
-        """`mapping.get(key)`."""
+        """Emit `mapping.get(key)`."""
         mapping, key = self.emit_parts(typed)
         return py.call_method(mapping, "get", key)
 
     def emit_element_optional(self, typed: Typed) -> ast.expr:
-        """A helper that yields None for an index outside."""
+        """Emit a helper that returns None for an index out of range."""
         return self.call_helper("element_or_none", *self.emit_parts(typed))
 
     # -- optionals ----------------------------------------------------------------------------------------
     def emit_has_value(self, typed: Typed) -> ast.expr:
-        """`optional is not None`; for a look-up in a map `key in mapping`."""
+        """Emit `optional is not None`, or `key in mapping` for a look-up in a map."""
         (part,) = typed.parts
         if part.op is Op.KEY_OPTIONAL:
             mapping, key = self.emit_parts(part)
@@ -187,11 +187,11 @@
         return py.compare(self.emit(part), ast.IsNot, ast.Constant(None))
 
     def emit_value(self, typed: Typed) -> ast.expr:
-        """A helper that raises EvaluationError for an empty optional."""
+        """Emit a helper that raises EvaluationError for an empty optional."""
         return self.call_helper("value", *self.emit_parts(typed))
 
     def emit_or(self, typed: Typed) -> ast.expr:
-        """`mapping.get(key, literal)`, or a helper; it is lazy where the alternative may fail."""
+        """Emit `mapping.get(key, literal)`, or a helper, which is lazy if the alternative may fail."""
         optional, other = typed.parts
         if optional.op is Op.KEY_OPTIONAL and other.is_literal:
             mapping, key = self.emit_parts(optional)
@@ -201,17 +201,17 @@
         return self.call_helper("or_value", *self.emit_parts(typed))
 
     def emit_optional_map(self, typed: Typed) -> ast.expr:
-        """A helper that calls the body where there is a value."""
+        """Emit a helper that calls the body if the optional has a value."""
         optional, body = self.emit_parts(typed)
         return self.call_helper("optional_map", optional, py.deferred(body, py.local_name(typed.detail)))
 
     def emit_try(self, typed: Typed) -> ast.expr:
-        """A helper that yields None where its part fails."""
+        """Emit a helper that returns None if its part fails."""
         return self.call_helper("attempt", py.deferred(self.emit(typed.parts[0])))
 
     # -- logic --------------------------------------------------------------------------------------------
     def emit_logic(self, typed: Typed) -> ast.expr:
-        """`and` or `or`; a helper where a term may fail, as another one may decide nevertheless."""
+        """Emit `and` or `or`; a helper if a term may fail, as another term can still decide the result."""
         terms = self.emit_parts(typed)
         if any(part.faults for part in typed.parts):
             deciding = ast.Constant(typed.detail == "||")
@@ -220,25 +220,25 @@
         return ast.BoolOp(ast.And() if typed.detail == "&&" else ast.Or(), terms)
 
     def emit_not(self, typed: Typed) -> ast.expr:
-        """`not operand`."""
+        """Emit `not operand`."""
         return ast.UnaryOp(ast.Not(), self.emit(typed.parts[0]))
 
     def emit_conditional(self, typed: Typed) -> ast.expr:
-        """`then if condition else other`."""
+        """Emit `then if condition else other`."""
         return ast.IfExp(*self.emit_parts(typed))
 
     def emit_compare(self, typed: Typed) -> ast.expr:
-        """Python's comparison: both sides are of one type."""
+        """Emit a Python comparison; both sides have the same type."""
         left, right = self.emit_parts(typed)
         return py.compare(left, COMPARISONS[typed.detail], right)
 
     def emit_in_map(self, typed: Typed) -> ast.expr:
-        """`key in mapping`."""
+        """Emit `key in mapping`."""
         key, mapping = self.emit_parts(typed)
         return py.compare(key, ast.In, mapping)
 
     def emit_in_list(self, typed: Typed) -> ast.expr:
-        """`item in items`; in a set where all items are literals, by a helper for doubles."""
+        """Emit `item in items`: a set if all items are literals, a helper for doubles."""
         item, items = typed.parts
         if item.type == t.DOUBLE:
             return self.call_helper("contains_double", *self.emit_parts(typed))
@@ -249,18 +249,18 @@
 
     # -- arithmetic ---------------------------------------------------------------------------------------
     def emit_negate(self, typed: Typed) -> ast.expr:
-        """`-operand`, by a helper where it may overflow."""
+        """Emit `-operand`, wrapped in a helper if it may overflow."""
         detail: ArithmeticDetail = typed.detail
         value = ast.UnaryOp(ast.USub(), self.emit(typed.parts[0]))
         return value if detail.unchecked else self.call_helper("int_checked", value)
 
     def emit_add(self, typed: Typed) -> ast.expr:
-        """A concatenation."""
+        """Emit a concatenation."""
         left, right = self.emit_parts(typed)
         return ast.BinOp(left, ast.Add(), right)
 
     def emit_arithmetic(self, typed: Typed) -> ast.expr:
-        """Python's operator, by a helper where CEL's differs or it may fail."""
+        """Emit a Python operator, or a helper where CEL's semantics differ or the operation may fail."""
         left, right = self.emit_parts(typed)
         detail: ArithmeticDetail = typed.detail
         operator = detail.operator
@@ -275,11 +275,11 @@
 
     # -- functions and macros -----------------------------------------------------------------------------
     def emit_size(self, typed: Typed) -> ast.expr:
-        """`len(operand)`."""
+        """Emit `len(operand)`."""
         return self.call_helper("len", self.emit(typed.parts[0]))
 
     def emit_call(self, typed: Typed) -> ast.expr:
-        """What the function's target says: a method of str, a helper, an operator, or a constant."""
+        """Emit a call by the target of the function: a method of str, a helper, an operator or a constant."""
         detail: CallDetail = typed.detail
         target, name = detail.function.emission
         match target:
@@ -299,7 +299,7 @@
                 return self.call_helper(name, *self.emit_parts(typed))
 
     def emit_macro(self, typed: Typed) -> ast.expr:
-        """A comprehension over the list; `all` and `exists` by a helper where the test may fail."""
+        """Emit a comprehension over the list; `all` and `exists` use a helper if the test may fail."""
         detail: MacroDetail = typed.detail
         name, variable = detail.name, detail.variable
         items, *run = self.emit_parts(typed)
--- a/stoatrouter/expressions/conversions.py
+++ b/stoatrouter/expressions/conversions.py
@@ -1,6 +1,6 @@
-"""Arithmetic and conversions that compiled expressions may call: numbers, bools, texts and durations.
+"""Arithmetic and conversions that compiled expressions call: numbers, bools, strings and durations.
 
-Meanings are those of cel-spec, doc/langdef.md. All of it is free of side effects.
+The semantics are those of cel-spec, doc/langdef.md. All functions are free of side effects.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     "m": 60 * 10**9,
     "h": 3600 * 10**9,
 }
-MAX_NUMBER_LENGTH = 64  # characters of a number or duration that is read from text; longer ones are none
+MAX_NUMBER_LENGTH = 64  # characters of a number or duration parsed from a string; longer ones are rejected
 TRUE = ("1", "t", "T", "TRUE", "true", "True")
 FALSE = ("0", "f", "F", "FALSE", "false", "False")
 MICROSECOND = timedelta(microseconds=1)
@@ -40,10 +40,10 @@
 
 # -- numbers ------------------------------------------------------------------------------------------------
 def int_checked(number: int) -> int:
-    """The result of arithmetic of ints.
+    """Return the result of int arithmetic.
 
     Raises:
-        EvaluationError: It has more than 64 bits.
+        EvaluationError: The result does not fit into 64 bits.
     """
     if not MIN_INT <= number <= MAX_INT:
         raise EvaluationError("int overflow")
@@ -51,10 +51,10 @@
 
 
 def divide(a: int, b: int) -> int:
-    """The quotient, truncated towards zero, as CEL has it.
+    """Return the quotient, truncated towards zero as CEL requires.
 
     Raises:
-        EvaluationError: The divisor is 0, or the result has more than 64 bits.
+        EvaluationError: The divisor is 0, or the result does not fit into 64 bits.
     """
     if b == 0:
         raise EvaluationError("division by zero")
@@ -62,7 +62,7 @@
 
 
 def remainder(a: int, b: int) -> int:
-    """The remainder with the sign of the dividend.
+    """Return the remainder, which has the sign of the dividend.
 
     Raises:
         EvaluationError: The divisor is 0.
@@ -73,7 +73,7 @@
 
 
 def divide_double(a: float, b: float) -> float:
-    """The quotient by IEEE 754: no error, but infinities and NaN."""
+    """Return the quotient by IEEE 754, which yields infinities and NaN instead of errors."""
     if b != 0:
         return a / b
     if a == 0 or math.isnan(a) or math.isnan(b):
@@ -82,10 +82,10 @@
 
 
 def int_of_text(text: str) -> int:
-    """CEL's `int` of a decimal text.
+    """Return CEL's `int` of a decimal string.
 
     Raises:
-        EvaluationError: It is none, or has more than 64 bits.
+        EvaluationError: The string is not an int, or does not fit into 64 bits.
     """
     if len(text) > MAX_NUMBER_LENGTH or not DECIMAL.fullmatch(text):
         raise EvaluationError("not an int")
@@ -93,21 +93,21 @@
 
 
 def int_of_double(number: float) -> int:
-    """CEL's `int` of a double, truncated towards zero.
+    """Return CEL's `int` of a double, truncated towards zero.
 
     Raises:
-        EvaluationError: It lies at or beyond the ends of an int, as CEL has it.
+        EvaluationError: The double is at or beyond either end of the int range, which CEL excludes.
     """
     if not MIN_INT < number < MAX_INT:
-        raise EvaluationError("out of an int's range")
+        raise EvaluationError("out of the range of int")
     return int(number)
 
 
 def double_of_text(text: str) -> float:
-    """CEL's `double` of a decimal text with or without a fraction and an exponent.
+    """Return CEL's `double` of a decimal string with or without a fraction and an exponent.
 
     Raises:
-        EvaluationError: It is none, or too large.
+        EvaluationError: The string is not a number, or too large.
     """
     if len(text) > MAX_NUMBER_LENGTH or not FLOAT.fullmatch(text) or math.isinf(number := float(text)):
         raise EvaluationError("not a double")
@@ -115,10 +115,10 @@
 
 
 def bool_of_text(text: str) -> bool:
-    """CEL's `bool` of one of the words that CEL accepts.
+    """Return CEL's `bool` of one of the words that CEL accepts.
 
     Raises:
-        EvaluationError: It is none of them.
+        EvaluationError: The string is none of these words.
     """
     if text in TRUE:
         return True
@@ -128,28 +128,28 @@
 
 
 def text_of_bool(truth: bool) -> str:
-    """CEL's `string` of a bool."""
+    """Return CEL's `string` of a bool."""
     return "true" if truth else "false"
 
 
 def text_of_bytes(data: bytes) -> str:
-    """CEL's `string` of bytes.
+    """Return CEL's `string` of bytes.
 
     Raises:
-        EvaluationError: They are not UTF-8.
+        EvaluationError: The bytes are not valid UTF-8.
     """
     try:
         return data.decode()
     except UnicodeDecodeError:
-        raise EvaluationError("not UTF-8") from None
+        raise EvaluationError("not valid UTF-8") from None
 
 
 # -- durations ----------------------------------------------------------------------------------------------
 def duration_checked(span: timedelta) -> timedelta:
-    """The result of arithmetic of durations.
+    """Return the result of duration arithmetic.
 
     Raises:
-        EvaluationError: It is beyond CEL's 10,000 years.
+        EvaluationError: The result exceeds CEL's limit of 10,000 years.
     """
     if abs(span // MICROSECOND) > MAX_DURATION:
         raise EvaluationError("duration overflow")
@@ -157,10 +157,11 @@
 
 
 def duration_of_text(text: str) -> timedelta:
-    """CEL's `duration` of a text such as '1h30m', as Go's time.ParseDuration reads it.
+    """Return CEL's `duration` of a string such as '1h30m', in the syntax of Go's time.ParseDuration.
 
     Raises:
-        EvaluationError: It is none, or finer than a microsecond, or beyond CEL's 10,000 years.
+        EvaluationError: The string is not a duration, is finer than a microsecond, or exceeds CEL's limit of
+            10,000 years.
     """
     found = DURATION.fullmatch(text) if len(text) <= MAX_NUMBER_LENGTH else None
     if found is None:
@@ -170,15 +171,15 @@
         digits = fraction or ""
         scaled, rest = divmod(int(number + digits) * NANOSECONDS[unit], 10 ** len(digits))
         if rest:
-            raise EvaluationError("a duration finer than a microsecond")
+            raise EvaluationError("the duration is finer than a microsecond")
         total += scaled
     if total % NANOS_PER_MICRO or total > MAX_DURATION * NANOS_PER_MICRO:
-        raise EvaluationError("a duration finer than a microsecond, or beyond 10,000 years")
+        raise EvaluationError("the duration is finer than a microsecond or exceeds 10,000 years")
     return timedelta(microseconds=-total // NANOS_PER_MICRO if found[1] == "-" else total // NANOS_PER_MICRO)
 
 
 def text_of_duration(span: timedelta) -> str:
-    """CEL's `string` of a duration, in seconds, as protobuf's JSON form has it."""
+    """Return CEL's `string` of a duration: seconds, as in the JSON format of protobuf."""
     count = span // MICROSECOND
     seconds, fraction = divmod(abs(count), MICROS_PER_SECOND)
     digits = f".{fraction:06d}".rstrip("0") if fraction else ""
@@ -186,26 +187,26 @@
 
 
 def whole_units(span: timedelta, micros: int) -> int:
-    """How many whole units a duration has, truncated towards zero."""
+    """Return the number of whole units in a duration, truncated towards zero."""
     count = span // MICROSECOND
     return abs(count) // micros * (-1 if count < 0 else 1)
 
 
 def hours(span: timedelta) -> int:
-    """CEL's `getHours`: the whole hours of a duration, truncated towards zero."""
+    """Return CEL's `getHours`: the whole hours of a duration, truncated towards zero."""
     return whole_units(span, MICROS_PER_HOUR)
 
 
 def minutes(span: timedelta) -> int:
-    """CEL's `getMinutes`: the whole minutes of a duration, truncated towards zero."""
+    """Return CEL's `getMinutes`: the whole minutes of a duration, truncated towards zero."""
     return whole_units(span, MICROS_PER_MINUTE)
 
 
 def seconds(span: timedelta) -> int:
-    """CEL's `getSeconds`: the whole seconds of a duration, truncated towards zero."""
+    """Return CEL's `getSeconds`: the whole seconds of a duration, truncated towards zero."""
     return whole_units(span, MICROS_PER_SECOND)
 
 
 def milliseconds(span: timedelta) -> int:
-    """CEL's `getMilliseconds`: the whole milliseconds of a duration, truncated towards zero."""
+    """Return CEL's `getMilliseconds`: the whole milliseconds of a duration, truncated towards zero."""
     return whole_units(span, MICROS_PER_MILLISECOND)
--- a/stoatrouter/expressions/environment.py
+++ b/stoatrouter/expressions/environment.py
@@ -1,4 +1,4 @@
-"""What an expression may refer to: inputs by name, with their types and the bounds enforced on them."""
+"""The inputs that an expression may refer to, with their types and the bounds that are enforced on them."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Variable:
-    """One input. `attribute` is where the compiled expression finds it on the object that it is given.
+    """One input. `attribute` is the attribute of the object of inputs that holds its value.
 
-    Whoever evaluates must keep inputs within `bound`: costs and sizes are computed from it.
+    The caller must keep inputs within `bound`, as costs and sizes are computed from it.
     """
 
     type: t.Type
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What one expression may take.
+    """Limits of one expression.
 
     Attributes:
-        steps: The steps in the worst case, in cel-go's units (see `bounds`).
-        result: The code points, bytes and scalars of its value.
-        largest: The same, of any value on the way.
+        max_steps: The steps in the worst case, in cel-go's cost units (see `bounds`).
+        max_result_size: The code points, bytes and scalars of the result.
+        max_value_size: The code points, bytes and scalars of any intermediate value.
     """
 
     max_steps: int = 20_000
@@ -38,22 +38,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Environment:
-    """The inputs by their dotted names; `prefixes` are the names that stand above others alone."""
+    """The inputs by their dotted names; `prefixes` are names such as `request` that only group others."""
 
     variables: Mapping[str, Variable]
     prefixes: frozenset[str] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Compute the prefixes: `request` of `request.path`."""
+        """Compute the prefixes, such as `request` for `request.path`."""
         above = {name[:i] for name in self.variables for i, c in enumerate(name) if c == "."}
         object.__setattr__(self, "prefixes", frozenset(above))
 
     def top_names(self) -> set[str]:
-        """The first parts of all names."""
+        """Return the first parts of all names."""
         return {name.partition(".")[0] for name in self.variables}
 
     def fields_below(self, prefix: str) -> list[str]:
-        """The names right below a prefix, sorted."""
+        """Return the names directly below a prefix, sorted."""
         return sorted(
             {
                 name[len(prefix) + 1 :].partition(".")[0]
--- a/stoatrouter/expressions/errors.py
+++ b/stoatrouter/expressions/errors.py
@@ -1,4 +1,4 @@
-"""Errors of expressions, worded for people: where, what, and what would be right."""
+"""Errors of expressions: the position, the problem and a remedy, worded for rule authors."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Position:
-    """Line and column in the source, both from 1; the column counts code points."""
+    """Line and column in the source, both counted from 1; the column counts code points."""
 
     line: int
     column: int
 
     def __str__(self) -> str:
-        """The form of compilers' messages, `line:column`."""
+        """Return `line:column`, as in the messages of compilers."""
         return f"{self.line}:{self.column}"
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Problem:
-    """One error, and the way to mend it; the remedy is empty where there is no good guess."""
+    """One error and how to fix it; the remedy is empty if none can be suggested."""
 
     at: Position
     what: str
     remedy: str = ""
 
     def __str__(self) -> str:
-        """One line: `line:column: what (remedy)`."""
+        """Return one line: `line:column: what (remedy)`."""
         return f"{self.at}: {self.what}" + (f" ({self.remedy})" if self.remedy else "")
 
 
 class ExpressionError(Exception):
-    """An expression that was rejected at load; every problem once, in the order of the source."""
+    """An expression was rejected at load; has each problem once, in the order of the source."""
 
     def __init__(self, *problems: Problem) -> None:
         """Sort the problems by position and drop duplicates."""
@@ -40,7 +40,7 @@
 
 
 class EvaluationError(Exception):
-    """A value could not be computed: overflow, a conversion, a division, an index, a missing key.
+    """A value could not be computed: overflow, failed conversion, division by zero, bad index or missing key.
 
-    It never leaves a checked program: what may raise it has to stand inside `try(...)`.
+    A compiled expression never raises it: the checker requires `try(...)` around any operation that may.
     """
--- a/stoatrouter/expressions/guards.py
+++ b/stoatrouter/expressions/guards.py
@@ -1,6 +1,6 @@
-"""What a condition shows where it holds, or does not hold.
+"""Facts that a condition implies when it holds, or when it does not.
 
-That is: a key is there, a list or text is long enough, an optional has a value.
+A fact states that a key exists, that a list or string is long enough, or that an optional has a value.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class FactKind(Enum):
-    """What a fact is about."""
+    """The kind of a fact."""
 
     KEY = auto()  # the map `subject` has the key `key`
-    LENGTH = auto()  # the list or text `subject` has the length at least `min_length`
+    LENGTH = auto()  # the list or string `subject` has at least `min_length` elements or code points
     VALUE = auto()  # the optional `subject` has a value
 
 
 @dataclass(slots=True, frozen=True)
 class Fact:
-    """Something that holds at a place. Subjects are compared by structure: all expressions are pure."""
+    """A fact that holds at some node. Subjects are compared by structure, as all expressions are pure."""
 
     kind: FactKind
     subject: s.Node
@@ -35,24 +35,24 @@
 
 
 def key_fact(mapping: s.Node, key: s.Node, fold: bool) -> Fact:
-    """The fact that a map has a key; `fold` where keys are names of header fields, alike in any case."""
+    """Return the fact that a map has a key; `fold` if keys are header field names, which ignore case."""
     if fold and isinstance(key, s.Literal) and isinstance(key.value, str):
         key = replace(key, value=key.value.lower())
     return Fact(FactKind.KEY, mapping, key)
 
 
 def length_fact(subject: s.Node, min_length: int) -> Fact:
-    """The fact that a list or text is so long at least."""
+    """Return the fact that a list or string has at least a length."""
     return Fact(FactKind.LENGTH, subject, min_length=min_length)
 
 
 def value_fact(optional: s.Node) -> Fact:
-    """The fact that an optional has a value."""
+    """Return the fact that an optional has a value."""
     return Fact(FactKind.VALUE, optional)
 
 
 def implied_facts(node: s.Node, truth: bool, environment: Environment) -> frozenset[Fact]:
-    """What is known where this condition is `truth`."""
+    """Return the facts that hold if a condition equals `truth`."""
     match node:
         case s.Logic() if (node.operator == "&&") is truth:
             return frozenset().union(*(implied_facts(term, truth, environment) for term in node.terms))
@@ -73,25 +73,25 @@
 
 
 def has_folded_keys(mapping: s.Node, environment: Environment) -> bool:
-    """Whether a map's keys are names of header fields."""
+    """Return whether the keys of a map are header field names."""
     variable = environment.variables.get(s.path_of(mapping) or "")
     return variable is not None and isinstance(variable.type, t.MapOf) and variable.type.folded
 
 
 def length_facts(left: s.Node, operator: str, right: s.Node) -> frozenset[Fact]:
-    """What `size(x) operator N` shows of x."""
+    """Return the facts about x that `size(x) operator N` implies."""
     subject = sized_operand(left)
     if subject is None or not isinstance(right, s.Literal) or right.kind != "int":
         return frozenset()
     assert isinstance(right.value, int)
-    if operator == "!=":  # only not being empty shows something
+    if operator == "!=":  # of the inequalities, only size(x) != 0 implies a length
         return frozenset((length_fact(subject, 1),)) if right.value == 0 else frozenset()
     min_length = {">": right.value + 1, ">=": right.value, "==": right.value}.get(operator, 0)
     return frozenset((length_fact(subject, min_length),)) if min_length > 0 else frozenset()
 
 
 def sized_operand(node: s.Node) -> s.Node | None:
-    """The x of size(x) or x.size(); None for anything else."""
+    """Return the x of size(x) or x.size(); None for any other node."""
     if not isinstance(node, s.Call) or node.function != "size" or len(node.operands) != 1:
         return None
     return node.operands[0]
--- a/stoatrouter/expressions/literals.py
+++ b/stoatrouter/expressions/literals.py
@@ -1,4 +1,4 @@
-"""Literals as CEL writes them (cel-spec, doc/langdef.md, "Lexis")."""
+"""Parses CEL literals (cel-spec, doc/langdef.md, "Lexis")."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 MIN_INT = -(1 << 63)
 MAX_INT = (1 << 63) - 1
-MAX_INT_LITERAL_LENGTH = 100  # characters of an int
+MAX_INT_LITERAL_LENGTH = 100  # characters of an int literal
 
 ESCAPE = re.compile(
     r"""\\(?:([abfnrtv\\?"'`])|[xX]([0-9a-fA-F]{2})|u([0-9a-fA-F]{4})|U([0-9a-fA-F]{8})"""
@@ -16,26 +16,26 @@
 
 
 class LiteralError(Exception):
-    """A literal that CEL does not know; the text says why."""
+    """A literal is not valid in CEL; the message says why."""
 
 
 def strip_quotes(text: str) -> str:
-    """What stands between the quotes, with escapes as they are."""
+    """Return the text between the quotes, with escapes unchanged."""
     return text[3:-3] if text[:3] in ('"""', "'''") else text[1:-1]
 
 
 def read_string(text: str) -> str:
-    """The value of a quoted string without prefix.
+    """Return the value of a quoted string without a prefix.
 
     Raises:
-        LiteralError: An escape that CEL does not know.
+        LiteralError: An escape is not valid in CEL.
     """
     inner = strip_quotes(text)
     return ESCAPE.sub(read_escape, inner) if "\\" in text else inner
 
 
 def read_raw(text: str) -> str | bytes:
-    """The value of a raw string, or of raw bytes: nothing is an escape."""
+    """Return the value of a raw string or raw bytes, in which there are no escapes."""
     prefix = re.match("[rRbB]+", text)
     assert prefix is not None
     inner = strip_quotes(text[prefix.end() :])
@@ -43,10 +43,10 @@
 
 
 def read_bytes(text: str) -> bytes:
-    r"""The value of a bytes literal: \x and octal escapes are bytes, all else is UTF-8.
+    r"""Return the value of a bytes literal: \x and octal escapes are bytes, all else is encoded as UTF-8.
 
     Raises:
-        LiteralError: An escape that CEL does not know, or has for strings alone.
+        LiteralError: An escape is not valid in CEL, or only in strings.
     """
     inner = strip_quotes(text[1:])
     data = bytearray()
@@ -58,7 +58,7 @@
         elif found[5]:
             data.append(int(found[5], 8))
         elif found[3] or found[4]:
-            raise LiteralError("bytes have no \\u or \\U escapes")
+            raise LiteralError("\\u and \\U escapes are not allowed in bytes")
         else:
             data += read_escape(found).encode()
         end = found.end()
@@ -66,10 +66,10 @@
 
 
 def read_escape(found: re.Match[str]) -> str:
-    """The character that an escape stands for.
+    """Return the character that an escape denotes.
 
     Raises:
-        LiteralError: CEL does not know it, or it is no character.
+        LiteralError: The escape is not valid in CEL, or denotes no Unicode character.
     """
     short, two, four, eight, octal, other = found.groups()
     if short:
@@ -77,41 +77,41 @@
     if other is not None:
         raise LiteralError(f"unknown escape \\{other}")
     number = int(octal, 8) if octal else int(two or four or eight, 16)
-    # Guards what is encoded later: surrogates are no characters.
+    # Surrogates are not characters, and encoding them later would fail.
     if number > 0x10FFFF or 0xD800 <= number < 0xE000:
-        raise LiteralError(f"\\{found[0][1:]} is no Unicode character")
+        raise LiteralError(f"\\{found[0][1:]} is not a Unicode character")
     return chr(number)
 
 
 def read_int(text: str) -> int:
-    """The value of a decimal or hexadecimal int without a sign.
+    """Return the value of a decimal or hexadecimal int without a sign.
 
-    It may be one more than the greatest int, which a minus makes the least.
+    The value may be `MAX_INT + 1`, as a minus sign makes it `MIN_INT`.
 
     Raises:
-        LiteralError: It is longer than `MAX_DIGITS`, or has more than 64 bits.
+        LiteralError: The literal is longer than `MAX_INT_LITERAL_LENGTH`, or does not fit into 64 bits.
     """
-    # Guards against Python's own bound on the digits of a number, and against the time that they take.
+    # Avoids Python's own limit on the digits of an int, and the time to convert many digits.
     if len(text) > MAX_INT_LITERAL_LENGTH:
-        raise LiteralError(f"a number of more than {MAX_INT_LITERAL_LENGTH} digits")
+        raise LiteralError(f"the number has more than {MAX_INT_LITERAL_LENGTH} digits")
     number = int(text, 16) if text[:2].lower() == "0x" else int(text)
     if number > MAX_INT + 1:
-        raise LiteralError(f"{text} is out of an int's 64 bits")
+        raise LiteralError(f"{text} does not fit into a 64-bit int")
     return number
 
 
 def in_range(number: object) -> bool:
-    """Whether a value is an int of 64 bits at most."""
+    """Return whether a value is an int that fits into 64 bits."""
     return isinstance(number, int) and MIN_INT <= number <= MAX_INT
 
 
 def read_double(text: str) -> float:
-    """The value of a floating point literal.
+    """Return the value of a floating-point literal.
 
     Raises:
-        LiteralError: It is greater than the greatest double.
+        LiteralError: The value exceeds the largest double.
     """
     number = float(text)
     if number in (float("inf"), float("-inf")):
-        raise LiteralError(f"{text} is out of a double's range")
+        raise LiteralError(f"{text} is out of the range of double")
     return number
--- a/stoatrouter/expressions/operators.py
+++ b/stoatrouter/expressions/operators.py
@@ -16,7 +16,7 @@
 ARITHMETIC = ("+", "-", "*", "/", "%")
 OPERATORS = (*EQUALITY, *ORDERING, "in", *ARITHMETIC, "!")
 DIVISION = ("/", "%")
-# The operators of each type of number; durations cannot be negated
+# The operators defined for each numeric type; durations cannot be negated
 DEFINED: dict[t.Type, tuple[str, ...]] = {
     t.INT: ARITHMETIC,
     t.DOUBLE: ("+", "-", "*", "/"),
@@ -25,21 +25,21 @@
 
 
 class ArithmeticDetail(NamedTuple):
-    """An operator, and whether Python's own has the same result: no overflow, no division of negatives."""
+    """An operator, and whether it needs no helper: it cannot overflow, nor divide negative numbers."""
 
     operator: str
     unchecked: bool
 
 
 class OperatorChecks(CheckerBase):
-    """Checks operators and size(); all raise UntypedError for what has no type."""
+    """Checks operators and size(); raises UntypedError for a node that cannot be typed."""
 
     def check_operator(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
         """Check an operator by its symbol."""
         name = node.function
         if name == "!":
             if parts[0].type != t.BOOL:
-                raise self.reject(node, f"! wants bool, not {parts[0].type}")
+                raise self.reject(node, f"! requires bool, not {parts[0].type}")
             return self.typed_node(node, t.BOOL, Op.NOT, parts, bound=b.BOOL_BOUND)
         if name == "in":
             return self.check_in(node, parts)
@@ -48,7 +48,7 @@
         return self.check_comparison(node, parts)
 
     def check_comparison(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
-        """Check an equality or an order of two values of one type."""
+        """Check an equality or ordering of two values of the same type."""
         left, right = parts
         kind = t.common_type(left.type, right.type)
         if kind is None or not is_comparable(kind, node.function):
@@ -74,7 +74,7 @@
         return self.typed_node(node, t.BOOL, Op.IN_LIST, parts, bound=b.BOOL_BOUND, own_steps=own_steps)
 
     def check_arithmetic(self, node: s.Call, parts: tuple[Typed, ...]) -> Typed:
-        """Check + - * / % and the sign, concatenation included."""
+        """Check + - * / % and unary minus, concatenation included."""
         if len(parts) == 1:
             zero = replace(parts[0], bound=b.int_bound(0, 0))
             return self.check_numeric(node, (zero, parts[0]), parts)
@@ -95,9 +95,9 @@
         )
 
     def check_numeric(self, node: s.Call, operands: tuple[Typed, ...], parts: tuple[Typed, ...]) -> Typed:
-        """Check arithmetic of numbers, which may overflow unless their bounds rule it out.
+        """Check numeric arithmetic, which may overflow unless the bounds of the operands rule it out.
 
-        The operands of a sign are a zero and its part.
+        The operands of a unary minus are a zero and its part.
         """
         name = node.function
         kind = parts[0].type
@@ -122,7 +122,7 @@
         return self.typed_node(node, kind, op, parts, detail=detail, bound=bound, faults=faults)
 
     def reject_operands(self, node: s.Call, parts: tuple[Typed, ...]) -> UntypedError:
-        """Record that an operator is not defined for these types; as `reject`."""
+        """Record that an operator is not defined for these types; return the error to raise."""
         kinds = [part.type for part in parts]
         remedy = "convert one of them" if len(set(kinds)) > 1 else ""
         return self.reject(
@@ -130,7 +130,7 @@
         )
 
     def check_size(self, node: s.Call, parts: tuple[Typed, ...], scope: Scope) -> Typed:
-        """Check size() of a text, bytes, a list or a map."""
+        """Check size() of a string, bytes, a list or a map."""
         (part,) = parts
         if part.type not in (t.STRING, t.BYTES) and not isinstance(part.type, t.ListOf | t.MapOf):
             raise self.reject(node, f"{part.type} has no size")
@@ -140,22 +140,22 @@
 
 
 def is_comparable(kind: t.Type, operator: str) -> bool:
-    """Whether values of a type can be compared by an operator."""
-    # Guards the meaning of NaN: lists of doubles would be compared by identity first.
+    """Return whether values of a type can be compared by an operator."""
+    # Python compares list elements by identity first, so a list with NaN would be equal to itself.
     if isinstance(kind, t.ListOf) and t.DOUBLE in (kind.element, getattr(kind.element, "element", None)):
         return False
     return t.is_equatable(kind) if operator in EQUALITY else kind in t.COMPARABLE
 
 
 def is_element(kind: t.Type, items: t.ListOf) -> bool:
-    """Whether a list may have an element of a type that can be looked for; lists in lists cannot."""
+    """Return whether `in` is defined for a type of item and a type of list; items cannot be lists."""
     if isinstance(kind, t.ListOf) or not t.is_equatable(kind):
         return False
     return t.common_type(items.element, kind) is not None
 
 
 def failure_reason(operator: str, divisor: b.Bound, fits: bool) -> str:
-    """Why arithmetic of ints or durations may fail; empty where it cannot."""
+    """Return why arithmetic of ints or durations may fail; empty if it cannot."""
     if operator in DIVISION and divisor.low <= 0 <= divisor.high:
         return "the divisor may be 0"
     return "" if fits else "it may overflow"
--- a/stoatrouter/expressions/optionals.py
+++ b/stoatrouter/expressions/optionals.py
@@ -18,12 +18,12 @@
 
 
 class OptionalChecks(MacroChecks):
-    """Checks optionals; all raise UntypedError for what has no type."""
+    """Checks optionals; raises UntypedError for a node that cannot be typed."""
 
     def check_optional_of(self, node: s.Call, scope: Scope) -> Typed:
-        """Check optional.of(); other ways to create an optional are left out."""
+        """Check optional.of(); other constructors are not supported."""
         if node.function != "of" or len(node.arguments) != 1:
-            what = f"optional.{node.function} is left out"
+            what = f"optional.{node.function} is not supported"
             raise self.reject(node, what, "use ?: with a value of the type")
         parts = self.check_siblings(node.arguments, scope)
         return self.optional_node(node, parts[0].type, Op.SAME, parts, bound=parts[0].bound)
@@ -42,7 +42,7 @@
             t.common_type(other.type, one) is None for other, one in zip(others, accepted, strict=True)
         ):
             found = ", ".join(str(other.type) for other in others)
-            what = f"{node.function} of {kind} wants ({', '.join(map(str, accepted))}), not ({found})"
+            what = f"{node.function} of {kind} requires ({', '.join(map(str, accepted))}), not ({found})"
             raise self.reject(node, what)
         if node.function == "hasValue":
             return self.typed_node(node, t.BOOL, Op.HAS_VALUE, parts, bound=b.BOOL_BOUND)
@@ -53,12 +53,12 @@
         return self.typed_node(node, result, Op.OR, parts, bound=optional.bound.union(others[0].bound))
 
     def check_value(self, node: s.Call, parts: tuple[Typed, ...], kind: t.Type, scope: Scope) -> Typed:
-        """Check value(), which may fail unless a guard has shown that there is one."""
+        """Check value(), which may fail unless a guard implies that the optional has a value."""
         optional = parts[0]
         if value_fact(optional.node) in scope.facts:
             return self.typed_node(node, kind, Op.SAME, parts, bound=optional.bound)
         text = show(optional.node)
-        remedy = f"write {text}.orValue(...), or guard it: {text}.hasValue() && ..."
+        remedy = f"use {text}.orValue(...), or guard it: {text}.hasValue() && ..."
         fault = Problem(node.at, f"{text} may have no value", remedy)
         return self.typed_node(node, kind, Op.VALUE, parts, bound=optional.bound, faults=(fault,))
 
@@ -67,7 +67,7 @@
         assert node.receiver is not None
         operand = self.check_node(node.receiver, scope)
         if not isinstance(operand.type, t.OptionalOf):
-            raise self.reject(node, f"optMap wants an optional, not {operand.type}")
+            raise self.reject(node, f"optMap requires an optional, not {operand.type}")
         inner = self.macro_scope(node, replace(operand, type=operand.type.value), scope)
         body = self.check_node(node.arguments[1], inner)
         name = self.variable_name(node)
--- a/stoatrouter/expressions/parser.py
+++ b/stoatrouter/expressions/parser.py
@@ -1,6 +1,6 @@
-"""From source to syntax tree, by lark's LALR(1) parser: time and memory linear in the source.
+"""Parses source into a syntax tree with lark's LALR(1) parser, in time and memory linear in the source.
 
-The grammar is grammar.lark; what CEL has and the subset has not is rejected with a problem that names it.
+The grammar is grammar.lark. A construct of CEL that the subset does not support is rejected by name.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from stoatrouter.expressions import syntax as s
 from stoatrouter.expressions.errors import ExpressionError, Position, Problem
 
-MAX_LENGTH = 8192  # code points of a source; longer ones are rejected unread
-MAX_NODES = 2000  # of a tree
-MAX_TOKEN_LENGTH = 40  # characters of a token in a message
+MAX_LENGTH = 8192  # code points of a source; longer ones are rejected before parsing
+MAX_NODES = 2000  # nodes of a syntax tree
+MAX_TOKEN_LENGTH = 40  # characters of a token shown in a message
 SURROGATE = re.compile("[\ud800-\udfff]")
 RESERVED_WORDS = """as break const continue else for function if import in let loop package namespace return
     var void while"""
 RESERVED = frozenset(RESERVED_WORDS.split())
 CONSTANTS: dict[str, bool | None] = {"true": True, "false": False, "null": None}
 EXPECTED = {
-    "$END": "the end",
+    "$END": "the end of the expression",
     "WORD": "a name",
     "INT": "a number",
     "STRING": "a string",
@@ -40,12 +40,12 @@
 }
 KINDS = {int: "int", float: "double", str: "string", bytes: "bytes"}
 
-Parts = list[Any]  # what lark hands over for a rule: tokens, and what was built of the rules below
+Parts = list[Any]  # lark's input for a rule: tokens, and the results of the rules below
 
 
 @lru_cache(maxsize=1)
 def grammar() -> Lark:
-    """The parser, made once: its tables take some tens of milliseconds."""
+    """Return the parser, created once, as building its tables takes some tens of milliseconds."""
     return Lark(
         Path(__file__).with_name("grammar.lark").read_text(),
         parser="lalr",
@@ -56,70 +56,72 @@
 
 
 def parse(source: str) -> s.Node:
-    """The tree of one expression.
+    """Return the syntax tree of an expression.
 
     Raises:
-        ExpressionError: The first thing that cannot be read, with line and column.
+        ExpressionError: The first syntax error, with line and column.
     """
     reject_unreadable(source)
     try:
         tree = grammar().parse(source)
     except UnexpectedCharacters as error:
         text = source[error.pos_in_stream or 0]
-        raise rejection(Position(error.line, error.column), f"{text!r} cannot stand here") from None
+        raise rejection(Position(error.line, error.column), f"unexpected character {text!r}") from None
     except UnexpectedToken as error:
         raise unexpected_token(source, error) from None
     except UnexpectedEOF:
-        raise rejection(end_of(source), "the expression ends too early") from None
+        raise rejection(end_of(source), "unexpected end of the expression") from None
     assert isinstance(tree, s.Node)
     count = count_nodes(tree)
     if count > MAX_NODES:
-        raise rejection(tree.at, f"an expression of {count} operations and values", f"{MAX_NODES} at most")
+        raise rejection(
+            tree.at, f"the expression has {count} operations and values", f"the limit is {MAX_NODES}"
+        )
     return tree
 
 
 def reject_unreadable(source: str) -> None:
-    """Reject a source that need not be parsed.
+    """Reject an invalid source before it is parsed.
 
     Raises:
-        ExpressionError: It is empty, too long, or no text that could be written as UTF-8.
+        ExpressionError: The source is empty, too long, or cannot be encoded as UTF-8.
     """
     start = Position(1, 1)
-    # Guards load time and memory against a source that was written to be large.
+    # Limits load time and memory for an oversized source.
     if len(source) > MAX_LENGTH:
-        raise rejection(start, f"an expression of {len(source)} characters", f"{MAX_LENGTH} at most")
+        raise rejection(start, f"the expression has {len(source)} characters", f"the limit is {MAX_LENGTH}")
     found = SURROGATE.search(source)
     if found is not None:
         line = source.count("\n", 0, found.start()) + 1
         column = found.start() - source.rfind("\n", 0, found.start())
-        raise rejection(Position(line, column), "half of a surrogate pair is no character")
+        raise rejection(Position(line, column), "unpaired surrogate")
     if not source.strip():
-        raise rejection(start, "an empty expression")
+        raise rejection(start, "the expression is empty")
 
 
 def unexpected_token(source: str, error: UnexpectedToken) -> ExpressionError:
-    """The error of a token that the grammar has no place for, with what could stand there."""
+    """Return the error for an unexpected token, with the tokens that are allowed in its place."""
     token = error.token
     expected = sorted({EXPECTED[name] for name in error.accepts or error.expected if name in EXPECTED})
     remedy = "expected " + " or ".join(expected) if expected else ""
     if token.type == "$END":
-        return rejection(end_of(source), "the expression ends too early", remedy)
+        return rejection(end_of(source), "unexpected end of the expression", remedy)
     place = Position(token.line, token.column)
-    return rejection(place, f"{str(token)[:MAX_TOKEN_LENGTH]!r} cannot stand here", remedy)
+    return rejection(place, f"unexpected {str(token)[:MAX_TOKEN_LENGTH]!r}", remedy)
 
 
 def end_of(source: str) -> Position:
-    """The position after the last character."""
+    """Return the position after the last character."""
     return Position(source.count("\n") + 1, len(source) - source.rfind("\n"))
 
 
 def rejection(at: Position, what: str, remedy: str = "") -> ExpressionError:
-    """The error to raise for one problem."""
+    """Return the error to raise for one problem."""
     return ExpressionError(Problem(at, what, remedy))
 
 
 def children(node: s.Node) -> tuple[s.Node, ...]:
-    """The nodes right below one, in the order of the source."""
+    """Return the direct children of a node, in the order of the source."""
     match node:
         case s.Select():
             return (node.operand,)
@@ -140,7 +142,7 @@
 
 
 def count_nodes(tree: s.Node) -> int:
-    """How many nodes a tree has."""
+    """Return the number of nodes of a tree."""
     count = 0
     pending = [tree]
     while pending:
@@ -150,153 +152,152 @@
 
 
 class TreeBuilder(Transformer[Token, s.Node]):
-    """Makes nodes as the parser reduces; lark calls the method of a rule, or of an alias, with its parts.
+    """Builds nodes as the parser reduces; lark calls the method named after a rule or alias with the parts.
 
-    All methods raise ExpressionError where operations are nested too deep, or a part is left out of the
-    subset.
+    All methods raise ExpressionError if operations are nested too deeply, or a construct is not supported.
     """
 
     # -- operators ----------------------------------------------------------------------------------------
     def conditional(self, parts: Parts) -> s.Node:
-        """`a ? b : c`."""
+        """Build `a ? b : c`."""
         condition, then, other = parts
         return s.Conditional(condition.at, depth_above(*parts), condition, then, other)
 
     def either(self, parts: Parts) -> s.Node:
-        """`a || b || c`."""
+        """Build `a || b || c`."""
         return s.Logic(parts[0].at, depth_above(*parts), "||", tuple(parts))
 
     def both(self, parts: Parts) -> s.Node:
-        """`a && b && c`."""
+        """Build `a && b && c`."""
         return s.Logic(parts[0].at, depth_above(*parts), "&&", tuple(parts))
 
     def binary(self, parts: Parts) -> s.Node:
-        """A relation, a sum or a product: the operator stands between its operands."""
+        """Build a relation, a sum or a product: an operator between two operands."""
         left, operator, right = parts
         return s.Call(position_of(operator), depth_above(left, right), str(operator), (left, right))
 
     def inverse(self, parts: Parts) -> s.Node:
-        """`!a`."""
+        """Build `!a`."""
         sign, operand = parts
         return s.Call(position_of(sign), depth_above(operand), "!", (operand,))
 
     def negative(self, parts: Parts) -> s.Node:
-        """`-a`; of a literal it is a literal again, so that the least int can be written."""
+        """Build `-a`; a negated literal is a literal, so that the minimum int can be written."""
         sign, operand = parts
         place = position_of(sign)
         if sign != "-":
-            raise rejection(place, "there is no unary '+'", "leave it away")
+            raise rejection(place, "unary '+' is not supported", "remove it")
         if isinstance(operand, s.Literal) and operand.kind in ("int", "double"):
             assert isinstance(operand.value, int | float)
             return s.Literal(place, 1, -operand.value, operand.kind)
         return s.Call(place, depth_above(operand), "-", (operand,))
 
     def grouped(self, parts: Parts) -> s.Node:
-        """`(a)`: a minus before it is no part of a literal, which therefore must have 64 bits."""
+        """Build `(a)`; an int literal must fit into 64 bits, as a minus before `(` is not part of it."""
         inner: s.Node = parts[0]
         if isinstance(inner, s.Literal) and inner.kind == "int" and not literals.in_range(inner.value):
-            raise rejection(inner.at, f"{inner.value!r} is out of an int's 64 bits")
+            raise rejection(inner.at, f"{inner.value!r} does not fit into a 64-bit int")
         return inner
 
     # -- members and calls --------------------------------------------------------------------------------
     def select(self, parts: Parts) -> s.Node:
-        """`a.b`."""
+        """Build `a.b`."""
         operand, name = parts
         return s.Select(position_of(name), depth_above(operand), operand, identifier(name))
 
     def select_optional(self, parts: Parts) -> s.Node:
-        """`a.?b`."""
+        """Build `a.?b`."""
         operand, name = parts
         return s.Select(position_of(name), depth_above(operand), operand, identifier(name), True)
 
     def method(self, parts: Parts) -> s.Node:
-        """`a.f(b)`: a method or a macro."""
+        """Build `a.f(b)`, a call of a method or macro."""
         receiver, name, *rest = parts
         arguments = tuple(rest[0]) if rest else ()
         depth = depth_above(receiver, *arguments)
         return s.Call(position_of(name), depth, identifier(name), arguments, receiver)
 
     def index(self, parts: Parts) -> s.Node:
-        """`a[b]`."""
+        """Build `a[b]`."""
         operand, index = parts
         return s.Index(index.at, depth_above(operand, index), operand, index)
 
     def index_optional(self, parts: Parts) -> s.Node:
-        """`a[?b]`."""
+        """Build `a[?b]`."""
         operand, index = parts
         return s.Index(index.at, depth_above(operand, index), operand, index, True)
 
     def name(self, parts: Parts) -> s.Node:
-        """A name by itself, or a constant."""
+        """Build a name or a constant."""
         (token,) = parts
         place = position_of(token)
         if token not in CONSTANTS:
             return s.Name(place, 1, identifier(token))
         value = CONSTANTS[token]
         if value is None:
-            raise rejection(place, "null is left out", "use an optional, e.g. m[?k].hasValue()")
+            raise rejection(place, "null is not supported", "use an optional, for example m[?k].hasValue()")
         return s.Literal(place, 1, value, "bool")
 
     def function(self, parts: Parts) -> s.Node:
-        """`f(a)`."""
+        """Build `f(a)`, a call of a function."""
         name, *rest = parts
         arguments = tuple(rest[0]) if rest else ()
         return s.Call(position_of(name), depth_above(*arguments), identifier(name), arguments)
 
     def arguments(self, parts: Parts) -> Parts:
-        """Arguments or items, one more at each reduction."""
+        """Collect arguments or items, one more at each reduction."""
         return extend(parts)
 
     # -- literals -----------------------------------------------------------------------------------------
     def list(self, parts: Parts) -> s.Node:
-        """`[a, b]`."""
+        """Build `[a, b]`."""
         items = tuple(parts[1]) if len(parts) > 1 else ()
         return s.ListLiteral(position_of(parts[0]), depth_above(*items), items)
 
     def map(self, parts: Parts) -> s.Node:
-        """`{a: b}`."""
+        """Build `{a: b}`."""
         items = tuple(parts[1]) if len(parts) > 1 else ()
         depth = depth_above(*(node for item in items for node in item))
         return s.MapLiteral(position_of(parts[0]), depth, items)
 
     def entries(self, parts: Parts) -> Parts:
-        """Entries of a map, one more at each reduction."""
+        """Collect the entries of a map, one more at each reduction."""
         return extend(parts)
 
     def entry(self, parts: Parts) -> tuple[s.Node, s.Node]:
-        """`a: b` in a map."""
+        """Build the entry `a: b` of a map."""
         return parts[0], parts[1]
 
     def double(self, parts: Parts) -> s.Node:
-        """A floating point number."""
+        """Build a floating-point number."""
         return literal(parts[0], literals.read_double)
 
     def int(self, parts: Parts) -> s.Node:
-        """An int; its range is the checker's business, as the least one is read before its minus."""
+        """Build an int; the checker verifies its range, as the minus of the minimum int is parsed later."""
         return literal(parts[0], literals.read_int)
 
     def uint(self, parts: Parts) -> s.Node:
-        """An unsigned int, which is left out."""
-        raise rejection(position_of(parts[0]), "uint is left out", f"write {str(parts[0])[:-1]}")
+        """Reject an unsigned int, which is not supported."""
+        raise rejection(position_of(parts[0]), "uint is not supported", f"use {str(parts[0])[:-1]}")
 
     def string(self, parts: Parts) -> s.Node:
-        """A string, in one line or several."""
+        """Build a string, single-line or multi-line."""
         return literal(parts[0], literals.read_string)
 
     def bytes(self, parts: Parts) -> s.Node:
-        """Bytes."""
+        """Build bytes."""
         return literal(parts[0], literals.read_bytes)
 
     def raw(self, parts: Parts) -> s.Node:
-        """A string or bytes without escapes."""
+        """Build a raw string or raw bytes."""
         return literal(parts[0], literals.read_raw)
 
 
 def literal(token: Token, read: Callable[[str], s.Value]) -> s.Literal:
-    """The node of the literal that a function of `literals` reads from a token.
+    """Return the node of a literal, parsed by a function of `literals`.
 
     Raises:
-        ExpressionError: It does not accept the literal.
+        ExpressionError: The function does not accept the literal.
     """
     place = position_of(token)
     try:
@@ -307,16 +308,16 @@
 
 
 def position_of(token: Token) -> Position:
-    """Where a token begins."""
+    """Return the position at which a token begins."""
     assert token.line is not None and token.column is not None
     return Position(token.line, token.column)
 
 
 def identifier(token: Token) -> str:
-    """A name that may stand for something.
+    """Return a token as an identifier.
 
     Raises:
-        ExpressionError: CEL reserves it.
+        ExpressionError: The word is reserved in CEL.
     """
     if token in RESERVED:
         raise rejection(position_of(token), f"{str(token)!r} is a reserved word", "choose another name")
@@ -324,7 +325,7 @@
 
 
 def extend(parts: Parts) -> Parts:
-    """What a left-recursive rule has gathered: its first part, or the list so far and the last part."""
+    """Return the list of a left-recursive rule: its first part, or the list so far and the next part."""
     if len(parts) == 1:
         return [parts[0]]
     gathered: Parts = parts[0]
@@ -333,14 +334,14 @@
 
 
 def depth_above(*below: s.Node) -> int:
-    """The depth of a node above these.
+    """Return the depth of a node above these nodes.
 
     Raises:
-        ExpressionError: It is more than `MAX_DEPTH`.
+        ExpressionError: The depth exceeds `MAX_DEPTH`.
     """
     depth = 1 + max((node.depth for node in below), default=0)
-    # Guards all that walks trees, and Python's own compiler, against recursion without end.
+    # Protects code that walks trees, and Python's compiler, from excessive recursion.
     if depth > s.MAX_DEPTH:
-        what = f"operations are nested more than {s.MAX_DEPTH} deep"
+        what = f"operations are nested more than {s.MAX_DEPTH} levels deep"
         raise rejection(below[0].at, what, "split the expression")
     return depth
--- a/stoatrouter/expressions/prepared.py
+++ b/stoatrouter/expressions/prepared.py
@@ -1,4 +1,4 @@
-"""What is prepared once, at load, of a literal: the matcher of a regular expression, or a network."""
+"""Objects that are prepared once, at load, from a literal: regular expressions and networks."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from stoatrouter.expressions.runtime import Network
 
-MAX_PATTERN_MEMORY = 1 << 20  # bytes that RE2 may take for a pattern and its automata
+MAX_PATTERN_MEMORY = 1 << 20  # bytes that RE2 may use for a pattern and its automata
 
 
 def compile_pattern(text: str) -> Callable[[str], bool]:
-    """A function that tells whether an RE2 pattern is found anywhere in a text, in linear time.
+    """Return a function that tells, in linear time, whether an RE2 pattern matches anywhere in a string.
 
     Raises:
-        ValueError: It is no pattern, or takes more than `MAX_PATTERN_MEMORY`.
+        ValueError: The pattern is invalid, or needs more than `MAX_PATTERN_MEMORY`.
     """
-    import re2  # type: ignore[import-untyped]  # google-re2 ships neither stubs nor a marker
+    import re2  # type: ignore[import-untyped]  # google-re2 has neither stubs nor a py.typed marker
 
     options = re2.Options()
     options.max_mem = MAX_PATTERN_MEMORY
@@ -27,7 +27,8 @@
     except re2.error as error:
         reason = error.args[0] if error.args else error
         raise ValueError(reason.decode() if isinstance(reason, bytes) else str(reason)) from None
-    # The package's search() builds a match object of 4 us; the matcher below it needs 1 us (design note).
+    # The package's search() builds a match object, which takes 4 us; the underlying matcher takes 1 us
+    # (design note).
     matcher = compiled._regexp
     unanchored, match = type(matcher).Anchor.UNANCHORED, matcher.Match
 
@@ -40,11 +41,11 @@
 
 
 def parse_network(text: str) -> Network:
-    """A network in CIDR notation.
+    """Return a network from CIDR notation.
 
     Raises:
-        ValueError: It is none, or has bits beyond its prefix.
+        ValueError: The text is not a network, or has bits set beyond the prefix.
     """
     if "/" not in text or "%" in text:
-        raise ValueError("a network is written like 10.0.0.0/8")
+        raise ValueError("a network must have the form 10.0.0.0/8")
     return ipaddress.ip_network(text)
--- a/stoatrouter/expressions/show.py
+++ b/stoatrouter/expressions/show.py
@@ -1,4 +1,4 @@
-"""An expression as text again, for messages: short, and in one line."""
+"""Formats expressions for messages: short, and on one line."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from stoatrouter.expressions import syntax as s
 
-MAX_SHOWN_LENGTH = 60  # characters of an expression in a message
+MAX_SHOWN_LENGTH = 60  # characters of an expression shown in a message
 ELLIPSIS = "..."
 
 
 def show(node: s.Node) -> str:
-    """The text of a node, cut to `LONGEST_TEXT` characters."""
+    """Return the text of a node, truncated to `MAX_SHOWN_LENGTH` characters."""
     text = format_node(node)
     return text if len(text) <= MAX_SHOWN_LENGTH else text[: MAX_SHOWN_LENGTH - len(ELLIPSIS)] + ELLIPSIS
 
 
 def format_node(node: s.Node) -> str:
-    """The whole text of a node, in a form that parses to the same node."""
+    """Return the full text of a node, which parses to the same node."""
     match node:
         case s.Literal():
             return format_literal(node)
@@ -43,7 +43,7 @@
 
 
 def format_call(node: s.Call) -> str:
-    """The text of an operator with its operands, in parentheses, or of a call of a function or method."""
+    """Return the text of an operation in parentheses, or of a call of a function or method."""
     name = node.function
     arguments = [format_node(argument) for argument in node.arguments]
     if name.isidentifier() and name != "in":
@@ -55,7 +55,7 @@
 
 
 def format_literal(node: s.Literal) -> str:
-    """The text of a literal; a string in JSON's form, bytes by their escapes."""
+    """Return the text of a literal; a string as in JSON, bytes as escapes."""
     if isinstance(node.value, bool):
         return "true" if node.value else "false"
     if isinstance(node.value, bytes):
--- a/stoatrouter/expressions/syntax.py
+++ b/stoatrouter/expressions/syntax.py
@@ -1,7 +1,7 @@
 """The syntax tree (cel-spec, doc/langdef.md, "Syntax").
 
-Nodes compare by structure, not by position, so that the checker can tell when a guard and a look-up mean the
-same.
+Nodes compare by structure and not by position, so the checker can tell that a guard and a look-up have the
+same operand.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 from stoatrouter.expressions.errors import Position
 
-MAX_DEPTH = 100  # of nested operations; a deeper expression is rejected while it is parsed
+MAX_DEPTH = 100  # levels of nested operations; a deeper expression is rejected during parsing
 
-Value = bool | int | float | str | bytes  # of a literal
+Value = bool | int | float | str | bytes  # the value of a literal
 
 
 @dataclass(slots=True, frozen=True)
 class Node:
-    """Any node: where it stands in the source, and how many levels of nodes it has, itself included."""
+    """Any node: its position in the source, and the number of levels of its tree, itself included."""
 
     at: Position = field(compare=False, repr=False)
     depth: int = field(compare=False, repr=False)
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Literal(Node):
-    """A literal; `kind` is the name of its type, as 1 and 1.0 and true are equal in Python."""
+    """A literal; `kind` is the name of its type, as 1, 1.0 and true compare equal in Python."""
 
     value: Value
     kind: str = "int"
@@ -33,14 +33,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Name(Node):
-    """A name by itself: an input, or the variable of a macro."""
+    """A single name: an input, or the variable of a macro."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
 class Select(Node):
-    """`a.b`: a field of the environment, or the value under the key 'b' of a map; `a.?b` where optional."""
+    """`a.b`: a field of the environment, or the value of key 'b' in a map; `a.?b` if optional."""
 
     operand: Node
     field_name: str
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Index(Node):
-    """`a[b]`: an element of a list, or the value under a key of a map; `a[?b]` where optional."""
+    """`a[b]`: an element of a list, or the value of a key in a map; `a[?b]` if optional."""
 
     operand: Node
     index: Node
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Call(Node):
-    """A function, an operator by its symbol, a method or a macro."""
+    """A call of a function, an operator (by its symbol), a method or a macro."""
 
     function: str
     arguments: tuple[Node, ...]
@@ -66,7 +66,7 @@
 
     @property
     def operands(self) -> tuple[Node, ...]:
-        """The receiver, if there is one, and the arguments."""
+        """Return the receiver, if there is one, and the arguments."""
         return self.arguments if self.receiver is None else (self.receiver, *self.arguments)
 
 
@@ -96,13 +96,13 @@
 
 @dataclass(slots=True, frozen=True)
 class MapLiteral(Node):
-    """`{a: b}`; the items are pairs of a key and a value."""
+    """`{a: b}`; items are pairs of a key and a value."""
 
     items: tuple[tuple[Node, Node], ...]
 
 
 def path_of(node: Node) -> str | None:
-    """The dotted name that a chain of fields spells; None for anything else."""
+    """Return the dotted name of a chain of fields; None for any other node."""
     if isinstance(node, Name):
         return node.name
     if isinstance(node, Select) and not node.optional:
--- a/stoatrouter/expressions/typed.py
+++ b/stoatrouter/expressions/typed.py
@@ -1,4 +1,4 @@
-"""Nodes of an expression with their types, bounds and costs."""
+"""Typed nodes of an expression, with their bounds and costs."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Op(StrEnum):
-    """What a node is compiled to; the comments name `Typed.detail`, where there is one.
+    """The operation that a node is compiled to; comments describe `Typed.detail`, if there is one.
 
-    `..._SURE` are look-ups that cannot fail, `..._OPTIONAL` those that yield an optional.
+    `..._SURE` are look-ups that cannot fail, `..._OPTIONAL` look-ups that yield an optional.
     """
 
-    LITERAL = "literal"  # its value
+    LITERAL = "literal"  # the value
     VARIABLE = "variable"  # the attribute of the object of inputs
-    LOCAL = "local"  # the name of a macro's variable
+    LOCAL = "local"  # the name of the variable of a macro
     LIST = "list"
     MAP = "map"
     SAME = "same"  # the part itself
@@ -37,7 +37,7 @@
     HAS_VALUE = "has value"
     VALUE = "value"
     OR = "or"
-    OPTIONAL_MAP = "optional map"  # the name of its variable
+    OPTIONAL_MAP = "optional map"  # the name of the variable
     TRY = "try"
     LOGIC = "logic"  # the operator
     NOT = "not"
@@ -55,13 +55,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Typed:
-    """A node with its type, bound and cost; `op` and `detail` tell the compiler what to emit.
+    """A node with its type, bound and cost; `op` and `detail` determine the code to emit.
 
     Attributes:
         own_steps: The steps of the node without those of its parts.
-        repeats: How often each part is run, where that is not once.
-        faults: Why evaluation may fail.
-        cost: The steps in the worst case, parts included.
+        repeats: How often each part is evaluated in the worst case; empty if once.
+        faults: The reasons why evaluation may fail.
+        cost: The steps in the worst case, including those of the parts.
     """
 
     node: s.Node
@@ -76,61 +76,61 @@
     cost: int = 0
 
     def times(self, i: int) -> int:
-        """How often part i is run in the worst case."""
+        """Return how often part i is evaluated in the worst case."""
         return self.repeats[i] if self.repeats else 1
 
     @property
     def is_literal(self) -> bool:
-        """Whether its value is known at load; it is the detail."""
+        """Return whether the value is known at load; `detail` is the value then."""
         return self.op is Op.LITERAL
 
 
 @dataclass(slots=True, frozen=True)
 class Checked:
-    """An expression that passed: it is within the limits and cannot fail."""
+    """An expression that passed all checks: it is within the limits and cannot fail."""
 
     root: Typed
     environment: Environment
 
     @property
     def type(self) -> t.Type:
-        """The type of the value."""
+        """Return the type of the value."""
         return self.root.type
 
     @property
     def cost(self) -> int:
-        """The steps in the worst case."""
+        """Return the number of steps in the worst case."""
         return self.root.cost
 
     @property
     def bound(self) -> b.Bound:
-        """The bounds of the value."""
+        """Return the bound of the value."""
         return self.root.bound
 
 
 @dataclass(slots=True, frozen=True)
 class Scope:
-    """What holds at one place of an expression: variables of macros, and facts that guards have shown."""
+    """The variables of macros and the facts implied by guards that are valid at a node."""
 
     variables: dict[str, Typed] = field(default_factory=dict)
     facts: frozenset[Fact] = frozenset()
 
     def with_facts(self, more: Iterable[Fact]) -> Scope:
-        """This scope with more facts."""
+        """Return this scope with more facts."""
         return Scope(self.variables, self.facts | frozenset(more))
 
     def with_variable(self, name: str, element: Typed) -> Scope:
-        """This scope with one more variable of a macro."""
+        """Return this scope with one more variable of a macro."""
         return Scope({**self.variables, name: element}, self.facts)
 
     def known_length(self, node: s.Node) -> int:
-        """The least length that a list or text is known to have."""
+        """Return the minimum length that the facts imply for a list or string."""
         lengths = (fact for fact in self.facts if fact.kind is FactKind.LENGTH)
         return max((fact.min_length for fact in lengths if fact.subject == node), default=0)
 
 
 def fold_key(key: Typed) -> Typed:
-    """A key in lower case, as the names of header fields are stored."""
+    """Return a key in lower case, as header field names are stored."""
     if key.is_literal and isinstance(key.node, s.Literal):
         lower = key.detail.lower()
         return replace(key, detail=lower, node=replace(key.node, value=lower))
--- a/stoatrouter/expressions/types.py
+++ b/stoatrouter/expressions/types.py
@@ -1,4 +1,4 @@
-"""Types of the language (cel-spec, doc/langdef.md, "Values"). No type converts into another by itself."""
+"""Types of the language (cel-spec, doc/langdef.md, "Values"). There are no implicit conversions."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class Type:
-    """Any type; two are the same where they are equal."""
+    """Base class of types; types compare by structure."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Scalar(Type):
-    """A type without parts."""
+    """A type without type parameters."""
 
     name: str
 
     def __str__(self) -> str:
-        """CEL's name of it."""
+        """Return the name in CEL."""
         return self.name
 
 
@@ -35,21 +35,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ListOf(Type):
-    """A list whose elements are of one type."""
+    """A list whose elements have the same type."""
 
     element: Type
 
     def __str__(self) -> str:
-        """The form of CEL's messages."""
+        """Return the type as messages of CEL show it."""
         return f"list({self.element})"
 
 
 @dataclass(slots=True, frozen=True)
 class MapOf(Type):
-    """A map from strings to values of one type.
+    """A map from strings to values of the same type.
 
-    With `folded` the keys are names of header fields, alike in any case (RFC 9110, 5.1). With `repeated`,
-    `values(name)` gives all values that came under a name.
+    With `folded`, keys are header field names, which ignore case (RFC 9110, 5.1). With `repeated`,
+    `values(name)` returns all values of a name.
     """
 
     value: Type
@@ -57,18 +57,18 @@
     repeated: bool = False
 
     def __str__(self) -> str:
-        """The form of CEL's messages; what keys are is left out."""
+        """Return the type as messages of CEL show it, without `folded` and `repeated`."""
         return f"map(string, {self.value})"
 
 
 @dataclass(slots=True, frozen=True)
 class OptionalOf(Type):
-    """A value of one type, or none (cel-spec's optional types)."""
+    """A value of a type, or no value (cel-spec's optional types)."""
 
     value: Type
 
     def __str__(self) -> str:
-        """The form of CEL's messages."""
+        """Return the type as messages of CEL show it."""
         return f"optional_type({self.value})"
 
 
@@ -76,7 +76,7 @@
 
 
 def common_type(a: Type, b: Type) -> Type | None:
-    """The one type that both are; None where there is none. An empty list is a list of anything."""
+    """Return the common type of two types, or None; an empty list is compatible with any list."""
     if a == b:
         return a
     if NEVER in (a, b):
@@ -94,7 +94,7 @@
 
 
 def is_equatable(kind: Type) -> bool:
-    """Whether == is defined: for optionals and networks it is left out."""
+    """Return whether == is defined, which it is not for optionals, maps and networks."""
     if isinstance(kind, ListOf):
         return is_equatable(kind.element)
     return kind in (*COMPARABLE, IP, NEVER)
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -78,7 +78,7 @@
     first, *others = refusal.value.problems
     assert str(first.at) == "2:19" and 'request.headers["x-team"]' in first.what
     assert ".orValue(" in first.remedy and '"x-team" in request.headers && ' in first.remedy
-    assert [problem.what for problem in others] == ["there is no 'x'"]  # and all others in the same go
+    assert [problem.what for problem in others] == ["unknown name 'x'"]  # and all others in the same go
 
 
 # -- generated expressions ----------------------------------------------------------------------------------
@@ -320,7 +320,7 @@
 
 def test_types_say_what_they_are():
     assert str(ex.load('request.headers[?"a"]', HTTP_ENVIRONMENT).type) == "optional_type(string)"
-    with pytest.raises(ex.ExpressionError, match="this yields int, but bool is wanted here"):
+    with pytest.raises(ex.ExpressionError, match="this yields int, but bool is expected here"):
         ex.load("1", HTTP_ENVIRONMENT, t.BOOL)
 
 
