--- a/stoatrouter/matching/files.py
+++ b/stoatrouter/matching/files.py
@@ -80,7 +80,9 @@
             if scope.rules:
                 place = operator.place(f"scopes.{name}.file")
                 faults.append(
-                    Fault(place, f"scopes.{name}", "it has rules and a file", "leave one of them out")
+                    Fault(
+                        place, f"scopes.{name}", "the scope has both rules and a file", "remove one of them"
+                    )
                 )
             # A team's file is unified with its own schema, so that it cannot change the operator's scopes.
             try:
--- a/stoatrouter/matching/rule_compiler.py
+++ b/stoatrouter/matching/rule_compiler.py
@@ -72,7 +72,7 @@
             self.report(
                 f"{rule_path}.when",
                 f"{outside} is outside of this scope",
-                f"it has hosts {', '.join(scope.hosts)} and paths {', '.join(scope.paths)}",
+                f"the scope has hosts {', '.join(scope.hosts)} and paths {', '.join(scope.paths)}",
             )
         checked: dict[RuleField, CheckedValue] = {}
         if rule.refuse is None:
@@ -89,9 +89,11 @@
         """Check the status of a rule that refuses, and that the rule yields no values."""
         given = [field for field in RuleField if getattr(rule, field.attribute) is not None]
         if given:
-            self.report(rule_path, f"a rule that refuses yields no {given[0]}", "leave it out")
+            self.report(rule_path, f"a rule with refuse must not set {given[0]}", "remove it")
         if not 400 <= status <= 599:
-            self.report(f"{rule_path}.refuse.status", f"{status} is no refusal", "400 to 599")
+            self.report(
+                f"{rule_path}.refuse.status", f"{status} is not the status of a refusal", "use 400 to 599"
+            )
 
     def check_values(
         self, rule_path: str, scope: Scope, rule: Rule, condition: Condition
@@ -101,7 +103,9 @@
             for name in PIECE_FIELDS:
                 if getattr(rule, name) is not None:
                     self.report(
-                        f"{rule_path}.{name}", f"an object's pieces have their own {name}", "leave it out"
+                        f"{rule_path}.{name}",
+                        f"{name} cannot be set: each piece of an object has its own",
+                        "remove it",
                     )
         checked: dict[RuleField, CheckedValue] = {}
         for field in RuleField:
@@ -158,7 +162,7 @@
                     self.report(
                         use.rule_path,
                         f"{subject} has plan {plan!r} here and {first.plan!r} at {first.assigned_by}",
-                        "a volume has one plan",
+                        "a volume must have a single plan",
                     )
                     return
 
--- a/stoatrouter/matching/samples.py
+++ b/stoatrouter/matching/samples.py
@@ -66,7 +66,7 @@
         size = int(record.get("size", -1))
         request_class = str(record.get("class", ""))
     except (KeyError, TypeError, ValueError, RecursionError) as error:
-        raise ValueError(f"no recorded request: {error}") from None
+        raise ValueError(f"not a recorded request: {error}") from None
     return read_input(method, target, fields, peer, size, request_class)
 
 
--- a/stoatrouter/matching/table_compiler.py
+++ b/stoatrouter/matching/table_compiler.py
@@ -80,14 +80,14 @@
             TableError: There are more than MAX_RULES rules, which would take too long to load.
         """
         if len(rules.scopes) > MAX_SCOPES:
-            self.report("scopes", f"{len(rules.scopes)} scopes", f"{MAX_SCOPES} at most")
+            self.report("scopes", f"there are {len(rules.scopes)} scopes", f"the limit is {MAX_SCOPES}")
         if sum(map(len, rules_by_scope.values())) > MAX_RULES:
-            raise TableError([Diagnostic("scopes", "too many rules", f"{MAX_RULES} at most")])
+            raise TableError([Diagnostic("scopes", "too many rules", f"the limit is {MAX_RULES}")])
         for first, second, host, path in find_collisions(rules.scopes):
             self.report(
                 f"scopes.{second}",
-                f"host {host!r} with path {path!r} is claimed by {first!r} as well",
-                "give each path to one scope; the longer prefix has its own requests",
+                f"host {host!r} with path {path!r} is also claimed by {first!r}",
+                "assign each path to one scope; a longer prefix takes precedence",
             )
 
     # -- one scope ----------------------------------------------------------------------------------------
@@ -134,14 +134,16 @@
         for request_class in scope.classes:
             if self.vocabulary.class_number(request_class) is None:
                 known = ", ".join(each.name for each in self.vocabulary.classes)
-                self.report(f"{path}.classes", f"there is no class {request_class!r}", f"there is: {known}")
+                self.report(f"{path}.classes", f"unknown class {request_class!r}", f"available: {known}")
         for plan in scope.plans:
             if plan not in self.vocabulary.plans:
                 known = ", ".join(self.vocabulary.plans)
-                self.report(f"{path}.plans", f"there is no plan {plan!r}", f"there is: {known}")
+                self.report(f"{path}.plans", f"unknown plan {plan!r}", f"available: {known}")
         for prefix in scope.paths:
             if not prefix.startswith("/"):
-                self.report(f"{path}.paths", f"{prefix!r} is no path prefix", "it starts with /")
+                self.report(
+                    f"{path}.paths", f"{prefix!r} is not a path prefix", "a path prefix starts with /"
+                )
 
     def check_rule_names(self, rule_paths: Sequence[str], rules: Sequence[Rule]) -> None:
         """Check that the names of a scope's rules are unique."""
@@ -150,7 +152,7 @@
             first = first_uses.setdefault(rule.name, number)
             if first != number:
                 self.report(
-                    rule_path, f"the name {rule.name!r} stands twice", f"it is that of rules[{first}]"
+                    rule_path, f"duplicate rule name {rule.name!r}", f"already used by rules[{first}]"
                 )
 
     def report_steps(self, path: str, scope: Scope, max_steps: int, compiled: Sequence[CompiledRule]) -> None:
@@ -158,10 +160,10 @@
         costliest = sorted(compiled, key=lambda rule: -rule.cost)[:MAX_RULES_SHOWN]
         self.report(
             path,
-            f"a request may take {max_steps} steps, {scope.steps} at most",
-            "dearest: "
+            f"a request may take {max_steps} steps; the limit is {scope.steps}",
+            "most expensive: "
             + ", ".join(f"{rule.cost} for {rule.name}" for rule in costliest)
-            + "; conditions on host, method, path or a header keep rules apart",
+            + "; with conditions on host, method, path or a header, fewer rules apply to a request",
         )
 
     def warn_of_unreachable_rules(self, rule_paths: Sequence[str], compiled: Sequence[CompiledRule]) -> None:
@@ -173,12 +175,14 @@
                 self.warnings.append(Diagnostic(rule_path, f"{never}: its condition is false"))
             elif contradiction is not None:
                 both = " and ".join(map(describe_constraint, contradiction))
-                self.warnings.append(Diagnostic(rule_path, f"{never}: it wants {both}"))
+                self.warnings.append(Diagnostic(rule_path, f"{never}: it requires {both}"))
         for covered in Coverage([rule.condition for rule in compiled]).find_covered():
             name = compiled[covered.rule].name
             covering = compiled[covered.covered_by].name
-            what = f"rule {name!r} never matches: {covering!r} before it covers it"
-            self.warnings.append(Diagnostic(rule_paths[covered.rule], what, "move it up, or remove one"))
+            what = f"rule {name!r} never matches: the earlier rule {covering!r} matches all its requests"
+            self.warnings.append(
+                Diagnostic(rule_paths[covered.rule], what, "move it up, or remove one of the rules")
+            )
 
 
 def describe_constraint(constraint: Constraint) -> str:
--- a/stoatrouter/matching/values.py
+++ b/stoatrouter/matching/values.py
@@ -100,7 +100,7 @@
                 return None
         if len(allowed) == 1 and allowed[0] != ANY_VOLUME:
             return allowed[0]
-        self.report(rule_path, f"no {field} is given", "this scope has: " + ", ".join(allowed))
+        self.report(rule_path, f"no {field} is given", "allowed in this scope: " + ", ".join(allowed))
         return None
 
     def check_value(
@@ -150,7 +150,7 @@
         if yielded_texts is None:
             self.report(
                 path,
-                f"which {subject} this yields cannot be told before a request comes",
+                f"the values that this can yield as {subject} cannot be determined at load",
                 "use literals, ?: and maps of literals",
             )
             return None
@@ -162,8 +162,8 @@
         """Return whether the scope has all of some names; report the first one that it does not have."""
         foreign = sorted(names - set(allowed))
         if foreign:
-            remedy = "it has: " + ", ".join(allowed)
-            self.report(path, f"{subject} {foreign[0]!r} is not of this scope", remedy)
+            remedy = "allowed: " + ", ".join(allowed)
+            self.report(path, f"{subject} {foreign[0]!r} is not allowed in this scope", remedy)
         return not foreign
 
     def check_class(
@@ -179,9 +179,9 @@
             # Protects data: what a head may retry freely must be idempotent, and a PUT is not taken to be.
             self.report(
                 path,
-                f"class {unsafe[0]!r} may be repeated freely, but the condition lets methods through that "
+                f"class {unsafe[0]!r} may be retried freely, but the condition allows methods that "
                 "are not safe",
-                'add request.method in ["GET", "HEAD"] to it, or ask the operator for '
+                'add request.method in ["GET", "HEAD"] to the condition, or ask the operator for '
                 "the right repeat_unsafe_methods",
             )
             return None
@@ -217,8 +217,8 @@
         if checked.type != t.INT and not is_hex:
             self.report(
                 f"{path}.expr",
-                f"this yields {checked.type}, but an int is wanted here",
-                "write hash(...); it becomes 16 hex digits",
+                f"this yields {checked.type}, but int is expected here",
+                "use hash(...), which is formatted as 16 hex digits",
             )
             return None
         return CheckedValue(Value(run=expression.run), checked.cost)
@@ -228,7 +228,7 @@
         """Check `shard`: one of the settings' shards, or -1 for any."""
         shards = self.vocabulary.shards
         high = shards - 1 if shards else MAX_SHARD
-        return self.check_number(path, given, NumberRange(-1, high, "shard", f"write hash(...) % {high + 1}"))
+        return self.check_number(path, given, NumberRange(-1, high, "shard", f"use hash(...) % {high + 1}"))
 
     def check_units(self, path: str, given: float | Computed) -> CheckedValue | None:
         """Check `units`: from 1 to the maximum that the settings allow for one request."""
@@ -242,7 +242,7 @@
         low, high, subject, remedy = allowed
         if not isinstance(given, Computed):
             if not low <= given <= high:
-                self.report(path, f"{given:g} is out of the {subject}'s range", f"from {low} to {high}")
+                self.report(path, f"the {subject} {given:g} is out of range", f"from {low} to {high}")
                 return None
             return CheckedValue(Value(given))
         expression = self.compile(f"{path}.expr", given.expr, t.INT, MAX_YIELD_STEPS)
@@ -252,7 +252,7 @@
         if bound.low < low or bound.high > high:
             self.report(
                 f"{path}.expr",
-                f"the {subject} may lie from {bound.low} to {bound.high}, {low} to {high} are allowed",
+                f"the {subject} may be from {bound.low} to {bound.high}; allowed are {low} to {high}",
                 remedy,
             )
             return None
@@ -271,10 +271,10 @@
         try:
             deadline = duration_of_text(given)
         except EvaluationError as error:
-            self.report(path, f"{given!r}: {error}", "like '250ms' or '2s'")
+            self.report(path, f"{given!r}: {error}", "for example '250ms' or '2s'")
             return None
         if deadline < MIN_DEADLINE:
-            self.report(path, f"{given!r} is no deadline", "1ms or more")
+            self.report(path, f"the deadline {given!r} is too short", "the minimum is 1ms")
             return None
         return CheckedValue(Value(deadline))
 
--- a/stoatrouter/settings/constraints.py
+++ b/stoatrouter/settings/constraints.py
@@ -193,7 +193,7 @@
             try:
                 compile_pattern(operand)
             except (re2.error, TypeError) as error:
-                faults.append(Fault(at, where.path, f"{operand!r} is no pattern: {error}"))
+                faults.append(Fault(at, where.path, f"{operand!r} is not a valid pattern: {error}"))
                 return
         bound = Bound(name, operand, at)
         if name != "!=":
@@ -218,7 +218,9 @@
         text = value_text(self.value)
         value_at = next((entry.at for entry in reversed(self.statements) if entry.text == text), bound.at)
         if not bound.at.in_schema:
-            return Fault(value_at, where.path, f"found {text}, but {bound} at {bound.at}", "both cannot hold")
+            return Fault(
+                value_at, where.path, f"found {text}, but {bound} at {bound.at}", "the constraints conflict"
+            )
         schema = [entry.text for entry in self.statements if entry.at.in_schema]
         allowed = " & ".join(dict.fromkeys(schema or [str(bound)]))
         return Fault(value_at, where.path, f"found {text}", f"allowed: {allowed}")
@@ -233,7 +235,7 @@
         first, last = own[0], own[-1]
         if not schema:
             what = f"found {last.text}, but {first.text} at {first.at}"
-            return Fault(last.at, where.path, what, "both cannot hold")
+            return Fault(last.at, where.path, what, "the constraints conflict")
         allowed = " & ".join(dict.fromkeys(schema))
         return Fault(last.at, where.path, f"found {last.text}", f"allowed: {allowed}")
 
--- a/stoatrouter/settings/evaluate.py
+++ b/stoatrouter/settings/evaluate.py
@@ -58,9 +58,9 @@
         if vertex.expanded or vertex.expanding:
             return
         if vertex.depth > MAX_DEPTH:
-            what = "a definition holds itself, without end"
+            what = "infinite recursion: a definition contains itself"
             path = vertex.path[:MAX_PATH_SHOWN]
-            vertex.faults.append(Fault(vertex.at, path, what, "make its field optional"))
+            vertex.faults.append(Fault(vertex.at, path, what, "make the field optional"))
             vertex.expanded = True
             return
         vertex.expanding = True
@@ -106,7 +106,7 @@
                 self.expand(target)
                 if target.constraints.is_concrete:
                     return s.Atom(node.at, target.constraints.value)
-        vertex.faults.append(Fault(node.at, vertex.path, f"{node.operator} wants a number or a string"))
+        vertex.faults.append(Fault(node.at, vertex.path, f"{node.operator} requires a number or a string"))
         return None
 
     def apply_struct(self, vertex: Vertex, node: s.Struct, conjunct: Conjunct) -> None:
@@ -162,8 +162,8 @@
             return self.select_path(vertex, node, scope.imports[node.name])
         if node.name in KINDS and not node.path:
             return node.name
-        what = f"there is nothing named {node.name!r}"
-        vertex.faults.append(Fault(node.at, vertex.path, what, "a text stands in quotes"))
+        what = f"unknown name {node.name!r}"
+        vertex.faults.append(Fault(node.at, vertex.path, what, "strings must be quoted"))
         return None
 
     def select_path(self, vertex: Vertex, node: s.Reference, target: Vertex) -> Vertex | None:
@@ -185,7 +185,7 @@
         longest = max(len(node.items) for node, _ in vertex.lists)
         for node, conjunct in vertex.lists:
             if len(node.items) < longest and not node.open:
-                what = f"a list of {longest} elements, {len(node.items)} are allowed"
+                what = f"found a list of {longest} elements, but {len(node.items)} are allowed"
                 vertex.faults.append(Fault(vertex.at, vertex.path, what))
             for i in range(longest):
                 item = node.items[i] if i < len(node.items) else node.rest
@@ -221,7 +221,7 @@
                 if self.is_allowed(allowed, label):
                     continue
                 known = ", ".join(sorted(name for name in allowed.labels if not is_hidden(name)))
-                vertex.faults.append(Fault(arc.at, arc.path, "there is no such field", f"there is: {known}"))
+                vertex.faults.append(Fault(arc.at, arc.path, "field not allowed", f"allowed fields: {known}"))
                 break
 
     def is_allowed(self, allowed: Allowed, label: str) -> bool:
--- a/stoatrouter/settings/literals.py
+++ b/stoatrouter/settings/literals.py
@@ -50,7 +50,7 @@
     factor = MULTIPLIERS.get(found[2] or "", 1)
     # Python limits the digits of an int. Leading zeros are likely typing errors, and CUE rejects them too.
     if len(digits) > MAX_DIGITS or re.match("0[0-9]", digits):
-        raise LiteralError(f"{literal[:MAX_NUMBER_SHOWN]} is no number")
+        raise LiteralError(f"{literal[:MAX_NUMBER_SHOWN]} is not a valid number")
     if "." in digits or "e" in digits.lower():
         scaled = float(digits) * factor
         return int(scaled) if factor > 1 and scaled == int(scaled) else scaled
@@ -75,7 +75,7 @@
     """
     text = dedent(literal[5:-4]) if literal.startswith('#"""') else literal[2:-2]
     if "\\#" in text:
-        raise LiteralError('escapes within #"..."# are not part of the subset that is read here')
+        raise LiteralError('escapes in #"..."# are not supported')
     return text
 
 
@@ -87,7 +87,7 @@
     """
     *lines, last = text.split("\n")
     if last.strip(" \t"):
-        raise LiteralError("the closing quotes of a multi-line string stand on a line of their own")
+        raise LiteralError("the closing quotes of a multi-line string must be on a line of their own")
     if any(line.strip(" \t") and not line.startswith(last) for line in lines):
         raise LiteralError("a line of a multi-line string is indented less than its closing quotes")
     return "\n".join(line.removeprefix(last) for line in lines)
@@ -107,7 +107,7 @@
     if short is not None:
         return ESCAPE_VALUES[short]
     if other == "(":
-        raise LiteralError("interpolation is not part of the subset that is read here")
+        raise LiteralError("interpolation is not supported")
     code_point = int(four or eight or INVALID_CODE_POINT, 16)
     if other is not None or code_point > 0x10FFFF or 0xD800 <= code_point < 0xE000:
         raise LiteralError(f"unknown escape {found[0]}", 'write \\\\ or use #"..."#')
--- a/stoatrouter/settings/load.py
+++ b/stoatrouter/settings/load.py
@@ -69,7 +69,7 @@
         start = s.Place(str(path), 1)
         try:
             if len(self.files) >= MAX_FILES:
-                raise SettingsError(Fault(start, "", "too many files", f"{MAX_FILES} at most"))
+                raise SettingsError(Fault(start, "", "too many files", f"the limit is {MAX_FILES}"))
             data = path.read_bytes()
             self.files[path] = parse(data.decode("utf-8"), str(path))
             self.digests[path] = hashlib.sha256(data).hexdigest()
@@ -77,7 +77,7 @@
         except OSError as error:
             self.faults.append(Fault(start, "", f"cannot be read: {error.strerror or error}"))
         except UnicodeDecodeError:
-            self.faults.append(Fault(start, "", "is not UTF-8"))
+            self.faults.append(Fault(start, "", "is not valid UTF-8"))
         except SettingsError as error:
             self.faults += error.faults
         return None
@@ -115,7 +115,7 @@
         if target is None:
             return None
         if target in self.importing:
-            self.faults.append(Fault(entry.at, "", f"import {entry.path!r} leads back to itself"))
+            self.faults.append(Fault(entry.at, "", f"import {entry.path!r} is part of an import cycle"))
             return None
         if target not in self.packages:
             package = package or target.name
@@ -140,13 +140,13 @@
         )
         module = read_module_name(root / MODULE_FILE) if root is not None else None
         if root is None or module is None:
-            what = f"import {entry.path!r}: there is no cue.mod/module.cue above this file"
-            remedy = 'one that says module: "NAME" makes the folders beside cue.mod importable'
+            what = f"import {entry.path!r}: found no cue.mod/module.cue above this file"
+            remedy = 'create one with module: "NAME" to import directories beside cue.mod'
             self.faults.append(Fault(entry.at, "", what, remedy))
             return None
         if path != module and not path.startswith(module + "/"):
-            what = f"import {entry.path!r} is not of the module {module!r}"
-            self.faults.append(Fault(entry.at, "", what, "only folders beside cue.mod can be imported"))
+            what = f"import {entry.path!r} does not belong to module {module!r}"
+            self.faults.append(Fault(entry.at, "", what, "only directories beside cue.mod can be imported"))
             return None
         return root / path.removeprefix(module).lstrip("/")
 
@@ -253,7 +253,7 @@
     try:
         converted = msgspec.convert(data, record)
     except msgspec.ValidationError as error:
-        what = f"the schema lets through what the program cannot use: {error}"
+        what = f"the schema allows a value that the program cannot use: {error}"
         raise SettingsError(Fault(root.at, "", what)) from None
     return Loaded(converted, places, reader.digests)
 
--- a/stoatrouter/settings/parser.py
+++ b/stoatrouter/settings/parser.py
@@ -77,7 +77,9 @@
         SettingsError: The first syntax error, with the file's name and the line.
     """
     if len(text) > MAX_LENGTH:
-        fault = Fault(s.Place(name, 1), "", f"a file of {len(text)} bytes", f"{MAX_LENGTH} at most")
+        fault = Fault(
+            s.Place(name, 1), "", f"the file has {len(text)} characters", f"the limit is {MAX_LENGTH}"
+        )
         raise SettingsError(fault)
     try:
         parser, builder = create_parser()
@@ -85,13 +87,15 @@
         file = parser.parse(text.replace("\r\n", "\n"))
     except TooDeepError as error:
         place = s.Place(name, error.line)
-        raise SettingsError(Fault(place, "", f"brackets more than {MAX_NESTING} deep")) from None
+        raise SettingsError(
+            Fault(place, "", f"brackets are nested more than {MAX_NESTING} levels deep")
+        ) from None
     except UnexpectedCharacters as error:
         raise SettingsError(unexpected_text(name, text, error.line, error.column, error.char)) from None
     except UnexpectedToken as error:
         raise SettingsError(unexpected_token(error, name, text)) from None
     except UnexpectedInput as error:
-        raise SettingsError(Fault(s.Place(name, max(1, error.line)), "", "this cannot be read")) from None
+        raise SettingsError(Fault(s.Place(name, max(1, error.line)), "", "syntax error")) from None
     assert isinstance(file, s.File)
     return file
 
@@ -103,10 +107,10 @@
     toml = next((i for i, row in enumerate(text.splitlines(), 1) if TOML_LINE.match(row.strip())), None)
     if at_end and toml is None:
         end = s.Place(name, text.count("\n") + 1)
-        return Fault(end, "", "the file ends too early", "a bracket may be open")
+        return Fault(end, "", "unexpected end of the file", "a closing bracket may be missing")
     line = (toml if at_end else None) or token.line or 1
     if token.type == "COMMA" and token.value == ",":
-        return Fault(s.Place(name, line), "", "the line ends too early, or a comma stands here for nothing")
+        return Fault(s.Place(name, line), "", "unexpected end of the line, or a superfluous comma")
     return unexpected_text(name, text, line, token.column or 1, str(token)[:MAX_TOKEN_SHOWN])
 
 
@@ -117,13 +121,11 @@
     keyword = row.partition(" ")[0]
     place = s.Place(name, line)
     if keyword in UNSUPPORTED_KEYWORDS:
-        return Fault(
-            place, "", f"{UNSUPPORTED_KEYWORDS[keyword]} is not part of the subset that is read here"
-        )
+        return Fault(place, "", f"{UNSUPPORTED_KEYWORDS[keyword]} is not supported")
     hint = ""
     if TOML_LINE.match(row):
         hint = "this is TOML; write 'name: value' and 'name: {...}', see docs/settings.md"
-    return Fault(place, "", f"{found!r} cannot stand here (column {column})", hint)
+    return Fault(place, "", f"unexpected {found!r} (column {column})", hint)
 
 
 class TreeBuilder(Transformer[Token, Any]):
@@ -209,7 +211,7 @@
             SettingsError: The label is `_`, `true`, `false` or `null`.
         """
         if token in ("_", *CONSTANTS):
-            raise self.rejection(token, f"{str(token)!r} names no field", "put it in quotes")
+            raise self.rejection(token, f"{str(token)!r} cannot be a field name", "quote it")
         return Label(str(token), mark, self.place(token))
 
     def label_of_string(self, token: Token, mark: Mark) -> Label:
@@ -220,8 +222,8 @@
         """
         text = self.value(token, literals.read_string)
         if not text or text.startswith(s.HIDDEN):
-            what = f"found {token} as a field's name"
-            raise self.rejection(token, what, "a name that is not empty and begins with neither # nor _")
+            what = f"found {token} as a field name"
+            raise self.rejection(token, what, "a field name must not be empty or begin with # or _")
         return Label(text, mark, self.place(token))
 
     def regular(self, parts: Parts) -> Label:
@@ -279,7 +281,7 @@
         """
         operand, name = parts
         if not isinstance(operand, s.Reference):
-            raise self.rejection(name, "a field can be selected of a name alone")
+            raise self.rejection(name, "a field can only be selected from a name")
         return s.Reference(operand.at, operand.name, (*operand.path, str(name)))
 
     def named(self, parts: Parts) -> s.Node:
@@ -345,7 +347,7 @@
         *_, last = items or [None]
         elements = items[:-1] if isinstance(last, Ellipsis) else items
         if any(isinstance(item, Ellipsis) for item in elements):
-            raise self.rejection(parts[0], "'...' stands last in a list")
+            raise self.rejection(parts[0], "'...' must be the last element of a list")
         place = self.place(parts[0])
         if isinstance(last, Ellipsis):
             return s.ListLiteral(place, tuple(elements), last.rest, True)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -48,7 +48,7 @@
         bad.exit_code == 1
         and 'feed.cue:1: scopes.feed.rules[0].when: 1:17: request.headers["y"]' in bad.output
     )
-    assert "class 'nope' is not of this scope" in bad.output and "2 errors" in bad.output
+    assert "class 'nope' is not allowed in this scope" in bad.output and "2 errors" in bad.output
     data = json.loads(command("rules", "check", rules, "--config", conf, "--json").output)
     assert not data["ok"] and {(e["line"], e["path"]) for e in data["errors"]} == {
         (1, "scopes.feed.rules[0].when"),
@@ -59,7 +59,7 @@
 def test_names_are_checked_against_the_configuration(rules, conf, tmp_path):
     write_rules(tmp_path, operator=OPERATOR.replace('plans: ["premium"]', 'plans: ["gold"]'))
     unknown = command("rules", "check", rules, "--config", conf)
-    assert unknown.exit_code == 1 and "there is no plan 'gold' (there is: basic, premium)" in unknown.output
+    assert unknown.exit_code == 1 and "unknown plan 'gold' (available: basic, premium)" in unknown.output
     unchecked = command("rules", "check", rules, env={"NODE_CONFIG": ""})
     assert unchecked.exit_code == 0 and "were not checked" in unchecked.output
 
--- a/tests/test_matching.py
+++ b/tests/test_matching.py
@@ -124,17 +124,17 @@
         (rule("r", 'request.headers["X-Team"] == "a"'), 'request.headers["x-team"] may be missing'),
         (rule("r", 'request.path.startsWith("/other/")'), "outside of this scope"),
         (rule("r", 'request.host == "other"'), "outside of this scope"),
-        (rule("r", "true", request_class="score-read"), "may be repeated freely"),
-        (rule("r", 'request.method == "PUT"', request_class="score-read"), "may be repeated freely"),
-        (rule("r", 'request.method in ["GET", "PUT"]', request_class="score-read"), "may be repeated freely"),
-        (rule("r", "true", request_class="nope"), "is not of this scope"),
-        (rule("r", "true", plan="nope"), "is not of this scope"),
-        (rule("r", "true", volume="0000000000000009"), "is not of this scope"),
-        (rule("r", "true", shard=2), "out of the shard's range"),
-        (rule("r", "true", units=9), "out of the number of units"),
+        (rule("r", "true", request_class="score-read"), "may be retried freely"),
+        (rule("r", 'request.method == "PUT"', request_class="score-read"), "may be retried freely"),
+        (rule("r", 'request.method in ["GET", "PUT"]', request_class="score-read"), "may be retried freely"),
+        (rule("r", "true", request_class="nope"), "is not allowed in this scope"),
+        (rule("r", "true", plan="nope"), "is not allowed in this scope"),
+        (rule("r", "true", volume="0000000000000009"), "is not allowed in this scope"),
+        (rule("r", "true", shard=2), "the shard 2 is out of range"),
+        (rule("r", "true", units=9), "the number of units 9 is out of range"),
         (rule("r", "true", key="xyz"), "is not 16 hex digits"),
-        (rule("r", "true", deadline="0s"), "no deadline"),
-        (rule("r", "request.size"), "yields int, but bool is wanted"),
+        (rule("r", "true", deadline="0s"), "the deadline '0s' is too short"),
+        (rule("r", "request.size"), "yields int, but bool is expected"),
         (rule("r", "request.segments.exists(a, request.segments.exists(b, a + b == a))"), "steps"),
     ],
 )
@@ -182,7 +182,7 @@
     spread = [rule(f"r{i}", f'request.path.startsWith("/{i}/") && request.size > {i}') for i in range(100)]
     scope = Scope(("*",), ("/",), ("event-write",), ("basic",), (FEED,), 100)
     assert table(*spread, scope=scope).scopes["all"].max_steps <= 100  # each request meets few of them
-    with pytest.raises(TableError, match="keep rules apart"):
+    with pytest.raises(TableError, match="fewer rules apply to a request"):
         table(*(rule(f"r{i}", f"request.size > {i}") for i in range(100)), scope=scope)
 
 
@@ -195,7 +195,7 @@
     )
     with pytest.raises(SettingsError) as refusal:
         TableLoader(path, WORDS).load()
-    assert "app.cue:4: scopes: there is no such field" in str(refusal.value)  # a team says nothing of scopes
+    assert "app.cue:4: scopes: field not allowed" in str(refusal.value)  # a team says nothing of scopes
     write_rules(
         tmp_path,
         operator=OPERATOR.replace('paths: ["/app/"]', 'paths: ["/app/", "/feed/"]'),
@@ -204,8 +204,8 @@
     with pytest.raises(SettingsError) as refusal:
         TableLoader(path, WORDS).load()
     text = str(refusal.value)
-    assert "rules.cue:5: scopes.app" in text and "claimed by 'feed' as well" in text
-    assert "app.cue:3: scopes.app.rules[1].when: 1:1: this yields int, but bool is wanted here" in text
+    assert "rules.cue:5: scopes.app" in text and "also claimed by 'feed'" in text
+    assert "app.cue:3: scopes.app.rules[1].when: 1:1: this yields int, but bool is expected here" in text
 
 
 def test_a_bad_table_changes_nothing_and_a_good_one_all(tmp_path):
@@ -213,7 +213,7 @@
     tables = TableLoader(path, WORDS)
     first, _ = tables.load()
     write_rules(tmp_path, feed="rules: [")  # in the middle of being written
-    with pytest.raises(SettingsError, match="ends too early"):
+    with pytest.raises(SettingsError, match="unexpected end of the file"):
         tables.load()
     write_rules(tmp_path, feed="")  # just begun to be written
     with pytest.raises(SettingsError, match="rules: is missing"):
--- a/tests/test_object_rules.py
+++ b/tests/test_object_rules.py
@@ -51,9 +51,15 @@
 @pytest.mark.parametrize(
     ("rules", "what"),
     [
-        (WRITE[:-1] + ', plan: "basic"}', "a volume has one plan"),  # the bucket's file says premium
-        (WRITE[:-1] + ", units: 3}", "an object's pieces have their own units"),
-        (WRITE[:-1] + ', volume: "00000000f0a70001"}', "an object's pieces have their own volume"),
+        (
+            WRITE[:-1] + ', plan: "basic"}',
+            "a volume must have a single plan",
+        ),  # the bucket's file says premium
+        (WRITE[:-1] + ", units: 3}", "units cannot be set: each piece of an object has its own"),
+        (
+            WRITE[:-1] + ', volume: "00000000f0a70001"}',
+            "volume cannot be set: each piece of an object has its own",
+        ),
     ],
 )
 def test_rules_that_an_object_front_cannot_have_are_refused(tmp_path, rules, what):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -43,7 +43,7 @@
     ('a: {[=~"^x"]: int, ...}\na: {x1: 1, y: "s"}', {"a": {"x1": 1, "y": "s"}}),
     ("a: [...int] & [1, 2]", {"a": [1, 2]}),
     ("a: {b: 1}\nc: a.b", {"c": 1, "a": {"b": 1}}),
-    ("x: {a: int, b: a}\ny: x & {a: 5}\nx: a: 3", "both cannot hold"),
+    ("x: {a: int, b: a}\ny: x & {a: 5}\nx: a: 3", "the constraints conflict"),
     ("#X: {a: int, b: a}\ny: #X & {a: 5}", {"y": {"a": 5, "b": 5}}),
     ("a: b & 1, b: a", {"a": 1, "b": 1}),
     ("#L: {v: int, n?: #L}\na: #L & {v: 1, n: v: 2}", {"a": {"v": 1, "n": {"v": 2}}}),
@@ -56,39 +56,39 @@
     ("a: 1, a: 2", "found 2, but 1 at text:1"),
     ("a: int", "has no value (allowed: int)"),
     ("a: 5 & string", "found string"),
-    ("a: 9 & <=8", "both cannot hold"),
+    ("a: 9 & <=8", "the constraints conflict"),
     ("a: 1.5 & int", "found int, but 1.5"),
     ("a: 1 & float", "found float, but 1"),
-    ("#D: {x: int}\na: #D & {x: 1, z: 2}", "a.z: there is no such field (there is: x)"),
+    ("#D: {x: int}\na: #D & {x: 1, z: 2}", "a.z: field not allowed (allowed fields: x)"),
     ("#D: {x!: int}\na: #D", "a.x: is missing"),
     ('a: "x" | "y"', "more than one alternative fits"),
     ('a: "x" | "y"\na: "z"', 'found "x" | "y" & "z"'),
     ("a: [1, 2] & [1]", "a list of 2 elements"),
-    ("a: b", "there is nothing named 'b'"),
+    ("a: b", "unknown name 'b'"),
     ("a: a", "has no value"),
-    ("#L: {n: #L}\na: #L", "holds itself, without end"),
-    ('a: =~"(" & "x"', "is no pattern"),
+    ("#L: {n: #L}\na: #L", "infinite recursion: a definition contains itself"),
+    ('a: =~"(" & "x"', "is not a valid pattern"),
     ("a: b.c, b: {}", "has no field 'c'"),
-    ("a: 1 b: 2", "cannot stand here"),
-    ("a: {", "ends too early"),
-    ("a 1", "cannot stand here"),
+    ("a: 1 b: 2", "unexpected 'b' (column 6)"),
+    ("a: {", "unexpected end of the file"),
+    ("a 1", "unexpected '1' (column 3)"),
     ("a: [1, , 2]", "comma"),
-    (r'a: "\(b)"', "interpolation is not part"),
-    ("let x = 1", "let is not part"),
-    ("if a {b: 1}", "a comprehension is not part"),
+    (r'a: "\(b)"', "interpolation is not supported"),
+    ("let x = 1", "let is not supported"),
+    ("if a {b: 1}", "a comprehension is not supported"),
     (r'a: "\q"', "unknown escape"),
-    ("a: 012", "is no number"),
+    ("a: 012", "is not a valid number"),
     ('listen = "x"', "this is TOML"),
     ("[buckets.x]", "this is TOML"),
-    ("a: " + "[" * 100, "brackets more than"),
-    ('a: "x\ny"', "cannot stand here"),
+    ("a: " + "[" * 100, "brackets are nested more than"),
+    ('a: "x\ny"', "unexpected '\"' (column 4)"),
     ('import "x/y"\na: 1', "cue.mod"),
     # What happened: these fields were dropped without a word, as hidden ones are: is_hidden took the first
     # character of "" for one of "#_". In CUE all three are fields like any other.
-    ('a: 1\n"": 2', 'text:2: found "" as a field\'s name'),
-    ('a: {"": 2}', "as a field's name"),
-    ('"_x": 1', 'found "_x" as a field\'s name'),
-    ('"#x"?: 1', 'found "#x" as a field\'s name'),
+    ('a: 1\n"": 2', 'text:2: found "" as a field name'),
+    ('a: {"": 2}', "as a field name"),
+    ('"_x": 1', 'found "_x" as a field name'),
+    ('"#x"?: 1', 'found "#x" as a field name'),
 ]
 
 
@@ -118,7 +118,7 @@
     assert len(lines) == 4
     assert lines[0].startswith('rules.cue:3: scopes.feed.paths: found "/feed/" (allowed: ')
     assert lines[1].startswith(
-        "rules.cue:7: scopes.archive.stepz: there is no such field (there is: classes,"
+        "rules.cue:7: scopes.archive.stepz: field not allowed (allowed fields: classes,"
     )
     assert lines[2] == (
         'rules.cue:10: scopes.app.rights.repeat_unsafe_methods: found "yes" (allowed: *false | bool)'
@@ -151,7 +151,9 @@
     main.write_text('package rules\nimport "stoat.example/none"\nimport "elsewhere/x"\n')
     with pytest.raises(SettingsError) as refusal:
         load(main, Rules, "rules.#Rules")
-    assert "no file of package 'none'" in str(refusal.value) and "is not of the module" in str(refusal.value)
+    assert "no file of package 'none'" in str(refusal.value) and "does not belong to module" in str(
+        refusal.value
+    )
 
 
 @settings(max_examples=600, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
