--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -46,7 +46,7 @@
     rejected = invoke("rules", "check", rules, "--config", config_path)
     assert rejected.exit_code == 1
     assert 'feed.cue:1: scopes.feed.rules[0].when: 1:17: request.headers["y"]' in rejected.output
-    assert "class 'nope' is not of this scope" in rejected.output and "2 errors" in rejected.output
+    assert "class 'nope' is not allowed in this scope" in rejected.output and "2 errors" in rejected.output
     data = json.loads(invoke("rules", "check", rules, "--config", config_path, "--json").output)
     assert not data["ok"] and {(error["line"], error["path"]) for error in data["errors"]} == {
         (1, "scopes.feed.rules[0].when"),
@@ -57,7 +57,7 @@
 def test_names_are_checked_against_the_configuration(rules, config_path, tmp_path):
     write_rules(tmp_path, operator=OPERATOR.replace('plans: ["premium"]', 'plans: ["gold"]'))
     unknown = invoke("rules", "check", rules, "--config", config_path)
-    assert unknown.exit_code == 1 and "there is no plan 'gold' (there is: basic, premium)" in unknown.output
+    assert unknown.exit_code == 1 and "unknown plan 'gold' (available: basic, premium)" in unknown.output
     unchecked = invoke("rules", "check", rules, env={"NODE_CONFIG": ""})
     assert unchecked.exit_code == 0 and "were not checked" in unchecked.output
 
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -79,7 +79,7 @@
     first, *others = refusal.value.problems
     assert str(first.at) == "2:19" and 'request.headers["x-team"]' in first.what
     assert ".orValue(" in first.remedy and '"x-team" in request.headers && ' in first.remedy
-    assert [problem.what for problem in others] == ["there is no 'x'"]  # all problems are reported at once
+    assert [problem.what for problem in others] == ["unknown name 'x'"]  # all problems are reported at once
 
 
 # -- generated expressions ----------------------------------------------------------------------------------
@@ -160,7 +160,7 @@
     return expression_of(draw(st.sampled_from(kinds)), max_depth)
 
 
-HIGH_LIMITS = ex.Limits(steps=10**15, result=10**12, largest=10**12)
+HIGH_LIMITS = ex.Limits(max_steps=10**15, max_result_size=10**12, max_value_size=10**12)
 
 
 def same_value(a, b):
@@ -316,7 +316,7 @@
 
 def test_types_say_what_they_are():
     assert str(ex.load('request.headers[?"a"]', HTTP_ENVIRONMENT).type) == "optional_type(string)"
-    with pytest.raises(ex.ExpressionError, match="this yields int, but bool is wanted here"):
+    with pytest.raises(ex.ExpressionError, match="this yields int, but bool is expected here"):
         ex.load("1", HTTP_ENVIRONMENT, t.BOOL)
 
 
