--- a/stoatrouter/fronts/wiring.py
+++ b/stoatrouter/fronts/wiring.py
@@ -17,17 +17,17 @@
 from stoatrouter.settings import SettingsError
 
 
-def http_tables(conf: Config, http: HttpSettings) -> TableService:
+def create_http_tables(conf: Config, http: HttpSettings) -> TableService:
     """Create the table service of the HTTP front, with its shadow table where one is configured.
 
     Raises:
         ConfigError: The rules have faults; the text names them all.
     """
-    shadow = create_tables(conf, http.shadow) if http.shadow is not None else None
-    return create_service(conf, create_tables(conf, http.rules), shadow)
+    shadow = create_table_loader(conf, http.shadow) if http.shadow is not None else None
+    return create_table_service(conf, create_table_loader(conf, http.rules), shadow)
 
 
-def object_tables(conf: Config, objects: ObjectSettings) -> TableService:
+def create_object_tables(conf: Config, objects: ObjectSettings) -> TableService:
     """Create the table service of an object front whose settings name a rule file.
 
     Raises:
@@ -39,10 +39,12 @@
         name: Bucket(bucket.volume, plans[bucket.plan] if bucket.plan >= 0 else None)
         for name, bucket in objects.buckets.items()
     }
-    return create_service(conf, create_tables(conf, objects.rules, OBJECT_ENVIRONMENT, buckets), shadow=None)
+    return create_table_service(
+        conf, create_table_loader(conf, objects.rules, OBJECT_ENVIRONMENT, buckets), shadow=None
+    )
 
 
-def create_tables(
+def create_table_loader(
     conf: Config,
     path: Path,
     environment: Environment = HTTP_ENVIRONMENT,
@@ -59,7 +61,7 @@
     return TableLoader(path, vocabulary(conf), environment, buckets)
 
 
-def create_service(conf: Config, tables: TableLoader, shadow: TableLoader | None) -> TableService:
+def create_table_service(conf: Config, tables: TableLoader, shadow: TableLoader | None) -> TableService:
     """Create the service that puts tables in force and in shadow; raises ConfigError for faulty rules."""
     try:
         return TableService(tables, shadow, idempotency_windows(conf.settings))
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -24,7 +24,7 @@
 from stoatrouter.core.list_times import list_times
 from stoatrouter.credit.gate import Gate
 from stoatrouter.fronts.http.settings import HttpSettings
-from stoatrouter.fronts.wiring import http_tables
+from stoatrouter.fronts.wiring import create_http_tables
 from stoatrouter.lab.hollow.logs import HEAD_FIELD
 from stoatrouter.lab.hollow.network import Network
 from stoatrouter.lab.hollow.tables import CompiledOnce, HollowTables
@@ -81,7 +81,7 @@
         self.network = network
         self.watches = watches
         self.scheduler = Scheduler(conf.settings, seed=conf.seed)
-        self.tables = None if http is None else CompiledOnce(http_tables(conf, http))
+        self.tables = None if http is None else CompiledOnce(create_http_tables(conf, http))
 
 
 class HollowHead:
--- a/stoatrouter/optional_fronts.py
+++ b/stoatrouter/optional_fronts.py
@@ -62,9 +62,9 @@
     apply_rules: ApplyRules | None = None
     if objects.rules is not None:
         from stoatrouter.fronts.objects.rules import CallRules
-        from stoatrouter.fronts.wiring import object_tables
+        from stoatrouter.fronts.wiring import create_object_tables
 
-        tables = object_tables(conf, objects)
+        tables = create_object_tables(conf, objects)
         rules = CallRules(tables.matcher, conf.settings, engine.clock.now, engine.reducer.advice)
         apply_rules = rules.apply
     front = ObjectFront(engine.serve_complete, conf.settings, objects, drain, apply_rules)
@@ -87,9 +87,9 @@
         ConfigError: the rule tables cannot be loaded.
     """
     from stoatrouter.fronts.http.front import HttpFront
-    from stoatrouter.fronts.wiring import create_recorder, http_tables
+    from stoatrouter.fronts.wiring import create_http_tables, create_recorder
 
-    tables = http_tables(conf, http)
+    tables = create_http_tables(conf, http)
     recorder = create_recorder(http)
     front = HttpFront(engine, conf.settings, drain, body_capacity, tables.matcher, recorder, http.forwarded)
     return HttpFrontParts(front, Listener(front.handle, drain), tables, recorder)
