--- a/stoatrouter/__main__.py
+++ b/stoatrouter/__main__.py
@@ -7,9 +7,9 @@
 import sys
 
 if __name__ == "__main__" and len(sys.argv) > 1:
-    from stoatrouter.cli import main as command  # a command; a head is started without arguments
+    from stoatrouter.cli import main as run_command  # a command; a head is started without arguments
 
-    command(prog_name="stoatrouter")
+    run_command(prog_name="stoatrouter")
 
 from stoatrouter.net.sighup import hangup_signal
 
@@ -41,10 +41,10 @@
 GC_THRESHOLDS = (10_000, 20, 20)
 
 
-def configure_logs(form: str | None) -> None:
+def configure_logs(log_format: str | None) -> None:
     """Set up the log: lines for people, or JSON with event and fields (loguru's form, docs/on-call.md)."""
     logger.remove()
-    if form == "json":
+    if log_format == "json":
         logger.add(sys.stderr, serialize=True, level="INFO", backtrace=False, diagnose=False)
         return
     logger.add(
--- a/stoatrouter/cli/config_check.py
+++ b/stoatrouter/cli/config_check.py
@@ -8,7 +8,7 @@
 import click
 
 from stoatrouter import config
-from stoatrouter.cli.options import FILE, config_option, json_option
+from stoatrouter.cli.options import EXISTING_FILE, config_option, json_option
 from stoatrouter.cli.output import echo_json, echo_warnings, exit_with_faults, fault_data
 from stoatrouter.cli.tables import load_table
 from stoatrouter.settings import Fault, Place, SettingsError, load
@@ -78,7 +78,7 @@
 
 
 @config_group.command("check")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.option(
     "--kind", type=click.Choice(list(CHECKS)), default=None, help="What the file is; told by its fields else."
 )
--- a/stoatrouter/cli/options.py
+++ b/stoatrouter/cli/options.py
@@ -6,16 +6,16 @@
 
 import click
 
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 config_option = click.option(
     "--config",
     "config_path",
-    type=FILE,
+    type=EXISTING_FILE,
     default=None,
     help="The head's configuration, whose classes and plans rules name. NODE_CONFIG where it is set.",
 )
 objects_option = click.option(
-    "--objects", type=FILE, default=None, help="Rules of the object front: its operator's file."
+    "--objects", type=EXISTING_FILE, default=None, help="Rules of the object front: its operator's file."
 )
 json_option = click.option("--json", "as_json", is_flag=True, help="The result as one JSON object.")
--- a/stoatrouter/cli/rules/bench.py
+++ b/stoatrouter/cli/rules/bench.py
@@ -8,7 +8,7 @@
 
 import click
 
-from stoatrouter.cli.options import FILE, config_option, json_option
+from stoatrouter.cli.options import EXISTING_FILE, config_option, json_option
 from stoatrouter.cli.output import CommandError, echo_json, exit_with_faults
 from stoatrouter.cli.rules.examples import example_requests
 from stoatrouter.cli.tables import load_table
@@ -21,9 +21,9 @@
 
 
 @click.command("bench")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.option(
-    "--requests", "log", type=FILE, default=None, help="Recorded requests; made from the rules else."
+    "--requests", "log", type=EXISTING_FILE, default=None, help="Recorded requests; made from the rules else."
 )
 @click.option("--rounds", type=click.IntRange(1, 1000), default=20, show_default=True)
 @config_option
@@ -53,7 +53,7 @@
 def read_requests(table: Table, log: Path | None) -> list[Input]:
     """The readable requests of a log; without a log, one request for each rule of the table."""
     if log is None:
-        return [request for home in table.scopes.values() for request in example_requests(home)]
+        return [request for compiled in table.scopes.values() for request in example_requests(compiled)]
     with log.open(encoding="utf-8", errors="replace") as lines:
         return [request for _, request in read_samples(lines) if isinstance(request, Input)]
 
@@ -79,5 +79,5 @@
         "load_s": round(load_seconds, 3),
         "median_us": round(statistics.median(figures), 2),
         "p99_us": round(figures[max(0, int(len(figures) * 0.99) - 1)], 2),
-        "worst_steps": max((home.max_steps for home in table.scopes.values()), default=0),
+        "worst_steps": max((compiled.max_steps for compiled in table.scopes.values()), default=0),
     }
--- a/stoatrouter/cli/rules/check.py
+++ b/stoatrouter/cli/rules/check.py
@@ -6,7 +6,7 @@
 
 import click
 
-from stoatrouter.cli.options import FILE, config_option, json_option, objects_option
+from stoatrouter.cli.options import EXISTING_FILE, config_option, json_option, objects_option
 from stoatrouter.cli.output import (
     echo_json,
     echo_unchecked_names,
@@ -19,7 +19,7 @@
 
 
 @click.command("check")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @config_option
 @objects_option
 @json_option
@@ -33,9 +33,10 @@
         echo_json(table_data(loaded))
         return
     echo_warnings(loaded.warnings)
-    for name, home in loaded.table.scopes.items():
+    for name, compiled in loaded.table.scopes.items():
         click.echo(
-            f"{name}: {len(home.rules)} rules, at most {home.max_steps} of {home.scope.steps} steps a request"
+            f"{name}: {len(compiled.rules)} rules, at most {compiled.max_steps} of {compiled.scope.steps} "
+            "steps a request"
         )
     echo_unchecked_names(loaded.names_checked)
     click.echo(f"{file}: fine, table {loaded.table.epoch}")
@@ -44,8 +45,8 @@
 def table_data(loaded: LoadedTable) -> dict[str, object]:
     """A table that has no errors, as data for JSON output."""
     scopes = {
-        name: {"rules": len(home.rules), "steps": home.max_steps, "most": home.scope.steps}
-        for name, home in loaded.table.scopes.items()
+        name: {"rules": len(compiled.rules), "steps": compiled.max_steps, "most": compiled.scope.steps}
+        for name, compiled in loaded.table.scopes.items()
     }
     return {
         "ok": True,
--- a/stoatrouter/cli/rules/diff.py
+++ b/stoatrouter/cli/rules/diff.py
@@ -9,7 +9,7 @@
 
 import click
 
-from stoatrouter.cli.options import FILE, config_option, json_option
+from stoatrouter.cli.options import EXISTING_FILE, config_option, json_option
 from stoatrouter.cli.output import ExitCode, echo_json, exit_with_faults
 from stoatrouter.cli.tables import load_table
 from stoatrouter.matching.explain import Difference, decision_data, find_differences
@@ -17,13 +17,15 @@
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
 
-NOT_DECIDED = ("scope", "rule")  # of a decision: who decided, not what
+IGNORED_FIELDS = ("scope", "rule")  # of a decision: who decided, not what
 
 
 @click.command("diff")
-@click.argument("old", type=FILE)
-@click.argument("new", type=FILE)
-@click.option("--requests", "log", type=FILE, required=True, help="Recorded request heads, as JSON lines.")
+@click.argument("old", type=EXISTING_FILE)
+@click.argument("new", type=EXISTING_FILE)
+@click.option(
+    "--requests", "log", type=EXISTING_FILE, required=True, help="Recorded request heads, as JSON lines."
+)
 @config_option
 @json_option
 def diff_command(old: Path, new: Path, log: Path, config_path: Path | None, as_json: bool) -> None:
@@ -81,5 +83,5 @@
     return ", ".join(
         f"{name}: {was.get(name)} -> {now.get(name)}"
         for name in dict.fromkeys([*was, *now])
-        if name not in NOT_DECIDED and was.get(name) != now.get(name)
+        if name not in IGNORED_FIELDS and was.get(name) != now.get(name)
     )
--- a/stoatrouter/cli/rules/examples.py
+++ b/stoatrouter/cli/rules/examples.py
@@ -1,4 +1,4 @@
-"""Requests that meet rules, built from the constraints of the rules' conditions."""
+"""Requests that apply_constraint rules, built from the constraints of the rules' conditions."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from stoatrouter.matching.inputs import Input, UnreadableRequestError, read_input
 from stoatrouter.matching.table import CompiledScope
 
-ANY_LABEL = "any"  # in place of the star of a host
-FILLER = "x"  # a segment of a path that no constraint names
-PEER = "127.0.0.1"
+WILDCARD_LABEL = "any"  # in place of the star of a host
+FILLER_SEGMENT = "x"  # a segment of a path that no constraint names
+PEER_ADDRESS = "127.0.0.1"
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     fields: list[tuple[bytes, bytes]] = field(default_factory=list)
     segments: dict[int, str] = field(default_factory=dict)
 
-    def meet(self, constraint: Constraint) -> None:
+    def apply_constraint(self, constraint: Constraint) -> None:
         """Put the least value that a constraint allows into its place; other dimensions are left out."""
         kind, name = constraint.dimension
         value = min(constraint.values)
@@ -48,34 +48,34 @@
         return path + ("?" + "&".join(self.query) if self.query else "")
 
 
-def example_requests(home: CompiledScope) -> list[Input]:
+def example_requests(compiled: CompiledScope) -> list[Input]:
     """A request for each rule of a scope, as far as its constraints tell; none where that cannot be read."""
     requests = []
-    for rule in home.rules:
+    for rule in compiled.rules:
         try:
-            requests.append(example_request(home, rule.condition))
+            requests.append(example_request(compiled, rule.condition))
         except UnreadableRequestError:
             continue
     return requests
 
 
-def example_request(home: CompiledScope, condition: Condition) -> Input:
+def example_request(compiled: CompiledScope, condition: Condition) -> Input:
     """A request of a scope that meets the constraints of a condition.
 
     Raises:
         UnreadableRequestError: A front would reject it before any rule.
     """
-    draft = Draft(home.scope.hosts[0].replace("*", ANY_LABEL))
+    draft = Draft(compiled.scope.hosts[0].replace("*", WILDCARD_LABEL))
     for constraint in condition.constraints:
-        draft.meet(constraint)
+        draft.apply_constraint(constraint)
     fields = [(b"Host", draft.host.encode()), *draft.fields]
-    return read_input(draft.method, draft.target(home.scope.paths[0]), fields, PEER)
+    return read_input(draft.method, draft.target(compiled.scope.paths[0]), fields, PEER_ADDRESS)
 
 
 def fill_segments(path: str, segments: Mapping[int, str]) -> str:
     """A path with some segments replaced, lengthened where it has too few."""
     parts = path.split("/")[1:]
     for at, value in segments.items():
-        parts += [FILLER] * (at + 1 - len(parts))
+        parts += [FILLER_SEGMENT] * (at + 1 - len(parts))
         parts[at] = value
     return "/" + "/".join(parts)
--- a/stoatrouter/cli/rules/explain.py
+++ b/stoatrouter/cli/rules/explain.py
@@ -7,7 +7,7 @@
 
 import click
 
-from stoatrouter.cli.options import FILE, config_option, json_option, objects_option
+from stoatrouter.cli.options import EXISTING_FILE, config_option, json_option, objects_option
 from stoatrouter.cli.output import CommandError, echo_json, echo_unchecked_names, exit_with_faults
 from stoatrouter.cli.tables import load_table
 from stoatrouter.matching.decisions import Refusal
@@ -17,11 +17,11 @@
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
 
-SHOWN = ("class", "volume", "plan", "key", "shard", "units", "hosts", "repeat", "deadline_ms")
+SHOWN_FIELDS = ("class", "volume", "plan", "key", "shard", "units", "hosts", "repeat", "deadline_ms")
 
 
 @click.command("explain")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.option(
     "--request",
     "request_text",
@@ -168,6 +168,6 @@
     if isinstance(explanation.decision, Refusal):
         click.echo(f"refused: {data['refused']} {data['reason']}")
     else:
-        for name in SHOWN:
+        for name in SHOWN_FIELDS:
             click.echo(f"  {name}: {data[name]}")
     click.echo(f"cost: {explanation.steps} steps in the worst case")
--- a/stoatrouter/cli/tables.py
+++ b/stoatrouter/cli/tables.py
@@ -19,7 +19,7 @@
 from stoatrouter.settings import Fault, load
 
 ASSUMED_DEADLINE = span(10**9)  # of classes that no configuration describes, in microseconds: no limit
-ASSUMED_UNITS = 1e6  # most units of a request, without a configuration
+ASSUMED_MAX_UNITS = 1e6  # most units of a request, without a configuration
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,7 +88,7 @@
     classes = sorted({name for scope in scopes for name in scope.classes})
     plans = sorted({name for scope in scopes for name in scope.plans})
     known = tuple(KnownClass(name, False, ASSUMED_DEADLINE) for name in classes)
-    return Vocabulary(known, tuple(plans), 0, ASSUMED_UNITS)
+    return Vocabulary(known, tuple(plans), 0, ASSUMED_MAX_UNITS)
 
 
 def load_buckets(objects: Path) -> Mapping[str, Bucket]:
--- a/stoatrouter/config.py
+++ b/stoatrouter/config.py
@@ -14,8 +14,8 @@
 from stoatrouter.policy.simhost import read_settings
 
 LIMIT_SLACK = timedelta(milliseconds=150)  # by what a limit allows in this time its slack grows on sockets
-FIRST_INHERITED = 3  # below are the standard streams
-MOST_SHOWN_FAULTS = 5
+MIN_INHERITED_DESCRIPTOR = 3  # below are the standard streams
+MAX_SHOWN_FAULTS = 5
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
 DEFAULT_CONNECT_TIMEOUT = 250_000  # microseconds
@@ -109,14 +109,14 @@
     try:
         for key, variable in VARIABLES.items():
             data[key] = overrides.get(key) or data.get(key) or environ.get(variable)
-        conf = with_environment(parse(data), environ)
+        conf = apply_environment(parse(data), environ)
         check_addresses(conf)
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
         raise ConfigError(f"bad configuration in {path}: {describe_error(data, error)}") from None
     return conf
 
 
-def with_environment(conf: Config, environ: Mapping[str, str]) -> Config:
+def apply_environment(conf: Config, environ: Mapping[str, str]) -> Config:
     """The configuration with what only the environment has; raises ValueError for a bad descriptor."""
     return replace(
         conf,
@@ -138,21 +138,21 @@
 
 def describe_error(data: Any, error: Exception) -> str:
     """Describe the faults of a configuration: the known ones, else the exception."""
-    from stoatrouter.faults import explain  # only where a start or a reload fails
+    from stoatrouter.faults import find_faults  # only where a start or a reload fails
 
-    return "; ".join(explain(data)[:MOST_SHOWN_FAULTS]) or f"{type(error).__name__}: {error}"
+    return "; ".join(find_faults(data)[:MAX_SHOWN_FAULTS]) or f"{type(error).__name__}: {error}"
 
 
 def parse_descriptor(text: str | None) -> int | None:
     """Parse the number of an inherited descriptor; None where the text is empty.
 
-    Raises ValueError where it is no number or below FIRST_INHERITED.
+    Raises ValueError where it is no number or below MIN_INHERITED_DESCRIPTOR.
     """
     if not text:
         return None
     number = int(text)
-    if number < FIRST_INHERITED:
-        raise ValueError(f"NODE_INHERITED_FD is {text} (allowed: {FIRST_INHERITED} or more)")
+    if number < MIN_INHERITED_DESCRIPTOR:
+        raise ValueError(f"NODE_INHERITED_FD is {text} (allowed: {MIN_INHERITED_DESCRIPTOR} or more)")
     return number
 
 
--- a/stoatrouter/faults.py
+++ b/stoatrouter/faults.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any
 
-LONGEST_SHOWN = 40  # characters of a value
+MAX_SHOWN_LENGTH = 40  # characters of a value
 ELLIPSIS = "..."
 
 
@@ -58,7 +58,7 @@
         return self.kind.value + (f", {self.minimum} or more" if self.minimum is not None else "")
 
 
-TOP = (
+HEAD_FIELDS = (
     Field("name", Kind.TEXT),
     Field("listen", Kind.TEXT),
     Field("discovery", Kind.TEXT),
@@ -66,7 +66,7 @@
     Field("limits", Kind.FIELDS, optional=True),
     Field("known", Kind.FIELDS, optional=True),
 )
-SETTINGS = (
+SETTINGS_FIELDS = (
     Field("Balancers", Kind.INTEGER, 1),
     Field("Me", Kind.INTEGER, 0),
     Field("Classes", Kind.LIST),
@@ -76,7 +76,7 @@
     Field("Extra", Kind.FIELDS, optional=True),
     Field("RegistryMode", Kind.TEXT, choices=("automatic", "subscribe"), optional=True),
 )
-REQUEST_CLASS = (
+CLASS_FIELDS = (
     Field("Name", Kind.TEXT),
     Field("Points", Kind.NUMBER, 0),
     Field("Promise", Kind.INTEGER, 1),
@@ -86,21 +86,21 @@
     Field("LateWorth", Kind.NUMBER, 0, optional=True),
     Field("Window", Kind.INTEGER, 0, optional=True),
 )
-PLAN = (
+PLAN_FIELDS = (
     Field("Name", Kind.TEXT),
     *(
         Field(name, Kind.NUMBER, 0, optional=True)
         for name in ("UsualRate", "Guaranteed", "Shares", "Price", "Limit", "Burst", "Tolerance")
     ),
 )
-LIMITS = (
+LIMIT_FIELDS = (
     Field("MostTries", Kind.INTEGER, 1),
     Field("ConnectTimeout", Kind.INTEGER, 0, optional=True),
     Field("ConnIdle", Kind.INTEGER, 0, optional=True),
     Field("MaxOpen", Kind.INTEGER, 0, optional=True),
     Field("MaxRetryAfter", Kind.INTEGER, 0, optional=True),
 )
-RULES = (
+CONTRACT_FIELDS = (
     Field("DrainGrace", Kind.INTEGER, 0, optional=True),
     Field("Cold", Kind.INTEGER, 0, optional=True),
     Field("ColdFrom", Kind.NUMBER, 0, optional=True),
@@ -108,17 +108,17 @@
 )
 
 
-def explain(data: Any) -> list[str]:
+def find_faults(data: Any) -> list[str]:
     """All faults found, one line each; empty where none of the known kinds is found."""
     if not isinstance(data, dict):
         return [f"the file: found {shorten(data)} (allowed: {Kind.FIELDS.value})"]
-    faults = list(field_faults("", data, TOP))
+    faults = list(field_faults("", data, HEAD_FIELDS))
     settings = data.get("settings")
     if isinstance(settings, dict):
-        faults += field_faults("settings.", settings, SETTINGS)
-        for name, fields in (("Classes", REQUEST_CLASS), ("Contracts", PLAN)):
+        faults += field_faults("settings.", settings, SETTINGS_FIELDS)
+        for name, fields in (("Classes", CLASS_FIELDS), ("Contracts", PLAN_FIELDS)):
             faults += item_faults(f"settings.{name}", settings.get(name), fields)
-        for name, fields in (("Limits", LIMITS), ("Contract", RULES)):
+        for name, fields in (("Limits", LIMIT_FIELDS), ("Contract", CONTRACT_FIELDS)):
             if isinstance(settings.get(name), dict):
                 faults += field_faults(f"settings.{name}.", settings[name], fields)
     return faults
@@ -149,8 +149,8 @@
 
 
 def shorten(value: Any) -> str:
-    """A value as it is shown to operators, cut to LONGEST_SHOWN characters."""
+    """A value as it is shown to operators, cut to MAX_SHOWN_LENGTH characters."""
     text = repr(value)
-    if len(text) <= LONGEST_SHOWN:
+    if len(text) <= MAX_SHOWN_LENGTH:
         return text
-    return text[: LONGEST_SHOWN - len(ELLIPSIS)] + ELLIPSIS
+    return text[: MAX_SHOWN_LENGTH - len(ELLIPSIS)] + ELLIPSIS
--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -17,7 +17,7 @@
 from stoatrouter.net.errors import BrokenOff, TooLarge, TooSlow
 from stoatrouter.net.listener import Drain
 
-LEAST_DELAY = timedelta(milliseconds=1)  # that a Retry-After field of three decimals can say
+MIN_RETRY_AFTER = timedelta(milliseconds=1)  # that a Retry-After field of three decimals can say
 HEALTH_PATH = "/healthz"
 
 
@@ -36,7 +36,7 @@
         self.status = status
 
 
-class Exchange:
+class ExchangeFront:
     """Base of the fronts that make one request of the core out of one HTTP request."""
 
     def __init__(self, engine: Engine, drain: Drain, body_capacity: BodyCapacity) -> None:
@@ -67,7 +67,7 @@
         except web.RequestPayloadError:
             raise BadRequest("the body cannot be read") from None
 
-    def reject_crowded(self, request: web.BaseRequest, request_class: int) -> web.Response:
+    def reject_overloaded(self, request: web.BaseRequest, request_class: int) -> web.Response:
         """Reject a request whose body was not read, as too many requests are open."""
         rejection = self.reject(request_class)
         return close_after(rejection) if request.body_exists else self.drain.mark(rejection)
@@ -153,5 +153,5 @@
     """
     if delay is None:
         return {}
-    printed = max(delay, LEAST_DELAY) if delay else delay
+    printed = max(delay, MIN_RETRY_AFTER) if delay else delay
     return {"Retry-After": f"{printed.total_seconds():.3f}"}
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -15,7 +15,7 @@
 from stoatrouter.fronts.exchange import (
     HEALTH_PATH,
     BadRequest,
-    Exchange,
+    ExchangeFront,
     answer_response,
     check_expectation,
     close_after,
@@ -52,7 +52,7 @@
 BODILESS_STATUSES = (204, 304)
 
 
-class HttpFront(Exchange):
+class HttpFront(ExchangeFront):
     """Serves any HTTP client by the rules in force."""
 
     def __init__(
@@ -97,7 +97,7 @@
             translated = self.translate(request, decision, key)
             # Guards clients' connections: those that wait must not hold them all.
             if self.drain.overloaded():
-                return self.reject_crowded(request, translated.request_class)
+                return self.reject_overloaded(request, translated.request_class)
             body = await self.read_body(request)
         except (BadRequest, UnreadableRequestError) as error:
             reason = error.reason if isinstance(error, BadRequest) else str(error)
--- a/stoatrouter/fronts/objects/calls.py
+++ b/stoatrouter/fronts/objects/calls.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from stoatrouter.fronts.objects.store import Store
+from stoatrouter.fronts.objects.store import PieceStore
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,6 +22,6 @@
     """
 
     request: web.BaseRequest
-    store: Store
+    store: PieceStore
     key: str
     query: Mapping[str, str]
--- a/stoatrouter/fronts/objects/extents.py
+++ b/stoatrouter/fronts/objects/extents.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-PIECE = 64 * 1024  # bytes: what one request of the core may carry
+MAX_PIECE_BYTES = 64 * 1024  # bytes: what one request of the core may carry
 MAGIC = b"SRp1"
-DIGEST = 12  # bytes
-HEADER = len(MAGIC) + DIGEST
-PAYLOAD = PIECE - HEADER
-REF = struct.Struct(">8sHQB")
-PAGE_REFS = PAYLOAD // REF.size
+DIGEST_BYTES = 12  # bytes
+HEADER_BYTES = len(MAGIC) + DIGEST_BYTES
+MAX_PAYLOAD_BYTES = MAX_PIECE_BYTES - HEADER_BYTES
+REF_FORMAT = struct.Struct(">8sHQB")
+REFS_PER_PAGE = MAX_PAYLOAD_BYTES // REF_FORMAT.size
 
 
 class BadPiece(Exception):
@@ -48,13 +48,13 @@
         return PieceAddress(self.piece, self.shard)
 
     def pack(self) -> bytes:
-        """Serialize the reference to REF.size bytes."""
-        return REF.pack(bytes.fromhex(self.piece), self.shard, self.size, self.depth)
+        """Serialize the reference to REF_FORMAT.size bytes."""
+        return REF_FORMAT.pack(bytes.fromhex(self.piece), self.shard, self.size, self.depth)
 
     @classmethod
     def unpack(cls, data: bytes) -> Ref:
         """Parse what `pack` wrote; raises struct.error where the length is wrong."""
-        piece, shard, size, depth = REF.unpack(data)
+        piece, shard, size, depth = REF_FORMAT.unpack(data)
         return cls(piece.hex(), shard, size, depth)
 
 
@@ -79,16 +79,16 @@
     """
     if not data:
         return None
-    payload = data[HEADER:]
+    payload = data[HEADER_BYTES:]
     # Guards against an answer that belongs to another piece, or is truncated.
-    if data[: len(MAGIC)] != MAGIC or data[len(MAGIC) : HEADER] != digest(piece, payload):
+    if data[: len(MAGIC)] != MAGIC or data[len(MAGIC) : HEADER_BYTES] != digest(piece, payload):
         raise BadPiece(piece)
     return payload
 
 
 def digest(piece: str, payload: bytes) -> bytes:
     """The keyed digest of a payload, by which a piece under another name is rejected."""
-    return hashlib.blake2b(payload, digest_size=DIGEST, key=piece.encode()).digest()
+    return hashlib.blake2b(payload, digest_size=DIGEST_BYTES, key=piece.encode()).digest()
 
 
 def pack_page(refs: Sequence[Ref]) -> bytes:
@@ -98,9 +98,12 @@
 
 def unpack_page(payload: bytes) -> list[Ref]:
     """Parse the references of a page; raises BadPiece where the payload is truncated."""
-    if len(payload) % REF.size:
+    if len(payload) % REF_FORMAT.size:
         raise BadPiece("a page of references is not whole")
-    return [Ref.unpack(payload[start : start + REF.size]) for start in range(0, len(payload), REF.size)]
+    return [
+        Ref.unpack(payload[start : start + REF_FORMAT.size])
+        for start in range(0, len(payload), REF_FORMAT.size)
+    ]
 
 
 def find_overlaps(refs: Sequence[Ref], start: int, stop: int) -> list[Overlap]:
--- a/stoatrouter/fronts/objects/front.py
+++ b/stoatrouter/fronts/objects/front.py
@@ -28,13 +28,13 @@
     split_path,
 )
 from stoatrouter.fronts.objects.settings import Bucket, ObjectSettings
-from stoatrouter.fronts.objects.store import CallTerms, Serve, Store
+from stoatrouter.fronts.objects.store import CallTerms, PieceStore, Serve
 from stoatrouter.fronts.objects.tokens import Tokens
 from stoatrouter.fronts.objects.upload_calls import UploadCalls
 from stoatrouter.net.listener import Drain
 from stoatrouter.policy import interface as api
 
-CROWDED_RETRY_AFTER = timedelta(seconds=1)
+OVERLOAD_RETRY_AFTER = timedelta(seconds=1)
 
 # Gives a call to a bucket and key the terms that rules yield; raises ObjectError where they refuse it.
 ApplyRules = Callable[[web.BaseRequest, ObjectSettings, Bucket, str, Operation], CallTerms]
@@ -115,14 +115,14 @@
         """Admit a call, route it and serve it; raises ObjectError."""
         # Guards memory: each operation holds a few pieces.
         if self.operations > self.conf.max_operations or self.drain.overloaded():
-            raise ObjectError(ErrorCode.SLOW_DOWN, "too many operations at once", CROWDED_RETRY_AFTER)
+            raise ObjectError(ErrorCode.SLOW_DOWN, "too many operations at once", OVERLOAD_RETRY_AFTER)
         path, _, query_string = request.raw_path.partition("?")
         query = parse_query(query_string)
         bucket, key = self._find_object(path)
         check_supported(query, request.headers)
         operation = find_operation(request.method, query)
         terms = self._find_terms(request, bucket, key, operation)
-        call = Call(request, Store(self.serve, self.settings, terms), key, query)
+        call = Call(request, PieceStore(self.serve, self.settings, terms), key, query)
         match operation:
             case Operation.READ:
                 return await self.object_calls.read(call)
--- a/stoatrouter/fronts/objects/object_calls.py
+++ b/stoatrouter/fronts/objects/object_calls.py
@@ -66,7 +66,7 @@
             key=call.key,
             etag=etag,
             size=body.size,
-            refs=await call.store.fold(body.refs, MAX_REFS),
+            refs=await call.store.write_ref_pages(body.refs, MAX_REFS),
             modified=int(time.time()),
             content_type=content.content_type,
             metadata=content.metadata,
--- a/stoatrouter/fronts/objects/record_store.py
+++ b/stoatrouter/fronts/objects/record_store.py
@@ -8,7 +8,7 @@
 from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 from stoatrouter.fronts.objects.extents import BadPiece, PieceAddress
 from stoatrouter.fronts.objects.manifest import Manifest, Upload
-from stoatrouter.fronts.objects.store import Store
+from stoatrouter.fronts.objects.store import PieceStore
 from stoatrouter.fronts.objects.tokens import Tokens
 
 Record = TypeVar("Record", Manifest, Upload)
@@ -27,7 +27,7 @@
         self.tokens = tokens
         self.shards = shards
 
-    async def read_manifest(self, store: Store, key: str) -> Manifest:
+    async def read_manifest(self, store: PieceStore, key: str) -> Manifest:
         """Read an object's manifest; raises ObjectError, NoSuchKey where there is none."""
         payload = await store.read_piece(self._object_address(store, key))
         if payload is None:
@@ -38,24 +38,24 @@
             raise ObjectError(ErrorCode.NO_SUCH_KEY, "there is no such object")
         return manifest
 
-    async def write_manifest(self, store: Store, manifest: Manifest) -> None:
+    async def write_manifest(self, store: PieceStore, manifest: Manifest) -> None:
         """Make the last write of an object: before it, readers see what was there; after it, the new one."""
         await store.write_piece(manifest.dump(), self._object_address(store, manifest.key))
 
-    async def read_upload(self, store: Store, key: str, upload_id: str) -> Upload:
+    async def read_upload(self, store: PieceStore, key: str, upload_id: str) -> Upload:
         """Read an upload's record; raises ObjectError, NoSuchUpload where the id is not of this object."""
-        if not self.tokens.is_upload(store.bucket.name, key, upload_id):
+        if not self.tokens.is_upload_id(store.bucket.name, key, upload_id):
             raise ObjectError(ErrorCode.NO_SUCH_UPLOAD, "there is no such upload")
         payload = await store.read_piece(self._upload_address(upload_id))
         if payload is None:
             raise ObjectError(ErrorCode.NO_SUCH_UPLOAD, "there is no such upload")
         return load_record(Upload.load, payload)
 
-    async def write_upload(self, store: Store, upload_id: str, upload: Upload) -> None:
+    async def write_upload(self, store: PieceStore, upload_id: str, upload: Upload) -> None:
         """Write an upload's record; raises ObjectError."""
         await store.write_piece(upload.dump(), self._upload_address(upload_id))
 
-    def _object_address(self, store: Store, key: str) -> PieceAddress:
+    def _object_address(self, store: PieceStore, key: str) -> PieceAddress:
         return self.tokens.derive_address("object", self.shards, store.bucket.name, key)
 
     def _upload_address(self, upload_id: str) -> PieceAddress:
--- a/stoatrouter/fronts/objects/store.py
+++ b/stoatrouter/fronts/objects/store.py
@@ -17,10 +17,10 @@
 from stoatrouter.core.spans import span
 from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 from stoatrouter.fronts.objects.extents import (
-    HEADER,
-    PAGE_REFS,
-    PAYLOAD,
-    PIECE,
+    HEADER_BYTES,
+    MAX_PAYLOAD_BYTES,
+    MAX_PIECE_BYTES,
+    REFS_PER_PAGE,
     BadPiece,
     Overlap,
     PieceAddress,
@@ -32,7 +32,7 @@
     unpack_page,
 )
 from stoatrouter.fronts.objects.settings import Bucket, ObjectSettings
-from stoatrouter.fronts.objects.window import Window
+from stoatrouter.fronts.objects.window import TaskWindow
 from stoatrouter.policy import interface as api
 
 Serve = Callable[[model.Request], Awaitable[model.Answer]]
@@ -69,7 +69,7 @@
     size: int  # bytes
 
 
-class Store:
+class PieceStore:
     """Reads and writes the pieces of one volume."""
 
     def __init__(self, serve: Serve, settings: api.Settings, terms: CallTerms) -> None:
@@ -87,12 +87,12 @@
         self.pieces = terms.pieces
 
     # -- single pieces ------------------------------------------------------------------------------------
-    async def read_piece(self, address: PieceAddress, size: int = PAYLOAD) -> bytes | None:
+    async def read_piece(self, address: PieceAddress, size: int = MAX_PAYLOAD_BYTES) -> bytes | None:
         """Read the payload of a piece.
 
         Args:
             address: Where the piece lies.
-            size: The payload's size in bytes, which the read is charged by; PAYLOAD where it is not known.
+            size: The payload's size in bytes, which sets the read's cost; MAX_PAYLOAD_BYTES if unknown.
 
         Returns:
             The payload; None where the piece was never written.
@@ -100,7 +100,7 @@
         Raises:
             ObjectError: The core rejects or fails the request, or a node returns another piece.
         """
-        request = self._create_request(self.conf.read_class, address, size + HEADER)
+        request = self._create_request(self.conf.read_class, address, size + HEADER_BYTES)
         served = await self._serve(request)
         try:
             return unframe(address.piece, served.body)
@@ -111,7 +111,7 @@
         """Write a piece and return its reference.
 
         Args:
-            payload: At most PAYLOAD bytes.
+            payload: At most MAX_PAYLOAD_BYTES bytes.
             address: Where the piece lies; None: a new one, which goes to any node, or where rules say.
 
         Raises:
@@ -152,7 +152,7 @@
 
     def _count_units(self, size: int) -> float:
         """Units of work by size: a full piece counts as the largest request there is."""
-        return float(max(1, math.ceil(self.conf.max_units * size / PIECE)))
+        return float(max(1, math.ceil(self.conf.max_units * size / MAX_PIECE_BYTES)))
 
     async def _serve(self, request: model.Request) -> model.Served:
         match await self.serve(request):
@@ -171,7 +171,7 @@
         md5 = hashlib.md5(usedforsecurity=False)
         size = 0
         refs: list[Ref] = []
-        async with Window[Ref](self.conf.window) as window:
+        async with TaskWindow[Ref](self.conf.window) as window:
             async for payload in split_payloads(chunks):
                 md5.update(payload)
                 size += len(payload)
@@ -181,12 +181,12 @@
             refs += [ref async for ref in window.drain()]
         return WrittenBody(tuple(refs), md5.digest(), size)
 
-    async def fold(self, refs: tuple[Ref, ...], limit: int) -> tuple[Ref, ...]:
+    async def write_ref_pages(self, refs: tuple[Ref, ...], limit: int) -> tuple[Ref, ...]:
         """Write pages of references until at most `limit` references are left; raises ObjectError."""
         while len(refs) > limit:
             pages: list[Ref] = []
-            for start in range(0, len(refs), PAGE_REFS):
-                children = refs[start : start + PAGE_REFS]
+            for start in range(0, len(refs), REFS_PER_PAGE):
+                children = refs[start : start + REFS_PER_PAGE]
                 page = await self.write_piece(pack_page(children))
                 depth = 1 + max(child.depth for child in children)
                 pages.append(Ref(page.piece, page.shard, sum(child.size for child in children), depth))
@@ -195,7 +195,7 @@
 
     async def read_body(self, refs: tuple[Ref, ...], start: int, stop: int) -> AsyncGenerator[bytes, None]:
         """Yield the bytes `start` to `stop` of a body, in order, read a little ahead; raises ObjectError."""
-        async with Window[bytes](self.conf.window) as window:
+        async with TaskWindow[bytes](self.conf.window) as window:
             async for leaf in self._find_leaves(refs, start, stop):
                 chunk = await window.add(self._read_leaf(leaf))
                 if chunk is not None:
@@ -214,7 +214,7 @@
             if overlap.ref.depth == 0:
                 yield overlap
                 continue
-            payload = await self._read_written(overlap.ref.address, PAYLOAD)
+            payload = await self._read_written(overlap.ref.address, MAX_PAYLOAD_BYTES)
             try:
                 children = tuple(unpack_page(payload))
             except BadPiece as error:
@@ -237,12 +237,12 @@
 
 
 async def split_payloads(chunks: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
-    """Split a body into payloads of PAYLOAD bytes, and a last one."""
+    """Split a body into payloads of MAX_PAYLOAD_BYTES bytes, and a last one."""
     buffer = bytearray()
     async for chunk in chunks:
         buffer += chunk
-        while len(buffer) >= PAYLOAD:
-            yield bytes(buffer[:PAYLOAD])
-            del buffer[:PAYLOAD]
+        while len(buffer) >= MAX_PAYLOAD_BYTES:
+            yield bytes(buffer[:MAX_PAYLOAD_BYTES])
+            del buffer[:MAX_PAYLOAD_BYTES]
     if buffer:
         yield bytes(buffer)
--- a/stoatrouter/fronts/objects/tokens.py
+++ b/stoatrouter/fronts/objects/tokens.py
@@ -14,11 +14,11 @@
 import struct
 from dataclasses import dataclass
 
-from stoatrouter.fronts.objects.extents import REF, PieceAddress, Ref
+from stoatrouter.fronts.objects.extents import REF_FORMAT, PieceAddress, Ref
 
-MAC = 16  # bytes, of HMAC-SHA256 (RFC 2104)
-NONCE = 16  # bytes
-PART = struct.Struct(">H16sB")  # number, MD5, whether a reference follows (an empty part has none)
+MAC_BYTES = 16  # bytes, of HMAC-SHA256 (RFC 2104)
+NONCE_BYTES = 16  # bytes
+PART_FORMAT = struct.Struct(">H16sB")  # number, MD5, whether a reference follows (an empty part has none)
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,24 +46,24 @@
         state = hmac.new(self.secret, digestmod=hashlib.sha256)
         for field in (purpose.encode(), *fields):
             state.update(struct.pack(">I", len(field)) + field)
-        return state.digest()[:MAC]
+        return state.digest()[:MAC_BYTES]
 
-    def new_upload(self, bucket: str, key: str) -> str:
+    def issue_upload_id(self, bucket: str, key: str) -> str:
         """Issue a fresh upload id, bound to the bucket and key."""
-        nonce = secrets.token_bytes(NONCE)
+        nonce = secrets.token_bytes(NONCE_BYTES)
         return encode(nonce + self.compute_mac("upload", bucket.encode(), key.encode(), nonce))
 
-    def is_upload(self, bucket: str, key: str, upload: str) -> bool:
+    def is_upload_id(self, bucket: str, key: str, upload: str) -> bool:
         """Whether an upload id was issued by a head of this operator for this object."""
         data = decode(upload)
-        if len(data) != NONCE + MAC:
+        if len(data) != NONCE_BYTES + MAC_BYTES:
             return False
-        expected = self.compute_mac("upload", bucket.encode(), key.encode(), data[:NONCE])
-        return hmac.compare_digest(data[NONCE:], expected)
+        expected = self.compute_mac("upload", bucket.encode(), key.encode(), data[:NONCE_BYTES])
+        return hmac.compare_digest(data[NONCE_BYTES:], expected)
 
-    def part_etag(self, upload: str, part: Part) -> str:
+    def issue_part_etag(self, upload: str, part: Part) -> str:
         """Issue the ETag of a part, which carries its MD5 and reference under a MAC."""
-        data = PART.pack(part.number, part.md5, part.ref is not None)
+        data = PART_FORMAT.pack(part.number, part.md5, part.ref is not None)
         if part.ref is not None:
             data += part.ref.pack()
         return encode(data + self.compute_mac("part", upload.encode(), data))
@@ -71,11 +71,11 @@
     def read_part(self, upload: str, etag: str) -> Part | None:
         """Return the part that an ETag describes; None where it was not issued for this upload."""
         data = decode(etag)
-        content, mac = data[:-MAC], data[-MAC:]
+        content, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
         if not hmac.compare_digest(mac, self.compute_mac("part", upload.encode(), content)):
             return None
-        number, md5, has_ref = PART.unpack(content[: PART.size])
-        ref = Ref.unpack(content[PART.size : PART.size + REF.size]) if has_ref else None
+        number, md5, has_ref = PART_FORMAT.unpack(content[: PART_FORMAT.size])
+        ref = Ref.unpack(content[PART_FORMAT.size : PART_FORMAT.size + REF_FORMAT.size]) if has_ref else None
         return Part(number, md5, ref)
 
     def derive_address(self, purpose: str, shards: int, *fields: str) -> PieceAddress:
--- a/stoatrouter/fronts/objects/transfer.py
+++ b/stoatrouter/fronts/objects/transfer.py
@@ -12,7 +12,7 @@
 from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 
 MAX_BODY_BYTES = 5 << 30  # of an object or a part
-STALL = timedelta(seconds=60)  # how long a client may send or read nothing
+STALL_TIMEOUT = timedelta(seconds=60)  # how long a client may send or read nothing
 
 
 async def receive_body(request: web.BaseRequest) -> AsyncIterator[bytes]:
@@ -50,7 +50,7 @@
 async def receive_chunk(request: web.BaseRequest) -> bytes:
     """Receive the next bytes of a body, none at its end; raises ObjectError where the client stalls."""
     try:
-        async with asyncio.timeout(STALL.total_seconds()):
+        async with asyncio.timeout(STALL_TIMEOUT.total_seconds()):
             return await request.content.readany()
     except TimeoutError:
         # Guards the operations that may run at once: a client that stalls must not hold one for ever.
@@ -87,5 +87,5 @@
 
 async def send_chunk(response: web.StreamResponse, chunk: bytes) -> None:
     """Send some bytes of a body; raises TimeoutError where the client stalls."""
-    async with asyncio.timeout(STALL.total_seconds()):
+    async with asyncio.timeout(STALL_TIMEOUT.total_seconds()):
         await response.write(chunk)
--- a/stoatrouter/fronts/objects/upload_calls.py
+++ b/stoatrouter/fronts/objects/upload_calls.py
@@ -42,7 +42,7 @@
         """Open an upload and answer with its id; raises ObjectError."""
         content = read_content_headers(call.request.headers)
         bucket = call.store.bucket.name
-        upload_id = self.tokens.new_upload(bucket, call.key)
+        upload_id = self.tokens.issue_upload_id(bucket, call.key)
         upload = Upload(UploadState.OPEN, content.content_type, content.metadata)
         await self.records.write_upload(call.store, upload_id, upload)
         return xml_response("InitiateMultipartUploadResult", Bucket=bucket, Key=call.key, UploadId=upload_id)
@@ -56,9 +56,9 @@
             raise ObjectError(ErrorCode.NO_SUCH_UPLOAD, "the upload is over")
         body = await call.store.write_body(receive_body(call.request))
         check_md5(call.request.headers, body.md5)
-        refs = await call.store.fold(body.refs, 1)
+        refs = await call.store.write_ref_pages(body.refs, 1)
         part = Part(number, body.md5, refs[0] if refs else None)
-        return web.Response(headers={"ETag": f'"{self.tokens.part_etag(upload_id, part)}"'})
+        return web.Response(headers={"ETag": f'"{self.tokens.issue_part_etag(upload_id, part)}"'})
 
     async def complete(self, call: Call) -> web.StreamResponse:
         """Make an object of the parts that the client lists; a retry gets the same answer.
@@ -72,7 +72,7 @@
         upload = await self.records.read_upload(call.store, call.key, upload_id)
         part_list = await read_all(receive_body(call.request), MAX_PART_LIST_BYTES)
         parts = self._check_parts(upload_id, parse_part_list(part_list))
-        etag = complete_etag(parts)
+        etag = multipart_etag(parts)
         if upload.state == UploadState.OPEN:
             await self._write_object(call, upload, parts, etag)
             completed = Upload(UploadState.COMPLETE, upload.content_type, upload.metadata, etag)
@@ -103,7 +103,7 @@
             key=call.key,
             etag=etag,
             size=sum(ref.size for ref in refs),
-            refs=await call.store.fold(refs, MAX_REFS),
+            refs=await call.store.write_ref_pages(refs, MAX_REFS),
             modified=int(time.time()),
             content_type=upload.content_type,
             metadata=upload.metadata,
@@ -133,7 +133,7 @@
     return int(text)
 
 
-def complete_etag(parts: Sequence[Part]) -> str:
+def multipart_etag(parts: Sequence[Part]) -> str:
     """Compute the ETag of an object in parts as S3 does: the MD5 of the parts' MD5s, and their number."""
     digest = hashlib.md5(b"".join(part.md5 for part in parts), usedforsecurity=False).hexdigest()
     return f"{digest}-{len(parts)}"
--- a/stoatrouter/fronts/objects/window.py
+++ b/stoatrouter/fronts/objects/window.py
@@ -11,7 +11,7 @@
 Result = TypeVar("Result")
 
 
-class Window(Generic[Result]):
+class TaskWindow(Generic[Result]):
     """At most `limit` tasks at a time, with their results in order; leaving the window cancels the rest."""
 
     def __init__(self, limit: int) -> None:
@@ -23,7 +23,7 @@
         self.limit = limit
         self.tasks: deque[asyncio.Task[Result]] = deque()
 
-    async def __aenter__(self) -> Window[Result]:
+    async def __aenter__(self) -> TaskWindow[Result]:
         """Enter the window; tasks are added within it."""
         return self
 
--- a/stoatrouter/fronts/platform.py
+++ b/stoatrouter/fronts/platform.py
@@ -18,7 +18,7 @@
 from stoatrouter.fronts.exchange import (
     HEALTH_PATH,
     BadRequest,
-    Exchange,
+    ExchangeFront,
     answer_response,
     check_expectation,
     close_after,
@@ -57,7 +57,7 @@
     hosts: int
 
 
-class PlatformFront(Exchange):
+class PlatformFront(ExchangeFront):
     """Serves the platform's clients."""
 
     def __init__(
@@ -84,7 +84,7 @@
             translated = self.translate(request)
             # Guards clients' connections: those that wait must not hold them all.
             if self.drain.overloaded():
-                return self.reject_crowded(request, translated.request_class)
+                return self.reject_overloaded(request, translated.request_class)
             body = await self.read_body(request)
             if request.method == "GET" and len(body):
                 release_body(body)
@@ -139,7 +139,7 @@
         plan = self.plan_numbers.get(headers.get("X-Plan", ""))
         if plan is None:
             raise BadRequest("unknown or missing X-Plan")
-        check_served(request)
+        check_method_and_expectation(request)
         cost = self.read_cost(headers.get("X-IO", ""))
         return model.Request(
             id=request_id,
@@ -189,7 +189,7 @@
     return Target(parts[1], parts[2], parts[3])
 
 
-def check_served(request: web.BaseRequest) -> None:
+def check_method_and_expectation(request: web.BaseRequest) -> None:
     """Check that the method and the expectation are served; raises BadRequest."""
     if request.method not in ("GET", "PUT"):
         raise BadRequest("method is neither GET nor PUT", 405)
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -51,8 +51,8 @@
 # Beyond these, requests are rejected before they are parsed, while clients still have connections left.
 BUSY_FRACTION = 0.75 / 3
 TIGHTENED_FRACTION = 0.4 / 3
-TIGHTENED_LEAST = 48
-BASE_MEMORY = 46_000_000  # bytes that a head needs beside the bodies it stores
+MIN_TIGHTENED_CONNECTIONS = 48
+BASE_MEMORY_BYTES = 46_000_000  # bytes that a head needs beside the bodies it stores
 
 
 def tightened_busy_limit(sockets: int) -> int:
@@ -60,7 +60,10 @@
 
     It is two fifths of the usual bound, but no less than a head has open in quiet times.
     """
-    return max(1, min(int(sockets * BUSY_FRACTION), max(TIGHTENED_LEAST, int(sockets * TIGHTENED_FRACTION))))
+    return max(
+        1,
+        min(int(sockets * BUSY_FRACTION), max(MIN_TIGHTENED_CONNECTIONS, int(sockets * TIGHTENED_FRACTION))),
+    )
 
 
 def build_engine(conf: config.Config, max_node_connections: int) -> Engine:
@@ -134,7 +137,9 @@
         self.watch = build_watch(conf, self.engine)
         self.clients = build_client_table(budget.clients, conf.sockets)
         self.drain = Drain(self.clients)
-        self.body_capacity = BodyCapacity(max(SMALL, conf.memory_mb * 1_000_000 - BASE_MEMORY), conf.folder)
+        self.body_capacity = BodyCapacity(
+            max(SMALL, conf.memory_mb * 1_000_000 - BASE_MEMORY_BYTES), conf.folder
+        )
         front = PlatformFront(self.engine, conf.settings, self.drain, self.body_capacity)
         self.platform = Listener(front.handle, self.drain, front.reject_unparsed)
         self._build_optional_parts(objects, http, heads)
--- a/stoatrouter/importer/apache.py
+++ b/stoatrouter/importer/apache.py
@@ -20,8 +20,8 @@
 STATUS_FLAG = re.compile(r"([+-]?)([DSIRHENdsirhen])")
 SUPPORTED_KEYS = {"loadfactor", "route", "status"}
 # Members under one of these get no new requests: disabled, stopped, draining, a spare or a standby.
-NOT_SERVING = set("DSNRH")
-SPARE = set("RH")
+NOT_SERVING_FLAGS = set("DSNRH")
+SPARE_FLAGS = set("RH")
 
 
 @dataclass(slots=True, frozen=True)
@@ -144,12 +144,12 @@
     scheme, host, port = read_url(url, where)
     name = values.get("route") or f"{host}:{port}"
     flags = read_status(values.get("status", ""), where)
-    if flags & SPARE:
+    if flags & SPARE_FLAGS:
         note = f"{where}: {name} is a spare or standby: it holds a shard of its own and gets nothing"
         imported.add_note(note)
     members = imported.balancers.setdefault(balancer[len(BALANCER) :].rstrip("/"), [])
     weight = read_weight(values.get("loadfactor", "1"), where)
-    members.append(Member(name, scheme, host, port, weight, not flags & NOT_SERVING))
+    members.append(Member(name, scheme, host, port, weight, not flags & NOT_SERVING_FLAGS))
 
 
 def read_parameters(parameters: list[str], where: str) -> dict[str, str]:
--- a/stoatrouter/importer/jk.py
+++ b/stoatrouter/importer/jk.py
@@ -8,7 +8,7 @@
 from stoatrouter.importer.members import ImportedBalancers, ImporterError, Member, read_port, read_weight
 
 VARIABLE = re.compile(r"\$\(([^)]+)\)")
-ADDITIVE = {"balance_workers", "balanced_workers", "list"}  # further lines add to these
+ADDITIVE_PROPERTIES = {"balance_workers", "balanced_workers", "list"}  # further lines add to these
 SUPPORTED_KEYS = {
     "type",
     "host",
@@ -24,11 +24,11 @@
     "balanced_workers",
 }
 MAX_REFERENCES = 20  # one after the other, as mod_jk has it
-TRUE = {"true", "1", "on", "yes", "t", "y"}
+TRUE_VALUES = {"true", "1", "on", "yes", "t", "y"}
 NODE_TYPES = {"ajp13", "ajp14"}
 DEFAULT_TYPE = "ajp13"
 DEFAULT_PORT = "8009"
-PLAIN_BALANCER = "workers"  # the name of the balancer of a file that has none
+DEFAULT_BALANCER = "workers"  # the name of the balancer of a file that has none
 
 
 @dataclass(slots=True)
@@ -76,7 +76,7 @@
                 pass  # another setting of all workers
             case [worker, name]:
                 own = self.properties.setdefault(worker, {})
-                is_addition = name in ADDITIVE and name in own
+                is_addition = name in ADDITIVE_PROPERTIES and name in own
                 own[name] = f"{own[name]},{value}" if is_addition else value
             case _:
                 raise ImporterError(f"{where}: unknown property {key!r}")
@@ -99,7 +99,7 @@
     if not balancers:
         plain = [w for w in workers.listed if (workers.get(w, "type") or DEFAULT_TYPE) in NODE_TYPES]
         if plain:
-            imported.balancers[PLAIN_BALANCER] = [read_worker(imported, workers, name) for name in plain]
+            imported.balancers[DEFAULT_BALANCER] = [read_worker(imported, workers, name) for name in plain]
     return imported
 
 
@@ -156,7 +156,7 @@
     activation = (workers.get(name, "activation") or "A")[:1].upper()
     if activation not in "ADS":
         raise ImporterError(f"{where}: unknown activation {workers.get(name, 'activation')!r}")
-    off = any((workers.get(name, key) or "").lower() in TRUE for key in ("disabled", "stopped"))
+    off = any((workers.get(name, key) or "").lower() in TRUE_VALUES for key in ("disabled", "stopped"))
     return activation == "A" and not off
 
 
--- a/stoatrouter/importer/members.py
+++ b/stoatrouter/importer/members.py
@@ -78,7 +78,7 @@
         entries.append(
             {
                 "instanceId": member.name,
-                "hostPort": f"{url_host(member.host)}:{http_port_of(member, http_port)}",
+                "hostPort": f"{url_host(member.host)}:{member_http_port(member, http_port)}",
                 "zone": "a",
                 "machineType": "imported",
                 "cell": shard,
@@ -95,7 +95,7 @@
     return f"[{host}]" if ":" in host else host
 
 
-def http_port_of(member: Member, http_port: int | None) -> int:
+def member_http_port(member: Member, http_port: int | None) -> int:
     """The port at which a member speaks HTTP; `http_port` for those that the file reaches by AJP.
 
     Raises:
--- a/tests/object_client.py
+++ b/tests/object_client.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from stoatrouter.config import Config
-from stoatrouter.fronts.objects.extents import PAYLOAD
+from stoatrouter.fronts.objects.extents import MAX_PAYLOAD_BYTES
 from stoatrouter.fronts.objects.settings import ObjectSettings, ObjectsFile, check_settings
 from stoatrouter.head import Head
 from tests.peers import HOST, Node, head_config, nodes_up
@@ -29,7 +29,7 @@
         "exports": {"volume": "00000000f0a70002", "plan": "basic", "hosts": 1},
     },
 }
-BODY = bytes(i * 7 % 251 for i in range(3 * PAYLOAD + 1234))
+BODY = bytes(i * 7 % 251 for i in range(3 * MAX_PAYLOAD_BYTES + 1234))
 
 
 class Client:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stoatrouter import config
-from stoatrouter.faults import explain
+from stoatrouter.faults import find_faults
 from tests.peers import config_data, node_list
 
 GOOD = config_data(node_list(1))
@@ -39,7 +39,7 @@
 def test_a_good_one_is_read_and_nothing_is_found_wrong_with_it(tmp_path):
     (tmp_path / "c.json").write_text(json.dumps(GOOD))
     assert config.load({"NODE_CONFIG": str(tmp_path / "c.json")}).name == "n0"
-    assert explain(GOOD) == []
+    assert find_faults(GOOD) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/test_object_uploads.py
+++ b/tests/test_object_uploads.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from stoatrouter.fronts.objects.extents import PAYLOAD
+from stoatrouter.fronts.objects.extents import MAX_PAYLOAD_BYTES
 from tests.object_client import BODY, error_code, gateway, settled, two
 from tests.peers import Node, node_list, nodes_up, run, until
 
@@ -14,7 +14,7 @@
         a, b, c = Node("a", 0), Node("b", 1), Node("c", 1)
         async with gateway(a, b) as client, nodes_up(c):
             upload = await client.initiate("/footage/m")
-            parts = {n: bytes([n]) * (PAYLOAD + n) for n in range(1, 9)}
+            parts = {n: bytes([n]) * (MAX_PAYLOAD_BYTES + n) for n in range(1, 9)}
             etags = [(1, await client.part("/footage/m", upload, 1, parts[1]))]
             # b drains and turns away what is new, c takes over its shard; the head is told a little later
             ran, c.pieces = b.ran.copy(), b.pieces
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -13,7 +13,15 @@
 from stoatrouter.core import model
 from stoatrouter.fronts.objects import ranges, transfer
 from stoatrouter.fronts.objects.errors import ObjectError
-from stoatrouter.fronts.objects.extents import HEADER, PAYLOAD, BadPiece, Ref, find_overlaps, frame, unframe
+from stoatrouter.fronts.objects.extents import (
+    HEADER_BYTES,
+    MAX_PAYLOAD_BYTES,
+    BadPiece,
+    Ref,
+    find_overlaps,
+    frame,
+    unframe,
+)
 from stoatrouter.fronts.objects.tokens import Part, Tokens
 from stoatrouter.head import Head
 from tests.object_client import (
@@ -59,7 +67,13 @@
     ("asked", "status", "start", "stop"),
     [
         ("bytes=0-99", 206, 0, 100),
-        (f"bytes={PAYLOAD - 5}-{PAYLOAD + 4}", 206, PAYLOAD - 5, PAYLOAD + 5),  # over the edge of two pieces
+        # crosses the boundary between two pieces
+        (
+            f"bytes={MAX_PAYLOAD_BYTES - 5}-{MAX_PAYLOAD_BYTES + 4}",
+            206,
+            MAX_PAYLOAD_BYTES - 5,
+            MAX_PAYLOAD_BYTES + 5,
+        ),
         (f"bytes={len(BODY) - 10}-", 206, len(BODY) - 10, len(BODY)),
         ("bytes=-7", 206, len(BODY) - 7, len(BODY)),
         (f"bytes=5-{10**12}", 206, 5, len(BODY)),
@@ -136,7 +150,7 @@
                 target.split("/", 2)[2]
                 for n in (a, b)
                 for _, target, _, size in n.seen
-                if size == len(BODY) % PAYLOAD + HEADER
+                if size == len(BODY) % MAX_PAYLOAD_BYTES + HEADER_BYTES
             }
             assert len(last) == 1
 
@@ -200,7 +214,7 @@
 
 
 def test_a_body_that_stalls_ends_its_operation(monkeypatch):
-    monkeypatch.setattr(transfer, "STALL", timedelta(milliseconds=50))
+    monkeypatch.setattr(transfer, "STALL_TIMEOUT", timedelta(milliseconds=50))
 
     async def story():
         async with gateway(*two()) as client:
@@ -220,7 +234,7 @@
         nodes = two()
         async with gateway(*nodes) as client:
             answers = await asyncio.gather(
-                *(client.call("PUT", f"/exports/o{i}", b"x" * (2 * PAYLOAD)) for i in range(8))
+                *(client.call("PUT", f"/exports/o{i}", b"x" * (2 * MAX_PAYLOAD_BYTES)) for i in range(8))
             )
             slow = [(headers, data) for status, headers, data in answers if status == 503]
             assert slow and {status for status, _, _ in answers} <= {200, 503}
@@ -326,12 +340,12 @@
 
 def test_etags_of_parts_are_authenticated():
     tokens, other = Tokens(SECRET), Tokens(SECRET[::-1])
-    upload = tokens.new_upload("bucket", "key")
+    upload = tokens.issue_upload_id("bucket", "key")
     part = Part(3, b"m" * 16, Ref("ab" * 8, 5, 1 << 33, 2))
-    etag = tokens.part_etag(upload, part)
+    etag = tokens.issue_part_etag(upload, part)
     assert tokens.read_part(upload, etag) == part
-    assert tokens.read_part(tokens.new_upload("bucket", "key"), etag) is None
+    assert tokens.read_part(tokens.issue_upload_id("bucket", "key"), etag) is None
     assert other.read_part(upload, etag) is None
     changed = ("B" if etag[0] == "A" else "A") + etag[1:]
     assert tokens.read_part(upload, changed) is None and tokens.read_part(upload, "") is None
-    assert tokens.is_upload("bucket", "key", upload) and not tokens.is_upload("bucke", "tkey", upload)
+    assert tokens.is_upload_id("bucket", "key", upload) and not tokens.is_upload_id("bucke", "tkey", upload)
