--- a/stoatrouter/__init__.py
+++ b/stoatrouter/__init__.py
@@ -1,1 +1,1 @@
-"""stoatrouter: a gateway that sends requests to storage nodes under the plans of their volumes."""
+"""stoatrouter: a gateway that routes requests to storage nodes within the limits of their volumes' plans."""
--- a/stoatrouter/__main__.py
+++ b/stoatrouter/__main__.py
@@ -1,4 +1,4 @@
-"""The program's entry point: one head, or a command."""
+"""Entry point of the program: starts a head, or runs a command of the command line."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import sys
 
 if __name__ == "__main__" and len(sys.argv) > 1:
-    from stoatrouter.cli import main as run_command  # a command; a head is started without arguments
+    from stoatrouter.cli import main as run_command  # a head takes no arguments
 
     run_command(prog_name="stoatrouter")
 
 from stoatrouter.net.sighup import hangup_signal
 
 if __name__ == "__main__":
-    hangup_signal.install_handler()  # before the imports below: they take most of a start
+    hangup_signal.install_handler()  # before the imports below, which take most of the start-up time
 
 from stoatrouter.net.startup_notification import startup_notification
 
 if __name__ == "__main__":
     startup_notification.connect(os.environ.get("TMPDIR"))
-    gc.disable()  # what they create stays, and collecting garbage in it takes a third of their time
+    gc.disable()  # objects created by imports are never freed; collecting them takes 1/3 of the import time
 
 import asyncio
 import signal
@@ -37,12 +37,12 @@
     from stoatrouter.fronts.objects.settings import ObjectSettings
     from stoatrouter.peering.settings import HeadsSettings
 
-# The collector's thresholds: most of a request's objects are freed by reference count before them.
+# High thresholds: reference counting frees most objects of a request before a collection would start.
 GC_THRESHOLDS = (10_000, 20, 20)
 
 
 def configure_logs(log_format: str | None) -> None:
-    """Set up the log: lines for people, or JSON with event and fields (loguru's form, docs/on-call.md)."""
+    """Configure logging: plain text, or JSON with event and fields (loguru's format, docs/on-call.md)."""
     logger.remove()
     if log_format == "json":
         logger.add(sys.stderr, serialize=True, level="INFO", backtrace=False, diagnose=False)
@@ -62,7 +62,7 @@
     http: HttpSettings | None,
     heads: HeadsSettings | None,
 ) -> None:
-    """Serve until asked to stop."""
+    """Run a head until SIGTERM or SIGINT arrives."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for stop_signal in (signal.SIGTERM, signal.SIGINT):
@@ -72,7 +72,7 @@
     gc.set_threshold(*GC_THRESHOLDS)
     head = Head(conf, objects, http, heads)
     loop.add_signal_handler(signal.SIGHUP, head.reload, os.environ)
-    if hangup_signal.received:  # after the file was read, perhaps
+    if hangup_signal.received:  # the signal may have arrived after the file was read
         head.reload(os.environ)
     await head.start()
     await stop.wait()
@@ -80,7 +80,7 @@
 
 
 def main() -> int:
-    """Run one head until it is asked to stop; returns 2 where its configuration is unusable."""
+    """Run one head until it is stopped; return 2 if it cannot start with its configuration."""
     configure_logs(os.environ.get("STOATROUTER_LOG_FORMAT"))
     try:
         conf = config.load(os.environ)
@@ -99,7 +99,7 @@
             heads = load_heads(conf.heads, conf)
         asyncio.run(run(conf, objects, http, heads))
     except (config.ConfigError, OSError) as error:
-        logger.error("start: {error}", event="start.refused", error=str(error))
+        logger.error("start failed: {error}", event="start.refused", error=str(error))
         return 2
     return 0
 
--- a/stoatrouter/config.py
+++ b/stoatrouter/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one head: the platform's JSON file and the environment."""
+"""Loads the configuration of one head from the platform's JSON file and the environment."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.simhost import read_settings
 
-LIMIT_SLACK = timedelta(milliseconds=150)  # by what a limit allows in this time its slack grows on sockets
-MIN_INHERITED_DESCRIPTOR = 3  # below are the standard streams
+# Over sockets, the platform accepts more than a limit by what the limit's bucket refills in this time.
+LIMIT_SLACK = timedelta(milliseconds=150)
+MIN_INHERITED_DESCRIPTOR = 3  # 0 to 2 are the standard streams
 MAX_SHOWN_FAULTS = 5
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
 DEFAULT_CONNECT_TIMEOUT = 250_000  # microseconds
 DEFAULT_CONN_IDLE = 30_000_000  # microseconds
 DEFAULT_MAX_OPEN = 1 << 20
-# Fields of the file that a variable of the environment may give.
+# Fields of the file that an environment variable can override or supply.
 VARIABLES = {
     "name": "NODE_NAME",
     "listen": "NODE_LISTEN",
@@ -31,23 +32,23 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says where, why, and what would be right."""
+    """The configuration is invalid; the message names the place, the fault and the allowed values."""
 
     @classmethod
     def at(cls, place: str, fault: str, allowed: str) -> ConfigError:
-        """An error with its place.
+        """Create an error about one field or variable.
 
         Args:
-            place: The variable or field that is concerned.
-            fault: What was found there.
-            allowed: What would be right.
+            place: The name of the variable or field.
+            fault: What is wrong with its value.
+            allowed: The allowed values.
         """
         return cls(f"{place}: {fault} (allowed: {allowed})")
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The configuration of one head, parsed and checked."""
+    """The configuration of one head, parsed and validated."""
 
     name: str
     listen: str
@@ -60,48 +61,51 @@
     connect_timeout: timedelta
     conn_idle: timedelta
     max_open: int
-    shards: int  # 0: not given
-    drain_grace: timedelta  # as the settings have it
-    zones: tuple[str, ...] = ()  # by name, as the settings number them
-    management: str | None = None  # the operators' address; None: there is none
-    inherited: int | None = None  # the descriptor of a listening socket that this head inherits
-    folder: str | None = None  # where an upgrade finds what this head saves; None: nothing is saved
-    objects: str | None = None  # the operator's file of the object front; None: the front is off
-    http: str | None = None  # the same of the HTTP front
-    heads: str | None = None  # the same of peering with other heads
-    peers: tuple[str, ...] = ()  # where datagrams reach other heads
-    peer_listen: str | None = None  # where theirs reach this one; None: there are none
+    shards: int  # number of shards; 0: not given
+    drain_grace: timedelta  # as given in the settings, before `adapt_to_sockets`
+    zones: tuple[str, ...] = ()  # zone names; the settings refer to zones by their index here
+    management: str | None = None  # address of the management interface; None: off
+    inherited: int | None = None  # descriptor of an inherited listening socket
+    folder: str | None = None  # where this head saves state for an upgrade; None: nothing is saved
+    objects: str | None = None  # path of the object front's settings file; None: the front is off
+    http: str | None = None  # path of the HTTP front's settings file; None: the front is off
+    heads: str | None = None  # path of the settings file of peering with other heads; None: peering is off
+    peers: tuple[str, ...] = ()  # addresses of the other heads, for datagrams
+    peer_listen: str | None = None  # address where this head receives datagrams; None: off
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file that NODE_CONFIG names; the environment's other variables take precedence over it.
+    """Load the file that NODE_CONFIG names; the other environment variables take precedence over it.
 
-    Raises ConfigError.
+    Raises:
+        ConfigError: The file cannot be read or is invalid.
     """
     return read(environ, {key: environ.get(variable) for key, variable in VARIABLES.items()})
 
 
 def reload(environ: Mapping[str, str]) -> Config:
-    """Read the file again; it takes precedence over the environment, which is as old as the process.
+    """Load the file again; it takes precedence over the environment, which dates from the process's start.
 
-    Raises ConfigError.
+    Raises:
+        ConfigError: The file cannot be read or is invalid.
     """
     return read(environ, {})
 
 
 def read(environ: Mapping[str, str], overrides: Mapping[str, str | None]) -> Config:
-    """Read and check the whole file.
+    """Read and validate the whole file.
 
     Args:
-        environ: The environment, which names the file and fills in what neither the file nor `overrides` has.
-        overrides: Values that take precedence over those of the file, by its field names.
+        environ: The environment, which names the file and supplies fields that neither the file nor
+            `overrides` has.
+        overrides: Values that take precedence over those of the file, by field name.
 
     Raises:
-        ConfigError: The file cannot be read, or it cannot be used.
+        ConfigError: The file cannot be read or is invalid.
     """
     path = environ.get("NODE_CONFIG")
     if not path:
-        raise ConfigError("NODE_CONFIG is not set (allowed: the path of the head's JSON file)")
+        raise ConfigError("NODE_CONFIG is not set (allowed: the path of the head's JSON configuration file)")
     try:
         data = json.loads(Path(path).read_text())
     except (OSError, ValueError, RecursionError) as error:
@@ -112,12 +116,16 @@
         conf = apply_environment(parse(data), environ)
         check_addresses(conf)
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
-        raise ConfigError(f"bad configuration in {path}: {describe_error(data, error)}") from None
+        raise ConfigError(f"invalid configuration in {path}: {describe_error(data, error)}") from None
     return conf
 
 
 def apply_environment(conf: Config, environ: Mapping[str, str]) -> Config:
-    """The configuration with what only the environment has; raises ValueError for a bad descriptor."""
+    """Return the configuration with the settings that come from the environment alone.
+
+    Raises:
+        ValueError: NODE_INHERITED_FD is not a valid descriptor.
+    """
     return replace(
         conf,
         objects=environ.get("STOATROUTER_OBJECTS") or None,
@@ -129,7 +137,7 @@
 
 
 def check_addresses(conf: Config) -> None:
-    """Raise ConfigError where an address that this head listens at or connects to is malformed."""
+    """Check the addresses that this head listens on or connects to; raises ConfigError."""
     parse_address(conf.listen, "listen")
     parse_address(conf.discovery, "discovery")
     if conf.management:
@@ -137,16 +145,17 @@
 
 
 def describe_error(data: Any, error: Exception) -> str:
-    """Describe the faults of a configuration: the known ones, else the exception."""
-    from stoatrouter.faults import find_faults  # only where a start or a reload fails
+    """Describe the faults of a configuration, or the exception if no known fault is found."""
+    from stoatrouter.faults import find_faults  # needed only after a failed start or reload
 
     return "; ".join(find_faults(data)[:MAX_SHOWN_FAULTS]) or f"{type(error).__name__}: {error}"
 
 
 def parse_descriptor(text: str | None) -> int | None:
-    """Parse the number of an inherited descriptor; None where the text is empty.
+    """Parse the number of an inherited descriptor; return None for an empty text.
 
-    Raises ValueError where it is no number or below MIN_INHERITED_DESCRIPTOR.
+    Raises:
+        ValueError: The text is not a number, or is below MIN_INHERITED_DESCRIPTOR.
     """
     if not text:
         return None
@@ -159,7 +168,8 @@
 def parse(data: dict[str, Any]) -> Config:
     """Build the configuration from the file's data.
 
-    Raises KeyError, TypeError, ValueError or AttributeError where a field is missing or malformed.
+    Raises:
+        KeyError, TypeError, ValueError, AttributeError: A field is missing or malformed.
     """
     raw = data["settings"]
     limits = data.get("limits") or {}
@@ -186,9 +196,9 @@
 
 
 def parse_peers(value: Any) -> tuple[str, ...]:
-    """The addresses of other heads, from a list or from an object with their names.
+    """Return the addresses of other heads, from a list or from an object that maps names to addresses.
 
-    Items that are no `host:port` are skipped.
+    Items that are not in the form `host:port` are skipped.
     """
     items: Iterable[Any] = ()
     if isinstance(value, dict):
@@ -199,11 +209,13 @@
 
 
 def adapt_to_sockets(settings: api.Settings, connect_timeout: timedelta) -> api.Settings:
-    """Adjust the platform's settings to real sockets, where connecting takes time."""
-    # Guards the rule on drains: a send decided within the grace may first have to connect.
+    """Adjust the platform's settings for real sockets, where connecting takes time."""
+    # A request sent within the drain grace may have to connect first, so the grace is shortened by the
+    # connect timeout; otherwise it could arrive after the grace.
     grace = max(0, settings.rules.drain_grace - micros(connect_timeout))
-    # Guards the rule on limits: the platform's token bucket stays full until a request arrives, while ours
-    # refills from the decision on. What it refills in the time to connect, beyond the slack, is not spent.
+    # The platform charges its token bucket when a request arrives; ours is charged at the decision and
+    # refills during the connect. The refill beyond LIMIT_SLACK is taken off the tolerance, so that the
+    # platform's limit is not exceeded.
     late = max(timedelta(0), connect_timeout - LIMIT_SLACK).total_seconds()
     plans = tuple(
         replace(plan, tolerance=max(0.0, plan.tolerance - plan.limit * late)) for plan in settings.plans
@@ -213,13 +225,21 @@
 
 
 def is_address(text: str) -> bool:
-    """Whether a text has the form `host:port`."""
+    """Return whether a text has the form `host:port`."""
     host, _, port = text.rpartition(":")
     return bool(host) and port.isdigit()
 
 
 def parse_address(text: str, place: str = "address") -> tuple[str, int]:
-    """Split `host:port`, with an IPv6 host in brackets; raises ConfigError, which names `place`."""
+    """Split `host:port`, with an IPv6 host in brackets.
+
+    Args:
+        text: The address.
+        place: The field or variable that holds it, for the error message.
+
+    Raises:
+        ConfigError: The address is malformed.
+    """
     if not is_address(text):
         raise ConfigError.at(place, f"not an address: {text!r}", "host:port, with an IPv6 host in brackets")
     host, _, port = text.rpartition(":")
--- a/stoatrouter/faults.py
+++ b/stoatrouter/faults.py
@@ -1,6 +1,6 @@
-"""Descriptions of faults in a head's configuration: field, value found, values allowed.
+"""Describes faults in a head's configuration: the field, the value found and the values allowed.
 
-Used only after a configuration could not be loaded: it explains, and rejects nothing by itself.
+It is used only after loading a configuration has failed, to explain the failure; it rejects nothing itself.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from enum import Enum
 from typing import Any
 
-MAX_SHOWN_LENGTH = 40  # characters of a value
+MAX_SHOWN_LENGTH = 40  # characters of a value in a message
 ELLIPSIS = "..."
 
 
 class Kind(Enum):
-    """The type of a field's value, by what operators are shown for it."""
+    """The type of a field's value, as operators are shown it."""
 
     NUMBER = "a number"
     INTEGER = "a whole number"
@@ -35,16 +35,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Field:
-    """A field of the configuration file, and the values that it may have."""
+    """A field of the configuration file and the values allowed for it."""
 
     name: str
     kind: Kind
     minimum: float | None = None
-    choices: tuple[str, ...] = ()  # empty: any
+    choices: tuple[str, ...] = ()  # empty: any value
     optional: bool = False
 
     def accepts(self, value: Any) -> bool:
-        """Whether a value has the field's type and is one of those allowed."""
+        """Return whether a value has the field's type and is allowed."""
         if not isinstance(value, TYPES[self.kind]) or isinstance(value, bool):
             return False
         if self.choices:
@@ -52,7 +52,7 @@
         return self.minimum is None or (isinstance(value, int | float) and value >= self.minimum)
 
     def allowed(self) -> str:
-        """The allowed type and values, as they are shown to operators."""
+        """Return the allowed type and values, as they are shown to operators."""
         if self.choices:
             return ", ".join(self.choices)
         return self.kind.value + (f", {self.minimum} or more" if self.minimum is not None else "")
@@ -109,7 +109,7 @@
 
 
 def find_faults(data: Any) -> list[str]:
-    """All faults found, one line each; empty where none of the known kinds is found."""
+    """Return one line for each fault found; empty if there is none of the known kinds."""
     if not isinstance(data, dict):
         return [f"the file: found {shorten(data)} (allowed: {Kind.FIELDS.value})"]
     faults = list(field_faults("", data, HEAD_FIELDS))
@@ -125,7 +125,7 @@
 
 
 def item_faults(place: str, items: Any, fields: tuple[Field, ...]) -> Iterator[str]:
-    """The faults of a list and of each of its items; `place` is the list's path in the file."""
+    """Yield the faults of a list and of its items; `place` is the list's path in the file."""
     if not isinstance(items, list):
         return
     if not items:
@@ -138,7 +138,7 @@
 
 
 def field_faults(place: str, values: dict[str, Any], fields: tuple[Field, ...]) -> Iterator[str]:
-    """The faults of one group of values, checked against its fields; `place` is the prefix of their paths."""
+    """Yield the faults of an object's fields; `place` is the prefix of their paths in the file."""
     for field in fields:
         value = values.get(field.name)
         if value is None:
@@ -149,7 +149,7 @@
 
 
 def shorten(value: Any) -> str:
-    """A value as it is shown to operators, cut to MAX_SHOWN_LENGTH characters."""
+    """Return a value as it is shown to operators, truncated to MAX_SHOWN_LENGTH characters."""
     text = repr(value)
     if len(text) <= MAX_SHOWN_LENGTH:
         return text
--- a/stoatrouter/fronts/__init__.py
+++ b/stoatrouter/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: each translates one wire protocol to requests of the core, and final answers back."""
+"""Fronts: each translates one wire protocol to requests of the core, and the answers back."""
--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -1,7 +1,7 @@
-"""What fronts over HTTP have in common: reading a body, streaming an answer, final answers on the wire.
+"""Shared code of the HTTP-based fronts: reads bodies, streams answers and builds responses.
 
-An exchange is one HTTP request with its one response (RFC 9110, 3.4). How a request of a protocol becomes
-one of the core is known to the fronts alone.
+An exchange is one HTTP request with its one response (RFC 9110, 3.4). Each front itself translates requests
+of its protocol to requests of the core.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from stoatrouter.net.errors import BrokenOff, TooLarge, TooSlow
 from stoatrouter.net.listener import Drain
 
-MIN_RETRY_AFTER = timedelta(milliseconds=1)  # that a Retry-After field of three decimals can say
+MIN_RETRY_AFTER = timedelta(milliseconds=1)  # the least that three decimals of seconds can express
 HEALTH_PATH = "/healthz"
 
 
@@ -25,10 +25,10 @@
     """The client's request is malformed; it never reaches the core."""
 
     def __init__(self, reason: str, status: int = 400) -> None:
-        """Describe the fault of a request.
+        """Create an error about a malformed request.
 
         Args:
-            reason: What is wrong with the request; the client reads it as the body of the response.
+            reason: What is wrong with the request, sent to the client as the body of the response.
             status: The HTTP status of the response.
         """
         super().__init__(reason)
@@ -37,26 +37,26 @@
 
 
 class ExchangeFront:
-    """Base of the fronts that make one request of the core out of one HTTP request."""
+    """Base class of the fronts that translate each HTTP request to one request of the core."""
 
     def __init__(self, engine: Engine, drain: Drain, body_capacity: BodyCapacity) -> None:
-        """Serve requests by one engine.
+        """Serve requests with one engine.
 
         Args:
             engine: Serves the requests of the core.
-            drain: Whether the head is draining, and so whether responses end their connections.
-            body_capacity: What large request bodies may take while they are stored.
+            drain: Tells whether the head is draining; if so, responses close their connections.
+            body_capacity: Limits the space for stored request bodies.
         """
         self.engine = engine
         self.drain = drain
         self.body_capacity = body_capacity
 
     async def read_body(self, request: web.BaseRequest) -> Body:
-        """Read the complete body; the caller releases it with `release_body`.
+        """Read the complete body; the caller must release it with `release_body`.
 
         Raises:
             BadRequest: The body is too large, too slow or malformed.
-            NoCapacity: Other stored bodies leave no capacity for this one.
+            NoCapacity: Stored bodies use up the capacity.
         """
         try:
             return await read_body(request, self.body_capacity)
@@ -68,12 +68,12 @@
             raise BadRequest("the body cannot be read") from None
 
     def reject_overloaded(self, request: web.BaseRequest, request_class: int) -> web.Response:
-        """Reject a request whose body was not read, as too many requests are open."""
+        """Reject a request, without reading its body, because too many requests are open."""
         rejection = self.reject(request_class)
         return close_after(rejection) if request.body_exists else self.drain.mark(rejection)
 
     def reject(self, request_class: int) -> web.Response:
-        """Reject a request of a class for lack of capacity."""
+        """Build the rejection of a request of a class for lack of capacity."""
         return answer_response(self.engine.reject(request_class))
 
     async def stream_answer(
@@ -83,10 +83,13 @@
         stream: AnswerStream,
         response: web.StreamResponse | None = None,
     ) -> web.StreamResponse:
-        """Stream an answer to the client; a truncated one ends the connection, so that clients can tell.
+        """Stream an answer to the client; close the connection after a truncated one, so that clients notice.
 
-        The response has the status and header fields of `response`; without one it is a plain 200. How the
-        stream ended is reported to the engine under `request_id`, the id of the core's request.
+        Args:
+            request: The client's request.
+            request_id: The id of the core's request, for reporting to the engine how the stream ended.
+            stream: The body of the answer.
+            response: The status and header fields of the response; None: a plain 200.
         """
         response = self.drain.mark(response or web.StreamResponse())
         frame_response(request, response, stream.length)
@@ -100,7 +103,7 @@
         except BrokenOff:
             complete = False
             if request.transport is not None:
-                request.transport.close()  # what was written still goes out
+                request.transport.close()  # data already written is still sent
         finally:
             stream.close()
             self.engine.stream_ended(request_id, complete)
@@ -108,7 +111,7 @@
 
 
 def frame_response(request: web.BaseRequest, response: web.StreamResponse, length: int | None) -> None:
-    """Frame a streamed response by its length in bytes, else by what the client's HTTP version has for it."""
+    """Frame a streamed response by its length in bytes, else by chunks, or by close for HTTP/1.0."""
     if length is not None:
         response.content_length = length
     elif request.version >= HttpVersion11:
@@ -118,25 +121,25 @@
 
 
 def check_expectation(request: web.BaseRequest) -> None:
-    """Check that the Expect field, where there is one, can be met (RFC 9110, 10.1.1); raises BadRequest."""
+    """Check that the Expect field, if present, can be met (RFC 9110, 10.1.1); raises BadRequest."""
     if request.headers.get("Expect", "100-continue").lower() != "100-continue":
         raise BadRequest("an expectation that cannot be met", 417)
 
 
 def release_body(body: Body) -> None:
-    """Release what a body takes on the disk; calling it again changes nothing."""
+    """Release the disk space of a body; may be called more than once."""
     if isinstance(body, StoredBody):
         body.close()
 
 
 def close_after(response: web.Response) -> web.Response:
-    """Let the connection end with a response: the rest of the request's body is not read."""
+    """Mark a response to close its connection, because the rest of the request's body is not read."""
     response.force_close()
     return response
 
 
 def answer_response(answer: model.Answer) -> web.Response:
-    """Build the HTTP response for a final answer of the core that is not streamed."""
+    """Build the HTTP response for an answer of the core that is not streamed."""
     match answer:
         case model.Served():
             return web.Response(body=answer.body)
@@ -147,9 +150,9 @@
 
 
 def retry_after_field(delay: timedelta | None) -> dict[str, str]:
-    """Build the Retry-After field in decimal seconds; no field where no time is known.
+    """Build the Retry-After field in decimal seconds; no field if the delay is unknown.
 
-    A wait shorter than the field can say is said as the least that it can: 0 would mean at once.
+    A delay below MIN_RETRY_AFTER is rounded up to it, because 0 would tell the client to retry at once.
     """
     if delay is None:
         return {}
--- a/stoatrouter/fronts/http/__init__.py
+++ b/stoatrouter/fronts/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP front: any HTTP request, matched by a rule table, becomes one request of the core."""
+"""The HTTP front: matches HTTP requests against a rule table and translates them to requests of the core."""
--- a/stoatrouter/fronts/http/front.py
+++ b/stoatrouter/fronts/http/front.py
@@ -1,6 +1,6 @@
-"""The HTTP front: a request is parsed, matched by the rules and put to the core once.
+"""The HTTP front: parses a request, matches it against the rules and passes it to the core once.
 
-Which rules there are is known to `stoatrouter.matching`, how requests are retried to the core.
+Rules are evaluated by `stoatrouter.matching`; retries are up to the core.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from stoatrouter.net.replies import HOP_BY_HOP
 from stoatrouter.policy import interface as api
 
-# Fields of a client's request that nodes don't get: those of its connection, those that the node client
-# writes itself, and those that the nodes' protocol gives a meaning.
+# Header fields of a client's request that are not forwarded to nodes: hop-by-hop fields, those that the node
+# client sets itself, and those that have a meaning in the nodes' protocol.
 NOT_FORWARDED = HOP_BY_HOP | {
     "content-length",
     "expect",
@@ -48,12 +48,12 @@
 }
 IDEMPOTENCY_KEY = "Idempotency-Key"
 MAX_KEY_LENGTH = 255  # characters
-RETRY_LATER_STATUSES = (429, 503)  # of refusals by rules: these carry Retry-After
+RETRY_LATER_STATUSES = (429, 503)  # refusals by rules with these statuses carry Retry-After
 BODILESS_STATUSES = (204, 304)
 
 
 class HttpFront(ExchangeFront):
-    """Serves any HTTP client by the rules in force."""
+    """Serves HTTP clients by the active rules."""
 
     def __init__(
         self,
@@ -70,11 +70,11 @@
         Args:
             engine: Serves the requests of the core.
             settings: The platform's settings.
-            drain: Whether the head is draining.
-            body_capacity: What large request bodies may take while they are stored.
-            matcher: Decides by the rules in force.
+            drain: Tells whether the head is draining.
+            body_capacity: Limits the space for stored request bodies.
+            matcher: Decides on requests by the active rules.
             recorder: Records a sample of request heads; None: nothing is recorded.
-            forwarded: Whether nodes get X-Forwarded-For and Via.
+            forwarded: Whether to add X-Forwarded-For and Via to forwarded requests.
         """
         super().__init__(engine, drain, body_capacity)
         self.settings = settings
@@ -83,7 +83,7 @@
         self.forwarded = forwarded
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one HTTP request with one final answer."""
+        """Serve one HTTP request."""
         if request.raw_path == HEALTH_PATH:
             return self.drain.mark(self.drain.health())
         try:
@@ -95,7 +95,7 @@
             if isinstance(decision, Refusal):
                 return self.refuse(request, decision)
             translated = self.translate(request, decision, key)
-            # Guards clients' connections: those that wait must not hold them all.
+            # Under overload, requests are rejected so that waiting ones do not take up all connections.
             if self.drain.overloaded():
                 return self.reject_overloaded(request, translated.request_class)
             body = await self.read_body(request)
@@ -112,7 +112,7 @@
     async def serve(
         self, request: web.BaseRequest, translated: model.Request, body: Body
     ) -> web.StreamResponse:
-        """Serve a request of the core and return its answer as an HTTP response."""
+        """Serve a request of the core and return the HTTP response."""
         answer = await self.engine.serve(replace(translated, body=body))
         if not isinstance(answer, model.Served):
             return self.drain.mark(answer_response(answer))
@@ -123,7 +123,7 @@
         return self.drain.mark(complete_response(request, head, answer.body))
 
     def refuse(self, request: web.BaseRequest, refusal: Refusal) -> web.StreamResponse:
-        """Answer a request that a rule refuses, with Retry-After for RETRY_LATER_STATUSES."""
+        """Build the response to a request that a rule refuses, with Retry-After for RETRY_LATER_STATUSES."""
         reducer = self.engine.reducer
         reducer.tally.add("refused_by_rule")
         headers = retry_after_field(reducer.advice) if refusal.status in RETRY_LATER_STATUSES else None
@@ -135,12 +135,12 @@
 
         Args:
             request: The client's request.
-            decision: What the rules say of it.
-            key: The client's idempotency key; where it gives none, a class with keys gets a fresh one.
+            decision: The decision of the rules.
+            key: The client's idempotency key; if it is None, an idempotent class gets a generated one.
         """
         request_class = self.settings.classes[decision.request_class]
         if key is None and request_class.effect is api.Effect.IDEMPOTENT:
-            key = secrets.token_hex(8)  # for the head's own retries: nodes recognize them by it
+            key = secrets.token_hex(8)  # lets nodes recognize the head's own retries
         return model.Request(
             id=secrets.token_hex(8),
             request_class=decision.request_class,
@@ -161,7 +161,7 @@
         )
 
     def forwarded_fields(self, request: web.BaseRequest) -> tuple[tuple[str, str], ...]:
-        """The header fields that are forwarded to the node."""
+        """Return the header fields that are forwarded to the node."""
         connection = request.headers.get("Connection", "")
         excluded = NOT_FORWARDED | {name.strip().lower() for name in connection.split(",")}
         fields = [(name, value) for name, value in request.headers.items() if name.lower() not in excluded]
@@ -176,7 +176,7 @@
 
 
 def read_request(request: web.BaseRequest) -> Input:
-    """Parse a request into the input of rules; raises UnreadableRequestError or BadRequest."""
+    """Parse a request into the rules' input; raises UnreadableRequestError or BadRequest."""
     if request.method == "CONNECT" or "Upgrade" in request.headers:
         raise BadRequest("tunnels and upgrades are not served", 501)
     check_expectation(request)
@@ -189,11 +189,11 @@
 
 
 def read_idempotency_key(request: web.BaseRequest) -> str | None:
-    """Read the client's idempotency key, or None; raises BadRequest where it is malformed."""
+    """Read the client's idempotency key, or None; raises BadRequest if it is malformed."""
     key = request.headers.get(IDEMPOTENCY_KEY)
     if key is None:
         return None
-    # Guards the nodes' protocol: what is forwarded as a header must be one, and of a bounded length.
+    # The key is forwarded to nodes in a header field, so it must be a valid field value of limited length.
     if not key or len(key) > MAX_KEY_LENGTH or not key.isascii() or not key.isprintable():
         raise BadRequest(f"{IDEMPOTENCY_KEY} must have 1 to {MAX_KEY_LENGTH} visible characters")
     return key
@@ -204,7 +204,7 @@
     if target.startswith("/"):
         return target
     rest = target.partition("://")[2]
-    starts = (rest.find("/"), rest.find("?"))  # of the path, or of the query where there is no path
+    starts = (rest.find("/"), rest.find("?"))  # of the path, or of the query if there is no path
     start = min((position for position in starts if position >= 0), default=-1)
     if start < 0:
         return "/"
@@ -212,12 +212,12 @@
 
 
 def without_length(head: model.Head) -> CIMultiDict[str]:
-    """The header fields of a node's answer without Content-Length, as this connection frames it anew."""
+    """Return the header fields of a node's answer without Content-Length, which the response sets itself."""
     return CIMultiDict((name, value) for name, value in head.fields if name.lower() != "content-length")
 
 
 def complete_response(request: web.BaseRequest, head: model.Head, body: bytes) -> web.Response:
-    """Build the response for a complete answer; that to HEAD has the length that the node stated."""
+    """Build the response for a complete answer; a response to HEAD has the length that the node stated."""
     fields = without_length(head)
     if request.method == "HEAD":
         length = next((value for name, value in head.fields if name.lower() == "content-length"), None)
--- a/stoatrouter/fronts/http/settings.py
+++ b/stoatrouter/fronts/http/settings.py
@@ -1,4 +1,4 @@
-"""The operator's file of the HTTP front; deploy/http.cue is an example."""
+"""Loads the HTTP front's settings file; deploy/http.cue is an example."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class SampleSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of the sample of request heads that `rules explain` and `rules diff` read.
+    """Settings for recording a sample of request heads, which `rules explain` and `rules diff` read.
 
     Attributes:
-        file: Where samples are written, relative to the settings' folder.
-        one_in: One of so many requests is recorded.
-        most_bytes: The bound on the bytes of all files of samples.
+        file: Path of the sample file, relative to the folder of the settings file.
+        one_in: One in this many requests is recorded.
+        most_bytes: Maximum size of all sample files together, in bytes.
         mask: Header fields whose values are not recorded.
     """
 
@@ -31,7 +31,7 @@
 
 
 class HttpFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The contents of the file; its keys are documented in docs/http-front.md."""
+    """The contents of the settings file; its keys are documented in docs/http-front.md."""
 
     listen: str
     rules: str
@@ -41,15 +41,15 @@
 
 
 class HttpSettings(msgspec.Struct, frozen=True):
-    """The contents of the file with its paths resolved.
+    """The contents of the settings file with its paths resolved.
 
     Attributes:
-        listen: The address that the front listens at, `host:port`.
+        listen: The address that the front listens on, `host:port`.
         rules: The operator's rule file.
         shadow: The rule file whose decisions are only compared; None: no shadow table.
-        forwarded: Whether nodes get X-Forwarded-For and Via.
-        record: The sample of request heads; None: nothing is recorded.
-        record_file: The file of the sample.
+        forwarded: Whether to add X-Forwarded-For and Via to forwarded requests.
+        record: The settings for recording request heads; None: nothing is recorded.
+        record_file: The path of the sample file.
     """
 
     listen: str
@@ -61,16 +61,16 @@
 
 
 def load_http(path: Path) -> HttpSettings:
-    """Read the operator's file; paths in it are relative to its folder.
+    """Load the settings file; paths in it are relative to its folder.
 
     Raises:
-        ConfigError: The file cannot be read or has faults; the text names them all.
+        ConfigError: The file cannot be read or has faults; the message lists them all.
     """
     try:
         record = load(path, HttpFile, "http.#Http").record
     except SettingsError as error:
-        raise ConfigError(f"bad settings of the HTTP front:\n{error}") from None
-    parse_address(record.listen)  # raises ConfigError where it is none
+        raise ConfigError(f"invalid settings of the HTTP front:\n{error}") from None
+    parse_address(record.listen)  # raises ConfigError if it is malformed
     folder = path.parent
     return HttpSettings(
         listen=record.listen,
@@ -83,16 +83,16 @@
 
 
 def vocabulary(conf: Config) -> Vocabulary:
-    """Build the vocabulary that rules may use under a head's configuration."""
+    """Build the vocabulary of rules from a head's configuration."""
     return settings_vocabulary(conf.settings, conf.shards)
 
 
 def settings_vocabulary(settings: api.Settings, shards: int) -> Vocabulary:
-    """Build the vocabulary that the platform's settings give.
+    """Build the vocabulary of rules from the platform's settings.
 
     Args:
         settings: The platform's settings.
-        shards: The number of shards; 0 where it is not known.
+        shards: The number of shards; 0 if unknown.
     """
     classes = tuple(
         KnownClass(c.name, c.effect is api.Effect.SAFE, span(c.deadline)) for c in settings.classes
@@ -101,9 +101,9 @@
 
 
 def idempotency_windows(settings: api.Settings) -> dict[int, timedelta]:
-    """How long nodes know the idempotency keys of a class, by the number of the class.
+    """Return how long nodes remember the idempotency keys of a class, by class number.
 
-    Classes without keys and those without a window are left out.
+    Classes that are not idempotent, or have no window, are left out.
     """
     return {
         number: span(c.repeat_window)
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -1,4 +1,4 @@
-"""One head: its parts built and connected, its start and its shutdown."""
+"""Builds and connects the parts of one head, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -46,19 +46,22 @@
     from stoatrouter.peering.heads import Heads
     from stoatrouter.peering.settings import HeadsSettings
 
-# Of the descriptors (core/descriptors.py): idle clients that have sent one request hold no more than this.
+# Fractions of the descriptors (core/descriptors.py).
+# Idle connections of clients that have sent only one request hold at most this fraction.
 IDLE_FRACTION = 0.125
-# Beyond these, requests are rejected before they are parsed, while clients still have connections left.
+# Above these fractions of busy connections, requests are rejected before they are parsed, while there are
+# still free connections for clients. The tightened fraction applies while the event loop lags.
 BUSY_FRACTION = 0.75 / 3
 TIGHTENED_FRACTION = 0.4 / 3
 MIN_TIGHTENED_CONNECTIONS = 48
-BASE_MEMORY_BYTES = 46_000_000  # bytes that a head needs beside the bodies it stores
+BASE_MEMORY_BYTES = 46_000_000  # memory of a head without stored bodies
 
 
 def tightened_busy_limit(sockets: int) -> int:
-    """How many connections may have a request open while the event loop lags.
+    """Return how many connections may have an open request while the event loop lags.
 
-    It is two fifths of the usual bound, but no less than a head has open in quiet times.
+    TIGHTENED_FRACTION replaces BUSY_FRACTION, but the limit is at least MIN_TIGHTENED_CONNECTIONS, as many as
+    a head has open under light load.
     """
     return max(
         1,
@@ -67,7 +70,12 @@
 
 
 def build_engine(conf: config.Config, max_node_connections: int) -> Engine:
-    """The engine with the core and the client of all nodes; `max_node_connections` bounds its pool."""
+    """Build the engine with the core and the node client.
+
+    Args:
+        conf: the head's configuration.
+        max_node_connections: the maximum size of the connection pool for all nodes.
+    """
     nodes = NodeClient(
         conf.connect_timeout,
         conf.conn_idle,
@@ -83,7 +91,7 @@
 
 
 def build_watch(conf: config.Config, engine: Engine) -> Watch:
-    """The watch of discovery's endpoint list, which reports to the engine."""
+    """Build the watch that follows discovery's endpoint list and passes updates to the engine."""
     pushed = not conf.settings.must_subscribe
     return Watch(
         conf.discovery,
@@ -97,7 +105,12 @@
 
 
 def build_client_table(max_connections: int, sockets: int) -> ClientTable:
-    """The table of clients' connections; `sockets` are the descriptors of the whole head."""
+    """Build the table of client connections.
+
+    Args:
+        max_connections: the maximum number of client connections.
+        sockets: the number of descriptors of the whole head.
+    """
     return ClientTable(
         max_connections,
         int(sockets * IDLE_FRACTION),
@@ -107,7 +120,7 @@
 
 
 class Head:
-    """The parts of one head, their start and their shutdown."""
+    """One head: owns its parts, starts them and stops them."""
 
     def __init__(
         self,
@@ -116,13 +129,13 @@
         http: HttpSettings | None = None,
         heads: HeadsSettings | None = None,
     ) -> None:
-        """Wire the parts of one head; nothing listens or connects before `start`.
+        """Build the parts of one head; nothing listens or connects before `start`.
 
         Args:
             conf: the configuration (stoatrouter/config.py).
-            objects: the object front's settings, or None where that front is off.
-            http: the HTTP front's settings, or None where that front is off.
-            heads: the settings of peering with other heads, or None where it is off.
+            objects: the object front's settings, or None if that front is off.
+            http: the HTTP front's settings, or None if that front is off.
+            heads: the settings of peering with other heads, or None if peering is off.
 
         Raises:
             ConfigError: a rule table cannot be loaded.
@@ -151,7 +164,7 @@
     def _build_optional_parts(
         self, objects: ObjectSettings | None, http: HttpSettings | None, heads: HeadsSettings | None
     ) -> None:
-        """Build the fronts and the peering that are switched on; the others import none of their code."""
+        """Build the optional fronts and peering where they are enabled; disabled ones are not imported."""
         initial_version = 0
         if heads is not None:
             from stoatrouter.peering.heads import persisted_version
@@ -190,23 +203,23 @@
         self.recorder = parts.recorder
 
     def _build_management(self) -> None:
-        # a table of its own: however many clients come, operators are heard
+        # a separate table, so that client connections cannot lock operators out
         self.management_clients = ClientTable(MAX_CALLERS, MAX_CALLERS, MAX_CALLERS)
         peering_call = self.heads.call if self.heads is not None else None
         calls = Management(self.engine, self.drain, self.ready, peering_call)
         self.management = Listener(calls.handle, Drain(self.management_clients))
 
     def ready(self) -> bool:
-        """Whether this head accepts clients and, where heads talk to each other, takes part among them."""
+        """Return whether this head accepts clients and, with peering enabled, is ready as a peer."""
         return self.serving and (self.heads is None or self.heads.ready)
 
     @property
     def listeners(self) -> list[Listener]:
-        """The listeners that clients connect to."""
+        """The client-facing listeners."""
         return [listener for listener in (self.platform, self.objects, self.http) if listener is not None]
 
     async def start(self) -> None:
-        """Restore the node list, follow discovery, and listen once discovery has answered or timed out."""
+        """Restore the node list, follow discovery, and listen once discovery answers or times out."""
         if self.conf.management is not None:
             await self.management.start(*config.parse_address(self.conf.management))
         await self._start_watch()
@@ -221,7 +234,7 @@
         )
 
     async def _start_watch(self) -> None:
-        """Take the node list over from the previous process, or restore it and wait for discovery."""
+        """Take the node list over from the previous process, or else restore it and wait for discovery."""
         if await self.handover.take_over():
             self.background.append(start_task("discovery", self.watch.run))
             return
@@ -243,7 +256,7 @@
         self.background += [start_task(name, run) for name, run in tasks]
 
     async def accept(self) -> None:
-        """Accept clients at all fronts."""
+        """Accept clients on all fronts."""
         await self.platform.start(*config.parse_address(self.conf.listen), inherited=self.conf.inherited)
         if self.objects is not None and self.object_settings is not None:
             await self.objects.start(*config.parse_address(self.object_settings.listen))
@@ -252,24 +265,28 @@
         self.serving = True
 
     async def stop_accepting(self) -> None:
-        """Stop accepting clients, as another process of this head does so from now on."""
+        """Stop accepting clients because another process of this head takes over."""
         self.serving = False
         for listener in self.listeners:
             listener.stop_accepting()
 
     def reload(self, environ: Mapping[str, str]) -> None:
-        """Read the configuration again and apply what can change while serving.
+        """Read the configuration again and apply the settings that can change at run time.
 
-        A configuration with any fault is rejected and logged. Discovery's address is applied at once, rule
-        tables once they are compiled; other changes wait for the next start.
+        An invalid configuration is rejected as a whole and logged. A new discovery address takes effect at
+        once, rule tables once they are compiled; all other changes take effect at the next start.
         """
         for service in self.tables:
             service.reload()
         reload_configuration(environ, self.conf, self.watch)
 
     async def stop(self) -> None:
-        """Serve for as long as answers are certain to arrive, finish open requests, and close everything."""
-        logger.info("stop: asked to, {open} requests open", event="stop.asked", open=self.engine.reducer.open)
+        """Shut down gracefully: accept until the shutdown deadline, finish open requests, close all parts."""
+        logger.info(
+            "stop: shutdown requested, {open} requests open",
+            event="stop.asked",
+            open=self.engine.reducer.open,
+        )
         self.serving = False
         longest = max(request_class.deadline for request_class in self.conf.settings.classes)
         times = shutdown_deadlines(span(longest))
--- a/stoatrouter/optional_fronts.py
+++ b/stoatrouter/optional_fronts.py
@@ -1,7 +1,7 @@
-"""Builds the fronts that are off on the platform; a head without them imports none of their code.
+"""Builds the optional fronts, which the platform leaves off; a head without them imports none of their code.
 
-Each builder imports what it needs when it is called, and `head.py` calls it only where the operator has
-named the front's settings file.
+Each builder imports what it needs when it is called, and `head.py` calls it only if the operator has
+configured the front's settings file.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ObjectFrontParts:
-    """The object front, its listener, and its rule table where the operator has named one."""
+    """The object front, its listener, and the service of its rule table if one is configured."""
 
     front: ObjectFront
     listener: Listener
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpFrontParts:
-    """The HTTP front, its listener, its rule tables, and its recorder where requests are recorded."""
+    """The HTTP front, its listener, the service of its rule tables, and its recorder if recording is on."""
 
     front: HttpFront
     listener: Listener
@@ -51,7 +51,7 @@
         conf: the head's configuration.
         objects: the front's settings.
         engine: serves the front's requests.
-        drain: whether this head is draining or out of service.
+        drain: tells whether this head is draining or out of service.
 
     Raises:
         ConfigError: the rule table cannot be loaded.
@@ -74,14 +74,14 @@
 def build_http_front(
     conf: Config, http: HttpSettings, engine: Engine, drain: Drain, body_capacity: BodyCapacity
 ) -> HttpFrontParts:
-    """Build the HTTP front with its rule tables and its recorder.
+    """Build the HTTP front with its rule tables and recorder.
 
     Args:
         conf: the head's configuration.
         http: the front's settings.
         engine: serves the front's requests.
-        drain: whether this head is draining or out of service.
-        body_capacity: bounds the bytes of stored bodies.
+        drain: tells whether this head is draining or out of service.
+        body_capacity: limits the bytes of stored bodies.
 
     Raises:
         ConfigError: the rule tables cannot be loaded.
--- a/stoatrouter/reload.py
+++ b/stoatrouter/reload.py
@@ -1,4 +1,4 @@
-"""Applies a changed configuration to a serving head, as far as that is possible without a restart."""
+"""Applies configuration changes to a running head, as far as possible without a restart."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 from stoatrouter import config
 from stoatrouter.net.discovery import Watch
 
-# Fields of Config that take effect only at a start: their change is logged.
+# Fields of Config that take effect only at start-up; a change of one is logged.
 FIXED_FIELDS = ("name", "listen", "settings", "sockets", "memory_mb", "conn_idle", "max_open")
 
 
 def reload_configuration(environ: Mapping[str, str], current: config.Config, watch: Watch) -> None:
-    """Read the configuration again and apply discovery's address; other changes wait for the next start.
+    """Read the configuration again and apply discovery's address; other changes need a restart.
 
-    A configuration with any fault is rejected and logged.
+    An invalid configuration is rejected as a whole and logged.
 
     Args:
         environ: the environment, which names the file.
         current: the configuration that this head was started with.
-        watch: follows the endpoint list; it moves to the new address.
+        watch: follows the endpoint list; it switches to the new address.
     """
     try:
         conf = config.reload(environ)
     except config.ConfigError as error:
-        # Guards a serving head against a file that is half written or faulty.
+        # The file may be faulty, or still being written; the head keeps serving with its configuration.
         logger.error(
-            "reload: the configuration in force stays: {error}", event="reload.refused", error=str(error)
+            "reload: keeping the current configuration: {error}", event="reload.refused", error=str(error)
         )
         return
     log_deferred(conf, current)
     logger.info(
-        "reload: discovery at {address}, was {before}",
+        "reload: discovery address is {address} (was {before})",
         event="reload.taken",
         address=conf.discovery,
         before=watch.address,
@@ -42,11 +42,11 @@
 
 
 def log_deferred(conf: config.Config, current: config.Config) -> None:
-    """Log the changed fields that take effect only at a start, if there are any."""
+    """Log the changed fields that take effect only at start-up, if there are any."""
     deferred = [name for name in FIXED_FIELDS if getattr(conf, name) != getattr(current, name)]
     if deferred:
         logger.warning(
-            "reload: changes of {fields} wait for the next start",
+            "reload: changes to {fields} take effect at the next start",
             event="reload.later",
             fields=", ".join(deferred),
         )
