--- a/stoatrouter/fronts/objects/__init__.py
+++ b/stoatrouter/fronts/objects/__init__.py
@@ -1,1 +1,1 @@
-"""An object API over HTTP in front of the core."""
+"""The object front: an S3-compatible object API over HTTP, served by the core."""
--- a/stoatrouter/fronts/objects/calls.py
+++ b/stoatrouter/fronts/objects/calls.py
@@ -1,4 +1,4 @@
-"""One call to the object front, as its operations see it."""
+"""The data of one call to the object front, as passed to its operations."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """A call that was routed and given its terms.
+    """A call that has been routed and has its terms.
 
     Attributes:
         request: The client's HTTP request.
-        store: The pieces of the call's bucket, under the call's terms.
+        store: Access to the pieces of the call's bucket, under the call's terms.
         key: The object's key.
-        query: The fields of the request's query.
+        query: The parameters of the request's query.
     """
 
     request: web.BaseRequest
--- a/stoatrouter/fronts/objects/errors.py
+++ b/stoatrouter/fronts/objects/errors.py
@@ -1,4 +1,4 @@
-"""Errors of object operations, in the terms of the S3 protocol."""
+"""Errors of object operations, as error codes of the S3 protocol."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ErrorCode(StrEnum):
-    """The error codes of the S3 protocol that this front answers with."""
+    """The error codes of the S3 protocol that this front uses."""
 
     ACCESS_DENIED = "AccessDenied"
     BAD_DIGEST = "BadDigest"
@@ -62,7 +62,7 @@
 
 
 class ObjectError(Exception):
-    """The final answer of an operation that did not succeed."""
+    """An operation failed; the error determines its answer."""
 
     def __init__(
         self,
@@ -71,13 +71,13 @@
         retry_after: timedelta | None = None,
         headers: dict[str, str] | None = None,
     ) -> None:
-        """Describe the failure of an operation.
+        """Create the error of a failed operation.
 
         Args:
-            code: What kind of failure it is; the code implies the HTTP status.
-            message: What is wrong, for the client's log.
-            retry_after: After how long the client may retry; None: no time is known.
-            headers: Further header fields of the response.
+            code: The S3 error code, which implies the HTTP status.
+            message: A description of the failure for the client.
+            retry_after: The delay after which the client may retry; None: unknown.
+            headers: Additional header fields of the response.
         """
         super().__init__(f"{code}: {message}")
         self.code = code
@@ -94,10 +94,10 @@
 def error_response(
     error: ObjectError, resource: str, request_id: str, with_body: bool = True
 ) -> web.Response:
-    """Build the S3 response for an error; the answer to HEAD has no body."""
+    """Build the S3 response for an error; without a body for a HEAD request."""
     headers = dict(error.headers)
     if error.retry_after is not None:
-        # whole seconds, as clients of this protocol read them
+        # S3 clients expect whole seconds
         headers["Retry-After"] = str(max(1, math.ceil(error.retry_after.total_seconds())))
     text = (
         '<?xml version="1.0" encoding="UTF-8"?>\n<Error>'
--- a/stoatrouter/fronts/objects/extents.py
+++ b/stoatrouter/fronts/objects/extents.py
@@ -1,8 +1,8 @@
-"""How a body is stored on nodes: pieces of at most 64 KiB, and pages of references to them.
+"""The storage format of a body: pieces of at most 64 KiB, and pages of references to them.
 
-A reference names a piece, the shard that took it, and how many bytes of the body lie below it. References of
-a long body are themselves written as pages, with pages of pages above them, until few enough are left for a
-manifest or an ETag. A head stores none of this.
+A reference holds the name of a piece, its shard, and the number of bytes of the body that it covers.
+References of a long body are written as pages, with more levels of pages above them, until few enough
+references remain for a manifest or an ETag. Everything is stored on nodes; a head stores nothing.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_PIECE_BYTES = 64 * 1024  # bytes: what one request of the core may carry
+MAX_PIECE_BYTES = 64 * 1024  # the largest body of one request of the core
 MAGIC = b"SRp1"
-DIGEST_BYTES = 12  # bytes
+DIGEST_BYTES = 12
 HEADER_BYTES = len(MAGIC) + DIGEST_BYTES
 MAX_PAYLOAD_BYTES = MAX_PIECE_BYTES - HEADER_BYTES
 REF_FORMAT = struct.Struct(">8sHQB")
@@ -23,11 +23,11 @@
 
 
 class BadPiece(Exception):
-    """A node returned something else than was written."""
+    """A node returned other data than was written."""
 
 
 class PieceAddress(NamedTuple):
-    """Where a piece lies: its name, 16 hexadecimal digits, and its shard."""
+    """The address of a piece: its name, 16 hexadecimal digits, and its shard."""
 
     piece: str
     shard: int
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ref:
-    """A reference to a part of a body; with depth 0 the piece holds the bytes, else references."""
+    """A reference to a part of a body; at depth 0 the piece holds data, above it a page of references."""
 
     piece: str
     shard: int
@@ -44,7 +44,7 @@
 
     @property
     def address(self) -> PieceAddress:
-        """Where the referenced piece lies."""
+        """The address of the referenced piece."""
         return PieceAddress(self.piece, self.shard)
 
     def pack(self) -> bytes:
@@ -53,13 +53,13 @@
 
     @classmethod
     def unpack(cls, data: bytes) -> Ref:
-        """Parse what `pack` wrote; raises struct.error where the length is wrong."""
+        """Parse the result of `pack`; raises struct.error if the length is wrong."""
         piece, shard, size, depth = REF_FORMAT.unpack(data)
         return cls(piece.hex(), shard, size, depth)
 
 
 class Overlap(NamedTuple):
-    """A reference with the bytes `start` to `stop` of its own part of a body, `stop` excluded."""
+    """A reference and a byte range, from `start` up to but excluding `stop`, within its part of a body."""
 
     ref: Ref
     start: int
@@ -67,12 +67,12 @@
 
 
 def frame(piece: str, payload: bytes) -> bytes:
-    """Frame a payload as it is written to a piece: behind a digest that is keyed by the piece's name."""
+    """Build a piece from its payload: a header with a digest keyed by the piece's name, then the payload."""
     return MAGIC + digest(piece, payload) + payload
 
 
 def unframe(piece: str, data: bytes) -> bytes | None:
-    """Return the payload of a piece; None where it was never written, as nodes then send an empty body.
+    """Return the payload of a piece; None if it was never written, for which nodes send an empty body.
 
     Raises:
         BadPiece: The digest does not match.
@@ -80,24 +80,24 @@
     if not data:
         return None
     payload = data[HEADER_BYTES:]
-    # Guards against an answer that belongs to another piece, or is truncated.
+    # Detects an answer that belongs to another piece or is truncated.
     if data[: len(MAGIC)] != MAGIC or data[len(MAGIC) : HEADER_BYTES] != digest(piece, payload):
         raise BadPiece(piece)
     return payload
 
 
 def digest(piece: str, payload: bytes) -> bytes:
-    """The keyed digest of a payload, by which a piece under another name is rejected."""
+    """Return the digest of a payload, keyed by the piece's name so that no other piece passes for it."""
     return hashlib.blake2b(payload, digest_size=DIGEST_BYTES, key=piece.encode()).digest()
 
 
 def pack_page(refs: Sequence[Ref]) -> bytes:
-    """Serialize references, one after the other, to the payload of a page."""
+    """Serialize references to the payload of a page."""
     return b"".join(ref.pack() for ref in refs)
 
 
 def unpack_page(payload: bytes) -> list[Ref]:
-    """Parse the references of a page; raises BadPiece where the payload is truncated."""
+    """Parse the references of a page; raises BadPiece if the payload is truncated."""
     if len(payload) % REF_FORMAT.size:
         raise BadPiece("a page of references is not whole")
     return [
@@ -107,7 +107,7 @@
 
 
 def find_overlaps(refs: Sequence[Ref], start: int, stop: int) -> list[Overlap]:
-    """Find the references that hold the bytes `start` to `stop`, each with its own part of that range."""
+    """Find the references that cover the bytes `start` to `stop`, each with its own part of that range."""
     overlaps: list[Overlap] = []
     offset = 0
     for ref in refs:
--- a/stoatrouter/fronts/objects/front.py
+++ b/stoatrouter/fronts/objects/front.py
@@ -1,7 +1,7 @@
-"""The object API: calls of the S3 protocol, served by requests of the core.
+"""The object API: serves calls of the S3 protocol with requests of the core.
 
-This module admits and routes calls and answers failures; the operations are served by `object_calls` and
-`upload_calls`.
+This module admits and routes calls and builds error responses; `object_calls` and `upload_calls` implement
+the operations.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 OVERLOAD_RETRY_AFTER = timedelta(seconds=1)
 
-# Gives a call to a bucket and key the terms that rules yield; raises ObjectError where they refuse it.
+# Returns the terms that rules give a call to a bucket and key; raises ObjectError if they refuse it.
 ApplyRules = Callable[[web.BaseRequest, ObjectSettings, Bucket, str, Operation], CallTerms]
 
 
@@ -51,14 +51,14 @@
         drain: Drain,
         apply_rules: ApplyRules | None = None,
     ) -> None:
-        """Serve the buckets of the operator's file.
+        """Serve the buckets of the settings file.
 
         Args:
-            serve: Serves a request of the core, with the complete body of its answer.
+            serve: Serves a request of the core and returns its answer with the complete body.
             settings: The platform's settings.
             conf: The settings of this front.
-            drain: Whether the head is draining, and whether it is crowded.
-            apply_rules: What rules yield for a call; None: the file's classes hold for all calls.
+            drain: Tells whether the head is draining, and whether it is overloaded.
+            apply_rules: Applies rules to a call; None: the classes of the settings file apply to all calls.
         """
         self.serve = serve
         self.settings = settings
@@ -72,7 +72,7 @@
         self.operations = 0  # in progress
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one call with one final answer."""
+        """Serve one call; always returns exactly one answer."""
         if request.raw_path == HEALTH_PATH:
             return self.drain.mark(self.drain.health())
         request_id = secrets.token_hex(8)
@@ -82,9 +82,11 @@
         except ObjectError as error:
             response = self._fail(request, error, request_id)
         except Exception:
-            # Guards the client's one final answer against a fault of our own.
+            # The client must get an answer even after an internal error.
             logger.exception(
-                "objects: {request} failed in an unforeseen way", event="objects.fault", request=request_id
+                "objects: {request} failed with an unexpected error",
+                event="objects.fault",
+                request=request_id,
             )
             fault = ObjectError(ErrorCode.INTERNAL_ERROR, "the call failed")
             response = self._fail(request, fault, request_id)
@@ -96,7 +98,7 @@
         return response
 
     def _fail(self, request: web.BaseRequest, error: ObjectError, request_id: str) -> web.StreamResponse:
-        """Log a failure that is not the client's and build its answer."""
+        """Build the response for an error, and log the error if it is internal."""
         if error.code is ErrorCode.INTERNAL_ERROR:
             logger.warning(
                 "objects: {request} {method}: {reason}",
@@ -108,12 +110,12 @@
         resource = unquote(request.raw_path.partition("?")[0], errors="replace")
         response = error_response(error, resource, request_id, with_body=request.method != "HEAD")
         if request.body_exists and not request.content.is_eof():
-            response.force_close()  # what is left of the body is not read
+            response.force_close()  # the rest of the body is not read
         return response
 
     async def _serve_call(self, request: web.BaseRequest) -> web.StreamResponse:
         """Admit a call, route it and serve it; raises ObjectError."""
-        # Guards memory: each operation holds a few pieces.
+        # Limits memory use: each operation holds a few pieces.
         if self.operations > self.conf.max_operations or self.drain.overloaded():
             raise ObjectError(ErrorCode.SLOW_DOWN, "too many operations at once", OVERLOAD_RETRY_AFTER)
         path, _, query_string = request.raw_path.partition("?")
@@ -139,7 +141,7 @@
         raise ObjectError(ErrorCode.NOT_IMPLEMENTED, "this call is not served")
 
     def _find_object(self, path: str) -> tuple[Bucket, str]:
-        """Find the bucket and the key that a path names; raises ObjectError."""
+        """Return the bucket and the key that a path names; raises ObjectError."""
         object_path = split_path(path)
         bucket = self.conf.buckets.get(object_path.bucket)
         if bucket is None:
@@ -149,7 +151,7 @@
     def _find_terms(
         self, request: web.BaseRequest, bucket: Bucket, key: str, operation: Operation
     ) -> CallTerms:
-        """The terms of a call: those of the file, or what rules yield; raises ObjectError."""
+        """Return the terms of a call, from the settings file or from rules; raises ObjectError."""
         if self.apply_rules is None:
             return CallTerms(self.conf, bucket)
         return self.apply_rules(request, self.conf, bucket, key, operation)
--- a/stoatrouter/fronts/objects/headers.py
+++ b/stoatrouter/fronts/objects/headers.py
@@ -1,4 +1,4 @@
-"""Header fields of the S3 protocol: metadata and digests of bodies."""
+"""Reads header fields of the S3 protocol: metadata and digests of bodies."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 
-MAX_METADATA_BYTES = 2048  # of names and values together
-MAX_CONTENT_TYPE_LENGTH = 256  # characters; the rest is cut off
+MAX_METADATA_BYTES = 2048  # names and values together
+MAX_CONTENT_TYPE_LENGTH = 256  # characters; longer values are truncated
 METADATA_PREFIX = "x-amz-meta-"
 
 
 class ContentHeaders(NamedTuple):
-    """What a client says of an object's content, returned with each read."""
+    """The content type and metadata that a client gives an object; each read returns them."""
 
     content_type: str
-    metadata: dict[str, str]  # by name in lower case, without METADATA_PREFIX
+    metadata: dict[str, str]  # by lower-case name without METADATA_PREFIX
 
 
 def read_content_headers(headers: Mapping[str, str]) -> ContentHeaders:
-    """Read the content type and the client's metadata; raises ObjectError where that is too large."""
+    """Read the content type and the client's metadata; raises ObjectError if the metadata is too large."""
     metadata = {
         name.lower().removeprefix(METADATA_PREFIX): value
         for name, value in headers.items()
@@ -35,7 +35,7 @@
 
 
 def check_md5(headers: Mapping[str, str], md5: bytes) -> None:
-    """Check a body against Content-MD5 (RFC 1864); raises ObjectError where it differs or is malformed."""
+    """Check a body against Content-MD5 (RFC 1864); raises ObjectError if it differs or is malformed."""
     encoded = headers.get("Content-MD5")
     if encoded is None:
         return
--- a/stoatrouter/fronts/objects/manifest.py
+++ b/stoatrouter/fronts/objects/manifest.py
@@ -1,4 +1,4 @@
-"""The records of objects and uploads, each in one piece whose address follows from its name."""
+"""The records of objects and uploads; each is one piece whose address is derived from its name."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from stoatrouter.fronts.objects.extents import BadPiece, Ref, pack_page, unpack_page
 
-MAX_REFS = 64  # in the manifest itself; that of a longer body refers to pages
+MAX_REFS = 64  # in the manifest itself; the manifest of a longer body refers to pages
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,7 +26,7 @@
     metadata: dict[str, str] = field(default_factory=dict)
 
     def dump(self) -> bytes:
-        """Serialize the manifest to JSON, as it is written to its piece."""
+        """Serialize the manifest to the JSON that its piece holds."""
         refs = base64.b64encode(pack_page(self.refs)).decode()
         return json.dumps(
             {
@@ -44,7 +44,7 @@
 
     @classmethod
     def load(cls, data: bytes) -> Manifest:
-        """Parse what `dump` wrote; raises BadPiece where it is anything else."""
+        """Parse the result of `dump`; raises BadPiece if the data is malformed."""
         try:
             fields = json.loads(data)
             manifest = cls(
@@ -59,14 +59,14 @@
             )
         except (ValueError, KeyError, TypeError) as error:
             raise BadPiece(f"not a manifest: {error}") from None
-        # Guards reads against a manifest whose extents and size differ: an answer's length would be wrong.
+        # A manifest whose size differs from its extents' would give an answer the wrong Content-Length.
         if sum(ref.size for ref in manifest.refs) != manifest.size:
             raise BadPiece("a manifest's size is not that of its extents")
         return manifest
 
 
 class UploadState(StrEnum):
-    """The states of an upload; from OPEN it goes to one of the others and stays there."""
+    """The states of an upload; OPEN changes to one of the others, which are final."""
 
     OPEN = "open"
     ABORTED = "aborted"
@@ -78,9 +78,9 @@
     """The record of an upload.
 
     Attributes:
-        state: An UploadState; a state that this version does not know counts as over.
-        content_type: As the client gave it when it initiated the upload.
-        metadata: Likewise.
+        state: An UploadState; a state unknown to this version counts as final.
+        content_type: The content type that the client gave when it initiated the upload.
+        metadata: The metadata that the client gave when it initiated the upload.
         etag: The ETag that was returned for a complete upload.
     """
 
@@ -90,7 +90,7 @@
     etag: str = ""
 
     def dump(self) -> bytes:
-        """Serialize the record to JSON, as it is written to its piece."""
+        """Serialize the record to the JSON that its piece holds."""
         return json.dumps(
             {"state": self.state, "type": self.content_type, "metadata": self.metadata, "etag": self.etag},
             separators=(",", ":"),
@@ -98,7 +98,7 @@
 
     @classmethod
     def load(cls, data: bytes) -> Upload:
-        """Parse what `dump` wrote; raises BadPiece where it is anything else."""
+        """Parse the result of `dump`; raises BadPiece if the data is malformed."""
         try:
             fields = json.loads(data)
             return cls(fields["state"], fields["type"], fields["metadata"], fields["etag"])
--- a/stoatrouter/fronts/objects/object_calls.py
+++ b/stoatrouter/fronts/objects/object_calls.py
@@ -1,4 +1,4 @@
-"""Calls that read or write an object at once (S3 GetObject, HeadObject and PutObject)."""
+"""Calls that read or write a whole object (S3 GetObject, HeadObject and PutObject)."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
         Args:
             records: The manifests of objects.
-            drain: Whether the head is draining, and so whether responses end their connections.
+            drain: Tells whether the head is draining; if so, responses close their connections.
         """
         self.records = records
         self.drain = drain
 
     async def read(self, call: Call) -> web.StreamResponse:
-        """Answer with an object or a range of it; raises ObjectError before the response has begun."""
+        """Send an object or a range of it; raises ObjectError only before the response has started."""
         request = call.request
         manifest = await self.records.read_manifest(call.store, call.key)
         headers = object_headers(manifest)
@@ -52,9 +52,9 @@
         return response
 
     async def write(self, call: Call) -> web.StreamResponse:
-        """Store a body as an object, which is there once its manifest is written; raises ObjectError."""
+        """Store a body as an object, which becomes visible with its manifest; raises ObjectError."""
         headers = call.request.headers
-        # Guards against a promise that cannot be kept: two heads may write at once, none sees the other.
+        # Conditions on writes cannot be guaranteed: two heads may write at once without seeing each other.
         if "If-Match" in headers or "If-None-Match" in headers:
             raise ObjectError(ErrorCode.NOT_IMPLEMENTED, "conditional writes are not served")
         content = read_content_headers(headers)
@@ -76,7 +76,7 @@
 
 
 def object_headers(manifest: Manifest) -> dict[str, str]:
-    """Build the header fields that each answer about an object has."""
+    """Build the header fields that are common to all answers about an object."""
     headers = {
         "ETag": f'"{manifest.etag}"',
         "Last-Modified": format_date(manifest.modified),
--- a/stoatrouter/fronts/objects/ranges.py
+++ b/stoatrouter/fronts/objects/ranges.py
@@ -1,4 +1,4 @@
-"""Ranges and preconditions of reads (RFC 9110, 13 and 14)."""
+"""Evaluates ranges and preconditions of reads (RFC 9110, 13 and 14)."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ByteRange(NamedTuple):
-    """The bytes `start` to `stop` of a body, `stop` excluded."""
+    """A byte range of a body, from `start` up to but excluding `stop`."""
 
     start: int
     stop: int
 
 
 def read_range(headers: Mapping[str, str], etag: str, modified: int, size: int) -> ByteRange | None:
-    """Read the range that a request asks for, for an object as it is now.
+    """Return the range of an object that a request asks for.
 
     A malformed range, or more than one, is ignored, as the RFC allows (14.2).
 
@@ -34,7 +34,7 @@
         The range, or None for the complete body.
 
     Raises:
-        ObjectError: The range lies beyond the body.
+        ObjectError: The range lies outside the body.
     """
     match = SINGLE_RANGE.fullmatch(headers.get("Range", "").replace(" ", ""))
     if match is None or match.groups() == ("", "") or not if_range_holds(headers, etag, modified):
@@ -50,8 +50,8 @@
 
 
 def resolve_range(first: str, last: str, size: int) -> ByteRange | None:
-    """Resolve the two positions of a range against a size; returns None where they make no valid range."""
-    if not first:  # a suffix range: the last so many bytes
+    """Resolve the two positions of a range against a size; return None if they are not a valid range."""
+    if not first:  # a suffix range: the last N bytes
         return ByteRange(max(0, size - int(last)), size)
     if not last:
         return ByteRange(int(first), size)
@@ -61,7 +61,7 @@
 
 
 def if_range_holds(headers: Mapping[str, str], etag: str, modified: int) -> bool:
-    """Whether If-Range allows a range: a changed object must not be joined to its old start."""
+    """Return whether If-Range allows a range, so that no client joins parts of two versions of an object."""
     condition = headers.get("If-Range")
     if condition is None:
         return True
@@ -95,12 +95,12 @@
 
 
 def matches_etag(tags: str, etag: str) -> bool:
-    """Whether an entity tag is in a list of tags, compared weakly (RFC 9110, 8.8.3.2); `*` matches any."""
+    """Return whether a list of tags has an entity tag, by weak comparison (RFC 9110, 8.8.3.2), or is `*`."""
     return any(tag.strip().removeprefix("W/") in ("*", f'"{etag}"', etag) for tag in tags.split(","))
 
 
 def parse_date(text: str | None) -> int | None:
-    """Parse an HTTP date to Unix seconds; returns None where it is absent or malformed."""
+    """Parse an HTTP date to Unix seconds; return None if it is absent or malformed."""
     try:
         return int(parsedate_to_datetime(text).timestamp()) if text else None
     except (ValueError, TypeError, OverflowError):
--- a/stoatrouter/fronts/objects/record_store.py
+++ b/stoatrouter/fronts/objects/record_store.py
@@ -1,4 +1,4 @@
-"""Reads and writes the records of objects and uploads, at the addresses that follow from their names."""
+"""Reads and writes the records of objects and uploads at addresses derived from their names."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class RecordStore:
-    """The records of all buckets; any head finds them, as addresses depend on nothing but names."""
+    """The records of all buckets; any head can find them, since addresses depend only on names."""
 
     def __init__(self, tokens: Tokens, shards: int) -> None:
-        """Derive addresses by the operator's secret.
+        """Derive the addresses of records from the operator's secret.
 
         Args:
             tokens: Checks upload ids and derives addresses.
@@ -28,22 +28,22 @@
         self.shards = shards
 
     async def read_manifest(self, store: PieceStore, key: str) -> Manifest:
-        """Read an object's manifest; raises ObjectError, NoSuchKey where there is none."""
+        """Read an object's manifest; raises ObjectError (NoSuchKey if there is none)."""
         payload = await store.read_piece(self._object_address(store, key))
         if payload is None:
             raise ObjectError(ErrorCode.NO_SUCH_KEY, "there is no such object")
         manifest = load_record(Manifest.load, payload)
-        # Guards against two names with one address: one is never answered with the other.
+        # The addresses of two names may collide; one object must never be returned for the other.
         if (manifest.bucket, manifest.key) != (store.bucket.name, key):
             raise ObjectError(ErrorCode.NO_SUCH_KEY, "there is no such object")
         return manifest
 
     async def write_manifest(self, store: PieceStore, manifest: Manifest) -> None:
-        """Make the last write of an object: before it, readers see what was there; after it, the new one."""
+        """Write the manifest, as the last write of an object: it makes the new content visible to readers."""
         await store.write_piece(manifest.dump(), self._object_address(store, manifest.key))
 
     async def read_upload(self, store: PieceStore, key: str, upload_id: str) -> Upload:
-        """Read an upload's record; raises ObjectError, NoSuchUpload where the id is not of this object."""
+        """Read an upload's record; raises ObjectError (NoSuchUpload if the id is not for this object)."""
         if not self.tokens.is_upload_id(store.bucket.name, key, upload_id):
             raise ObjectError(ErrorCode.NO_SUCH_UPLOAD, "there is no such upload")
         payload = await store.read_piece(self._upload_address(upload_id))
@@ -63,7 +63,7 @@
 
 
 def load_record(load: Callable[[bytes], Record], payload: bytes) -> Record:
-    """Parse a record; raises ObjectError (InternalError) where it is malformed."""
+    """Parse a record; raises ObjectError (InternalError) if it is malformed."""
     try:
         return load(payload)
     except BadPiece as error:
--- a/stoatrouter/fronts/objects/routing.py
+++ b/stoatrouter/fronts/objects/routing.py
@@ -1,4 +1,4 @@
-"""Which operation a call is, by its method, path, query and header fields. No I/O."""
+"""Routes a call to an operation by its method, path, query and header fields; does no I/O."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 
-MAX_KEY_BYTES = 1024  # as clients of this protocol know it
-# Query fields of calls that are served; any other names a call that is not.
+MAX_KEY_BYTES = 1024  # the limit of S3
+# Query parameters of supported calls; any other one belongs to a call that is not supported.
 QUERY_FIELDS = {"uploads", "uploadId", "partNumber", "x-id"}
-IGNORED_QUERY_FIELDS = {"x-id"}  # clients repeat the operation's name in it
+IGNORED_QUERY_FIELDS = {"x-id"}  # only repeats the operation's name
 UNSUPPORTED_HEADERS = (
     "x-amz-copy-source",
     "x-amz-tagging",
@@ -25,7 +25,7 @@
 
 
 class Operation(StrEnum):
-    """The operations of the protocol, under the names that rules read as `object.operation`."""
+    """The operations of the protocol; rules read these names as `object.operation`."""
 
     READ = "read"
     WRITE = "write"
@@ -33,10 +33,10 @@
     WRITE_PART = "write-part"
     COMPLETE = "complete"
     ABORT = "abort"
-    OTHER = "other"  # not served
+    OTHER = "other"  # not supported
 
 
-# By the method and the sorted names of the query fields.
+# Keyed by the method and the sorted names of the query parameters.
 OPERATIONS = {
     ("GET",): Operation.READ,
     ("HEAD",): Operation.READ,
@@ -56,7 +56,7 @@
 
 
 def split_path(path: str) -> ObjectPath:
-    """Split a path at the end of the bucket's name; raises ObjectError where there is no key."""
+    """Split a path into bucket and key; raises ObjectError if there is no key."""
     bucket, _, encoded_key = path.removeprefix("/").partition("/")
     if not bucket or not encoded_key:
         raise ObjectError(ErrorCode.NOT_IMPLEMENTED, "calls on buckets and listings are not served")
@@ -64,7 +64,7 @@
 
 
 def decode_key(encoded_key: str) -> str:
-    """Undo the escapes of a key, which is otherwise taken as it is; raises ObjectError."""
+    """Percent-decode a key, without normalizing it otherwise; raises ObjectError."""
     try:
         key = unquote(encoded_key, errors="strict")
     except UnicodeDecodeError:
@@ -75,12 +75,12 @@
 
 
 def parse_query(query: str) -> dict[str, str]:
-    """Parse the query of a request target; of a repeated field the last value counts."""
+    """Parse the query of a request target; the last value of a repeated parameter counts."""
     return dict(parse_qsl(query, keep_blank_values=True))
 
 
 def check_supported(query: Mapping[str, str], headers: Mapping[str, str]) -> None:
-    """Check that no query or header field asks for what is not served; raises ObjectError."""
+    """Check that no query parameter or header field asks for an unsupported feature; raises ObjectError."""
     unknown = query.keys() - QUERY_FIELDS
     if unknown:
         raise ObjectError(ErrorCode.NOT_IMPLEMENTED, f"not served: {min(unknown)}")
@@ -90,6 +90,6 @@
 
 
 def find_operation(method: str, query: Mapping[str, str]) -> Operation:
-    """Find the operation of a call; OTHER for one that is not served."""
+    """Return the operation of a call; OTHER if it is not supported."""
     signature = (method, *sorted(query.keys() - IGNORED_QUERY_FIELDS))
     return OPERATIONS.get(signature, Operation.OTHER)
--- a/stoatrouter/fronts/objects/rules.py
+++ b/stoatrouter/fronts/objects/rules.py
@@ -1,7 +1,7 @@
-"""What rules yield for a call to the object front: its class, its plan, and the shard of new pieces.
+"""Applies rules to calls of the object front: they set the class, the plan and the shard of new pieces.
 
-The address of an object's manifest never depends on rules, so an object is found under any table. The key
-that a rule yields says where new pieces go, which their references record.
+The address of an object's manifest never depends on rules, so an object can be found under any table. The
+key that a rule yields determines the shard of new pieces, and their references record it.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class CallRules:
-    """Applies the table in force to each call."""
+    """Applies the active rule table to each call."""
 
     def __init__(
         self, matcher: Matcher, settings: api.Settings, clock: Clock, retry_after: timedelta
@@ -35,10 +35,10 @@
         """Apply the rules of a matcher.
 
         Args:
-            matcher: Decides by the table in force.
-            settings: The platform's settings, whose classes and plans decisions refer to by number.
-            clock: The time since the Unix epoch.
-            retry_after: What a client that is refused for now is told to wait.
+            matcher: Decides on calls by the active table.
+            settings: The platform's settings; decisions refer to its classes and plans by number.
+            clock: Returns the time since the Unix epoch.
+            retry_after: The delay for clients that are told to retry later.
         """
         self.matcher = matcher
         self.settings = settings
@@ -53,7 +53,7 @@
         key: str,
         operation: Operation,
     ) -> CallTerms:
-        """Decide on a call; raises ObjectError where it is malformed or refused, or gets no plan."""
+        """Decide on a call; raises ObjectError if it is malformed or refused, or gets no plan."""
         rule_input = read_call(request)
         rule_input.bucket = bucket.name
         rule_input.key = key
@@ -67,7 +67,7 @@
         return CallTerms(conf, bucket)
 
     def _apply_decision(self, decision: Decision, conf: ObjectSettings, bucket: Bucket) -> CallTerms:
-        """Apply a decision to the settings and the bucket; raises ObjectError where no plan is given."""
+        """Apply a decision to the settings and the bucket; raises ObjectError if there is no plan."""
         if self.settings.classes[decision.request_class].writes:
             conf = replace(conf, write_class=decision.request_class)
         else:
@@ -79,7 +79,7 @@
 
 
 def read_call(request: web.BaseRequest) -> Input:
-    """Parse a call into the input of rules; raises ObjectError."""
+    """Parse a call into the rules' input; raises ObjectError."""
     size = request.content_length
     try:
         return read_input(
@@ -94,7 +94,7 @@
 
 
 def check_plan(bucket: Bucket) -> None:
-    """Check that a bucket has a plan, by the file or by a decision; raises ObjectError."""
+    """Check that a bucket has a plan, from the settings file or from a rule; raises ObjectError."""
     if bucket.plan == PLAN_BY_RULES:
         raise ObjectError(ErrorCode.ACCESS_DENIED, "no rule gives this call a plan")
 
--- a/stoatrouter/fronts/objects/store.py
+++ b/stoatrouter/fronts/objects/store.py
@@ -1,7 +1,6 @@
-"""Bodies as requests of the core: written piece by piece, read range by range.
+"""Reads and writes bodies as pieces, each with one request of the core under the volume's plan.
 
-Each piece is one request of the core under its volume's plan. A rejection by the core is not retried here;
-the client gets it at once with the time to come back.
+A rejection by the core is not retried here; it is passed on to the client at once, with its Retry-After.
 """
 
 from __future__ import annotations
@@ -36,16 +35,16 @@
 from stoatrouter.policy import interface as api
 
 Serve = Callable[[model.Request], Awaitable[model.Answer]]
-MAX_PAGE_DEPTH = 4  # pages upon pages; more than any body can need
+MAX_PAGE_DEPTH = 4  # levels of pages; more than any body can need
 NODE_FAILED_RETRY_AFTER = timedelta(seconds=1)
 
 
 @dataclass(slots=True, frozen=True)
 class PieceTerms:
-    """What rules yield for a call's pieces, besides their classes and plan."""
+    """The part of a rule's decision that applies to a call's pieces, besides class and plan."""
 
-    shard: int = -1  # where new ones go; -1: to any node
-    deadline: timedelta | None = None  # of each; None: its class's
+    shard: int = -1  # shard of new pieces; -1: any node
+    deadline: timedelta | None = None  # of each request; None: its class's deadline
 
 
 DEFAULT_PIECE_TERMS = PieceTerms()
@@ -53,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallTerms:
-    """The terms under which one call is served: the front's and its bucket's, as rules have changed them."""
+    """The settings for one call: those of the front and of the bucket, as changed by rules."""
 
     conf: ObjectSettings
     bucket: Bucket
@@ -62,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WrittenBody:
-    """A body that lies on nodes."""
+    """A body that has been written to nodes."""
 
     refs: tuple[Ref, ...]
     md5: bytes
@@ -76,9 +75,9 @@
         """Read and write under the terms of one call.
 
         Args:
-            serve: Serves a request of the core, with the complete body of its answer.
+            serve: Serves a request of the core and returns its answer with the complete body.
             settings: The platform's settings.
-            terms: The call's classes, bucket and placement of pieces.
+            terms: The call's classes, bucket and settings for pieces.
         """
         self.serve = serve
         self.settings = settings
@@ -91,14 +90,14 @@
         """Read the payload of a piece.
 
         Args:
-            address: Where the piece lies.
+            address: The address of the piece.
             size: The payload's size in bytes, which sets the read's cost; MAX_PAYLOAD_BYTES if unknown.
 
         Returns:
-            The payload; None where the piece was never written.
+            The payload; None if the piece was never written.
 
         Raises:
-            ObjectError: The core rejects or fails the request, or a node returns another piece.
+            ObjectError: The core rejects or fails the request, or a node returns a wrong piece.
         """
         request = self._create_request(self.conf.read_class, address, size + HEADER_BYTES)
         served = await self._serve(request)
@@ -112,7 +111,7 @@
 
         Args:
             payload: At most MAX_PAYLOAD_BYTES bytes.
-            address: Where the piece lies; None: a new one, which goes to any node, or where rules say.
+            address: The address of the piece; None: a new one, on any node or on the shard given by rules.
 
         Raises:
             ObjectError: The core rejects or fails the request.
@@ -142,16 +141,16 @@
             method="PUT" if request_class.writes else "GET",
             target=f"/{request_class.name}/{bucket.volume}/{address.piece}",
             body=body,
-            # fresh for each write: a manifest written anew is no retry of the one before
+            # a new key for each write: writing a manifest again is not a retry of the previous write
             idempotency_key=secrets.token_hex(8) if request_class.effect is api.Effect.IDEMPOTENT else None,
         )
 
     def _limit_time(self, class_deadline: timedelta) -> timedelta:
-        """The time for a request: its class's, or what rules yield where that is less."""
+        """Return the time for a request: its class's deadline, or that given by rules if it is shorter."""
         return class_deadline if self.pieces.deadline is None else min(class_deadline, self.pieces.deadline)
 
     def _count_units(self, size: int) -> float:
-        """Units of work by size: a full piece counts as the largest request there is."""
+        """Return the units of work for a size; a full piece costs as much as the largest request allowed."""
         return float(max(1, math.ceil(self.conf.max_units * size / MAX_PIECE_BYTES)))
 
     async def _serve(self, request: model.Request) -> model.Served:
@@ -167,7 +166,7 @@
 
     # -- bodies -------------------------------------------------------------------------------------------
     async def write_body(self, chunks: AsyncIterator[bytes]) -> WrittenBody:
-        """Write a body as it arrives; raises ObjectError."""
+        """Write a body while it arrives; raises ObjectError."""
         md5 = hashlib.md5(usedforsecurity=False)
         size = 0
         refs: list[Ref] = []
@@ -182,7 +181,7 @@
         return WrittenBody(tuple(refs), md5.digest(), size)
 
     async def write_ref_pages(self, refs: tuple[Ref, ...], limit: int) -> tuple[Ref, ...]:
-        """Write pages of references until at most `limit` references are left; raises ObjectError."""
+        """Write levels of reference pages until at most `limit` references remain; raises ObjectError."""
         while len(refs) > limit:
             pages: list[Ref] = []
             for start in range(0, len(refs), REFS_PER_PAGE):
@@ -194,7 +193,7 @@
         return refs
 
     async def read_body(self, refs: tuple[Ref, ...], start: int, stop: int) -> AsyncGenerator[bytes, None]:
-        """Yield the bytes `start` to `stop` of a body, in order, read a little ahead; raises ObjectError."""
+        """Yield the bytes `start` to `stop` of a body in order, with some read-ahead; raises ObjectError."""
         async with TaskWindow[bytes](self.conf.window) as window:
             async for leaf in self._find_leaves(refs, start, stop):
                 chunk = await window.add(self._read_leaf(leaf))
@@ -206,8 +205,8 @@
     async def _find_leaves(
         self, refs: tuple[Ref, ...], start: int, stop: int, level: int = 0
     ) -> AsyncIterator[Overlap]:
-        """The pieces that hold a range; of the pages above them only those that are needed are read."""
-        # Guards against references that lead back to themselves.
+        """Yield the pieces that hold a range, reading only the pages that are needed for it."""
+        # Stops at cyclic references.
         if level > MAX_PAGE_DEPTH:
             raise ObjectError(ErrorCode.INTERNAL_ERROR, "references lie too deep")
         for overlap in find_overlaps(refs, start, stop):
@@ -224,7 +223,7 @@
 
     async def _read_leaf(self, leaf: Overlap) -> bytes:
         payload = await self._read_written(leaf.ref.address, leaf.ref.size)
-        # Guards an answer's length: it was promised before this piece was read.
+        # Content-Length was sent before this piece was read, so its size must match.
         if len(payload) != leaf.ref.size:
             raise ObjectError(ErrorCode.INTERNAL_ERROR, "a piece has another size than was written")
         return payload[leaf.start : leaf.stop]
@@ -237,7 +236,7 @@
 
 
 async def split_payloads(chunks: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
-    """Split a body into payloads of MAX_PAYLOAD_BYTES bytes, and a last one."""
+    """Split a body into payloads of MAX_PAYLOAD_BYTES bytes; the last one may be shorter."""
     buffer = bytearray()
     async for chunk in chunks:
         buffer += chunk
--- a/stoatrouter/fronts/objects/transfer.py
+++ b/stoatrouter/fronts/objects/transfer.py
@@ -1,4 +1,4 @@
-"""Bodies on a client's connection: received with their stated length, sent without standing still."""
+"""Receives and sends bodies on a client's connection, with checks of length and a timeout for stalls."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 
-MAX_BODY_BYTES = 5 << 30  # of an object or a part
-STALL_TIMEOUT = timedelta(seconds=60)  # how long a client may send or read nothing
+MAX_BODY_BYTES = 5 << 30  # of an object or a part: 5 GiB
+STALL_TIMEOUT = timedelta(seconds=60)  # a client may send or read nothing for this long
 
 
 async def receive_body(request: web.BaseRequest) -> AsyncIterator[bytes]:
-    """Yield a call's body as it arrives, of exactly the length that was stated.
+    """Yield a call's body as it arrives, and check it against Content-Length.
 
     Raises:
-        ObjectError: The body is not served, too large, or does not arrive complete.
+        ObjectError: The body's encoding is not supported, or it is too large or incomplete.
     """
     length = check_framing(request)
     if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
@@ -28,15 +28,15 @@
     while chunk := await receive_chunk(request):
         size += len(chunk)
         yield chunk
-    if size != length:  # the client went away: what has arrived is no object
+    if size != length:  # the client disconnected early; the incomplete body is not stored as an object
         raise ObjectError(ErrorCode.INCOMPLETE_BODY, "the body ended early")
 
 
 def check_framing(request: web.BaseRequest) -> int:
-    """Check how a body is framed and return its length in bytes; raises ObjectError."""
+    """Check a body's framing and return its length in bytes; raises ObjectError."""
     encoding = request.headers.get("Content-Encoding", "")
     signed = request.headers.get("x-amz-content-sha256", "").startswith("STREAMING")
-    # Guards against framing that would be stored as if it were the object's bytes.
+    # The framing of signed chunks would be stored as part of the object.
     if signed or "aws-chunked" in encoding:
         raise ObjectError(ErrorCode.NOT_IMPLEMENTED, "signed chunks are not served: send the body as it is")
     length = request.content_length
@@ -48,12 +48,12 @@
 
 
 async def receive_chunk(request: web.BaseRequest) -> bytes:
-    """Receive the next bytes of a body, none at its end; raises ObjectError where the client stalls."""
+    """Receive the next bytes of a body, none at its end; raises ObjectError if the client stalls."""
     try:
         async with asyncio.timeout(STALL_TIMEOUT.total_seconds()):
             return await request.content.readany()
     except TimeoutError:
-        # Guards the operations that may run at once: a client that stalls must not hold one for ever.
+        # The number of concurrent operations is limited; a stalled client must not hold one for ever.
         raise ObjectError(ErrorCode.REQUEST_TIMEOUT, "the body stalled") from None
 
 
@@ -62,7 +62,7 @@
 ) -> None:
     """Send a response with its body.
 
-    The body's first chunk is read before the status goes out, so an error at its start is answered as one.
+    The first chunk of the body is read before the status is sent, so an early error gets an error status.
     """
     first = await anext(body, b"")
     await response.prepare(request)
@@ -71,12 +71,12 @@
         async for chunk in body:
             await send_chunk(response, chunk)
     except (ObjectError, TimeoutError) as error:
-        # Guards against a short answer taken for a complete one: the connection breaks before the length
-        # that was promised, which a client can see; it may ask for the rest by a range.
+        # The connection is aborted before Content-Length is reached, so that the client notices the
+        # truncation; it can request the rest with a range.
         logger.warning(
-            "objects: an answer was cut: {reason}",
+            "objects: a response was truncated: {reason}",
             event="objects.cut",
-            reason=str(error) or "its reader stalled",
+            reason=str(error) or "the client stalled",
         )
         if request.transport is not None:
             request.transport.abort()
@@ -86,6 +86,6 @@
 
 
 async def send_chunk(response: web.StreamResponse, chunk: bytes) -> None:
-    """Send some bytes of a body; raises TimeoutError where the client stalls."""
+    """Send some bytes of a body; raises TimeoutError if the client stalls."""
     async with asyncio.timeout(STALL_TIMEOUT.total_seconds()):
         await response.write(chunk)
--- a/stoatrouter/fronts/objects/upload_calls.py
+++ b/stoatrouter/fronts/objects/upload_calls.py
@@ -1,7 +1,7 @@
-"""Calls of multipart uploads: an object written in parts, through any heads.
+"""Calls of multipart uploads: an object is written in parts, and each call may reach another head.
 
-The upload's record tells whether it is still open; which parts there are is known to the client alone, by
-the ETags that it got for them (`stoatrouter.fronts.objects.tokens`).
+The upload's record holds its state. Only the client knows which parts exist, by the ETags that it got for
+them (`stoatrouter.fronts.objects.tokens`).
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
         self.tokens = tokens
 
     async def initiate(self, call: Call) -> web.StreamResponse:
-        """Open an upload and answer with its id; raises ObjectError."""
+        """Open an upload and return its id; raises ObjectError."""
         content = read_content_headers(call.request.headers)
         bucket = call.store.bucket.name
         upload_id = self.tokens.issue_upload_id(bucket, call.key)
@@ -48,7 +48,7 @@
         return xml_response("InitiateMultipartUploadResult", Bucket=bucket, Key=call.key, UploadId=upload_id)
 
     async def write_part(self, call: Call) -> web.StreamResponse:
-        """Store a part and answer with its ETag; raises ObjectError."""
+        """Store a part and return its ETag; raises ObjectError."""
         upload_id = call.query["uploadId"]
         number = parse_part_number(call.query["partNumber"])
         upload = await self.records.read_upload(call.store, call.key, upload_id)
@@ -61,10 +61,10 @@
         return web.Response(headers={"ETag": f'"{self.tokens.issue_part_etag(upload_id, part)}"'})
 
     async def complete(self, call: Call) -> web.StreamResponse:
-        """Make an object of the parts that the client lists; a retry gets the same answer.
+        """Create the object from the parts that the client lists; a retry gets the same answer.
 
         Raises:
-            ObjectError: The list is malformed, or the upload is over with another result.
+            ObjectError: The list is malformed, or the upload has ended with another result.
         """
         if (call.request.content_length or 0) > MAX_PART_LIST_BYTES:
             raise ObjectError(ErrorCode.MALFORMED_XML, "the list of parts is too long")
@@ -87,7 +87,7 @@
         )
 
     async def abort(self, call: Call) -> web.StreamResponse:
-        """End an upload without an object; raises ObjectError where it is complete."""
+        """End an upload without creating an object; raises ObjectError if it is complete."""
         upload_id = call.query["uploadId"]
         upload = await self.records.read_upload(call.store, call.key, upload_id)
         if upload.state == UploadState.COMPLETE:
@@ -111,13 +111,13 @@
         await self.records.write_manifest(call.store, manifest)
 
     def _check_parts(self, upload_id: str, listed: Sequence[ListedPart]) -> list[Part]:
-        """Check each part that a client lists against its ETag; raises ObjectError."""
+        """Check each listed part against its ETag; raises ObjectError."""
         if not listed or len(listed) > MAX_PARTS:
             raise ObjectError(ErrorCode.MALFORMED_XML, f"a list of 1 to {MAX_PARTS} parts is needed")
         parts: list[Part] = []
         for number, etag in listed:
             part = self.tokens.read_part(upload_id, etag)
-            # Guards placement: an ETag made up, or of another upload or part, names no piece to be read.
+            # A forged ETag, or one of another upload or part, must not give access to any piece.
             if part is None or part.number != number:
                 raise ObjectError(ErrorCode.INVALID_PART, f"part {number} is not one of this upload's")
             if parts and parts[-1].number >= number:
@@ -127,20 +127,20 @@
 
 
 def parse_part_number(text: str) -> int:
-    """Parse the number of a part; raises ObjectError where it is not from 1 to MAX_PARTS."""
+    """Parse the number of a part; raises ObjectError if it is not from 1 to MAX_PARTS."""
     if not text.isascii() or not text.isdigit() or not 1 <= int(text[:9]) <= MAX_PARTS:
         raise ObjectError(ErrorCode.INVALID_ARGUMENT, f"partNumber is not from 1 to {MAX_PARTS}")
     return int(text)
 
 
 def multipart_etag(parts: Sequence[Part]) -> str:
-    """Compute the ETag of an object in parts as S3 does: the MD5 of the parts' MD5s, and their number."""
+    """Compute a multipart object's ETag as S3 does: the MD5 of the parts' MD5s, and the number of parts."""
     digest = hashlib.md5(b"".join(part.md5 for part in parts), usedforsecurity=False).hexdigest()
     return f"{digest}-{len(parts)}"
 
 
 async def read_all(chunks: AsyncIterator[bytes], limit: int) -> bytes:
-    """Read a body into memory; raises ObjectError (MalformedXML) beyond `limit` bytes."""
+    """Read a body into memory; raises ObjectError (MalformedXML) if it exceeds `limit` bytes."""
     data = bytearray()
     async for chunk in chunks:
         data += chunk
--- a/stoatrouter/fronts/objects/window.py
+++ b/stoatrouter/fronts/objects/window.py
@@ -1,4 +1,4 @@
-"""Bounded concurrency with results in order: the window of pieces that one operation has in flight."""
+"""Bounded concurrency with ordered results, for the pieces that one operation reads or writes."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class TaskWindow(Generic[Result]):
-    """At most `limit` tasks at a time, with their results in order; leaving the window cancels the rest."""
+    """Runs at most `limit` tasks at a time and returns their results in order; its exit cancels the rest."""
 
     def __init__(self, limit: int) -> None:
-        """Start an empty window.
+        """Create an empty window.
 
         Args:
-            limit: How many tasks run at a time; adding the last of them waits for the oldest.
+            limit: The maximum number of tasks; adding a task that reaches it waits for the oldest.
         """
         self.limit = limit
         self.tasks: deque[asyncio.Task[Result]] = deque()
 
     async def __aenter__(self) -> TaskWindow[Result]:
-        """Enter the window; tasks are added within it."""
+        """Enter the context in which tasks can be added."""
         return self
 
     async def __aexit__(
@@ -33,24 +33,24 @@
         exception: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Cancel the tasks that are left and wait for their end."""
-        # Guards against attempts that go on for a client that has gone, or behind one that failed.
+        """Cancel the remaining tasks and wait until they have ended."""
+        # Attempts must not continue after the client has disconnected or another attempt has failed.
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.tasks.clear()
 
     async def add(self, work: Coroutine[Any, Any, Result]) -> Result | None:
-        """Start one more task; where that fills the window, wait for the oldest and return its result."""
+        """Start a task; if that fills the window, wait for the oldest task and return its result."""
         self.tasks.append(asyncio.get_running_loop().create_task(work))
         return await self._wait_for_oldest() if len(self.tasks) >= self.limit else None
 
     async def drain(self) -> AsyncIterator[Result]:
-        """Yield the results of the tasks in flight, in order."""
+        """Yield the results of the remaining tasks in order."""
         while self.tasks:
             yield await self._wait_for_oldest()
 
     async def _wait_for_oldest(self) -> Result:
-        result = await self.tasks[0]  # it stays listed until it is over: leaving the window ends it too
+        result = await self.tasks[0]  # stays in the queue while it runs, so that __aexit__ cancels it too
         self.tasks.popleft()
         return result
--- a/stoatrouter/fronts/objects/xml_bodies.py
+++ b/stoatrouter/fronts/objects/xml_bodies.py
@@ -1,4 +1,4 @@
-"""XML bodies of the S3 protocol: the parts that a client lists, and answers."""
+"""Parses and builds XML bodies of the S3 protocol."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ListedPart(NamedTuple):
-    """A part that a client names in CompleteMultipartUpload."""
+    """A part that a client lists in CompleteMultipartUpload."""
 
     number: int
     etag: str
@@ -23,7 +23,7 @@
 
 def parse_part_list(data: bytes) -> list[ListedPart]:
     """Parse the body of CompleteMultipartUpload; raises ObjectError."""
-    # Guards the parser: entities that grow without end need a declaration, which no client sends.
+    # Entity expansion attacks need a declaration, which no legitimate client sends.
     if b"<!" in data or b"\0" in data:
         raise ObjectError(ErrorCode.MALFORMED_XML, "declarations are not allowed")
     try:
@@ -36,18 +36,18 @@
 
 
 def parse_part(element: ET.Element) -> ListedPart:
-    """Parse one part of the list; raises KeyError or ValueError where fields are missing or malformed."""
+    """Parse one part of the list; raises KeyError or ValueError if fields are missing or malformed."""
     fields = {local_name(child): (child.text or "").strip() for child in element}
     return ListedPart(int(fields["PartNumber"]), fields["ETag"].strip('"'))
 
 
 def local_name(element: ET.Element) -> str:
-    """An element's name without its namespace, which clients may leave out."""
+    """Return an element's name without its namespace, which clients may omit."""
     return element.tag.rpartition("}")[2]
 
 
 def xml_response(root: str, **fields: str) -> web.Response:
-    """Build an answer of the S3 protocol: one element with these fields as its children."""
+    """Build an XML response of the S3 protocol: a root element with a child element for each field."""
     children = "".join(f"<{name}>{escape(value)}</{name}>" for name, value in fields.items())
     document = f'{XML_DECLARATION}<{root} xmlns="{NAMESPACE}">{children}</{root}>'
     return web.Response(content_type="application/xml", body=document.encode())
