--- a/stoatrouter/cli/__init__.py
+++ b/stoatrouter/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: each command a thin call into one package. Loaded only for a command."""
+"""The command line: each command is a thin wrapper around one package. Heads do not import it."""
 
 from stoatrouter.cli.main import main
 
--- a/stoatrouter/cli/config_check.py
+++ b/stoatrouter/cli/config_check.py
@@ -1,4 +1,4 @@
-"""`config check`: any operator's file, by what it is."""
+"""`config check`: checks a configuration, settings or rule file according to its kind."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from stoatrouter.settings import Fault, Place, SettingsError, load
 from stoatrouter.settings.parser import parse
 
-# Given the file and the configuration that its names belong to: its warnings; raises SettingsError
+# Checks a file, given the configuration that its names refer to; returns warnings or raises SettingsError.
 FileCheck = Callable[[Path, Path | None], list[Fault]]
 
 
@@ -22,14 +22,14 @@
     """Check a head's configuration.
 
     Raises:
-        ConfigError: The first error of it.
+        ConfigError: The configuration cannot be read or is invalid.
     """
     config.read({"NODE_CONFIG": str(file)}, {})
     return []
 
 
 def check_http(file: Path, config_path: Path | None) -> list[Fault]:
-    """Check the file of the HTTP front, its rules, and the rules that it shadows."""
+    """Check the settings file of the HTTP front, its rules and its shadow rules."""
     from stoatrouter.fronts.http.settings import HttpFile
 
     record = load(file, HttpFile, "http.#Http").record
@@ -40,7 +40,7 @@
 
 
 def check_objects(file: Path, config_path: Path | None) -> list[Fault]:
-    """Check the file of the object front, and its rules if it has any."""
+    """Check the settings file of the object front, and its rules if it has any."""
     from stoatrouter.fronts.objects.settings import ObjectsFile
 
     record = load(file, ObjectsFile, "objects.#Objects").record
@@ -50,12 +50,12 @@
 
 
 def check_rules(file: Path, config_path: Path | None) -> list[Fault]:
-    """Check the operator's file of a rule table, and those of its teams."""
+    """Check the operator's file of a rule table and the files of its teams."""
     return load_table(file, config_path).warnings
 
 
 def check_team(file: Path, config_path: Path | None) -> list[Fault]:
-    """Check a team's file by its form alone; its expressions are read with the operator's file."""
+    """Check only the structure of a team's file; its expressions are checked with the operator's file."""
     from stoatrouter.matching.files import TEAM_DEFINITION
     from stoatrouter.matching.records import Team
 
@@ -74,18 +74,18 @@
 
 @click.group("config")
 def config_group() -> None:
-    """Files of settings."""
+    """Work with configuration and settings files."""
 
 
 @config_group.command("check")
 @click.argument("file", type=EXISTING_FILE)
 @click.option(
-    "--kind", type=click.Choice(list(CHECKS)), default=None, help="What the file is; told by its fields else."
+    "--kind", type=click.Choice(list(CHECKS)), default=None, help="The kind of the file; default: detected."
 )
 @config_option
 @json_option
 def check_command(file: Path, kind: str | None, config_path: Path | None, as_json: bool) -> None:
-    """Check one file, and the rules that it names. All errors at once; exit code 1 where there are any."""
+    """Check a file and the rule files that it names. Reports all errors; exit code 1 if there are any."""
     kind = kind or recognize_kind(file)
     try:
         warnings = CHECKS[kind](file, config_path)
@@ -101,7 +101,7 @@
 
 
 def recognize_kind(file: Path) -> str:
-    """The kind of a file, by its suffix and fields; `http`, whose check reports why, if it is unreadable."""
+    """Return a file's kind by its suffix and fields; `http` if unreadable: that check reports the error."""
     if file.suffix == ".json":
         return "head"
     try:
--- a/stoatrouter/cli/options.py
+++ b/stoatrouter/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands have, and the types of their files."""
+"""Options shared by several commands, and the type of file arguments."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     "config_path",
     type=EXISTING_FILE,
     default=None,
-    help="The head's configuration, whose classes and plans rules name. NODE_CONFIG where it is set.",
+    help="The head's configuration, which defines classes and plans. Default: NODE_CONFIG, if set.",
 )
 objects_option = click.option(
-    "--objects", type=EXISTING_FILE, default=None, help="Rules of the object front: its operator's file."
+    "--objects", type=EXISTING_FILE, default=None, help="Settings file of the object front, for its rules."
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="The result as one JSON object.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print the result as one JSON object.")
--- a/stoatrouter/cli/output.py
+++ b/stoatrouter/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands report: exit codes, faults of files, and results as text or as one JSON object."""
+"""Output of commands: exit codes, faults in files, and results as text or as one JSON object."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     """The exit codes of all commands (docs/cli.md)."""
 
     SUCCESS = 0
-    FINDINGS = 1  # errors in files, or differences
-    CANNOT_RUN = 2  # a file that is not there, a bad argument
+    FINDINGS = 1  # errors in files, or differences between tables
+    CANNOT_RUN = 2  # such as a missing file or an invalid argument
 
 
 class CommandError(click.ClickException):
-    """A command that cannot be carried out; click prints the message."""
+    """A command cannot be run; click prints the message."""
 
     exit_code = ExitCode.CANNOT_RUN
 
@@ -33,7 +33,7 @@
 
 
 def fault_data(fault: Fault) -> dict[str, Any]:
-    """A fault as data for JSON output."""
+    """Return a fault as data for JSON output."""
     return {
         "file": fault.at.file,
         "line": fault.at.line,
@@ -44,7 +44,7 @@
 
 
 def exit_with_faults(error: SettingsError, as_json: bool, code: ExitCode = ExitCode.FINDINGS) -> NoReturn:
-    """Print the faults of files and end the process.
+    """Print the faults of files and exit the process.
 
     Raises:
         SystemExit: Always, with the exit code.
@@ -60,16 +60,16 @@
 
 
 def echo_warnings(warnings: Iterable[Fault]) -> None:
-    """Print warnings to standard error, a line for each."""
+    """Print warnings to standard error, one per line."""
     for warning in warnings:
         click.echo(f"warning: {warning}", err=True)
 
 
 def echo_unchecked_names(names_checked: bool) -> None:
-    """Note on standard error that names were not checked, where there was no configuration for it."""
+    """Print a note to standard error if names were not checked for lack of a configuration."""
     if not names_checked:
         click.echo(
-            "note: no --config and no NODE_CONFIG: names of classes and plans, shards and units were not "
+            "note: neither --config nor NODE_CONFIG is given: classes, plans, shards and units were not "
             "checked",
             err=True,
         )
--- a/stoatrouter/cli/rules/__init__.py
+++ b/stoatrouter/cli/rules/__init__.py
@@ -1,4 +1,4 @@
-"""`rules`: checking, explaining, comparing and timing tables; one module for each command."""
+"""The `rules` group: checks, explains, compares and times rule tables; one module per command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @click.group("rules")
 def rules_group() -> None:
-    """Rule tables."""
+    """Work with rule tables."""
 
 
 for command in (check_command, explain_command, diff_command, bench_command):
--- a/stoatrouter/cli/rules/check.py
+++ b/stoatrouter/cli/rules/check.py
@@ -1,4 +1,4 @@
-"""`rules check`: the errors of a table, and what a request may cost in each scope."""
+"""`rules check`: checks a table and reports the maximum cost of a request in each scope."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 @objects_option
 @json_option
 def check_command(file: Path, config_path: Path | None, objects: Path | None, as_json: bool) -> None:
-    """Check a table: all errors at once, rules that can never match, and what a request may cost."""
+    """Check a table: report all errors, rules that can never match, and the maximum cost of a request."""
     try:
         loaded = load_table(file, config_path, objects)
     except SettingsError as error:
@@ -36,14 +36,14 @@
     for name, compiled in loaded.table.scopes.items():
         click.echo(
             f"{name}: {len(compiled.rules)} rules, at most {compiled.max_steps} of {compiled.scope.steps} "
-            "steps a request"
+            "steps per request"
         )
     echo_unchecked_names(loaded.names_checked)
     click.echo(f"{file}: fine, table {loaded.table.epoch}")
 
 
 def table_data(loaded: LoadedTable) -> dict[str, object]:
-    """A table that has no errors, as data for JSON output."""
+    """Return the report on a table without errors, as data for JSON output."""
     scopes = {
         name: {"rules": len(compiled.rules), "steps": compiled.max_steps, "most": compiled.scope.steps}
         for name, compiled in loaded.table.scopes.items()
--- a/stoatrouter/cli/rules/diff.py
+++ b/stoatrouter/cli/rules/diff.py
@@ -1,4 +1,4 @@
-"""`rules diff`: which recorded requests two tables decide differently."""
+"""`rules diff`: finds the recorded requests for which two tables decide differently."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
 
-IGNORED_FIELDS = ("scope", "rule")  # of a decision: who decided, not what
+IGNORED_FIELDS = ("scope", "rule")  # fields of a decision that tell where it was made, not its result
 
 
 @click.command("diff")
@@ -29,7 +29,7 @@
 @config_option
 @json_option
 def diff_command(old: Path, new: Path, log: Path, config_path: Path | None, as_json: bool) -> None:
-    """Which recorded requests a new table decides otherwise, by rule. Exit code 1 where any is."""
+    """List recorded requests for which a new table decides differently, by rule. Exit code 1 if any."""
     try:
         before = load_table(old, config_path).table
         after = load_table(new, config_path).table
@@ -47,7 +47,7 @@
 def differences_data(
     found: Iterable[Difference], counts: Counter[str], before: Table, after: Table
 ) -> dict[str, object]:
-    """Differences as data for JSON output."""
+    """Return differences as data for JSON output."""
     return {
         "requests": counts["requests"],
         "unreadable": counts["unreadable"],
@@ -67,7 +67,7 @@
 
 
 def echo_differences(found: Iterable[Difference], counts: Counter[str], before: Table, after: Table) -> None:
-    """Print differences as text, a line for each pair of rules, and the counts."""
+    """Print differences as text, one line per pair of rules, and the counts."""
     for each in found:
         lines = ", ".join(map(str, each.lines))
         changes = describe_changes(each, before, after)
@@ -77,7 +77,7 @@
 
 
 def describe_changes(difference: Difference, before: Table, after: Table) -> str:
-    """What becomes of the example of a difference: each field whose value changes."""
+    """Describe the fields of the decision that differ for the example of a difference."""
     was = decision_data(difference.example.old, before)
     now = decision_data(difference.example.new, after)
     return ", ".join(
--- a/stoatrouter/cli/rules/examples.py
+++ b/stoatrouter/cli/rules/examples.py
@@ -1,4 +1,4 @@
-"""Requests that apply_constraint rules, built from the constraints of the rules' conditions."""
+"""Generates requests that match rules, from the constraints of the rules' conditions."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from stoatrouter.matching.inputs import Input, UnreadableRequestError, read_input
 from stoatrouter.matching.table import CompiledScope
 
-WILDCARD_LABEL = "any"  # in place of the star of a host
-FILLER_SEGMENT = "x"  # a segment of a path that no constraint names
+WILDCARD_LABEL = "any"  # replaces the star in a host pattern
+FILLER_SEGMENT = "x"  # for path segments without a constraint
 PEER_ADDRESS = "127.0.0.1"
 
 
 @dataclass(slots=True)
 class Draft:
-    """A request in its parts, while the constraints of a condition are put into it."""
+    """A request under construction, to which the constraints of a condition are applied."""
 
     host: str
     method: str = "GET"
@@ -26,7 +26,7 @@
     segments: dict[int, str] = field(default_factory=dict)
 
     def apply_constraint(self, constraint: Constraint) -> None:
-        """Put the least value that a constraint allows into its place; other dimensions are left out."""
+        """Set the part that a constraint applies to to its smallest value; unknown dimensions are skipped."""
         kind, name = constraint.dimension
         value = min(constraint.values)
         if kind == "host":
@@ -43,13 +43,13 @@
             self.query.append(f"{name}={value}")
 
     def target(self, default_path: str) -> str:
-        """The path, with its segments put in, and the query."""
+        """Return the request target: the path with its segments filled in, and the query."""
         path = fill_segments(self.path or default_path, self.segments)
         return path + ("?" + "&".join(self.query) if self.query else "")
 
 
 def example_requests(compiled: CompiledScope) -> list[Input]:
-    """A request for each rule of a scope, as far as its constraints tell; none where that cannot be read."""
+    """Return a request for each rule of a scope, built from its constraints; unreadable ones are left out."""
     requests = []
     for rule in compiled.rules:
         try:
@@ -60,10 +60,10 @@
 
 
 def example_request(compiled: CompiledScope, condition: Condition) -> Input:
-    """A request of a scope that meets the constraints of a condition.
+    """Return a request of a scope that satisfies the constraints of a condition.
 
     Raises:
-        UnreadableRequestError: A front would reject it before any rule.
+        UnreadableRequestError: A front would reject the request before applying rules.
     """
     draft = Draft(compiled.scope.hosts[0].replace("*", WILDCARD_LABEL))
     for constraint in condition.constraints:
@@ -73,7 +73,7 @@
 
 
 def fill_segments(path: str, segments: Mapping[int, str]) -> str:
-    """A path with some segments replaced, lengthened where it has too few."""
+    """Return a path with some segments replaced; it is extended if it has too few."""
     parts = path.split("/")[1:]
     for at, value in segments.items():
         parts += [FILLER_SEGMENT] * (at + 1 - len(parts))
--- a/stoatrouter/cli/rules/explain.py
+++ b/stoatrouter/cli/rules/explain.py
@@ -1,4 +1,4 @@
-"""`rules explain`: the rules that one request meets, and why each matches or does not."""
+"""`rules explain`: shows the rules evaluated for a request, and why each of them matches or not."""
 
 from __future__ import annotations
 
@@ -28,12 +28,10 @@
     required=True,
     help="'METHOD TARGET', or LOG:LINE of a recorded request, or one record as JSON.",
 )
-@click.option("--header", "-H", "headers", multiple=True, help="'Name: value'; may be given again.")
+@click.option("--header", "-H", "headers", multiple=True, help="'Name: value'; may be repeated.")
 @click.option("--peer", default="127.0.0.1", show_default=True, help="The client's address.")
-@click.option("--size", type=int, default=-1, help="The stated length of the body.")
-@click.option(
-    "--class", "request_class", default="", help="The class that the front would give without rules."
-)
+@click.option("--size", type=int, default=-1, help="Content-Length of the body; -1: unknown.")
+@click.option("--class", "request_class", default="", help="The class that the front assigns without rules.")
 @click.option("--object", "object_name", default=None, help="BUCKET/KEY, for rules of the object front.")
 @click.option(
     "--operation", default="read", show_default=True, help="The operation, for rules of the object front."
@@ -54,7 +52,7 @@
     objects: Path | None,
     as_json: bool,
 ) -> None:
-    """Which rules a request meets, which conjunct fails in each, what is yielded, and the cost."""
+    """Show the rules evaluated for a request, the conjunct that fails in each, the decision and the cost."""
     try:
         loaded = load_table(file, config_path, objects)
         request = read_request(request_text, headers, peer, size, request_class)
@@ -74,11 +72,11 @@
 
 
 def read_request(text: str, headers: Iterable[str], peer: str, size: int, request_class: str) -> Input:
-    """The request that the options describe.
+    """Return the request that the options describe.
 
     Raises:
-        UnreadableRequestError: A front would reject it before any rule.
-        CommandError: The options describe no request.
+        UnreadableRequestError: A front would reject the request before applying rules.
+        CommandError: The options do not describe a request.
     """
     if text.startswith("{"):
         try:
@@ -93,23 +91,23 @@
 
 
 def read_header(text: str) -> tuple[bytes, bytes]:
-    """A header field as it would come on the wire.
+    """Parse a header field to its name and value in bytes.
 
     Raises:
         CommandError: There is no colon.
     """
     name, colon, value = text.partition(":")
     if not colon:
-        raise CommandError(f"{text!r} is no 'Name: value'")
+        raise CommandError(f"{text!r} is not in the form 'Name: value'")
     return name.strip().encode(), value.strip().encode()
 
 
 def read_recorded(reference: str) -> Input:
-    """The recorded request that LOG:LINE refers to.
+    """Return the recorded request that LOG:LINE refers to.
 
     Raises:
-        UnreadableRequestError: A front would reject it before any rule.
-        CommandError: There is no such line, or no request in it.
+        UnreadableRequestError: A front would reject the request before applying rules.
+        CommandError: There is no such line, or it does not hold a request.
     """
     name, _, line = reference.rpartition(":")
     if not name or not line.isdigit() or not Path(name).is_file():
@@ -125,14 +123,14 @@
 
 
 def set_object(request: Input, object_name: str | None, operation: str) -> None:
-    """Fill in the inputs that only requests of the object front have."""
+    """Set the inputs that only calls of the object front have."""
     bucket, _, key = (object_name or "/").partition("/")
     for name, value in (("bucket", bucket), ("key", key), ("operation", operation)):
         setattr(request, name, value)
 
 
 def echo_unreadable(error: UnreadableRequestError, as_json: bool) -> None:
-    """Print how a front would answer a request that no rule sees."""
+    """Print how a front would answer a request that it rejects before applying rules."""
     if as_json:
         echo_json({"unreadable": error.status, "reason": str(error)})
     else:
@@ -140,7 +138,7 @@
 
 
 def explanation_data(explanation: Explanation, table: Table) -> dict[str, object]:
-    """An explanation as data for JSON output."""
+    """Return an explanation as data for JSON output."""
     looked = [
         {"rule": each.rule, "matched": each.failed is None, "failed": each.failed, "steps": each.steps}
         for each in explanation.tried
@@ -155,12 +153,12 @@
 
 
 def echo_explanation(explanation: Explanation, table: Table) -> None:
-    """Print an explanation as text: the scope, each rule, the decision, the cost."""
+    """Print an explanation as text: the scope, the rules, the decision and the cost."""
     if explanation.scope is None:
         click.echo("no scope claims this host and path")
     else:
         looked = len(explanation.tried)
-        click.echo(f"scope {explanation.scope}: {explanation.rules} rules, {looked} looked at")
+        click.echo(f"scope {explanation.scope}: {explanation.rules} rules, {looked} evaluated")
     for each in explanation.tried:
         result = "matched" if each.failed is None else f"no: {each.failed}"
         click.echo(f"  {each.rule}: {result} ({each.steps} steps at most)")
--- a/stoatrouter/cli/tables.py
+++ b/stoatrouter/cli/tables.py
@@ -1,4 +1,4 @@
-"""Rule tables as commands load them: with or without the configuration that their names belong to."""
+"""Loads rule tables for commands, with or without the head's configuration that their names refer to."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 from stoatrouter.matching.vocabulary import Bucket, KnownClass, Vocabulary
 from stoatrouter.settings import Fault, load
 
-ASSUMED_DEADLINE = span(10**9)  # of classes that no configuration describes, in microseconds: no limit
-ASSUMED_MAX_UNITS = 1e6  # most units of a request, without a configuration
+# Assumed without a configuration; large enough not to limit rules.
+ASSUMED_DEADLINE = span(10**9)  # of each class; 10**9 microseconds
+ASSUMED_MAX_UNITS = 1e6  # of a request
 
 
 @dataclass(slots=True, frozen=True)
 class LoadedTable:
-    """A table, the files that it was made of, and what its conditions may refer to.
+    """A table, its source files, and the environment of its conditions.
 
-    `names_checked` tells whether classes and plans are those of a configuration.
+    `names_checked` tells whether the names of classes and plans were checked against a configuration.
     """
 
     table: Table
@@ -36,7 +37,7 @@
 
     @property
     def warnings(self) -> list[Fault]:
-        """What is suspicious, but no error, such as rules that never match."""
+        """Problems that are not errors, such as rules that never match."""
         return [self.sources.locate(warning) for warning in self.table.warnings]
 
 
@@ -44,12 +45,12 @@
     """Load the table of a rule file.
 
     Args:
-        path: The rules.
-        config_path: The configuration whose classes and plans they name; NODE_CONFIG where it is None.
-        objects: The operator's file of the object front, for rules of that front.
+        path: The rule file.
+        config_path: The configuration that defines classes and plans; None: that of NODE_CONFIG.
+        objects: The settings file of the object front, for rules of that front.
 
     Raises:
-        SettingsError: All errors of the files.
+        SettingsError: The files have errors; it holds them all.
         CommandError: The configuration cannot be read.
     """
     configured = configured_vocabulary(config_path)
@@ -64,10 +65,10 @@
 
 
 def configured_vocabulary(config_path: Path | None) -> Vocabulary | None:
-    """The classes and plans of a head's configuration; None where no configuration is given.
+    """Return the vocabulary of a head's configuration; None if no configuration is given.
 
     Raises:
-        CommandError: It cannot be read.
+        CommandError: The configuration cannot be read.
     """
     source = config_path or os.environ.get("NODE_CONFIG")
     if not source:
@@ -79,10 +80,10 @@
 
 
 def assumed_vocabulary(path: Path) -> Vocabulary:
-    """The names that a rule file itself uses, as if all existed and no class were idempotent.
+    """Return a vocabulary of the names that a rule file uses, assuming that no class is idempotent.
 
     Raises:
-        SettingsError: All errors of the files.
+        SettingsError: The files have errors; it holds them all.
     """
     scopes = RuleFileReader().read(path).operator.record.scopes.values()
     classes = sorted({name for scope in scopes for name in scope.classes})
@@ -92,12 +93,12 @@
 
 
 def load_buckets(objects: Path) -> Mapping[str, Bucket]:
-    """The buckets of an object front, by name.
+    """Return the buckets of an object front, by name.
 
     Raises:
-        SettingsError: All errors of its file.
+        SettingsError: The settings file has errors; it holds them all.
     """
-    from stoatrouter.fronts.objects.settings import ObjectsFile  # loaded for the object front alone
+    from stoatrouter.fronts.objects.settings import ObjectsFile  # imported only for the object front
 
     record = load(objects, ObjectsFile, "objects.#Objects").record
     return {name: Bucket(bucket.volume, bucket.plan) for name, bucket in record.buckets.items()}
--- a/stoatrouter/importer/__init__.py
+++ b/stoatrouter/importer/__init__.py
@@ -1,1 +1,1 @@
-"""Reads the balancer settings of other servers: Apache's BalancerMember and mod_jk's workers.properties."""
+"""Imports load balancer settings from Apache's BalancerMember and mod_jk's workers.properties."""
--- a/stoatrouter/importer/__main__.py
+++ b/stoatrouter/importer/__main__.py
@@ -1,4 +1,4 @@
-"""python -m stoatrouter.importer apache|jk FILE: the node list of a balancer, in discovery's form."""
+"""python -m stoatrouter.importer apache|jk FILE: prints the node list of a balancer in discovery's format."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 FORMATS = {"apache": apache.read, "jk": jk.read}
 EXIT_SUCCESS = 0
-EXIT_FAILURE = 2  # the file cannot be read or taken over
+EXIT_FAILURE = 2  # the file cannot be read or imported
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Print the node list on standard output, and on standard error what was not carried over.
+    """Print the node list to standard output, and notes on what was not imported to standard error.
 
     Args:
-        arguments: The words of the command line; those of the process where it is None.
+        arguments: The command-line arguments; None: those of the process.
 
     Returns:
-        The exit code: 0, or 2 where the file cannot be taken over.
+        The exit code: 0, or 2 if the file cannot be imported.
     """
     options = parse_arguments(arguments)
     try:
@@ -38,12 +38,12 @@
 
 
 def parse_arguments(arguments: list[str] | None) -> argparse.Namespace:
-    """The options of the command line; ends the process with exit code 2 where they are wrong."""
+    """Parse the command line; exits the process with code 2 if it is invalid."""
     parser = argparse.ArgumentParser(prog="stoatrouter.importer", description=__doc__)
     parser.add_argument("format", choices=FORMATS)
     parser.add_argument("file", type=Path)
-    parser.add_argument("--balancer", help="its name; needed where the file has several")
-    parser.add_argument("--http-port", type=int, help="where members that the file reaches by AJP speak HTTP")
+    parser.add_argument("--balancer", help="name of the balancer; required if the file has several")
+    parser.add_argument("--http-port", type=int, help="HTTP port of members that the file addresses by AJP")
     return parser.parse_args(arguments)
 
 
--- a/stoatrouter/importer/apache.py
+++ b/stoatrouter/importer/apache.py
@@ -1,7 +1,7 @@
-"""Apache httpd: BalancerMember, inside <Proxy balancer://...> or with the balancer named.
+"""Imports Apache httpd's BalancerMember, inside <Proxy balancer://...> or with the balancer as an argument.
 
-Source: httpd 2.4's documentation of mod_proxy (BalancerMember, its parameters and status flags) and of core's
-Define.
+Source: the httpd 2.4 documentation of mod_proxy (BalancerMember, its parameters and status flags) and of the
+core directive Define.
 """
 
 from __future__ import annotations
@@ -19,29 +19,30 @@
 VARIABLE = re.compile(r"\$\{(\w+)\}")
 STATUS_FLAG = re.compile(r"([+-]?)([DSIRHENdsirhen])")
 SUPPORTED_KEYS = {"loadfactor", "route", "status"}
-# Members under one of these get no new requests: disabled, stopped, draining, a spare or a standby.
+# Members with one of these flags get no new requests: disabled, stopped, draining, hot spare, hot standby.
 NOT_SERVING_FLAGS = set("DSNRH")
 SPARE_FLAGS = set("RH")
 
 
 @dataclass(slots=True, frozen=True)
 class Directive:
-    """One directive in its arguments, the name first, and its place: the line on which it begins."""
+    """A directive: its arguments, starting with its name, and the line on which it begins."""
 
     arguments: list[str]
     where: str
 
     @property
     def name(self) -> str:
-        """The name; httpd does not tell its case."""
+        """The name in lower case; httpd ignores case."""
         return self.arguments[0].lower()
 
 
 @dataclass(slots=True)
 class Configuration:
-    """What directives so far have defined: balancers, variables, and the sections that are open.
+    """The state built from the directives read so far: balancers, variables and open sections.
 
-    A section is the balancer that its <Proxy> names, or empty; the first is the file outside of all sections.
+    A section is represented by the balancer that its <Proxy> names, or by an empty text; the first one stands
+    for the top level of the file.
     """
 
     imported: ImportedBalancers = field(default_factory=ImportedBalancers)
@@ -49,10 +50,10 @@
     sections: list[str] = field(default_factory=lambda: [""])
 
     def apply(self, directive: Directive) -> None:
-        """Apply one directive; those that are not about balancers have no effect.
+        """Apply one directive; directives that are not about balancers have no effect.
 
         Raises:
-            ImporterError: It is malformed, or uses a variable that is not defined in the file.
+            ImporterError: The directive is malformed, or uses a variable that the file does not define.
         """
         where = directive.where
         name, *arguments = (self.substitute(argument, where) for argument in directive.arguments)
@@ -69,15 +70,15 @@
             case "balancermember":
                 read_member(self.imported, arguments, self.sections[-1], where)
             case "include" | "includeoptional":
-                self.imported.add_note(f"{where}: {name} is not followed")
+                self.imported.add_note(f"{where}: {name} is ignored")
             case "proxyset" if self.sections[-1]:
-                self.imported.add_note(f"{where}: ProxySet is not carried over: {' '.join(arguments)}")
+                self.imported.add_note(f"{where}: ProxySet is not imported: {' '.join(arguments)}")
 
     def substitute(self, argument: str, where: str) -> str:
-        """An argument with its `${variables}` replaced.
+        """Return an argument with its `${variables}` replaced.
 
         Raises:
-            ImporterError: One is not defined in this file.
+            ImporterError: A variable is not defined in this file.
         """
 
         def value(match: re.Match[str]) -> str:
@@ -89,10 +90,10 @@
 
 
 def read(text: str) -> ImportedBalancers:
-    """Read the balancers of a configuration; directives that are not about them are passed over.
+    """Read the balancers of a configuration; directives that are not about balancers are skipped.
 
     Raises:
-        ImporterError: A directive about balancers is malformed, or a <Proxy> section does not end.
+        ImporterError: A directive about balancers is malformed, or a <Proxy> section is not closed.
     """
     configuration = Configuration()
     for directive in directives(text):
@@ -103,7 +104,7 @@
 
 
 def directives(text: str) -> Iterator[Directive]:
-    """The directives of a file in their order; a backslash at its end joins a line with the next."""
+    """Yield the directives of a file in order; a backslash at the end of a line continues it on the next."""
     pending = ""
     first_line = 0
     for number, line in enumerate([*text.splitlines(), ""], 1):
@@ -119,7 +120,7 @@
 
 
 def split_arguments(line: str) -> list[str]:
-    """The arguments of a directive; within quotes a backslash escapes the next character."""
+    """Split a directive into its arguments; within quotes, a backslash escapes the next character."""
     return [
         re.sub(r"\\(.)", r"\1", quoted) if quoted or not bare else bare
         for quoted, bare in ARGUMENT.findall(line)
@@ -127,10 +128,10 @@
 
 
 def read_member(imported: ImportedBalancers, arguments: list[str], section: str, where: str) -> None:
-    """Add the member of one BalancerMember, `[balancer] url [key=value ...]`, to its balancer.
+    """Add the member of a BalancerMember, `[balancer] url [key=value ...]`, to its balancer.
 
     Raises:
-        ImporterError: It is malformed, or outside of a section and without a balancer.
+        ImporterError: The directive is malformed, or is outside of a section and names no balancer.
     """
     balancer = section
     if arguments and arguments[0].lower().startswith(BALANCER):
@@ -140,12 +141,12 @@
     url, *parameters = arguments
     values = read_parameters(parameters, where)
     if others := sorted(values.keys() - SUPPORTED_KEYS):
-        imported.add_note(f"{where}: not carried over: {', '.join(others)}")
+        imported.add_note(f"{where}: not imported: {', '.join(others)}")
     scheme, host, port = read_url(url, where)
     name = values.get("route") or f"{host}:{port}"
     flags = read_status(values.get("status", ""), where)
     if flags & SPARE_FLAGS:
-        note = f"{where}: {name} is a spare or standby: it holds a shard of its own and gets nothing"
+        note = f"{where}: {name} is a spare or standby: it gets its own shard, but no new requests"
         imported.add_note(note)
     members = imported.balancers.setdefault(balancer[len(BALANCER) :].rstrip("/"), [])
     weight = read_weight(values.get("loadfactor", "1"), where)
@@ -153,10 +154,10 @@
 
 
 def read_parameters(parameters: list[str], where: str) -> dict[str, str]:
-    """The values of `key=value` parameters, by key in lower case.
+    """Return the values of `key=value` parameters, by lower-case key.
 
     Raises:
-        ImporterError: One has no equals sign.
+        ImporterError: A parameter has no equals sign.
     """
     values = {}
     for parameter in parameters:
@@ -168,10 +169,10 @@
 
 
 def read_url(url: str, where: str) -> tuple[str, str, int]:
-    """The scheme, host and port of a member; the port is that of the scheme where none is given.
+    """Return the scheme, host and port of a member; the port defaults to that of the scheme.
 
     Raises:
-        ImporterError: It has no host, as a UNIX socket, or a port that is none.
+        ImporterError: The URL has no host, such as that of a UNIX socket, or no valid port.
     """
     try:
         parts = urlsplit(url)
@@ -187,10 +188,10 @@
 
 
 def read_status(text: str, where: str) -> set[str]:
-    """The status flags that are set: a letter or +letter sets one, -letter clears it, as in 'S-E'.
+    """Return the status flags that are set: a letter or +letter sets one, -letter clears it, as in 'S-E'.
 
     Raises:
-        ImporterError: It has anything but flags.
+        ImporterError: The text has anything but flags.
     """
     if STATUS_FLAG.sub("", text):
         raise ImporterError(f"{where}: unknown status {text!r}")
--- a/stoatrouter/importer/jk.py
+++ b/stoatrouter/importer/jk.py
@@ -1,4 +1,4 @@
-"""mod_jk: workers.properties, as Tomcat Connectors' reference guide describes it."""
+"""Imports mod_jk's workers.properties, as described in the reference guide of Tomcat Connectors."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from stoatrouter.importer.members import ImportedBalancers, ImporterError, Member, read_port, read_weight
 
 VARIABLE = re.compile(r"\$\(([^)]+)\)")
-ADDITIVE_PROPERTIES = {"balance_workers", "balanced_workers", "list"}  # further lines add to these
+ADDITIVE_PROPERTIES = {"balance_workers", "balanced_workers", "list"}  # repeated lines add values to these
 SUPPORTED_KEYS = {
     "type",
     "host",
@@ -23,12 +23,12 @@
     "balance_workers",
     "balanced_workers",
 }
-MAX_REFERENCES = 20  # one after the other, as mod_jk has it
+MAX_REFERENCES = 20  # the longest chain of references, as in mod_jk
 TRUE_VALUES = {"true", "1", "on", "yes", "t", "y"}
 NODE_TYPES = {"ajp13", "ajp14"}
 DEFAULT_TYPE = "ajp13"
 DEFAULT_PORT = "8009"
-DEFAULT_BALANCER = "workers"  # the name of the balancer of a file that has none
+DEFAULT_BALANCER = "workers"  # name of the balancer for a file without balancers
 
 
 @dataclass(slots=True)
@@ -40,10 +40,10 @@
     variables: dict[str, str] = field(default_factory=dict)
 
     def get(self, worker: str, key: str) -> str | None:
-        """A property of a worker, or of those that it refers to.
+        """Return a property of a worker, or of the workers that it references; None if it is not set.
 
         Raises:
-            ImporterError: The references form a circle.
+            ImporterError: The references form a cycle.
         """
         for _ in range(MAX_REFERENCES):
             own = self.properties.get(worker, {})
@@ -52,17 +52,17 @@
             if "reference" not in own:
                 return None
             worker = own["reference"].removeprefix("worker.")
-        raise ImporterError(f"worker {worker!r}: references go round")
+        raise ImporterError(f"worker {worker!r}: its references form a cycle")
 
     def keys(self, worker: str) -> set[str]:
-        """The names of a worker's own properties."""
+        """Return the names of a worker's own properties."""
         return set(self.properties.get(worker, {}))
 
     def add(self, key: str, value: str, where: str) -> None:
-        """Add one line. Every key is a variable for later lines too, as mod_jk has it.
+        """Add one line; as in mod_jk, every key also defines a variable for later lines.
 
         Raises:
-            ImporterError: It is no property of a worker.
+            ImporterError: The line is not a property of a worker.
         """
         value = VARIABLE.sub(lambda match: self.variables.get(match[1], match[0]), value)
         self.variables[key] = value
@@ -73,7 +73,7 @@
             case ["list"]:
                 self.listed += split_names(value)
             case [_]:
-                pass  # another setting of all workers
+                pass  # a global setting
             case [worker, name]:
                 own = self.properties.setdefault(worker, {})
                 is_addition = name in ADDITIVE_PROPERTIES and name in own
@@ -83,7 +83,7 @@
 
 
 def read(text: str) -> ImportedBalancers:
-    """Read the load balancers of a workers file; a file with none is one of its plain workers.
+    """Read the load balancers of a workers file; the plain workers of a file without any form one balancer.
 
     Raises:
         ImporterError: A line is malformed, or a worker of a balancer cannot be a node.
@@ -104,10 +104,10 @@
 
 
 def parse(text: str) -> Workers:
-    """All properties of a file.
+    """Parse all properties of a file.
 
     Raises:
-        ImporterError: A line is no property, or one of no worker.
+        ImporterError: A line is not a property, or has an unknown property.
     """
     workers = Workers()
     for number, line in enumerate(text.splitlines(), 1):
@@ -122,16 +122,16 @@
 
 
 def read_worker(imported: ImportedBalancers, workers: Workers, name: str) -> Member:
-    """One worker of a balancer, with notes of what is not carried over.
+    """Return a worker of a balancer as a member, and note what is not imported.
 
     Raises:
-        ImporterError: It is not described, or of a type that no node is, or a property is malformed.
+        ImporterError: The worker is not defined, its type cannot be a node, or a property is malformed.
     """
     if name not in workers.properties:
-        raise ImporterError(f"worker {name!r} is named but not described")
+        raise ImporterError(f"worker {name!r} is used but not defined")
     kind = workers.get(name, "type") or DEFAULT_TYPE
     if kind not in NODE_TYPES:
-        raise ImporterError(f"worker {name!r} is of type {kind!r}, which no node is")
+        raise ImporterError(f"worker {name!r} has type {kind!r}, which cannot be a node")
     where = f"worker {name!r}"
     host = workers.get(name, "host") or "localhost"
     port = workers.get(name, "port") or DEFAULT_PORT
@@ -148,10 +148,10 @@
 
 
 def is_active(workers: Workers, name: str, where: str) -> bool:
-    """Whether a worker takes new requests; `disabled` and `stopped` are the older names of activations.
+    """Return whether a worker takes new requests; `disabled` and `stopped` are older forms of `activation`.
 
     Raises:
-        ImporterError: Its activation is none of active, disabled and stopped.
+        ImporterError: The activation is not one of active, disabled and stopped.
     """
     activation = (workers.get(name, "activation") or "A")[:1].upper()
     if activation not in "ADS":
@@ -161,11 +161,11 @@
 
 
 def note_unsupported(imported: ImportedBalancers, workers: Workers, name: str) -> None:
-    """Note which of a worker's own properties are not carried over."""
+    """Note which of a worker's own properties are not imported."""
     if others := sorted(workers.keys(name) - SUPPORTED_KEYS):
-        imported.add_note(f"worker {name!r}: not carried over: {', '.join(others)}")
+        imported.add_note(f"worker {name!r}: not imported: {', '.join(others)}")
 
 
 def split_names(text: str) -> list[str]:
-    """The names of a list, which commas or white space separate."""
+    """Split a list of names at commas and white space."""
     return [name for name in re.split(r"[,\s]+", text) if name]
--- a/stoatrouter/importer/members.py
+++ b/stoatrouter/importer/members.py
@@ -1,4 +1,4 @@
-"""What both formats yield: the members of balancers, and the node list that a head starts from."""
+"""Members of balancers, read from either format, and the node list built from them for a head."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class ImporterError(Exception):
-    """A file that cannot be taken over; the text says where and why in one line."""
+    """A file cannot be imported; the message is one line with the place and the reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
     """One member of a balancer.
 
-    The scheme is that by which the file reaches it; no head can speak to a port of scheme `ajp`. One that
-    is not serving is listed, but gets no new requests.
+    The scheme is the protocol by which the file addresses the member; heads do not support `ajp`. A member
+    that is not serving is listed, but gets no new requests.
     """
 
     name: str
@@ -31,19 +31,19 @@
 
 @dataclass(slots=True)
 class ImportedBalancers:
-    """The balancers of a file by name, and notes, for people, of what was not carried over."""
+    """The balancers of a file by name, and notes for the user on what was not imported."""
 
     balancers: dict[str, list[Member]] = field(default_factory=dict)
     notes: list[str] = field(default_factory=list)
 
     def add_note(self, text: str) -> None:
-        """Add a note that is not there yet."""
+        """Add a note unless it is already present."""
         if text not in self.notes:
             self.notes.append(text)
 
 
 def select_members(imported: ImportedBalancers, name: str | None) -> list[Member]:
-    """The members of a balancer; its name may be None where the file has only one.
+    """Return the members of a balancer; the name may be None if the file has only one balancer.
 
     Raises:
         ImporterError: There is no such balancer, or it has no members.
@@ -59,21 +59,21 @@
 
 
 def node_list(members: list[Member], http_port: int | None = None) -> dict[str, Any]:
-    """The members as a complete list in discovery's form; each has a shard of its own, in the file's order.
+    """Return the members as a complete list in discovery's format; each gets its own shard, in file order.
 
     Args:
         members: The members of one balancer.
-        http_port: The port at which members that the file reaches by AJP speak HTTP.
+        http_port: The HTTP port of members that the file addresses by AJP.
 
     Raises:
-        ImporterError: Two members have one name, or a member cannot be reached by plain HTTP.
+        ImporterError: Two members have the same name, or a member cannot be reached by plain HTTP.
     """
     entries = []
     names = set()
     for shard, member in enumerate(members):
-        # Guards against two nodes under one id: one would take the other's place in the list.
+        # Of two nodes with the same id, one would replace the other in the list.
         if member.name in names:
-            raise ImporterError(f"two members are called {member.name!r}")
+            raise ImporterError(f"two members have the name {member.name!r}")
         names.add(member.name)
         entries.append(
             {
@@ -91,31 +91,31 @@
 
 
 def url_host(host: str) -> str:
-    """A host as in a URL: an IPv6 address is put in brackets (RFC 3986, 3.2.2)."""
+    """Return a host as written in a URL, with an IPv6 address in brackets (RFC 3986, 3.2.2)."""
     return f"[{host}]" if ":" in host else host
 
 
 def member_http_port(member: Member, http_port: int | None) -> int:
-    """The port at which a member speaks HTTP; `http_port` for those that the file reaches by AJP.
+    """Return the HTTP port of a member; `http_port` for members that the file addresses by AJP.
 
     Raises:
-        ImporterError: None is known.
+        ImporterError: The port is unknown, or the member's scheme is not supported.
     """
     if member.scheme == "http":
         return member.port
     if member.scheme == "ajp" and http_port is not None:
         return http_port
-    what = f"{member.name!r} is reached by {member.scheme}; a head speaks plain HTTP"
+    what = f"{member.name!r} is addressed by {member.scheme}; heads support plain HTTP"
     if member.scheme == "ajp":
         raise ImporterError(f"{what}: give its port with --http-port")
     raise ImporterError(f"{what} only")
 
 
 def read_port(text: str, where: str) -> int:
-    """A TCP port; `where` is its place in the file.
+    """Parse a TCP port; `where` is its place in the file.
 
     Raises:
-        ImporterError: It is no number from 1 to 65535.
+        ImporterError: The text is not a number from 1 to 65535.
     """
     if not text.isascii() or not text.isdigit() or not 0 < int(text) <= MAX_PORT:
         raise ImporterError(f"{where}: not a port: {text!r}")
@@ -123,10 +123,10 @@
 
 
 def read_weight(text: str, where: str) -> float:
-    """A member's weight, relative to that of the others; `where` is its place in the file.
+    """Parse a member's weight, relative to those of the others; `where` is its place in the file.
 
     Raises:
-        ImporterError: It is no number above 0 and up to `MAX_WEIGHT`.
+        ImporterError: The text is not a number above 0 and up to `MAX_WEIGHT`.
     """
     try:
         weight = float(text)
--- a/stoatrouter/management/__init__.py
+++ b/stoatrouter/management/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: calls that inspect a head and change its state."""
+"""The management interface: calls by which operators inspect a head and change its state."""
--- a/stoatrouter/management/calls.py
+++ b/stoatrouter/management/calls.py
@@ -1,6 +1,6 @@
-"""The operators' calls: each is routed to the part of the head that it concerns, and answered.
+"""Routes the operators' calls to the parts of the head that they concern, and builds the responses.
 
-It knows nothing of sockets: a `stoatrouter.net.listener.Listener` passes the calls in and writes the answers.
+A `stoatrouter.net.listener.Listener` does the network I/O.
 """
 
 from __future__ import annotations
@@ -22,17 +22,18 @@
 IN_SERVICE_PATH = "/control/in-service"
 NODES_PATH = "/control/bricks/"  # followed by the node's name and a state of NODE_STATES
 NODE_STATES = ("offline", "online")
-# Callers at once: a few that finish no call must not keep out one that does, nor take clients' descriptors.
+# Maximum concurrent connections: a few unfinished calls must not block other operators, and the descriptors
+# are needed for clients.
 MAX_CALLERS = 8
-MAX_BODY_BYTES = 32 * 1024 * 1024  # of a call, where calls with bodies are on
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of a call; bodies are read only with peering enabled
 
-# Answers calls that concern other heads as well, by method, path and body; returns None for any other call.
+# Answers calls that involve other heads, by method, path and body; returns None for any other call.
 PeerCallHandler = Callable[[str, str, bytes], Awaitable[web.Response | None]]
 CallHandler = Callable[[], web.Response]
 
 
 class Management:
-    """Serves the operators' calls on one head."""
+    """Serves operators' calls to one head."""
 
     def __init__(
         self,
@@ -41,13 +42,13 @@
         is_serving: Callable[[], bool],
         handle_peer_call: PeerCallHandler | None = None,
     ) -> None:
-        """Serve calls on one head.
+        """Serve calls to one head.
 
         Args:
-            engine: The head's engine, whose reducer and counters the calls read and change.
-            drain: The head's draining, which the calls start and end.
-            is_serving: Whether the head serves requests now, for the readiness call.
-            handle_peer_call: Answers calls that concern other heads too; None where that part is off.
+            engine: The head's engine; calls read its counters and change the state of its nodes.
+            drain: The head's drain state, which calls can start and end.
+            is_serving: Returns whether the head is serving, for the readiness call.
+            handle_peer_call: Answers calls that involve other heads; None if peering is off.
         """
         self.engine = engine
         self.drain = drain
@@ -55,7 +56,7 @@
         self.handle_peer_call = handle_peer_call
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one call; the connection ends with the answer."""
+        """Serve one call; the response closes its connection."""
         path = request.raw_path.partition("?")[0]
         response = None
         if self.handle_peer_call is not None:
@@ -69,7 +70,7 @@
         return response
 
     def answer(self, method: str, path: str) -> web.Response:
-        """Answer a call by its method and path: 404 for an unknown path, 405 for another method."""
+        """Answer a call by its method and path: 404 for an unknown path, 405 for an unsupported method."""
         handlers = self.find_handlers(path)
         if handlers is None:
             return text_response(404, "no such call")
@@ -80,7 +81,7 @@
         return handlers[method]()
 
     def find_handlers(self, path: str) -> dict[str, CallHandler] | None:
-        """Find the handlers at a path, by method; returns None for an unknown path."""
+        """Return the handlers of a path, by method; None for an unknown path."""
         fixed: dict[str, dict[str, CallHandler]] = {
             READY_PATH: {"GET": self.report_readiness},
             COUNTERS_PATH: {"GET": self.report_counters},
@@ -96,7 +97,7 @@
         return None
 
     def set_node_state(self, node: str, offline: bool) -> web.Response:
-        """Take a node out of service or put it back; 404 for an unknown node, 500 if it cannot be saved."""
+        """Take a node out of service or put it back; 404 for an unknown node, 500 if saving fails."""
         persisted = self.engine.set_administrative_state(node, offline)
         if persisted is None:
             return text_response(404, "no such brick")
@@ -105,21 +106,21 @@
         return text_response(200, "out" if offline else "back")
 
     def report_readiness(self) -> web.Response:
-        """Answer 200 where this head serves, else 503."""
+        """Answer 200 if this head is serving, else 503."""
         return text_response(200, "ready") if self.is_serving() else text_response(503, "not ready")
 
     def report_counters(self) -> web.Response:
-        """Answer with all counters and gauges, one per line."""
+        """Return all counters and gauges, one per line."""
         return text_response(200, "\n".join(counter_lines(self.engine)))
 
     def report_connections(self) -> web.Response:
-        """Answer with the counters of connections to nodes, one per line."""
+        """Return the counters of connections to nodes, one per line."""
         pool = self.engine.nodes.pool
         lines = [f"connections.{name}:{count}|c" for name, count in asdict(pool.counters).items()]
         return text_response(200, "\n".join([*lines, f"connections.open:{len(pool.alive)}|g"]))
 
     def take_out_of_service(self) -> web.Response:
-        """Drain the head of its clients; calling it again changes nothing."""
+        """Drain the head; calling it again changes nothing."""
         self.drain.out_of_service()
         return text_response(200, "out of service")
 
@@ -130,7 +131,7 @@
 
 
 def counter_lines(engine: Engine) -> list[str]:
-    """Render all counters and gauges as `name:value|type`; each is present from the start."""
+    """Format all counters and gauges as `name:value|type`; all are present from the start."""
     reducer = engine.reducer
     outcomes = (
         ("ok", reducer.counters.ok),
@@ -152,7 +153,7 @@
 
 
 async def read_body(request: web.BaseRequest) -> bytes | None:
-    """Read a call's body; returns None where it exceeds MAX_BODY_BYTES."""
+    """Read a call's body; return None if it exceeds MAX_BODY_BYTES."""
     body = bytearray()
     async for chunk in request.content.iter_any():
         body += chunk
@@ -162,5 +163,5 @@
 
 
 def text_response(status: int, text: str) -> web.Response:
-    """Build a plain-text answer of one line."""
+    """Build a plain-text response of one line."""
     return web.Response(status=status, text=text + "\n")
