--- a/stoatrouter/cli/rules/bench.py
+++ b/stoatrouter/cli/rules/bench.py
@@ -30,12 +30,12 @@
 @json_option
 def bench_command(file: Path, log: Path | None, rounds: int, config_path: Path | None, as_json: bool) -> None:
     """Measure the load time of a table and the time per decision."""
-    began = time.perf_counter()
+    started = time.perf_counter()
     try:
         table = load_table(file, config_path).table
     except SettingsError as error:
         exit_with_faults(error, as_json)
-    load_seconds = time.perf_counter() - began
+    load_seconds = time.perf_counter() - started
     requests = read_requests(table, log)
     if not requests:
         raise CommandError("there are no requests to time")
@@ -60,24 +60,24 @@
 
 def time_requests(table: Table, requests: list[Input], rounds: int) -> list[float]:
     """Return the mean time of a decision over all rounds, in microseconds, for each request."""
-    figures = []
+    mean_times = []
     for request in requests:
         table.decide(request)  # excludes work that is done once per request
-        began = time.perf_counter_ns()
+        started = time.perf_counter_ns()
         for _ in range(rounds):
             table.decide(request)
-        elapsed = time.perf_counter_ns() - began
-        figures.append(elapsed / rounds / NANOSECONDS_PER_MICROSECOND)
-    return figures
+        elapsed = time.perf_counter_ns() - started
+        mean_times.append(elapsed / rounds / NANOSECONDS_PER_MICROSECOND)
+    return mean_times
 
 
-def bench_data(table: Table, load_seconds: float, figures: list[float]) -> dict[str, object]:
-    """Return the result as data, from the sorted times of all requests."""
+def bench_data(table: Table, load_seconds: float, mean_times: list[float]) -> dict[str, object]:
+    """Return the result as data, from the sorted mean times of all requests in microseconds."""
     return {
         "rules": table.size,
-        "requests": len(figures),
+        "requests": len(mean_times),
         "load_s": round(load_seconds, 3),
-        "median_us": round(statistics.median(figures), 2),
-        "p99_us": round(figures[max(0, int(len(figures) * 0.99) - 1)], 2),
+        "median_us": round(statistics.median(mean_times), 2),
+        "p99_us": round(mean_times[max(0, int(len(mean_times) * 0.99) - 1)], 2),
         "worst_steps": max((compiled.max_steps for compiled in table.scopes.values()), default=0),
     }
--- a/stoatrouter/cli/rules/examples.py
+++ b/stoatrouter/cli/rules/examples.py
@@ -75,7 +75,7 @@
 def fill_segments(path: str, segments: Mapping[int, str]) -> str:
     """Return a path with some segments replaced; it is extended if it has too few."""
     parts = path.split("/")[1:]
-    for at, value in segments.items():
-        parts += [FILLER_SEGMENT] * (at + 1 - len(parts))
-        parts[at] = value
+    for index, value in segments.items():
+        parts += [FILLER_SEGMENT] * (index + 1 - len(parts))
+        parts[index] = value
     return "/" + "/".join(parts)
--- a/stoatrouter/cli/tables.py
+++ b/stoatrouter/cli/tables.py
@@ -54,13 +54,13 @@
         CommandError: The configuration cannot be read.
     """
     configured = configured_vocabulary(config_path)
-    words = assumed_vocabulary(path) if configured is None else configured
+    known_names = assumed_vocabulary(path) if configured is None else configured
     environment: Environment = HTTP_ENVIRONMENT
     buckets = None
     if objects is not None:
         environment = OBJECT_ENVIRONMENT
         buckets = load_buckets(objects)
-    table, sources = TableLoader(path, words, environment, buckets).load()
+    table, sources = TableLoader(path, known_names, environment, buckets).load()
     return LoadedTable(table, sources, environment, configured is not None)
 
 
--- a/stoatrouter/faults.py
+++ b/stoatrouter/faults.py
@@ -124,28 +124,28 @@
     return faults
 
 
-def item_faults(place: str, items: Any, fields: tuple[Field, ...]) -> Iterator[str]:
-    """Yield the faults of a list and of its items; `place` is the list's path in the file."""
+def item_faults(path: str, items: Any, fields: tuple[Field, ...]) -> Iterator[str]:
+    """Yield the faults of a list and of its items; `path` is the list's path in the file."""
     if not isinstance(items, list):
         return
     if not items:
-        yield f"{place}: found none (allowed: one or more)"
+        yield f"{path}: found none (allowed: one or more)"
     for index, item in enumerate(items):
         if isinstance(item, dict):
-            yield from field_faults(f"{place}[{index}].", item, fields)
+            yield from field_faults(f"{path}[{index}].", item, fields)
         else:
-            yield f"{place}[{index}]: found {shorten(item)} (allowed: {Kind.FIELDS.value})"
+            yield f"{path}[{index}]: found {shorten(item)} (allowed: {Kind.FIELDS.value})"
 
 
-def field_faults(place: str, values: dict[str, Any], fields: tuple[Field, ...]) -> Iterator[str]:
-    """Yield the faults of an object's fields; `place` is the prefix of their paths in the file."""
+def field_faults(path: str, values: dict[str, Any], fields: tuple[Field, ...]) -> Iterator[str]:
+    """Yield the faults of an object's fields; `path` is the prefix of their paths in the file."""
     for field in fields:
         value = values.get(field.name)
         if value is None:
             if not field.optional:
-                yield f"{place}{field.name}: found nothing (allowed: {field.allowed()})"
+                yield f"{path}{field.name}: found nothing (allowed: {field.allowed()})"
         elif not field.accepts(value):
-            yield f"{place}{field.name}: found {shorten(value)} (allowed: {field.allowed()})"
+            yield f"{path}{field.name}: found {shorten(value)} (allowed: {field.allowed()})"
 
 
 def shorten(value: Any) -> str:
--- a/stoatrouter/fronts/exchange.py
+++ b/stoatrouter/fronts/exchange.py
@@ -156,5 +156,5 @@
     """
     if delay is None:
         return {}
-    printed = max(delay, MIN_RETRY_AFTER) if delay else delay
-    return {"Retry-After": f"{printed.total_seconds():.3f}"}
+    shown_delay = max(delay, MIN_RETRY_AFTER) if delay else delay
+    return {"Retry-After": f"{shown_delay.total_seconds():.3f}"}
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -288,11 +288,11 @@
             open=self.engine.reducer.open,
         )
         self.serving = False
-        longest = max(request_class.deadline for request_class in self.conf.settings.classes)
-        times = shutdown_deadlines(span(longest))
-        self.engine.answer_deadline = self.engine.clock.now() + times.answer_within
+        longest_deadline = max(request_class.deadline for request_class in self.conf.settings.classes)
+        deadlines = shutdown_deadlines(span(longest_deadline))
+        self.engine.answer_deadline = self.engine.clock.now() + deadlines.answer_within
         await asyncio.gather(
-            *(listener.stop(lambda: self.engine.busy, times.accept_for) for listener in self.listeners)
+            *(listener.stop(lambda: self.engine.busy, deadlines.accept_for) for listener in self.listeners)
         )
         self.drain.stop_closing_idle()
         await self.handover.close()
--- a/stoatrouter/importer/apache.py
+++ b/stoatrouter/importer/apache.py
@@ -140,8 +140,8 @@
         raise ImporterError(f"{where}: BalancerMember without a balancer or a URL")
     url, *parameters = arguments
     values = read_parameters(parameters, where)
-    if others := sorted(values.keys() - SUPPORTED_KEYS):
-        imported.add_note(f"{where}: not imported: {', '.join(others)}")
+    if unsupported := sorted(values.keys() - SUPPORTED_KEYS):
+        imported.add_note(f"{where}: not imported: {', '.join(unsupported)}")
     scheme, host, port = read_url(url, where)
     name = values.get("route") or f"{host}:{port}"
     flags = read_status(values.get("status", ""), where)
--- a/stoatrouter/importer/jk.py
+++ b/stoatrouter/importer/jk.py
@@ -162,8 +162,8 @@
 
 def note_unsupported(imported: ImportedBalancers, workers: Workers, name: str) -> None:
     """Note which of a worker's own properties are not imported."""
-    if others := sorted(workers.keys(name) - SUPPORTED_KEYS):
-        imported.add_note(f"worker {name!r}: not imported: {', '.join(others)}")
+    if unsupported := sorted(workers.keys(name) - SUPPORTED_KEYS):
+        imported.add_note(f"worker {name!r}: not imported: {', '.join(unsupported)}")
 
 
 def split_names(text: str) -> list[str]:
--- a/stoatrouter/importer/members.py
+++ b/stoatrouter/importer/members.py
@@ -105,10 +105,10 @@
         return member.port
     if member.scheme == "ajp" and http_port is not None:
         return http_port
-    what = f"{member.name!r} is addressed by {member.scheme}; heads support plain HTTP"
+    problem = f"{member.name!r} is addressed by {member.scheme}; heads support plain HTTP"
     if member.scheme == "ajp":
-        raise ImporterError(f"{what}: give its port with --http-port")
-    raise ImporterError(f"{what} only")
+        raise ImporterError(f"{problem}: give its port with --http-port")
+    raise ImporterError(f"{problem} only")
 
 
 def read_port(text: str, where: str) -> int:
