--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -49,8 +49,8 @@
 # Fractions of the descriptors (core/descriptors.py).
 # Idle connections of clients that have sent only one request hold at most this fraction.
 IDLE_FRACTION = 0.125
-# Above these fractions of busy connections, requests are rejected before they are parsed, while there are
-# still free connections for clients. The tightened fraction applies while the event loop lags.
+# If the connections with an open request exceed this fraction, requests are rejected before they are parsed,
+# while clients can still connect. The tightened fraction applies while the event loop lags.
 BUSY_FRACTION = 0.75 / 3
 TIGHTENED_FRACTION = 0.4 / 3
 MIN_TIGHTENED_CONNECTIONS = 48
