--- a/stoatrouter/cli/rules/bench.py
+++ b/stoatrouter/cli/rules/bench.py
@@ -1,4 +1,4 @@
-"""`rules bench`: the load time of a table, and the time that a request takes."""
+"""`rules bench`: measures the load time of a table and the time per decision."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import click
 
-from stoatrouter.cli.options import FILE, config_option, json_option
+from stoatrouter.cli.options import EXISTING_FILE, config_option, json_option
 from stoatrouter.cli.output import CommandError, echo_json, exit_with_faults
 from stoatrouter.cli.rules.examples import example_requests
 from stoatrouter.cli.tables import load_table
@@ -21,21 +21,21 @@
 
 
 @click.command("bench")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.option(
-    "--requests", "log", type=FILE, default=None, help="Recorded requests; made from the rules else."
+    "--requests", "log", type=EXISTING_FILE, default=None, help="Recorded requests; default: generated."
 )
 @click.option("--rounds", type=click.IntRange(1, 1000), default=20, show_default=True)
 @config_option
 @json_option
 def bench_command(file: Path, log: Path | None, rounds: int, config_path: Path | None, as_json: bool) -> None:
-    """Load time of a table, and the time that a request takes."""
-    began = time.perf_counter()
+    """Measure the load time of a table and the time per decision."""
+    started = time.perf_counter()
     try:
         table = load_table(file, config_path).table
     except SettingsError as error:
         exit_with_faults(error, as_json)
-    load_seconds = time.perf_counter() - began
+    load_seconds = time.perf_counter() - started
     requests = read_requests(table, log)
     if not requests:
         raise CommandError("there are no requests to time")
@@ -51,33 +51,33 @@
 
 
 def read_requests(table: Table, log: Path | None) -> list[Input]:
-    """The readable requests of a log; without a log, one request for each rule of the table."""
+    """Return the readable requests of a log; without a log, one generated request per rule of the table."""
     if log is None:
-        return [request for home in table.scopes.values() for request in example_requests(home)]
+        return [request for compiled in table.scopes.values() for request in example_requests(compiled)]
     with log.open(encoding="utf-8", errors="replace") as lines:
         return [request for _, request in read_samples(lines) if isinstance(request, Input)]
 
 
 def time_requests(table: Table, requests: list[Input], rounds: int) -> list[float]:
-    """For each request the mean time of a decision over the rounds, in microseconds."""
-    figures = []
+    """Return the mean time of a decision over all rounds, in microseconds, for each request."""
+    mean_times = []
     for request in requests:
-        table.decide(request)  # what is computed once for a request is not counted
-        began = time.perf_counter_ns()
+        table.decide(request)  # excludes work that is done once per request
+        started = time.perf_counter_ns()
         for _ in range(rounds):
             table.decide(request)
-        elapsed = time.perf_counter_ns() - began
-        figures.append(elapsed / rounds / NANOSECONDS_PER_MICROSECOND)
-    return figures
+        elapsed = time.perf_counter_ns() - started
+        mean_times.append(elapsed / rounds / NANOSECONDS_PER_MICROSECOND)
+    return mean_times
 
 
-def bench_data(table: Table, load_seconds: float, figures: list[float]) -> dict[str, object]:
-    """The result as data, from times in ascending order, one for each request."""
+def bench_data(table: Table, load_seconds: float, mean_times: list[float]) -> dict[str, object]:
+    """Return the result as data, from the sorted mean times of all requests in microseconds."""
     return {
         "rules": table.size,
-        "requests": len(figures),
+        "requests": len(mean_times),
         "load_s": round(load_seconds, 3),
-        "median_us": round(statistics.median(figures), 2),
-        "p99_us": round(figures[max(0, int(len(figures) * 0.99) - 1)], 2),
-        "worst_steps": max((home.max_steps for home in table.scopes.values()), default=0),
+        "median_us": round(statistics.median(mean_times), 2),
+        "p99_us": round(mean_times[max(0, int(len(mean_times) * 0.99) - 1)], 2),
+        "worst_steps": max((compiled.max_steps for compiled in table.scopes.values()), default=0),
     }
--- a/stoatrouter/cli/rules/diff.py
+++ b/stoatrouter/cli/rules/diff.py
@@ -1,4 +1,4 @@
-"""`rules diff`: which recorded requests two tables decide differently."""
+"""`rules diff`: finds the recorded requests for which two tables decide differently."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import click
 
-from stoatrouter.cli.options import FILE, config_option, json_option
+from stoatrouter.cli.options import EXISTING_FILE, config_option, json_option
 from stoatrouter.cli.output import ExitCode, echo_json, exit_with_faults
 from stoatrouter.cli.tables import load_table
 from stoatrouter.matching.explain import Difference, decision_data, find_differences
@@ -17,17 +17,19 @@
 from stoatrouter.matching.table import Table
 from stoatrouter.settings import SettingsError
 
-NOT_DECIDED = ("scope", "rule")  # of a decision: who decided, not what
+IGNORED_FIELDS = ("scope", "rule")  # fields of a decision that tell where it was made, not its result
 
 
 @click.command("diff")
-@click.argument("old", type=FILE)
-@click.argument("new", type=FILE)
-@click.option("--requests", "log", type=FILE, required=True, help="Recorded request heads, as JSON lines.")
+@click.argument("old", type=EXISTING_FILE)
+@click.argument("new", type=EXISTING_FILE)
+@click.option(
+    "--requests", "log", type=EXISTING_FILE, required=True, help="Recorded request heads, as JSON lines."
+)
 @config_option
 @json_option
 def diff_command(old: Path, new: Path, log: Path, config_path: Path | None, as_json: bool) -> None:
-    """Which recorded requests a new table decides otherwise, by rule. Exit code 1 where any is."""
+    """List recorded requests for which a new table decides differently, by rule. Exit code 1 if any."""
     try:
         before = load_table(old, config_path).table
         after = load_table(new, config_path).table
@@ -45,7 +47,7 @@
 def differences_data(
     found: Iterable[Difference], counts: Counter[str], before: Table, after: Table
 ) -> dict[str, object]:
-    """Differences as data for JSON output."""
+    """Return differences as data for JSON output."""
     return {
         "requests": counts["requests"],
         "unreadable": counts["unreadable"],
@@ -65,7 +67,7 @@
 
 
 def echo_differences(found: Iterable[Difference], counts: Counter[str], before: Table, after: Table) -> None:
-    """Print differences as text, a line for each pair of rules, and the counts."""
+    """Print differences as text, one line per pair of rules, and the counts."""
     for each in found:
         lines = ", ".join(map(str, each.lines))
         changes = describe_changes(each, before, after)
@@ -75,11 +77,11 @@
 
 
 def describe_changes(difference: Difference, before: Table, after: Table) -> str:
-    """What becomes of the example of a difference: each field whose value changes."""
+    """Describe the fields of the decision that differ for the example of a difference."""
     was = decision_data(difference.example.old, before)
     now = decision_data(difference.example.new, after)
     return ", ".join(
         f"{name}: {was.get(name)} -> {now.get(name)}"
         for name in dict.fromkeys([*was, *now])
-        if name not in NOT_DECIDED and was.get(name) != now.get(name)
+        if name not in IGNORED_FIELDS and was.get(name) != now.get(name)
     )
--- a/stoatrouter/faults.py
+++ b/stoatrouter/faults.py
@@ -1,6 +1,6 @@
-"""Descriptions of faults in a head's configuration: field, value found, values allowed.
+"""Describes faults in a head's configuration: the field, the value found and the values allowed.
 
-Used only after a configuration could not be loaded: it explains, and rejects nothing by itself.
+It is used only after loading a configuration has failed, to explain the failure; it rejects nothing itself.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from enum import Enum
 from typing import Any
 
-LONGEST_SHOWN = 40  # characters of a value
+MAX_SHOWN_LENGTH = 40  # characters of a value in a message
 ELLIPSIS = "..."
 
 
 class Kind(Enum):
-    """The type of a field's value, by what operators are shown for it."""
+    """The type of a field's value, as operators are shown it."""
 
     NUMBER = "a number"
     INTEGER = "a whole number"
@@ -35,16 +35,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Field:
-    """A field of the configuration file, and the values that it may have."""
+    """A field of the configuration file and the values allowed for it."""
 
     name: str
     kind: Kind
     minimum: float | None = None
-    choices: tuple[str, ...] = ()  # empty: any
+    choices: tuple[str, ...] = ()  # empty: any value
     optional: bool = False
 
     def accepts(self, value: Any) -> bool:
-        """Whether a value has the field's type and is one of those allowed."""
+        """Return whether a value has the field's type and is allowed."""
         if not isinstance(value, TYPES[self.kind]) or isinstance(value, bool):
             return False
         if self.choices:
@@ -52,13 +52,13 @@
         return self.minimum is None or (isinstance(value, int | float) and value >= self.minimum)
 
     def allowed(self) -> str:
-        """The allowed type and values, as they are shown to operators."""
+        """Return the allowed type and values, as they are shown to operators."""
         if self.choices:
             return ", ".join(self.choices)
         return self.kind.value + (f", {self.minimum} or more" if self.minimum is not None else "")
 
 
-TOP = (
+HEAD_FIELDS = (
     Field("name", Kind.TEXT),
     Field("listen", Kind.TEXT),
     Field("discovery", Kind.TEXT),
@@ -66,7 +66,7 @@
     Field("limits", Kind.FIELDS, optional=True),
     Field("known", Kind.FIELDS, optional=True),
 )
-SETTINGS = (
+SETTINGS_FIELDS = (
     Field("Balancers", Kind.INTEGER, 1),
     Field("Me", Kind.INTEGER, 0),
     Field("Classes", Kind.LIST),
@@ -76,7 +76,7 @@
     Field("Extra", Kind.FIELDS, optional=True),
     Field("RegistryMode", Kind.TEXT, choices=("automatic", "subscribe"), optional=True),
 )
-REQUEST_CLASS = (
+CLASS_FIELDS = (
     Field("Name", Kind.TEXT),
     Field("Points", Kind.NUMBER, 0),
     Field("Promise", Kind.INTEGER, 1),
@@ -86,21 +86,21 @@
     Field("LateWorth", Kind.NUMBER, 0, optional=True),
     Field("Window", Kind.INTEGER, 0, optional=True),
 )
-PLAN = (
+PLAN_FIELDS = (
     Field("Name", Kind.TEXT),
     *(
         Field(name, Kind.NUMBER, 0, optional=True)
         for name in ("UsualRate", "Guaranteed", "Shares", "Price", "Limit", "Burst", "Tolerance")
     ),
 )
-LIMITS = (
+LIMIT_FIELDS = (
     Field("MostTries", Kind.INTEGER, 1),
     Field("ConnectTimeout", Kind.INTEGER, 0, optional=True),
     Field("ConnIdle", Kind.INTEGER, 0, optional=True),
     Field("MaxOpen", Kind.INTEGER, 0, optional=True),
     Field("MaxRetryAfter", Kind.INTEGER, 0, optional=True),
 )
-RULES = (
+CONTRACT_FIELDS = (
     Field("DrainGrace", Kind.INTEGER, 0, optional=True),
     Field("Cold", Kind.INTEGER, 0, optional=True),
     Field("ColdFrom", Kind.NUMBER, 0, optional=True),
@@ -108,49 +108,49 @@
 )
 
 
-def explain(data: Any) -> list[str]:
-    """All faults found, one line each; empty where none of the known kinds is found."""
+def find_faults(data: Any) -> list[str]:
+    """Return one line for each fault found; empty if there is none of the known kinds."""
     if not isinstance(data, dict):
         return [f"the file: found {shorten(data)} (allowed: {Kind.FIELDS.value})"]
-    faults = list(field_faults("", data, TOP))
+    faults = list(field_faults("", data, HEAD_FIELDS))
     settings = data.get("settings")
     if isinstance(settings, dict):
-        faults += field_faults("settings.", settings, SETTINGS)
-        for name, fields in (("Classes", REQUEST_CLASS), ("Contracts", PLAN)):
+        faults += field_faults("settings.", settings, SETTINGS_FIELDS)
+        for name, fields in (("Classes", CLASS_FIELDS), ("Contracts", PLAN_FIELDS)):
             faults += item_faults(f"settings.{name}", settings.get(name), fields)
-        for name, fields in (("Limits", LIMITS), ("Contract", RULES)):
+        for name, fields in (("Limits", LIMIT_FIELDS), ("Contract", CONTRACT_FIELDS)):
             if isinstance(settings.get(name), dict):
                 faults += field_faults(f"settings.{name}.", settings[name], fields)
     return faults
 
 
-def item_faults(place: str, items: Any, fields: tuple[Field, ...]) -> Iterator[str]:
-    """The faults of a list and of each of its items; `place` is the list's path in the file."""
+def item_faults(path: str, items: Any, fields: tuple[Field, ...]) -> Iterator[str]:
+    """Yield the faults of a list and of its items; `path` is the list's path in the file."""
     if not isinstance(items, list):
         return
     if not items:
-        yield f"{place}: found none (allowed: one or more)"
+        yield f"{path}: found none (allowed: one or more)"
     for index, item in enumerate(items):
         if isinstance(item, dict):
-            yield from field_faults(f"{place}[{index}].", item, fields)
+            yield from field_faults(f"{path}[{index}].", item, fields)
         else:
-            yield f"{place}[{index}]: found {shorten(item)} (allowed: {Kind.FIELDS.value})"
+            yield f"{path}[{index}]: found {shorten(item)} (allowed: {Kind.FIELDS.value})"
 
 
-def field_faults(place: str, values: dict[str, Any], fields: tuple[Field, ...]) -> Iterator[str]:
-    """The faults of one group of values, checked against its fields; `place` is the prefix of their paths."""
+def field_faults(path: str, values: dict[str, Any], fields: tuple[Field, ...]) -> Iterator[str]:
+    """Yield the faults of an object's fields; `path` is the prefix of their paths in the file."""
     for field in fields:
         value = values.get(field.name)
         if value is None:
             if not field.optional:
-                yield f"{place}{field.name}: found nothing (allowed: {field.allowed()})"
+                yield f"{path}{field.name}: found nothing (allowed: {field.allowed()})"
         elif not field.accepts(value):
-            yield f"{place}{field.name}: found {shorten(value)} (allowed: {field.allowed()})"
+            yield f"{path}{field.name}: found {shorten(value)} (allowed: {field.allowed()})"
 
 
 def shorten(value: Any) -> str:
-    """A value as it is shown to operators, cut to LONGEST_SHOWN characters."""
+    """Return a value as it is shown to operators, truncated to MAX_SHOWN_LENGTH characters."""
     text = repr(value)
-    if len(text) <= LONGEST_SHOWN:
+    if len(text) <= MAX_SHOWN_LENGTH:
         return text
-    return text[: LONGEST_SHOWN - len(ELLIPSIS)] + ELLIPSIS
+    return text[: MAX_SHOWN_LENGTH - len(ELLIPSIS)] + ELLIPSIS
--- a/stoatrouter/fronts/objects/store.py
+++ b/stoatrouter/fronts/objects/store.py
@@ -1,7 +1,6 @@
-"""Bodies as requests of the core: written piece by piece, read range by range.
+"""Reads and writes bodies as pieces, each with one request of the core under the volume's plan.
 
-Each piece is one request of the core under its volume's plan. A rejection by the core is not retried here;
-the client gets it at once with the time to come back.
+A rejection by the core is not retried here; it is passed on to the client at once, with its Retry-After.
 """
 
 from __future__ import annotations
@@ -17,10 +16,10 @@
 from stoatrouter.core.durations import from_microseconds
 from stoatrouter.fronts.objects.errors import ErrorCode, ObjectError
 from stoatrouter.fronts.objects.extents import (
-    HEADER,
-    PAGE_REFS,
-    PAYLOAD,
-    PIECE,
+    HEADER_BYTES,
+    MAX_PAYLOAD_BYTES,
+    MAX_PIECE_BYTES,
+    REFS_PER_PAGE,
     BadPiece,
     Overlap,
     PieceAddress,
@@ -32,20 +31,20 @@
     unpack_page,
 )
 from stoatrouter.fronts.objects.settings import Bucket, ObjectSettings
-from stoatrouter.fronts.objects.window import Window
+from stoatrouter.fronts.objects.window import TaskWindow
 from stoatrouter.policy import interface as api
 
 Serve = Callable[[model.Request], Awaitable[model.Answer]]
-MAX_PAGE_DEPTH = 4  # pages upon pages; more than any body can need
+MAX_PAGE_DEPTH = 4  # levels of pages; more than any body can need
 NODE_FAILED_RETRY_AFTER = timedelta(seconds=1)
 
 
 @dataclass(slots=True, frozen=True)
 class PieceTerms:
-    """What rules yield for a call's pieces, besides their classes and plan."""
+    """The part of a rule's decision that applies to a call's pieces, besides class and plan."""
 
-    shard: int = -1  # where new ones go; -1: to any node
-    deadline: timedelta | None = None  # of each; None: its class's
+    shard: int = -1  # shard of new pieces; -1: any node
+    deadline: timedelta | None = None  # of each request; None: its class's deadline
 
 
 DEFAULT_PIECE_TERMS = PieceTerms()
@@ -53,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallTerms:
-    """The terms under which one call is served: the front's and its bucket's, as rules have changed them."""
+    """The settings for one call: those of the front and of the bucket, as changed by rules."""
 
     conf: ObjectSettings
     bucket: Bucket
@@ -62,23 +61,23 @@
 
 @dataclass(slots=True, frozen=True)
 class WrittenBody:
-    """A body that lies on nodes."""
+    """A body that has been written to nodes."""
 
     refs: tuple[Ref, ...]
     md5: bytes
     size: int  # bytes
 
 
-class Store:
+class PieceStore:
     """Reads and writes the pieces of one volume."""
 
     def __init__(self, serve: Serve, settings: api.Settings, terms: CallTerms) -> None:
         """Read and write under the terms of one call.
 
         Args:
-            serve: Serves a request of the core, with the complete body of its answer.
+            serve: Serves a request of the core and returns its answer with the complete body.
             settings: The platform's settings.
-            terms: The call's classes, bucket and placement of pieces.
+            terms: The call's classes, bucket and settings for pieces.
         """
         self.serve = serve
         self.settings = settings
@@ -87,20 +86,20 @@
         self.pieces = terms.pieces
 
     # -- single pieces ------------------------------------------------------------------------------------
-    async def read_piece(self, address: PieceAddress, size: int = PAYLOAD) -> bytes | None:
+    async def read_piece(self, address: PieceAddress, size: int = MAX_PAYLOAD_BYTES) -> bytes | None:
         """Read the payload of a piece.
 
         Args:
-            address: Where the piece lies.
-            size: The payload's size in bytes, which the read is charged by; PAYLOAD where it is not known.
+            address: The address of the piece.
+            size: The payload's size in bytes, which sets the read's cost; MAX_PAYLOAD_BYTES if unknown.
 
         Returns:
-            The payload; None where the piece was never written.
+            The payload; None if the piece was never written.
 
         Raises:
-            ObjectError: The core rejects or fails the request, or a node returns another piece.
+            ObjectError: The core rejects or fails the request, or a node returns a wrong piece.
         """
-        request = self._create_request(self.conf.read_class, address, size + HEADER)
+        request = self._create_request(self.conf.read_class, address, size + HEADER_BYTES)
         served = await self._serve(request)
         try:
             return unframe(address.piece, served.body)
@@ -111,8 +110,8 @@
         """Write a piece and return its reference.
 
         Args:
-            payload: At most PAYLOAD bytes.
-            address: Where the piece lies; None: a new one, which goes to any node, or where rules say.
+            payload: At most MAX_PAYLOAD_BYTES bytes.
+            address: The address of the piece; None: a new one, on any node or on the shard given by rules.
 
         Raises:
             ObjectError: The core rejects or fails the request.
@@ -142,17 +141,17 @@
             method="PUT" if request_class.writes else "GET",
             target=f"/{request_class.name}/{bucket.volume}/{address.piece}",
             body=body,
-            # fresh for each write: a manifest written anew is no retry of the one before
+            # a new key for each write: writing a manifest again is not a retry of the previous write
             idempotency_key=secrets.token_hex(8) if request_class.effect is api.Effect.IDEMPOTENT else None,
         )
 
     def _limit_time(self, class_deadline: timedelta) -> timedelta:
-        """The time for a request: its class's, or what rules yield where that is less."""
+        """Return the time for a request: its class's deadline, or that given by rules if it is shorter."""
         return class_deadline if self.pieces.deadline is None else min(class_deadline, self.pieces.deadline)
 
     def _count_units(self, size: int) -> float:
-        """Units of work by size: a full piece counts as the largest request there is."""
-        return float(max(1, math.ceil(self.conf.max_units * size / PIECE)))
+        """Return the units of work for a size; a full piece costs as much as the largest request allowed."""
+        return float(max(1, math.ceil(self.conf.max_units * size / MAX_PIECE_BYTES)))
 
     async def _serve(self, request: model.Request) -> model.Served:
         match await self.serve(request):
@@ -167,11 +166,11 @@
 
     # -- bodies -------------------------------------------------------------------------------------------
     async def write_body(self, chunks: AsyncIterator[bytes]) -> WrittenBody:
-        """Write a body as it arrives; raises ObjectError."""
+        """Write a body while it arrives; raises ObjectError."""
         md5 = hashlib.md5(usedforsecurity=False)
         size = 0
         refs: list[Ref] = []
-        async with Window[Ref](self.conf.window) as window:
+        async with TaskWindow[Ref](self.conf.window) as window:
             async for payload in split_payloads(chunks):
                 md5.update(payload)
                 size += len(payload)
@@ -181,12 +180,12 @@
             refs += [ref async for ref in window.drain()]
         return WrittenBody(tuple(refs), md5.digest(), size)
 
-    async def fold(self, refs: tuple[Ref, ...], limit: int) -> tuple[Ref, ...]:
-        """Write pages of references until at most `limit` references are left; raises ObjectError."""
+    async def write_ref_pages(self, refs: tuple[Ref, ...], limit: int) -> tuple[Ref, ...]:
+        """Write levels of reference pages until at most `limit` references remain; raises ObjectError."""
         while len(refs) > limit:
             pages: list[Ref] = []
-            for start in range(0, len(refs), PAGE_REFS):
-                children = refs[start : start + PAGE_REFS]
+            for start in range(0, len(refs), REFS_PER_PAGE):
+                children = refs[start : start + REFS_PER_PAGE]
                 page = await self.write_piece(pack_page(children))
                 depth = 1 + max(child.depth for child in children)
                 pages.append(Ref(page.piece, page.shard, sum(child.size for child in children), depth))
@@ -194,8 +193,8 @@
         return refs
 
     async def read_body(self, refs: tuple[Ref, ...], start: int, stop: int) -> AsyncGenerator[bytes, None]:
-        """Yield the bytes `start` to `stop` of a body, in order, read a little ahead; raises ObjectError."""
-        async with Window[bytes](self.conf.window) as window:
+        """Yield the bytes `start` to `stop` of a body in order, with some read-ahead; raises ObjectError."""
+        async with TaskWindow[bytes](self.conf.window) as window:
             async for leaf in self._find_leaves(refs, start, stop):
                 chunk = await window.add(self._read_leaf(leaf))
                 if chunk is not None:
@@ -206,15 +205,15 @@
     async def _find_leaves(
         self, refs: tuple[Ref, ...], start: int, stop: int, level: int = 0
     ) -> AsyncIterator[Overlap]:
-        """The pieces that hold a range; of the pages above them only those that are needed are read."""
-        # Guards against references that lead back to themselves.
+        """Yield the pieces that hold a range, reading only the pages that are needed for it."""
+        # Stops at cyclic references.
         if level > MAX_PAGE_DEPTH:
             raise ObjectError(ErrorCode.INTERNAL_ERROR, "references lie too deep")
         for overlap in find_overlaps(refs, start, stop):
             if overlap.ref.depth == 0:
                 yield overlap
                 continue
-            payload = await self._read_written(overlap.ref.address, PAYLOAD)
+            payload = await self._read_written(overlap.ref.address, MAX_PAYLOAD_BYTES)
             try:
                 children = tuple(unpack_page(payload))
             except BadPiece as error:
@@ -224,7 +223,7 @@
 
     async def _read_leaf(self, leaf: Overlap) -> bytes:
         payload = await self._read_written(leaf.ref.address, leaf.ref.size)
-        # Guards an answer's length: it was promised before this piece was read.
+        # Content-Length was sent before this piece was read, so its size must match.
         if len(payload) != leaf.ref.size:
             raise ObjectError(ErrorCode.INTERNAL_ERROR, "a piece has another size than was written")
         return payload[leaf.start : leaf.stop]
@@ -237,12 +236,12 @@
 
 
 async def split_payloads(chunks: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
-    """Split a body into payloads of PAYLOAD bytes, and a last one."""
+    """Split a body into payloads of MAX_PAYLOAD_BYTES bytes; the last one may be shorter."""
     buffer = bytearray()
     async for chunk in chunks:
         buffer += chunk
-        while len(buffer) >= PAYLOAD:
-            yield bytes(buffer[:PAYLOAD])
-            del buffer[:PAYLOAD]
+        while len(buffer) >= MAX_PAYLOAD_BYTES:
+            yield bytes(buffer[:MAX_PAYLOAD_BYTES])
+            del buffer[:MAX_PAYLOAD_BYTES]
     if buffer:
         yield bytes(buffer)
