--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -27,7 +27,7 @@
 from stoatrouter.fronts.wiring import create_http_tables
 from stoatrouter.lab.hollow.logs import HEAD_FIELD
 from stoatrouter.lab.hollow.network import Network
-from stoatrouter.lab.hollow.tables import CompiledOnce, HollowTables
+from stoatrouter.lab.hollow.tables import CompilationCache, HollowTables
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
 from stoatrouter.peering.heads import Heads, persisted_version
@@ -81,7 +81,7 @@
         self.network = network
         self.watches = watches
         self.scheduler = Scheduler(conf.settings, seed=conf.seed)
-        self.tables = None if http is None else CompiledOnce(create_http_tables(conf, http))
+        self.tables = None if http is None else CompilationCache(create_http_tables(conf, http))
 
 
 class HollowHead:
--- a/stoatrouter/lab/hollow/tables.py
+++ b/stoatrouter/lab/hollow/tables.py
@@ -16,7 +16,7 @@
 MAX_CACHED = 8  # compiled sets; beyond, the oldest is evicted and compiled again when it is needed
 
 
-class CompiledOnce:
+class CompilationCache:
     """The cache of compiled tables of all hollow heads in one process."""
 
     def __init__(self, service: TableService) -> None:
@@ -40,14 +40,14 @@
 class HollowTables:
     """One hollow head's tables, as the history of rules needs them (net/tables.py)."""
 
-    compiled_once: CompiledOnce
+    compilation_cache: CompilationCache
     managed: bool = False
-    in_force: CompiledTable | None = field(default=None, repr=False)
+    active: CompiledTable | None = field(default=None, repr=False)
 
     async def compile(self, path: Path) -> CompiledTable:
         """Compile a table of other files without putting it in force; raises SettingsError."""
-        return await self.compiled_once.compile(path)
+        return await self.compilation_cache.compile(path)
 
-    def put(self, compiled: CompiledTable) -> None:
+    def activate(self, compiled: CompiledTable) -> None:
         """Put a compiled table in force."""
-        self.in_force = compiled
+        self.active = compiled
--- a/stoatrouter/management/calls.py
+++ b/stoatrouter/management/calls.py
@@ -117,7 +117,7 @@
         """Return the counters of connections to nodes, one per line."""
         pool = self.engine.nodes.pool
         lines = [f"connections.{name}:{count}|c" for name, count in asdict(pool.counters).items()]
-        return text_response(200, "\n".join([*lines, f"connections.open:{len(pool.alive)}|g"]))
+        return text_response(200, "\n".join([*lines, f"connections.open:{len(pool.open_connections)}|g"]))
 
     def take_out_of_service(self) -> web.Response:
         """Drain the head; calling it again changes nothing."""
--- a/stoatrouter/net/answer_identity.py
+++ b/stoatrouter/net/answer_identity.py
@@ -13,7 +13,7 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from stoatrouter.net import rest_times
+from stoatrouter.net import reuse_delays
 from stoatrouter.net.request_digest import RequestDigest, contains_request_id
 
 # How much later than its arrival a busy event loop may read an answer.
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         """Start empty; no answer counts as distinctive yet."""
-        self._seen: OrderedDict[int, int | None] = OrderedDict()  # subjects by fingerprint
+        self._subjects: OrderedDict[int, int | None] = OrderedDict()  # subjects by fingerprint
         self._distinct_in_a_row = dict.fromkeys(RequestKind, 0)
 
     def record(self, fingerprint: int, kind: RequestKind, subject: int | None = None) -> bool:
@@ -54,13 +54,13 @@
         """
         if kind is RequestKind.HEALTH_CHECK:
             return False
-        is_new = fingerprint not in self._seen
+        is_new = fingerprint not in self._subjects
         # equal answers about the same subject do not show whether answers are distinctive
-        is_same = not is_new and subject is not None and self._seen[fingerprint] == subject
-        self._seen[fingerprint] = subject
-        self._seen.move_to_end(fingerprint)
-        if len(self._seen) > MAX_FINGERPRINTS:
-            self._seen.popitem(last=False)
+        is_same = not is_new and subject is not None and self._subjects[fingerprint] == subject
+        self._subjects[fingerprint] = subject
+        self._subjects.move_to_end(fingerprint)
+        if len(self._subjects) > MAX_FINGERPRINTS:
+            self._subjects.popitem(last=False)
         in_a_row = self._distinct_in_a_row[kind]
         if not is_same:
             in_a_row = self._distinct_in_a_row[kind] = in_a_row + 1 if is_new else 0
@@ -110,12 +110,12 @@
             self._by_subject[digest.subject] = answer
         return True
 
-    def any(self, now: float) -> bool:
+    def may_get_duplicate(self, now: float) -> bool:
         """Return whether there is any whose duplicate may still arrive."""
         self._drop_older(now)
         return bool(self._by_fingerprint)
 
-    def is_repetition(self, fingerprint: int, digest: RequestDigest | None = None) -> bool:
+    def is_duplicate(self, fingerprint: int, digest: RequestDigest | None = None) -> bool:
         """Return whether an answer equals one of them that would be a wrong answer to the request."""
         known = self._by_fingerprint.get(fingerprint)
         return known is not None and known.is_for_another(digest)
@@ -129,7 +129,7 @@
         known = self._unrested(digest, now)
         if known is None or known.digest is None or digest.is_served_by(known.digest):
             return 0.0
-        return known.ended + rest_times.REUSE_AFTER.total_seconds() - now
+        return known.ended + reuse_delays.REUSE_DELAY.total_seconds() - now
 
     def may_serve_again(self, digest: RequestDigest, now: float) -> bool:
         """Return whether a duplicate that may still arrive would be a right answer to a request sent now."""
@@ -138,12 +138,12 @@
     def _unrested(self, digest: RequestDigest, now: float) -> RecentAnswer | None:
         """Return the latest about a request's subject, if it cannot be told from the request's own answer."""
         known = self._by_subject.get(digest.subject)
-        if known is None or now - known.ended >= rest_times.REUSE_AFTER.total_seconds():
+        if known is None or now - known.ended >= reuse_delays.REUSE_DELAY.total_seconds():
             return None
         return None if known.is_for_another(digest) else known
 
     def _drop_older(self, now: float) -> None:
-        oldest = now - (rest_times.REUSE_AFTER + MAX_READ_DELAY).total_seconds()
+        oldest = now - (reuse_delays.REUSE_DELAY + MAX_READ_DELAY).total_seconds()
         while self._by_fingerprint:
             first = next(iter(self._by_fingerprint.values()))
             if first.ended >= oldest:
@@ -177,16 +177,16 @@
         self._withheld = b""
         self._recent = recent if self._compares else None
         self.fingerprint: int | None = None  # None: not known yet, or the answer is not comparable
-        self.is_repetition = False
+        self.is_duplicate = False
         self.equals_recent = False  # equals a recent answer, but would be a right answer either way
 
     def contains_request_id(self) -> bool:
         """Return whether the body is known to contain the id of the current request."""
         return self._digest is not None and contains_request_id(self._prefix, self._digest.request_id)
 
-    def take(self, head: bytes, body: bytes) -> bytes:
+    def feed(self, head: bytes, body: bytes) -> bytes:
         """Add a part of the answer, and return the bytes that may be passed on."""
-        if self.is_repetition:
+        if self.is_duplicate:
             return b""
         if not self._compares or self.fingerprint is not None:
             return head + body
@@ -199,6 +199,6 @@
         if self.fingerprint is None:
             return b""
         withheld, self._withheld = self._withheld, b""
-        self.is_repetition = self._recent.is_repetition(self.fingerprint, self._digest)
-        self.equals_recent = not self.is_repetition and self._recent.contains(self.fingerprint)
-        return b"" if self.is_repetition else withheld
+        self.is_duplicate = self._recent.is_duplicate(self.fingerprint, self._digest)
+        self.equals_recent = not self.is_duplicate and self._recent.contains(self.fingerprint)
+        return b"" if self.is_duplicate else withheld
--- a/stoatrouter/net/handover.py
+++ b/stoatrouter/net/handover.py
@@ -215,7 +215,7 @@
         """Return what this process still has open, from which the new one computes its limits."""
         return Holdings(
             clients=len(self.clients),
-            connections=len(self.engine.nodes.pool.alive),
+            connections=len(self.engine.nodes.pool.open_connections),
             attempts=dict(Counter(self.engine.reducer.nodes_in_flight())),
             busy=self.clients.open,
         )
--- a/stoatrouter/net/loop_monitor.py
+++ b/stoatrouter/net/loop_monitor.py
@@ -42,7 +42,7 @@
             logger.warning("loop: lagged by {lag_ms:.0f} ms", event="loop.lagged", lag_ms=lag * 1000)
         if checks % CHECKS_PER_TALLY == 0:
             log_tally(engine, worst_lag)
-            engine.nodes.pool.rest_times.forget_old(loop.time())
+            engine.nodes.pool.reuse_delays.forget_old(loop.time())
             worst_lag = 0.0
 
 
--- a/stoatrouter/net/node_connection.py
+++ b/stoatrouter/net/node_connection.py
@@ -25,7 +25,7 @@
 from stoatrouter.net.errors import MalformedAnswer
 from stoatrouter.net.framing import CHUNKED, HEAD_END, UNTIL_CLOSE, body_length
 from stoatrouter.net.request_digest import RequestDigest
-from stoatrouter.net.rest_times import Address, RestTimes
+from stoatrouter.net.reuse_delays import Address, ReuseDelays
 
 MAX_HEAD_BYTES = 16 * 1024
 SUCCESS_CLASS = b"2"  # the first digit of a success status
@@ -35,7 +35,7 @@
 class ConnectionOwner(Protocol):
     """The interface of the pool that a connection belongs to."""
 
-    alive: set[NodeConnection]
+    open_connections: set[NodeConnection]
     max_reuse_idle: float  # the longest idle time in seconds after which a connection is reused
     attempts_written: int  # attempts that were written completely
 
@@ -49,7 +49,7 @@
         """Record that a connection which had been idle for `idle` seconds served a request."""
 
     @property
-    def rest_times(self) -> RestTimes:
+    def reuse_delays(self) -> ReuseDelays:
         """How long connections rest before they are reused."""
 
     @property
@@ -104,7 +104,7 @@
         """Add the connection to the pool's open ones."""
         super().connection_made(transport)
         transport.max_size = MAX_RECEIVE_BYTES  # type: ignore[attr-defined]
-        self.pool.alive.add(self)
+        self.pool.open_connections.add(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """End the exchange; a body without a length is complete only if the connection closed cleanly."""
@@ -156,14 +156,14 @@
         the next answer.
         """
         return super().is_connected() and (
-            self.awaiting_answer or not self._idle_too_long() and not self._unread()
+            self.awaiting_answer or not self._idle_too_long() and not self._has_unread_bytes()
         )
 
     def rest_left(self, now: float, digest: RequestDigest | None = None) -> float:
         """Return how many more seconds it has to rest before it is reused for a request with this digest."""
         if self.idle_since is None or self.node is None:
             return 0.0  # it has not received any answer
-        rest = self.pool.rest_times.rest_of(self.node, now, self.needs_rest)
+        rest = self.pool.reuse_delays.delay_for(self.node, now, self.needs_rest)
         left = max(0.0, self.idle_since + rest - now)
         return left if digest is None else max(left, self.recent_answers.rest_left(digest, now))
 
@@ -233,15 +233,15 @@
         if length < 0:
             return None
         # after a duplicate was dropped, the next answer is the request's own and is not compared
-        compares = not self.should_close and self.recent_answers.any(self._loop.time())
+        compares = not self.should_close and self.recent_answers.may_get_duplicate(self._loop.time())
         return AnswerInspection(status, length, self.recent_answers if compares else None, self.digest)
 
     def _receive_body(self, data: bytes, head: bytes = b"") -> None:
         assert self.inspection is not None
         body, surplus = data[: self.body_left], data[self.body_left :]
         self.body_left -= len(body)
-        passed = self.inspection.take(head, body)
-        if self.inspection.is_repetition and not self.body_left:
+        passed = self.inspection.feed(head, body)
+        if self.inspection.is_duplicate and not self.body_left:
             return self._drop_repetition(surplus)
         if self.body_left:
             self._start_stall_timer(restart=bool(body))
@@ -322,7 +322,9 @@
         self._close_now()
 
     def _record_surplus(self) -> None:
-        if self.node is not None and self.pool.rest_times.record_surplus(self.node, self._loop.time()):
+        if self.node is not None and self.pool.reuse_delays.record_unsolicited_bytes(
+            self.node, self._loop.time()
+        ):
             logger.warning(
                 "node {address} sent bytes that belong to no request",
                 event="node.surplus",
@@ -341,7 +343,7 @@
         self.set_exception(error)
         self._close_now()
 
-    def _unread(self) -> bool:
+    def _has_unread_bytes(self) -> bool:
         handle = self.transport.get_extra_info("socket") if self.transport is not None else None
         if handle is None or handle.fileno() < 0:
             return True
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -19,7 +19,7 @@
 from stoatrouter.net.node_connection import NodeConnection
 from stoatrouter.net.pool_waiters import PoolWaiters
 from stoatrouter.net.request_digest import READ_METHODS, RequestDigest
-from stoatrouter.net.rest_times import Address, RestTimes
+from stoatrouter.net.reuse_delays import Address, ReuseDelays
 
 # The maximum idle time for reuse adapts to whether reused connections work or break.
 MIN_REUSE_IDLE = 0.05  # seconds
@@ -50,9 +50,9 @@
         self.connect_timeout = connect_timeout.total_seconds()
         self.keepalive = keepalive.total_seconds()
         self.max_reuse_idle = self.keepalive  # the longest idle time in seconds after which one is reused
-        self.alive: set[NodeConnection] = set()
+        self.open_connections: set[NodeConnection] = set()
         self.attempts_written = 0  # attempts that were written completely, since the start
-        self.rest_times = RestTimes()
+        self.reuse_delays = ReuseDelays()
         self.fingerprints = AnswerFingerprints()
         self.counters = ConnectionCounters()
         self._dials_in_progress = 0  # connections that are being opened
@@ -72,7 +72,7 @@
 
     def record_closed(self, connection: NodeConnection) -> None:
         """Record that a connection has closed, so that another one may open."""
-        self.alive.discard(connection)
+        self.open_connections.discard(connection)
         self._pool_waiters.wake(None)
 
     def record_break(self, idle: float) -> None:
@@ -113,7 +113,7 @@
     async def _get(self, key: Any, traces: Any) -> Any:
         """Return an idle connection for reuse, or None if one may be opened; waits while the pool is full."""
         while (connection := self._take_idle(key)) is None:
-            if len(self.alive) + self._dials_in_progress < self.max_connections:
+            if len(self.open_connections) + self._dials_in_progress < self.max_connections:
                 return None
             rest = self._shortest_rest(key)
             if rest is None and self._close_oldest_idle():
@@ -184,7 +184,7 @@
             del self._conns[key]
         self.counters.ended_for_room += 1
         if isinstance(connection, NodeConnection):
-            self.alive.discard(connection)  # it is closed later, but another one may open at once
+            self.open_connections.discard(connection)  # it is closed later, but another one may open at once
         connection.close()
         return True
 
--- a/stoatrouter/net/rest_times.py
+++ b/stoatrouter/net/reuse_delays.py
@@ -12,9 +12,9 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-REUSE_AFTER = timedelta(milliseconds=50)  # after an answer whose duplicate could not be detected
-SUSPECT_REUSE_AFTER = timedelta(milliseconds=100)  # for a node that recently sent surplus bytes
-SUSPICION_TIME = timedelta(seconds=30)  # how long a node stays suspect after surplus bytes
+REUSE_DELAY = timedelta(milliseconds=50)  # after an answer whose duplicate could not be detected
+SUSPECT_REUSE_DELAY = timedelta(milliseconds=100)  # for a node that recently sent surplus bytes
+SUSPICION_DURATION = timedelta(seconds=30)  # how long a node stays suspect after surplus bytes
 MAX_SUSPECTS = 4_096  # beyond this, the one with the oldest surplus is dropped
 
 
@@ -25,17 +25,17 @@
     port: int
 
 
-class RestTimes:
+class ReuseDelays:
     """The rest times of connections, by node; times are in seconds of the loop."""
 
     def __init__(self) -> None:
         """Start without suspect nodes."""
         self._suspect_until: OrderedDict[Address, float] = OrderedDict()
 
-    def record_surplus(self, node: Address, now: float) -> bool:
+    def record_unsolicited_bytes(self, node: Address, now: float) -> bool:
         """Record that a node sent bytes that belong to no request; returns whether it is newly suspect."""
         is_new = now >= self._suspect_until.get(node, 0.0)
-        self._suspect_until[node] = now + SUSPICION_TIME.total_seconds()
+        self._suspect_until[node] = now + SUSPICION_DURATION.total_seconds()
         self._suspect_until.move_to_end(node)
         if len(self._suspect_until) > MAX_SUSPECTS:
             self._suspect_until.popitem(last=False)
@@ -46,7 +46,7 @@
         while self._suspect_until and next(iter(self._suspect_until.values())) <= now:
             self._suspect_until.popitem(last=False)
 
-    def rest_of(self, node: Address, now: float, needs_rest: bool) -> float:
+    def delay_for(self, node: Address, now: float, needs_rest: bool) -> float:
         """Return how long a connection to a node has to rest, in seconds.
 
         Args:
@@ -55,5 +55,5 @@
             needs_rest: Whether a duplicate of its last answer could not be detected.
         """
         if self._suspect_until and now < self._suspect_until.get(node, 0.0):
-            return SUSPECT_REUSE_AFTER.total_seconds()
-        return REUSE_AFTER.total_seconds() if needs_rest else 0.0
+            return SUSPECT_REUSE_DELAY.total_seconds()
+        return REUSE_DELAY.total_seconds() if needs_rest else 0.0
--- a/stoatrouter/net/tables.py
+++ b/stoatrouter/net/tables.py
@@ -29,7 +29,7 @@
 LOG_INTERVAL = timedelta(seconds=10)
 
 
-async def in_thread(work: Callable[[], Result]) -> Result:
+async def run_in_thread(work: Callable[[], Result]) -> Result:
     """Run work in a daemon thread of its own, and return the result.
 
     The process would wait for the threads of an executor at exit, however long they take.
@@ -112,7 +112,7 @@
         loaded = self.load()
         self.matcher = Matcher(self.log_in_force(loaded.table, loaded.sources), windows)
         self.matcher.set_shadow(loaded.shadow)
-        self.reloading: asyncio.Task[None] | None = None
+        self.reload_task: asyncio.Task[None] | None = None
         self.reload_again = False
         self.managed = False  # whether the table comes from the heads' history, not from this head's files
 
@@ -137,10 +137,10 @@
                 event="rules.managed",
             )
             return
-        if self.reloading is not None and not self.reloading.done():
+        if self.reload_task is not None and not self.reload_task.done():
             self.reload_again = True
             return
-        self.reloading = asyncio.get_running_loop().create_task(self.load_again())
+        self.reload_task = asyncio.get_running_loop().create_task(self.load_again())
 
     async def load_again(self) -> None:
         """Load the files in a thread and activate the table; if it is rejected, the old one stays active."""
@@ -148,7 +148,7 @@
         while self.reload_again:
             self.reload_again = False
             try:
-                loaded = await in_thread(self.load)
+                loaded = await run_in_thread(self.load)
             except SettingsError as error:
                 # Rules that are faulty or only partly written must not affect a serving head.
                 self.log_rejected(error)
@@ -182,10 +182,10 @@
         """Compile a table from other files without activating it; raises SettingsError."""
         now = self.tables
         tables = TableLoader(path, now.vocabulary, now.environment, now.buckets, cache=now.cache)
-        table, sources = await in_thread(lambda: without_long_pauses(tables.load))
+        table, sources = await run_in_thread(lambda: without_long_pauses(tables.load))
         return CompiledTable(tables, table, sources)
 
-    def put(self, compiled: CompiledTable) -> None:
+    def activate(self, compiled: CompiledTable) -> None:
         """Activate a compiled table."""
         self.tables = compiled.tables
         self.matcher.replace(self.log_in_force(compiled.table, compiled.sources))
@@ -223,6 +223,6 @@
 
     async def close(self) -> None:
         """Cancel a reload in progress."""
-        if self.reloading is not None:
-            self.reloading.cancel()
-            await asyncio.gather(self.reloading, return_exceptions=True)
+        if self.reload_task is not None:
+            self.reload_task.cancel()
+            await asyncio.gather(self.reload_task, return_exceptions=True)
--- a/stoatrouter/peering/mapped_number.py
+++ b/stoatrouter/peering/mapped_counter.py
@@ -14,7 +14,7 @@
 RECORD = struct.Struct(">QQ")  # the number twice, which reveals a torn write
 
 
-class MappedNumber:
+class MappedCounter:
     """An increasing number in a memory-mapped file."""
 
     def __init__(self, path: Path) -> None:
--- a/stoatrouter/peering/rule_compiler.py
+++ b/stoatrouter/peering/rule_compiler.py
@@ -11,7 +11,7 @@
 from stoatrouter.config import ConfigError
 from stoatrouter.history.records import Version
 from stoatrouter.history.rule_history import RuleHistory
-from stoatrouter.net.tables import CompiledTable, TableService, in_thread
+from stoatrouter.net.tables import CompiledTable, TableService, run_in_thread
 from stoatrouter.peering.rule_store import RuleStore
 from stoatrouter.settings import SettingsError
 
@@ -48,7 +48,7 @@
         if packed is None:
             return
         try:
-            path = await in_thread(lambda: self.store.extract(version.digest, packed))
+            path = await run_in_thread(lambda: self.store.extract(version.digest, packed))
             self.compiled[version.digest] = await self.tables.compile(path)
         except (SettingsError, ConfigError) as error:
             self._record_error(version, str(error))
--- a/stoatrouter/peering/rule_store.py
+++ b/stoatrouter/peering/rule_store.py
@@ -24,7 +24,7 @@
     decode_stored_version,
     encode_stored_version,
 )
-from stoatrouter.net.tables import in_thread
+from stoatrouter.net.tables import run_in_thread
 from stoatrouter.peering.timestamps import utc_timestamp
 
 VERSION_FILE = "rules.kept"
@@ -136,7 +136,7 @@
     async def _save(self, number: int, data: bytes) -> None:
         try:
             async with self._write_order:  # so that the newest version is written last
-                await in_thread(lambda: self._replace_version_file(data))
+                await run_in_thread(lambda: self._replace_version_file(data))
         except OSError as error:
             logger.error(
                 "rules: version {number} cannot be stored for starts without other heads: {error}",
--- a/stoatrouter/peering/rules.py
+++ b/stoatrouter/peering/rules.py
@@ -99,7 +99,7 @@
             return
         if newest.digest not in self.compiler.compiled:
             return
-        self.tables.put(self.compiler.compiled[newest.digest])
+        self.tables.activate(self.compiler.compiled[newest.digest])
         self.active_version, self.active_since = newest.number, self.fleet.now()
         logger.info(
             "rules: version {number} of {author} is in force here",
--- a/stoatrouter/peering/storage.py
+++ b/stoatrouter/peering/storage.py
@@ -23,7 +23,7 @@
 from stoatrouter.agreement.records import Entry, PersistentState, Snapshot, Write
 from stoatrouter.config import ConfigError
 from stoatrouter.peering.errors import CorruptDatabase, StorageClosed
-from stoatrouter.peering.mapped_number import MappedNumber
+from stoatrouter.peering.mapped_counter import MappedCounter
 
 APPLICATION_ID = 0x53544F54  # "STOT"
 SCHEMA_VERSION = 1
@@ -75,8 +75,8 @@
         self.connection: sqlite3.Connection | None = None
         self._folder = folder
         self._path = folder / DATABASE_FILE
-        self._mark: MappedNumber | None = None
-        self._commit: MappedNumber | None = None
+        self._mark: MappedCounter | None = None
+        self._commit: MappedCounter | None = None
         self._lock = -1
         self._write_number = 0  # of the last write
 
@@ -93,8 +93,8 @@
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
             self._lock_folder()
-            self._mark = MappedNumber(self._folder / MARK_FILE)
-            self._commit = MappedNumber(self._folder / COMMIT_FILE)
+            self._mark = MappedCounter(self._folder / MARK_FILE)
+            self._commit = MappedCounter(self._folder / COMMIT_FILE)
             return self._load_or_reset(self._mark, self._commit)
         except (sqlite3.Error, OSError) as error:
             # A head whose disk is full or read-only has to start all the same.
@@ -117,7 +117,7 @@
                 "old one)"
             ) from None
 
-    def _load_or_reset(self, mark: MappedNumber, commit: MappedNumber) -> StoredState:
+    def _load_or_reset(self, mark: MappedCounter, commit: MappedCounter) -> StoredState:
         """Load the database; a corrupt one is moved aside and replaced by a new one."""
         reset_reason = None
         try:
@@ -130,7 +130,7 @@
         commit.set(0)
         return self._create(mark, reset_reason)
 
-    def _load_existing(self, mark: MappedNumber, commit: MappedNumber) -> StoredState:
+    def _load_existing(self, mark: MappedCounter, commit: MappedCounter) -> StoredState:
         connection = self._connect()
         self._check_owner(connection)
         with corruption_detected():
@@ -152,7 +152,7 @@
                 f"{SCHEMA_VERSION}); start that version, or name another folder"
             )
 
-    def _load(self, connection: sqlite3.Connection, mark: MappedNumber, commit: int) -> StoredState:
+    def _load(self, connection: sqlite3.Connection, mark: MappedCounter, commit: int) -> StoredState:
         """Read and check all tables, and count the start; raises CorruptDatabase."""
         meta: dict[str, bytes] = dict(connection.execute("SELECT key, value FROM meta"))
         try:
@@ -175,7 +175,7 @@
             identity, start_count, PersistentState(term, voted, snapshot, entries, commit), origin, promised
         )
 
-    def _check_acknowledged(self, mark: MappedNumber) -> None:
+    def _check_acknowledged(self, mark: MappedCounter) -> None:
         """Raise CorruptDatabase if the database is older than the last acknowledged write."""
         acknowledged = mark.read()
         if self._write_number < acknowledged:
@@ -201,7 +201,7 @@
                 os.replace(f"{self._path}{suffix}", f"{aside}{suffix}")
         return f"{reason}; set aside as {aside.name}"
 
-    def _create(self, mark: MappedNumber, reset_reason: str | None) -> StoredState:
+    def _create(self, mark: MappedCounter, reset_reason: str | None) -> StoredState:
         """Create a new database under a new identity."""
         connection = self._connect()
         connection.executescript(
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -287,7 +287,7 @@
             response = await session.get(PATH, headers=HEADERS)
             await response.content.readexactly(90_000)
             response.close()
-            await until(lambda: not head.engine.reducer.open and not head.engine.nodes.pool.alive)
+            await until(lambda: not head.engine.reducer.open and not head.engine.nodes.pool.open_connections)
             assert head.engine.reducer.counters.active == 0
 
     run(scenario())
--- a/tests/test_full_pool.py
+++ b/tests/test_full_pool.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from stoatrouter.net import rest_times
+from stoatrouter.net import reuse_delays
 from stoatrouter.net.answer_identity import MIN_DISTINCT_IN_A_ROW, RequestKind
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.pool_waiters import PoolWaiters
@@ -70,7 +70,7 @@
     monkeypatch, names, callers, max_connections
 ):
     """Guards against churn: 16 callers of a pool of 8 opened 1,539 connections for 1,600 requests."""
-    monkeypatch.setattr(rest_times, "REUSE_AFTER", timedelta(milliseconds=5))
+    monkeypatch.setattr(reuse_delays, "REUSE_DELAY", timedelta(milliseconds=5))
 
     async def caller(client: NodeClient, node: CountingNode, number: int) -> None:
         for turn in range(10):
@@ -90,7 +90,7 @@
 
 
 def test_a_connection_of_another_node_makes_room_where_this_one_has_none(monkeypatch):
-    monkeypatch.setattr(rest_times, "REUSE_AFTER", NEVER_REUSED)
+    monkeypatch.setattr(reuse_delays, "REUSE_DELAY", NEVER_REUSED)
 
     async def scenario():
         nodes = [CountingNode() for _ in range(3)]
@@ -121,7 +121,7 @@
 
 
 def test_a_wait_for_rest_ends_with_the_time_of_its_request_and_leaves_nothing(monkeypatch):
-    monkeypatch.setattr(rest_times, "REUSE_AFTER", NEVER_REUSED)
+    monkeypatch.setattr(reuse_delays, "REUSE_DELAY", NEVER_REUSED)
 
     async def scenario():
         node = CountingNode()
@@ -139,7 +139,7 @@
     async def scenario():
         node = CountingNode(names=True)
         async with pool_of(2, node) as client:
-            monkeypatch.setattr(rest_times, "REUSE_AFTER", NEVER_REUSED)
+            monkeypatch.setattr(reuse_delays, "REUSE_DELAY", NEVER_REUSED)
             assert await ask(client, node, "rests") is Outcome.OK
             for number in range(MIN_DISTINCT_IN_A_ROW):
                 client.pool.fingerprints.record(number, RequestKind.READ)
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -31,7 +31,7 @@
 from stoatrouter.net.handover_socket import Predecessor
 from stoatrouter.net.listener import Drain
 from stoatrouter.net.loop_monitor import monitor_loop
-from stoatrouter.net.rest_times import SUSPECT_REUSE_AFTER, SUSPICION_TIME, Address, RestTimes
+from stoatrouter.net.reuse_delays import SUSPECT_REUSE_DELAY, SUSPICION_DURATION, Address, ReuseDelays
 from stoatrouter.peering.spent_journal import SpentJournal
 from stoatrouter.policy.interface import ListKind, Outcome
 from tests.held import held
@@ -230,18 +230,20 @@
 
     async def scenario():
         now = asyncio.get_running_loop().time()
-        rest_times = RestTimes()
+        reuse_delays = ReuseDelays()
         for number in range(100):
-            rest_times.record_surplus(Address("n", number), now - SUSPICION_TIME.total_seconds())
-        rest_times.record_surplus(Address("late", 1), now)
+            reuse_delays.record_unsolicited_bytes(
+                Address("n", number), now - SUSPICION_DURATION.total_seconds()
+            )
+        reuse_delays.record_unsolicited_bytes(Address("late", 1), now)
         engine = SimpleNamespace(
             reducer=Reducer(SETTINGS, seed=1),
-            nodes=SimpleNamespace(pool=SimpleNamespace(rest_times=rest_times)),
+            nodes=SimpleNamespace(pool=SimpleNamespace(reuse_delays=reuse_delays)),
         )
         monitoring = asyncio.create_task(monitor_loop(engine, ClientTable(1, 1, 1)))
-        await until(lambda: len(rest_times._suspect_until) == 1)
+        await until(lambda: len(reuse_delays._suspect_until) == 1)
         monitoring.cancel()
-        assert rest_times.rest_of(Address("late", 1), now, False) == SUSPECT_REUSE_AFTER.total_seconds()
+        assert reuse_delays.delay_for(Address("late", 1), now, False) == SUSPECT_REUSE_DELAY.total_seconds()
 
     monkeypatch.setattr(loop_monitor, "CHECKS_PER_TALLY", 1)
     run(scenario())
--- a/tests/test_http_tables.py
+++ b/tests/test_http_tables.py
@@ -87,7 +87,7 @@
                 service = head.tables[0]
                 service.reload()
                 service.reload()  # during the first reload: a second one follows it, not beside it
-                await service.reloading
+                await service.reload_task
                 assert (matcher.table.epoch != epochs[-1]) is valid
                 epochs.append(matcher.table.epoch)
             await asyncio.sleep(0.25)
@@ -144,13 +144,13 @@
             write_rules(tmp_path, feed=last_rule_invalid)
             service.reload()
             answered = 0
-            while not service.reloading.done():
+            while not service.reload_task.done():
                 assert (await client.ask("GET", "/feed/1"))[0] == 200
                 answered += 1
             assert answered > 20 and service.matcher.table.epoch == epoch
             write_rules(tmp_path, feed=large(""))
             service.reload()
-            await service.reloading
+            await service.reload_task
             assert service.matcher.table.size == 10_005
             assert (await client.ask("GET", "/feed/9999"))[0] == 200
             assert (await client.ask("GET", "/feed/x"))[0] == 404
@@ -169,7 +169,7 @@
             service.load = lambda: may_load.wait() and load()
             service.reload()
             await asyncio.sleep(0)
-        assert service.reloading.done() and not may_load.is_set()
+        assert service.reload_task.done() and not may_load.is_set()
 
     run(scenario())  # a thread of an executor would delay the end of the loop
     may_load.set()
@@ -184,7 +184,7 @@
             other = 1 - first.shard
             write_rules(tmp_path, feed=f"rules: [{WRITES[:-1]}, shard: {other}}}]")
             head.tables[0].reload()
-            await head.tables[0].reloading
+            await head.tables[0].reload_task
             await client.ask("PUT", "/feed/x", b"1", Idempotency_Key="k1")
             assert len(first.asked) == 2 and first.asked[1][2]["Idempotency-Key"] == "k1"
             await client.ask("PUT", "/feed/x", b"1", Idempotency_Key="k2")
--- a/tests/test_object_rules.py
+++ b/tests/test_object_rules.py
@@ -40,7 +40,7 @@
             assert error_code((await client.call("PUT", "/footage/old/x", b"1"))[2]) == "AccessDenied"
             object_rules(tmp_path, READ)
             client.head.tables[0].reload()
-            await client.head.tables[0].reloading
+            await client.head.tables[0].reload_task
             assert (await client.call("GET", "/footage/live/a"))[2] == BODY  # its place never was the table's
             assert (await client.call("PUT", "/footage/old/x", b"1"))[0] == 200
             settled(client)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from stoatrouter.net import rest_times
+from stoatrouter.net import reuse_delays
 from stoatrouter.net.nodes import NodeClient
-from stoatrouter.net.rest_times import REUSE_AFTER
+from stoatrouter.net.reuse_delays import REUSE_DELAY
 from stoatrouter.policy.interface import Outcome
 from tests.peers import HOST, run, until
 from tests.platform_client import attempt
@@ -43,7 +43,7 @@
 
 async def rested() -> None:
     """Wait until idle connections may be used again."""
-    await asyncio.sleep(2 * REUSE_AFTER.total_seconds())
+    await asyncio.sleep(2 * REUSE_DELAY.total_seconds())
 
 
 def address_of(server: asyncio.Server) -> str:
@@ -111,7 +111,7 @@
             reply = await nodes.attempt(effect)
             assert (reply.body, reply.load, reply.units_by_others) == (b"body", None, 0.0)
             assert all(
-                not c.head and not c.stall_timer for c in nodes.session.connector.alive
+                not c.head and not c.stall_timer for c in nodes.session.connector.open_connections
             )  # nothing is kept
             await rested()
             assert (await nodes.attempt(effect)).body == b"good"
@@ -131,8 +131,8 @@
             assert (await nodes.attempt(effect)).body == b"body"
             script.more.set()
             if later:  # they wait in the socket, where this loop has not yet read them
-                (connection,) = nodes.session.connector.alive
-                await until(lambda: connection._unread() or not connection.is_connected())
+                (connection,) = nodes.session.connector.open_connections
+                await until(lambda: connection._has_unread_bytes() or not connection.is_connected())
             assert (await nodes.attempt(effect)).body == b"good"
             assert script.connections == 2
 
@@ -164,7 +164,7 @@
             for script in scripts:
                 server = await stack.enter_async_context(await asyncio.start_server(script.serve, HOST, 0))
                 assert (await nodes.attempt(attempt(address_of(server)))).outcome is Outcome.OK
-                await until(lambda: len(nodes.session.connector.alive) <= 2)
+                await until(lambda: len(nodes.session.connector.open_connections) <= 2)
             await nodes.close()
 
     run(story())
@@ -245,8 +245,8 @@
 
 def let_rest(monkeypatch, span: timedelta, suspects: timedelta) -> None:
     """Let connections rest for a span that is over at once, or never in a test."""
-    monkeypatch.setattr(rest_times, "REUSE_AFTER", span)
-    monkeypatch.setattr(rest_times, "SUSPECT_REUSE_AFTER", suspects)
+    monkeypatch.setattr(reuse_delays, "REUSE_DELAY", span)
+    monkeypatch.setattr(reuse_delays, "SUSPECT_REUSE_DELAY", suspects)
 
 
 def test_an_answer_that_comes_again_within_the_rest_is_nobodys(monkeypatch):
@@ -256,10 +256,10 @@
         async with client_of(node) as (nodes, effect):
             let_rest(monkeypatch, LONG, LONG)
             assert (await nodes.attempt(named(effect, "first"))).body == b"first"
-            (connection,) = nodes.session.connector.alive
+            (connection,) = nodes.session.connector.open_connections
             assert (await nodes.attempt(named(effect, "second"))).body == b"second"
             assert node.connections == 2
-            await until(lambda: connection not in nodes.session.connector.alive)
+            await until(lambda: connection not in nodes.session.connector.open_connections)
             let_rest(monkeypatch, LONG, NONE)
             assert (await nodes.attempt(named(effect, "third"))).body == b"third"
             assert node.connections == 2
@@ -275,7 +275,7 @@
         node.own_answer.set()
         async with client_of(node) as (nodes, effect):
             assert (await nodes.attempt(named(effect, "first"))).body == b"first"
-            (connection,) = nodes.session.connector.alive
+            (connection,) = nodes.session.connector.open_connections
             connection.idle_since -= 0.01  # so much later
             assert (await nodes.attempt(named(effect, "second"))).body == b"second"
 
@@ -291,10 +291,10 @@
             let_rest(monkeypatch, NONE, LONG)
             assert (await nodes.attempt(named(effect, "first"))).body == b"first"
             assert (await nodes.attempt(named(effect, "second"))).body == b"first"  # another one's
-            (connection,) = nodes.session.connector.alive
+            (connection,) = nodes.session.connector.open_connections
             node.own_answer.set()
             # the second's own answer comes while the connection rests, which ends; the others rest long
-            await until(lambda: connection not in nodes.session.connector.alive)
+            await until(lambda: connection not in nodes.session.connector.open_connections)
             for number in range(5):
                 name = f"r{number}"
                 assert (await nodes.attempt(named(effect, name))).body == name.encode()
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -86,7 +86,7 @@
                 assert not left.seen and len(right.seen) == 1
             # the connection went back whole: it is there for what is decided next
             assert head.engine.reducer.tally.counts["not_begun"] == 1
-            assert len(head.engine.nodes.pool.alive) == dials.waiting
+            assert len(head.engine.nodes.pool.open_connections) == dials.waiting
 
     run(story())
 
--- a/tests/test_same_question.py
+++ b/tests/test_same_question.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from datetime import timedelta
 
-from stoatrouter.net import rest_times
+from stoatrouter.net import reuse_delays
 from stoatrouter.net.answer_identity import MIN_DISTINCT_IN_A_ROW, RequestKind
 from stoatrouter.net.nodes import NodeClient
 from stoatrouter.net.request_digest import contains_request_id
@@ -150,8 +150,8 @@
 
 def test_requests_for_the_same_get_their_own_or_the_same_content(monkeypatch):
     """Guards against another's answer, and against a right one dropped, where a node answers twice or not."""
-    monkeypatch.setattr(rest_times, "REUSE_AFTER", GUARDED)
-    monkeypatch.setattr(rest_times, "SUSPECT_REUSE_AFTER", 2 * GUARDED)
+    monkeypatch.setattr(reuse_delays, "REUSE_DELAY", GUARDED)
+    monkeypatch.setattr(reuse_delays, "SUSPECT_REUSE_DELAY", 2 * GUARDED)
 
     async def stories():
         results = await asyncio.gather(
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from stoatrouter.net import answer_identity, rest_times
+from stoatrouter.net import answer_identity, reuse_delays
 from stoatrouter.net.answer_identity import (
     MAX_RECENT_ANSWERS,
     MIN_DISTINCT_IN_A_ROW,
@@ -112,7 +112,7 @@
 
 @pytest.fixture(autouse=True)
 def stretched(monkeypatch):
-    monkeypatch.setattr(rest_times, "REUSE_AFTER", GUARDED)
+    monkeypatch.setattr(reuse_delays, "REUSE_DELAY", GUARDED)
 
 
 async def second_answer_is_nobodys(
@@ -168,7 +168,7 @@
 
 
 def test_a_head_that_uses_connections_at_once_and_compares_nothing_is_seen(monkeypatch):
-    monkeypatch.setattr(RecentAnswers, "is_repetition", lambda *_: False)
+    monkeypatch.setattr(RecentAnswers, "is_duplicate", lambda *_: False)
     with pytest.raises(AssertionError):
         run(second_answer_is_nobodys(monkeypatch, 0.2, True, TwiceAnswering(b"first")), LIMIT)
 
@@ -185,7 +185,7 @@
             request = replace(asker.effect.request, id="later")
             reply = await asker.nodes.attempt(replace(asker.effect, request=request))
             assert (reply.outcome, reply.body) == (Outcome.RESET, b"")
-            await until(lambda: not asker.nodes.pool.alive)
+            await until(lambda: not asker.nodes.pool.open_connections)
 
     run(story(), LIMIT)
 
@@ -206,11 +206,11 @@
     known, recent = AnswerFingerprints(), RecentAnswers()
     for number in range(1_000):
         known.record(number, RequestKind.READ)
-    assert len(known._seen) == 8
+    assert len(known._subjects) == 8
     assert [recent.add(number, 0.0) for number in range(MAX_RECENT_ANSWERS + 1)] == [
         True
     ] * MAX_RECENT_ANSWERS + [False]
-    assert recent.any(1.0) and not recent.any(2 * GUARDED.total_seconds())
+    assert recent.may_get_duplicate(1.0) and not recent.may_get_duplicate(2 * GUARDED.total_seconds())
 
 
 @pytest.mark.parametrize("size", [1, 50, PREFIX_BYTES, PREFIX_BYTES + 1, LARGE])
@@ -220,11 +220,11 @@
     body = (b"0123456789" * size)[:size]
     recent = RecentAnswers()
     first = AnswerInspection(b"200", size, None)
-    assert first.take(b"head", body) == b"head" + body
+    assert first.feed(b"head", body) == b"head" + body
     assert recent.add(first.fingerprint if again else 1, 0.0)
     other = AnswerInspection(b"200", size, recent)
-    passed = other.take(b"head", b"")
+    passed = other.feed(b"head", b"")
     for begin in range(0, size, step):
-        passed += other.take(b"", body[begin : begin + step])
+        passed += other.feed(b"", body[begin : begin + step])
     assert passed == (b"" if again else b"head" + body)
-    assert other.is_repetition is again
+    assert other.is_duplicate is again
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -149,9 +149,9 @@
     "Reducer._client_left = lambda self, name: []\n"
     "from stoatrouter.net import engine\nengine.has_disconnected = lambda client: False\n",
     Finding.ANOTHERS_ANSWER: "from datetime import timedelta\n"
-    "from stoatrouter.net import answer_identity, rest_times\n"
-    "answer_identity.RecentAnswers.is_repetition = lambda *_: False\n"
-    "rest_times.REUSE_AFTER = rest_times.SUSPECT_REUSE_AFTER = timedelta(0)\n",
+    "from stoatrouter.net import answer_identity, reuse_delays\n"
+    "answer_identity.RecentAnswers.is_duplicate = lambda *_: False\n"
+    "reuse_delays.REUSE_DELAY = reuse_delays.SUSPECT_REUSE_DELAY = timedelta(0)\n",
     Finding.TRACEBACK: "import threading\nthreading.Thread(target=lambda: 1 / 0).start()\n",
     Finding.CRASHED: "import atexit, os\natexit.register(os._exit, 3)\n",
 }
