--- a/stoatrouter/net/answer_identity.py
+++ b/stoatrouter/net/answer_identity.py
@@ -20,7 +20,7 @@
 MAX_READ_DELAY = timedelta(milliseconds=150)
 PREFIX_BYTES = 4 * 1024  # bytes at the start of a body that are compared, in addition to its length
 MAX_FINGERPRINTS = 1_024  # beyond this, the least recently seen one is evicted
-MAX_RECENT_ANSWERS = 64  # per connection; when full, the connection rests before it is reused
+MAX_RECENT_ANSWERS = 64  # per connection; when full, the connection needs a reuse delay
 MIN_DISTINCT_IN_A_ROW = 16  # distinct answers of one kind before the next one counts as distinctive
 STATUS_OK = b"200"
 
@@ -111,36 +111,36 @@
         return True
 
     def may_get_duplicate(self, now: float) -> bool:
-        """Return whether there is any whose duplicate may still arrive."""
+        """Return whether a duplicate of any of them may still arrive."""
         self._drop_older(now)
         return bool(self._by_fingerprint)
 
     def is_duplicate(self, fingerprint: int, digest: RequestDigest | None = None) -> bool:
         """Return whether an answer equals one of them that would be a wrong answer to the request."""
-        known = self._by_fingerprint.get(fingerprint)
-        return known is not None and known.is_for_another(digest)
+        earlier = self._by_fingerprint.get(fingerprint)
+        return earlier is not None and earlier.is_for_another(digest)
 
     def contains(self, fingerprint: int) -> bool:
         """Return whether an answer equals one of them, whatever request that one was for."""
         return fingerprint in self._by_fingerprint
 
-    def rest_left(self, digest: RequestDigest, now: float) -> float:
-        """Return how many seconds the connection must rest for the request to get its own answer."""
-        known = self._unrested(digest, now)
-        if known is None or known.digest is None or digest.is_served_by(known.digest):
+    def remaining_reuse_delay(self, digest: RequestDigest, now: float) -> float:
+        """Return the remaining seconds of the delay that ensures that the request gets its own answer."""
+        earlier = self._latest_valid(digest, now)
+        if earlier is None or earlier.digest is None or digest.is_served_by(earlier.digest):
             return 0.0
-        return known.ended + reuse_delays.REUSE_DELAY.total_seconds() - now
+        return earlier.ended + reuse_delays.REUSE_DELAY.total_seconds() - now
 
-    def may_serve_again(self, digest: RequestDigest, now: float) -> bool:
-        """Return whether a duplicate that may still arrive would be a right answer to a request sent now."""
-        return self._unrested(digest, now) is not None
+    def may_get_valid_duplicate(self, digest: RequestDigest, now: float) -> bool:
+        """Return whether a duplicate that may still arrive would be a valid answer to a request sent now."""
+        return self._latest_valid(digest, now) is not None
 
-    def _unrested(self, digest: RequestDigest, now: float) -> RecentAnswer | None:
-        """Return the latest about a request's subject, if it cannot be told from the request's own answer."""
-        known = self._by_subject.get(digest.subject)
-        if known is None or now - known.ended >= reuse_delays.REUSE_DELAY.total_seconds():
+    def _latest_valid(self, digest: RequestDigest, now: float) -> RecentAnswer | None:
+        """Return the latest about a request's subject, if a duplicate of it would be a valid answer."""
+        earlier = self._by_subject.get(digest.subject)
+        if earlier is None or now - earlier.ended >= reuse_delays.REUSE_DELAY.total_seconds():
             return None
-        return None if known.is_for_another(digest) else known
+        return None if earlier.is_for_another(digest) else earlier
 
     def _drop_older(self, now: float) -> None:
         oldest = now - (reuse_delays.REUSE_DELAY + MAX_READ_DELAY).total_seconds()
@@ -178,7 +178,7 @@
         self._recent = recent if self._compares else None
         self.fingerprint: int | None = None  # None: not known yet, or the answer is not comparable
         self.is_duplicate = False
-        self.equals_recent = False  # equals a recent answer, but would be a right answer either way
+        self.equals_recent = False  # equals a recent answer, but would be a valid answer either way
 
     def contains_request_id(self) -> bool:
         """Return whether the body is known to contain the id of the current request."""
--- a/stoatrouter/net/node_connection.py
+++ b/stoatrouter/net/node_connection.py
@@ -36,7 +36,7 @@
     """The interface of the pool that a connection belongs to."""
 
     open_connections: set[NodeConnection]
-    max_reuse_idle: float  # the longest idle time in seconds after which a connection is reused
+    max_reuse_idle: float  # the maximum idle time in seconds after which a connection is reused
     attempts_written: int  # attempts that were written completely
 
     def record_closed(self, connection: NodeConnection) -> None:
@@ -50,7 +50,7 @@
 
     @property
     def reuse_delays(self) -> ReuseDelays:
-        """How long connections rest before they are reused."""
+        """The reuse delays of connections, by node."""
 
     @property
     def fingerprints(self) -> AnswerFingerprints:
@@ -88,14 +88,14 @@
         self.bodiless = False  # the answer to HEAD has no body, whatever its Content-Length
         self.stall_timer: asyncio.TimerHandle | None = None
         self.idle_since: float | None = None  # in the loop's time
-        self.idle_for = 0.0  # seconds before the current request
+        self.idle_before_request = 0.0  # seconds that it was idle before the current request
         self.node: Address | None = None  # set once the connection is open
         self.request_kind = RequestKind.HEALTH_CHECK  # of the current request
         self.digest: RequestDigest | None = None  # of the current request; None: not known
-        # whether a duplicate of an earlier answer may arrive and would be a right answer to the request
-        self.may_get_repetition = False
+        # whether a duplicate of an earlier answer may arrive and would be a valid answer to the request
+        self.may_get_valid_duplicate = False
         self.awaits_own_answer = False  # a duplicate was dropped, and no other answer has begun
-        self.needs_rest = False  # whether a duplicate of the last answer could not be detected
+        self.needs_reuse_delay = False  # whether a duplicate of the last answer could not be detected
         self.inspection: AnswerInspection | None = None  # of the current answer
         self.recent_answers = RecentAnswers()
 
@@ -113,7 +113,7 @@
         self.awaits_own_answer = False
         by_peer = self.transport is not None  # a local close has already removed it
         if by_peer and self.awaiting_answer and not self.head and not self.in_body:
-            self.pool.record_break(self.idle_for)
+            self.pool.record_break(self.idle_before_request)
         if (
             self.awaiting_answer
             and self.ends_with_connection
@@ -123,7 +123,7 @@
             # aiohttp treats a broken connection as the end of an answer without a length.
             self._payload.set_exception(MalformedAnswer("connection broke before the end of the answer"))
             self._parser = None
-        self._exchange_done()
+        self._end_exchange()
         super().connection_lost(exc)
 
     def assign(self, node: Address, kind: RequestKind, digest: RequestDigest | None) -> None:
@@ -135,7 +135,7 @@
             digest: The digest of the request; None: not known.
         """
         self.node, self.request_kind, self.digest = node, kind, digest
-        self.may_get_repetition = digest is not None and self.recent_answers.may_serve_again(
+        self.may_get_valid_duplicate = digest is not None and self.recent_answers.may_get_valid_duplicate(
             digest, self._loop.time()
         )
 
@@ -143,9 +143,9 @@
         """Start an exchange: a request is about to be written."""
         self.awaiting_answer = True
         self.in_body = self.ends_with_connection = self.streaming = False
-        self.needs_rest = True
+        self.needs_reuse_delay = True
         self.head = b""
-        self.idle_for = 0.0 if self.idle_since is None else self._loop.time() - self.idle_since
+        self.idle_before_request = 0.0 if self.idle_since is None else self._loop.time() - self.idle_since
         self.bodiless = bool(params.get("skip_payload"))
         super().set_response_params(**params)
 
@@ -159,13 +159,13 @@
             self.awaiting_answer or not self._idle_too_long() and not self._has_unread_bytes()
         )
 
-    def rest_left(self, now: float, digest: RequestDigest | None = None) -> float:
-        """Return how many more seconds it has to rest before it is reused for a request with this digest."""
+    def remaining_reuse_delay(self, now: float, digest: RequestDigest | None = None) -> float:
+        """Return the remaining seconds of its reuse delay for a request with this digest."""
         if self.idle_since is None or self.node is None:
             return 0.0  # it has not received any answer
-        rest = self.pool.reuse_delays.delay_for(self.node, now, self.needs_rest)
-        left = max(0.0, self.idle_since + rest - now)
-        return left if digest is None else max(left, self.recent_answers.rest_left(digest, now))
+        delay = self.pool.reuse_delays.delay_for(self.node, now, self.needs_reuse_delay)
+        left = max(0.0, self.idle_since + delay - now)
+        return left if digest is None else max(left, self.recent_answers.remaining_reuse_delay(digest, now))
 
     def _idle_too_long(self) -> bool:
         idle = 0.0 if self.idle_since is None else self._loop.time() - self.idle_since
@@ -176,8 +176,8 @@
         if not data:
             super().data_received(data)  # aiohttp continues with the bytes it has buffered
         elif not self.awaiting_answer:
-            # Bytes after an answer belong to no request, and must not reach the next one on the connection.
-            self._close_for_surplus()
+            # Unsolicited bytes belong to no request, and must not reach the next one on the connection.
+            self._close_for_unsolicited_bytes()
         elif not self.in_body:
             self._receive_head(data)
         elif self.chunked or self.ends_with_connection:
@@ -194,22 +194,22 @@
     def _receive_head(self, data: bytes) -> None:
         self.head += data
         while (end := self.head.find(HEAD_END)) >= 0:
-            head, rest = self.head[: end + len(HEAD_END)], self.head[end + len(HEAD_END) :]
+            head, remainder = self.head[: end + len(HEAD_END)], self.head[end + len(HEAD_END) :]
             status = head[9:12]
             if status == b"101":
                 return self._fail_exchange("unsolicited protocol switch (status 101)")
             if not status.isdigit() or status[:1] != b"1":
-                return self._begin_answer(head, rest)
-            self.head = rest  # an interim response: the final one is still to come
+                return self._begin_answer(head, remainder)
+            self.head = remainder  # an interim response: the final one is still to come
         self._start_stall_timer()
         # Limits the memory used by an endless head, and fails early on bytes that cannot begin a head.
         if len(self.head) > MAX_HEAD_BYTES or self.head[:7] != b"HTTP/1."[: len(self.head)]:
             self._fail_exchange("answer head is malformed or too large")
 
-    def _begin_answer(self, head: bytes, rest: bytes) -> None:
+    def _begin_answer(self, head: bytes, remainder: bytes) -> None:
         if head[9:10] == SUCCESS_CLASS and self._request_is_unwritten():
             # The node has not received this request yet, so the answer belongs to another client's request.
-            self._record_surplus()
+            self._record_unsolicited_bytes()
             return self._fail_exchange("success answer before the request was written")
         try:
             # RFC 9112, 6.3: these have no body, whatever their Content-Length
@@ -225,9 +225,9 @@
         self.body_left = max(0, length)
         self.inspection = self._inspect(head[9:12], length)
         if self.chunked or self.ends_with_connection:
-            self._receive_chunked(head + rest)
+            self._receive_chunked(head + remainder)
         else:
-            self._receive_body(rest, head)
+            self._receive_body(remainder, head)
 
     def _inspect(self, status: bytes, length: int) -> AnswerInspection | None:
         if length < 0:
@@ -238,49 +238,49 @@
 
     def _receive_body(self, data: bytes, head: bytes = b"") -> None:
         assert self.inspection is not None
-        body, surplus = data[: self.body_left], data[self.body_left :]
+        body, remainder = data[: self.body_left], data[self.body_left :]
         self.body_left -= len(body)
         passed = self.inspection.feed(head, body)
         if self.inspection.is_duplicate and not self.body_left:
-            return self._drop_repetition(surplus)
+            return self._drop_duplicate(remainder)
         if self.body_left:
             self._start_stall_timer(restart=bool(body))
         else:
             self._remember_answer(self.inspection)
-            self._exchange_done()
+            self._end_exchange()
         if passed:
             super().data_received(passed)
-        if surplus:
-            self._close_for_surplus()
+        if remainder:
+            self._close_for_unsolicited_bytes()
 
     def _remember_answer(self, inspection: AnswerInspection) -> None:
-        """Record the answer, and decide whether the connection rests before it is reused."""
+        """Record the answer, and decide whether the connection needs a reuse delay."""
         fingerprint, digest = inspection.fingerprint, self.digest
         subject = None if digest is None else digest.subject
         if fingerprint is None or not self.pool.fingerprints.record(fingerprint, self.request_kind, subject):
-            self.needs_rest = True
+            self.needs_reuse_delay = True
             return
         self.pool.counters.equal_answers_passed += inspection.equals_recent
         contains_request_id = inspection.contains_request_id()
         is_added = self.recent_answers.add(fingerprint, self._loop.time(), digest, contains_request_id)
         # This answer may be a duplicate of the earlier one, with the request's own answer still to come.
-        self.needs_rest = not is_added or self.may_get_repetition and inspection.equals_recent
+        self.needs_reuse_delay = not is_added or self.may_get_valid_duplicate and inspection.equals_recent
 
-    def _drop_repetition(self, surplus: bytes) -> None:
+    def _drop_duplicate(self, remainder: bytes) -> None:
         """Drop a duplicate of an earlier request's answer, and wait for the current request's own."""
         self.pool.counters.repetitions_dropped += 1
         self.awaits_own_answer = True
-        self._record_surplus()
+        self._record_unsolicited_bytes()
         self.force_close()  # takes effect once this exchange is over
         self.in_body = False
         self._start_stall_timer(restart=True)
-        if surplus:
-            self._receive_head(surplus)
+        if remainder:
+            self._receive_head(remainder)
 
     def _receive_chunked(self, data: bytes) -> None:
         super().data_received(data)
         if self._payload is not None and self._payload.is_eof():
-            self._exchange_done()
+            self._end_exchange()
         else:
             self._start_stall_timer(restart=True)
 
@@ -296,10 +296,10 @@
                 self.stall_timeout.total_seconds(), self._fail_exchange, "answer stalled"
             )
 
-    def _exchange_done(self) -> None:
+    def _end_exchange(self) -> None:
         """End the exchange: no more bytes are expected."""
         if self.awaiting_answer and self.in_body:
-            self.pool.record_success(self.idle_for)
+            self.pool.record_success(self.idle_before_request)
         self.awaiting_answer = False
         self.idle_since = self._loop.time()
         self._cancel_stall_timer()
@@ -316,12 +316,12 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def _close_for_surplus(self) -> None:
-        """Close the connection, as it received bytes that belong to no request."""
-        self._record_surplus()
+    def _close_for_unsolicited_bytes(self) -> None:
+        """Close the connection, as it received unsolicited bytes."""
+        self._record_unsolicited_bytes()
         self._close_now()
 
-    def _record_surplus(self) -> None:
+    def _record_unsolicited_bytes(self) -> None:
         if self.node is not None and self.pool.reuse_delays.record_unsolicited_bytes(
             self.node, self._loop.time()
         ):
@@ -336,8 +336,8 @@
         transport = self.transport
         return isinstance(transport, asyncio.WriteTransport) and transport.get_write_buffer_size() > 0
 
-    def _fail_exchange(self, why: str) -> None:
-        error = MalformedAnswer(why)
+    def _fail_exchange(self, reason: str) -> None:
+        error = MalformedAnswer(reason)
         if self._payload is not None and not self._payload.is_eof():
             self._payload.set_exception(error)
         self.set_exception(error)
--- a/stoatrouter/net/nodes.py
+++ b/stoatrouter/net/nodes.py
@@ -137,8 +137,8 @@
 def attempt_headers(effect: model.SendAttempt) -> CIMultiDict[str] | dict[str, str]:
     """Return the header fields of an attempt: those of the node protocol, and those that the front adds."""
     request = effect.request
-    wait_ms = max(1, effect.timeout // timedelta(milliseconds=1))
-    headers: CIMultiDict[str] | dict[str, str] = {"Req-Id": request.id, "Req-Deadline-Ms": str(wait_ms)}
+    timeout_ms = max(1, effect.timeout // timedelta(milliseconds=1))
+    headers: CIMultiDict[str] | dict[str, str] = {"Req-Id": request.id, "Req-Deadline-Ms": str(timeout_ms)}
     if request.fields:
         headers = CIMultiDict((*headers.items(), *request.fields))
     if request.idempotency_key is not None:
--- a/stoatrouter/net/pool.py
+++ b/stoatrouter/net/pool.py
@@ -26,7 +26,7 @@
 REUSE_IDLE_DECREASE = 0.8  # factor after a break
 REUSE_IDLE_INCREASE = 1.05  # factor after a success near the maximum
 # The digest of the request that needs a connection: aiohttp passes only the node's key to _get.
-requested_digest: ContextVar[RequestDigest | None] = ContextVar("asked", default=None)
+requested_digest: ContextVar[RequestDigest | None] = ContextVar("requested_digest", default=None)
 
 
 class NodePool(aiohttp.TCPConnector):
@@ -49,7 +49,7 @@
         self.max_connections = max_connections
         self.connect_timeout = connect_timeout.total_seconds()
         self.keepalive = keepalive.total_seconds()
-        self.max_reuse_idle = self.keepalive  # the longest idle time in seconds after which one is reused
+        self.max_reuse_idle = self.keepalive  # the maximum idle time in seconds after which one is reused
         self.open_connections: set[NodeConnection] = set()
         self.attempts_written = 0  # attempts that were written completely, since the start
         self.reuse_delays = ReuseDelays()
@@ -107,7 +107,7 @@
             connection.release()
             raise NotBegun
         if isinstance(protocol, NodeConnection):
-            protocol.assign(Address(req.url.host, req.url.port), kind_of(req), digest)
+            protocol.assign(Address(req.url.host, req.url.port), classify_request(req), digest)
         return connection
 
     async def _get(self, key: Any, traces: Any) -> Any:
@@ -115,12 +115,12 @@
         while (connection := self._take_idle(key)) is None:
             if len(self.open_connections) + self._dials_in_progress < self.max_connections:
                 return None
-            rest = self._shortest_rest(key)
-            if rest is None and self._close_oldest_idle():
+            delay = self._shortest_reuse_delay(key)
+            if delay is None and self._close_oldest_idle():
                 return None
-            # Waiting for a resting connection costs the node less than replacing it by a new one.
-            self.counters.waits_for_rest += rest is not None
-            await self._pool_waiters.wait(key, rest)
+            # Waiting for the end of a reuse delay costs the node less than opening a new connection.
+            self.counters.waits_for_rest += delay is not None
+            await self._pool_waiters.wait(key, delay)
         self.counters.reuses += 1
         return connection
 
@@ -140,14 +140,14 @@
             self._pool_waiters.wake(None)
 
     def _take_idle(self, key: Any) -> Connection | None:
-        """Return the first released idle connection that is intact and need not rest; None if none is."""
+        """Return the first released idle connection that is intact and past its reuse delay, or None."""
         idle, now = self._conns.get(key, deque()), asyncio.get_running_loop().time()
         digest = requested_digest.get()
         position = 0
         while position < len(idle):
             protocol = idle[position][0]
-            # A resting connection may still receive a duplicate of another client's answer.
-            if isinstance(protocol, NodeConnection) and protocol.rest_left(now, digest):
+            # During the reuse delay, the connection may still receive a duplicate of another client's answer.
+            if isinstance(protocol, NodeConnection) and protocol.remaining_reuse_delay(now, digest):
                 position += 1
                 continue
             del idle[position]
@@ -159,19 +159,19 @@
             protocol.close()
         return None
 
-    def _shortest_rest(self, key: Any) -> float | None:
-        """Return the shortest remaining rest, in seconds, of a node's idle connections; None if it has none.
+    def _shortest_reuse_delay(self, key: Any) -> float | None:
+        """Return the shortest remaining reuse delay, in seconds, of a node's idle connections, or None.
 
-        Until then, that connection rests for all requests.
+        Until then, that connection is reused for no request at all.
         """
         now, digest = asyncio.get_running_loop().time(), requested_digest.get()
         idle = [protocol for protocol, _ in self._conns.get(key, ()) if isinstance(protocol, NodeConnection)]
         if not idle:
             return None
-        first = min(idle, key=lambda protocol: protocol.rest_left(now, digest))
+        first = min(idle, key=lambda protocol: protocol.remaining_reuse_delay(now, digest))
         # Otherwise reads of the same object could use the connection first and delay a write repeatedly.
-        first.needs_rest = True
-        return first.rest_left(now, digest)
+        first.needs_reuse_delay = True
+        return first.remaining_reuse_delay(now, digest)
 
     def _close_oldest_idle(self) -> bool:
         """Close the connection that has been idle for longest; returns False if none is idle."""
@@ -189,8 +189,8 @@
         return True
 
 
-def kind_of(request: aiohttp.ClientRequest) -> RequestKind:
-    """Return the kind of a request."""
+def classify_request(request: aiohttp.ClientRequest) -> RequestKind:
+    """Return the kind of a request, by its method and header fields."""
     if "Req-Id" not in request.headers:
         return RequestKind.HEALTH_CHECK
     return RequestKind.READ if request.method in READ_METHODS else RequestKind.WRITE
--- a/stoatrouter/net/tables.py
+++ b/stoatrouter/net/tables.py
@@ -55,7 +55,7 @@
     return await result
 
 
-def without_long_pauses(work: Callable[[], Result]) -> Result:
+def run_without_long_pauses(work: Callable[[], Result]) -> Result:
     """Run work that creates many objects, with a short switch interval and without garbage collection.
 
     A collection would stall requests for up to a second. The new objects are long-lived, so they are frozen.
@@ -63,7 +63,7 @@
     previous_interval = sys.getswitchinterval()
     sys.setswitchinterval(SWITCH_INTERVAL.total_seconds())
     # Collecting garbage among the new objects would take a third of the time, and a second without pause at
-    # the end, in which requests stall. The new objects are kept; reference counting frees everything else.
+    # the end, in which requests stall. The new objects stay alive; reference counting frees everything else.
     gc.disable()
     try:
         return work()
@@ -75,9 +75,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CompiledTable:
-    """A compiled table, the place it was loaded from, and its files as they were read."""
+    """A compiled table, the loader of its files, and the files as they were read."""
 
-    tables: TableLoader
+    loader: TableLoader
     table: Table
     sources: RuleSources
 
@@ -95,28 +95,28 @@
     """Loads rule tables and activates them, one at a time."""
 
     def __init__(
-        self, tables: TableLoader, shadow: TableLoader | None, windows: dict[int, timedelta]
+        self, loader: TableLoader, shadow_loader: TableLoader | None, windows: dict[int, timedelta]
     ) -> None:
         """Load the tables and activate them at once.
 
         Args:
-            tables: The place that the active table is loaded from.
-            shadow: The place that the shadow table is loaded from; None: no shadow table.
+            loader: Loads the active table.
+            shadow_loader: Loads the shadow table; None: no shadow table.
             windows: The repeat windows of idempotent classes, by class number.
 
         Raises:
             SettingsError: The tables cannot be loaded.
         """
-        self.tables = tables
-        self.shadow = shadow
+        self.loader = loader
+        self.shadow_loader = shadow_loader
         loaded = self.load()
-        self.matcher = Matcher(self.log_in_force(loaded.table, loaded.sources), windows)
+        self.matcher = Matcher(self.log_active(loaded.table, loaded.sources), windows)
         self.matcher.set_shadow(loaded.shadow)
         self.reload_task: asyncio.Task[None] | None = None
         self.reload_again = False
         self.managed = False  # whether the table comes from the heads' history, not from this head's files
 
-    def log_in_force(self, table: Table, sources: RuleSources) -> Table:
+    def log_active(self, table: Table, sources: RuleSources) -> Table:
         """Log which table is active, and its warnings; returns the table."""
         logger.info(
             "rules: table {epoch} with {rules} rules in {scopes} scopes is active",
@@ -140,9 +140,9 @@
         if self.reload_task is not None and not self.reload_task.done():
             self.reload_again = True
             return
-        self.reload_task = asyncio.get_running_loop().create_task(self.load_again())
+        self.reload_task = asyncio.get_running_loop().create_task(self.run_reloads())
 
-    async def load_again(self) -> None:
+    async def run_reloads(self) -> None:
         """Load the files in a thread and activate the table; if it is rejected, the old one stays active."""
         self.reload_again = True
         while self.reload_again:
@@ -156,7 +156,7 @@
             except Exception:
                 logger.exception("rules: loading failed with an unexpected error", event="rules.fault")
                 continue
-            self.matcher.replace(self.log_in_force(loaded.table, loaded.sources))
+            self.matcher.replace(self.log_active(loaded.table, loaded.sources))
             self.matcher.set_shadow(loaded.shadow)
 
     def log_rejected(self, error: SettingsError) -> None:
@@ -171,29 +171,31 @@
 
     def load(self) -> LoadedTables:
         """Load the tables from their files; raises SettingsError."""
-        return without_long_pauses(self._load)
+        return run_without_long_pauses(self._load)
 
     def _load(self) -> LoadedTables:
-        table, sources = self.tables.load()
-        shadow = self.shadow.load()[0] if self.shadow is not None else None
+        table, sources = self.loader.load()
+        shadow = self.shadow_loader.load()[0] if self.shadow_loader is not None else None
         return LoadedTables(table, sources, shadow)
 
     async def compile(self, path: Path) -> CompiledTable:
         """Compile a table from other files without activating it; raises SettingsError."""
-        now = self.tables
-        tables = TableLoader(path, now.vocabulary, now.environment, now.buckets, cache=now.cache)
-        table, sources = await run_in_thread(lambda: without_long_pauses(tables.load))
-        return CompiledTable(tables, table, sources)
+        current = self.loader
+        loader = TableLoader(
+            path, current.vocabulary, current.environment, current.buckets, cache=current.cache
+        )
+        table, sources = await run_in_thread(lambda: run_without_long_pauses(loader.load))
+        return CompiledTable(loader, table, sources)
 
     def activate(self, compiled: CompiledTable) -> None:
         """Activate a compiled table."""
-        self.tables = compiled.tables
-        self.matcher.replace(self.log_in_force(compiled.table, compiled.sources))
+        self.loader = compiled.loader
+        self.matcher.replace(self.log_active(compiled.table, compiled.sources))
 
     async def log_periodically(self) -> None:
-        """Log differences from the shadow table and forgotten placements every LOG_INTERVAL."""
+        """Log differences from the shadow table and evicted placements every LOG_INTERVAL."""
         logged_differences = 0
-        forgotten = 0
+        evicted = 0
         while True:
             await asyncio.sleep(LOG_INTERVAL.total_seconds())
             matcher = self.matcher
@@ -201,23 +203,23 @@
             if matcher.shadow is not None and differences != logged_differences:
                 self.log_differences()
             logged_differences = differences
-            if matcher.placements.evicted != forgotten:
-                forgotten = matcher.placements.evicted
+            if matcher.placements.evicted != evicted:
+                evicted = matcher.placements.evicted
                 logger.warning(
                     "rules: {count} placements evicted before they expired",
                     event="rules.forgotten",
-                    count=forgotten,
+                    count=evicted,
                 )
 
     def log_differences(self) -> None:
         """Log the most frequent differences between the active table and the shadow table."""
-        for (in_force, other), count in self.matcher.differences.most_common(MAX_LOGGED_LINES):
+        for (active, other), count in self.matcher.differences.most_common(MAX_LOGGED_LINES):
             logger.info(
                 "rules: shadow differs in {count} of {asked} requests: active {in_force}, shadow {other}",
                 event="rules.shadow",
                 count=count,
                 asked=self.matcher.shadowed,
-                in_force=in_force,
+                in_force=active,
                 other=other,
             )
 
--- a/stoatrouter/peering/mapped_counter.py
+++ b/stoatrouter/peering/mapped_counter.py
@@ -1,4 +1,4 @@
-"""A number in a memory-mapped file of its own, which survives a crash of the process.
+"""A counter in a memory-mapped file of its own, which survives a crash of the process.
 
 A head has two beside its database (`storage`): the number of the last write that it acknowledged, which
 reveals an older copy of the database, and the commit index of the log on the disk.
@@ -11,11 +11,11 @@
 import struct
 from pathlib import Path
 
-RECORD = struct.Struct(">QQ")  # the number twice, which reveals a torn write
+RECORD = struct.Struct(">QQ")  # the value twice, which reveals a torn write
 
 
 class MappedCounter:
-    """An increasing number in a memory-mapped file."""
+    """An increasing counter in a memory-mapped file."""
 
     def __init__(self, path: Path) -> None:
         """Map the file, created if missing; raises OSError."""
@@ -24,15 +24,15 @@
         self._map = mmap.mmap(self._file, RECORD.size)
 
     def read(self) -> int:
-        """Return the number, 0 in a new file; after a torn write, the lower of the two copies."""
+        """Return the value, 0 in a new file; after a torn write, the lower of the two copies."""
         first: int
         second: int
         first, second = RECORD.unpack(self._map[:])
         return min(first, second)
 
-    def set(self, number: int) -> None:
-        """Set the number."""
-        self._map[:] = RECORD.pack(number, number)
+    def set(self, value: int) -> None:
+        """Set the value."""
+        self._map[:] = RECORD.pack(value, value)
 
     def close(self) -> None:
         """Unmap and close the file."""
