--- a/benchmarks/capacity/virtual_watches.py
+++ b/benchmarks/capacity/virtual_watches.py
@@ -21,7 +21,7 @@
 from loguru import logger
 from yarl import URL
 
-from stoatrouter.core.list_times import list_times
+from stoatrouter.core.discovery_timeouts import discovery_timeouts
 from stoatrouter.net import discovery
 
 DRAIN_GRACE = timedelta(seconds=2)
@@ -191,7 +191,7 @@
     """All calls of so many heads that start within the first seconds and know the list."""
     service = VirtualDiscovery(entries, incident)
     known = json.loads(service.whole) | {"generation": service.generation}
-    times = list_times(pushed, DRAIN_GRACE)
+    times = discovery_timeouts(pushed, DRAIN_GRACE)
     with without_network(service):
         tasks = [asyncio.create_task(service.play())]
         for _ in range(heads):
--- a/stoatrouter/core/list_times.py
+++ b/stoatrouter/core/discovery_timeouts.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ListTimes:
+class DiscoveryTimeouts:
     """The timeouts of one deployment."""
 
     hold: timedelta  # the longest requested hold of a watch; the actual one is random, from 3/4 of it up
@@ -42,7 +42,7 @@
         return max(self.answer, self.max_backoff) + self.backoff + self.answer
 
 
-def list_times(pushed: bool, drain_grace: timedelta) -> ListTimes:
+def discovery_timeouts(pushed: bool, drain_grace: timedelta) -> DiscoveryTimeouts:
     """Return the timeouts of a deployment.
 
     With `pushed`, an agent on this machine answers at no cost, so it is polled often enough to leave half of
@@ -52,7 +52,7 @@
     if pushed:
         hold = min(500 * MS, max(100 * MS, drain_grace / 4))
         hold_grace = max(100 * MS, hold / 2)
-        return ListTimes(
+        return DiscoveryTimeouts(
             hold,
             hold_grace,
             connect=200 * MS,
@@ -62,7 +62,7 @@
             max_backoff=50 * MS,
             first_answer=500 * MS,
         )
-    return ListTimes(
+    return DiscoveryTimeouts(
         hold=2500 * MS,
         hold_grace=400 * MS,
         connect=400 * MS,
--- a/stoatrouter/credit/escrow.py
+++ b/stoatrouter/credit/escrow.py
@@ -207,7 +207,7 @@
             account.allotment_ids(),
             (*settlements, *unreported),
             wanted,
-            account.largest_unmet if wanted else 0,
+            account.max_unmet_charge if wanted else 0,
         )
 
     def _report_is_due(self, account: LocalAccount, now: timedelta) -> bool:
@@ -235,9 +235,9 @@
         usable = sum(
             allotment.available
             for allotment in account.allotments
-            if allotment.expires_at > now + self.lease / 3 and allotment.available >= account.largest_unmet
+            if allotment.expires_at > now + self.lease / 3 and allotment.available >= account.max_unmet_charge
         )
-        at_once = max(account.largest_unmet, account.waiting)
+        at_once = max(account.max_unmet_charge, account.waiting)
         lease = self.lease.total_seconds()
         needed = max(at_once, math.ceil(account.use_per_second * lease * REFILL_THRESHOLD_LEASES))
         if usable >= needed or needed <= 0:
@@ -259,11 +259,11 @@
             self._confirm_settlement(account, settlement)
         if grant.allotment:
             account.exhausted_at = None
-            account.largest_unmet = 0
+            account.max_unmet_charge = 0
             self._add_allotment(account, grant, asked_at + self.lease)
         elif report.wanted:
             account.exhausted_at = now
-            account.largest_unmet = 0
+            account.max_unmet_charge = 0
 
     def _confirm_settlement(self, account: LocalAccount, settlement: Settlement) -> None:
         for allotment in [known for known in account.allotments if known.id == settlement.allotment]:
--- a/stoatrouter/credit/local_account.py
+++ b/stoatrouter/credit/local_account.py
@@ -87,7 +87,7 @@
     answered_at: timedelta | None = None  # when the ledger last answered a report
     exhausted_at: timedelta | None = None  # when the ledger last had nothing to grant
     report_pending: bool = False  # a report was sent and not answered
-    largest_unmet: int = 0  # the largest recent charge that no allotment could cover
+    max_unmet_charge: int = 0  # the largest recent charge that no allotment could cover
     unmet_at: timedelta = NO_TIME  # the time of that charge
     waiting: int = 0  # the total charge of all requests waiting for an allotment
     use_per_second: float = 0.0  # millionths of a credit unit, averaged over USE_AVERAGING_SPAN
@@ -120,13 +120,13 @@
     def count_unmet(self, charge: int, now: timedelta) -> None:
         """Record a charge that no allotment can cover; the next requested amount covers the largest one."""
         self.forget_unmet(now)
-        if charge >= self.largest_unmet:
-            self.largest_unmet, self.unmet_at = charge, now
+        if charge >= self.max_unmet_charge:
+            self.max_unmet_charge, self.unmet_at = charge, now
 
     def forget_unmet(self, now: timedelta) -> None:
         """Drop an uncovered charge older than USE_AVERAGING_SPAN: no request waits for it any more."""
         if now - self.unmet_at > USE_AVERAGING_SPAN:
-            self.largest_unmet = 0
+            self.max_unmet_charge = 0
 
     def pace(self, rank: int) -> Rejection | None:
         """Admit the quota of a rank's requests, evenly spread; return None if this one is admitted."""
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -11,8 +11,8 @@
 
 from stoatrouter import config
 from stoatrouter.core.descriptors import divide_descriptors
+from stoatrouter.core.discovery_timeouts import discovery_timeouts
 from stoatrouter.core.durations import from_microseconds
-from stoatrouter.core.list_times import list_times
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.fronts.platform import PlatformFront
 from stoatrouter.management.calls import MAX_CALLERS, Management
@@ -99,7 +99,7 @@
         engine.apply_node_list,
         engine.reducer.tally.add,
         pushed,
-        list_times(pushed, conf.drain_grace),
+        discovery_timeouts(pushed, conf.drain_grace),
         conf.zones,
     )
 
@@ -288,8 +288,8 @@
             open=self.engine.reducer.open,
         )
         self.serving = False
-        longest_deadline = max(request_class.deadline for request_class in self.conf.settings.classes)
-        deadlines = shutdown_deadlines(from_microseconds(longest_deadline))
+        max_class_deadline = max(request_class.deadline for request_class in self.conf.settings.classes)
+        deadlines = shutdown_deadlines(from_microseconds(max_class_deadline))
         self.engine.answer_deadline = self.engine.clock.now() + deadlines.answer_within
         await asyncio.gather(
             *(listener.stop(lambda: self.engine.busy, deadlines.accept_for) for listener in self.listeners)
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -21,7 +21,7 @@
 
 from stoatrouter.config import Config, ConfigError
 from stoatrouter.core import model
-from stoatrouter.core.list_times import list_times
+from stoatrouter.core.discovery_timeouts import discovery_timeouts
 from stoatrouter.credit.gate import Gate
 from stoatrouter.fronts.http.settings import HttpSettings
 from stoatrouter.fronts.wiring import create_http_tables
@@ -166,7 +166,7 @@
             self._on_node_list,
             lambda _: None,
             pushed,
-            list_times(pushed, conf.drain_grace),
+            discovery_timeouts(pushed, conf.drain_grace),
             conf.zones,
         )
         self.watching = asyncio.get_running_loop().create_task(self.watch.run())
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -14,7 +14,7 @@
 from loguru import logger
 from yarl import URL
 
-from stoatrouter.core.list_times import ListTimes, list_times
+from stoatrouter.core.discovery_timeouts import DiscoveryTimeouts, discovery_timeouts
 from stoatrouter.core.model import NodeInfo
 from stoatrouter.net.background import start_task
 from stoatrouter.net.endpoint_list import read_list
@@ -74,7 +74,7 @@
         on_list: ListCallback,
         count: Callable[[str], None] = lambda _: None,
         pushed: bool = True,
-        times: ListTimes | None = None,
+        times: DiscoveryTimeouts | None = None,
         zones: tuple[str, ...] = (),
     ) -> None:
         """Set up a watch of the endpoint list; it makes no calls until run.
@@ -87,14 +87,14 @@
             count: Called with the name of a fault to count, such as entry_unreadable.
             pushed: Whether an agent on this machine, to which the list is pushed, is polled often; otherwise
                 one discovery service serves all heads and is polled rarely.
-            times: The timeouts and backoff of calls; None: those that list_times returns for `pushed`.
+            times: The timeouts and backoff of calls; None: those of discovery_timeouts for `pushed`.
             zones: The names of the zones, in the order in which the settings number them.
         """
         self.address = address
         self.on_list = on_list
         self.pushed = pushed
         self.zones = zones
-        self.times = times or list_times(pushed, timedelta(seconds=2))
+        self.times = times or discovery_timeouts(pushed, timedelta(seconds=2))
         self.known = known
         self.entry_faults = EntryFaults(count)
         self.cached: dict[str, NodeInfo] = {}  # as last received, to replace malformed entries
--- a/stoatrouter/net/handover.py
+++ b/stoatrouter/net/handover.py
@@ -15,7 +15,7 @@
 from stoatrouter.net.discovery import Watch
 from stoatrouter.net.engine import Engine
 from stoatrouter.net.handover_socket import (
-    HOLDINGS_INTERVAL,
+    OPEN_RESOURCES_INTERVAL,
     PROTOCOL_VERSION,
     HandoverSocket,
     Predecessor,
@@ -23,14 +23,14 @@
 )
 from stoatrouter.net.listener import Drain
 from stoatrouter.net.state_format import (
-    Holdings,
     JsonObject,
+    OpenResources,
     read_administrative_state,
-    read_holdings,
     read_node,
+    read_open_resources,
     write_administrative_state,
-    write_holdings,
     write_node,
+    write_open_resources,
 )
 
 # Fewer open requests are admitted for this time after each message of the other process: all clients move at
@@ -113,21 +113,21 @@
         self.watch.generation = state["generation"]
         if state["out_of_service"]:
             self.drain.out_of_service()
-        self.apply_holdings(read_holdings(state["holds"]))
+        self.apply_open_resources(read_open_resources(state["holds"]))
 
     async def follow(self) -> None:
-        """Apply the holdings of the previous process until it ends; returns at once if there is none."""
+        """Apply the open resources of the previous process until it ends; returns at once without one."""
         if self.predecessor is not None:
-            await self.predecessor.follow(self.apply_holdings)
+            await self.predecessor.follow(self.apply_open_resources)
             self.predecessor = None
 
-    def apply_holdings(self, holdings: Holdings) -> None:
-        """Reduce this process's limits by the holdings of the previous one, as both are one head."""
-        self.clients.max_connections = max(1, self.max_clients - holdings.clients)
-        self.clients.busy_at_predecessor = holdings.busy
+    def apply_open_resources(self, open_resources: OpenResources) -> None:
+        """Reduce this process's limits by the open resources of the previous one, as both are one head."""
+        self.clients.max_connections = max(1, self.max_clients - open_resources.clients)
+        self.clients.busy_at_predecessor = open_resources.busy
         self.clients.tighten_busy_limit(SETTLING_TIME)
-        self.engine.nodes.pool.set_limit(max(1, self.max_node_connections - holdings.connections))
-        self.engine.dispatch(model.AttemptsElsewhere(self.engine.clock.now(), holdings.attempts))
+        self.engine.nodes.pool.set_limit(max(1, self.max_node_connections - open_resources.connections))
+        self.engine.dispatch(model.AttemptsElsewhere(self.engine.clock.now(), open_resources.attempts))
 
     # -- the old process ----------------------------------------------------------------------------------
     async def listen(self) -> None:
@@ -167,7 +167,7 @@
         await self.stop_accepting()
         try:
             await send_line(writer, self.state())
-            await self.report_holdings(reader, writer)
+            await self.report_open_resources(reader, writer)
         except OSError as error:
             logger.warning(
                 "upgrade: lost the new process: {error}", event="upgrade.broke_off", error=repr(error)
@@ -187,19 +187,19 @@
             "nodes": [write_node(node) for node in state.nodes],
             "by_hand": write_administrative_state(state.administrative_state),
             "module": state.module,
-            "holds": write_holdings(self.holdings()),
+            "holds": write_open_resources(self.open_resources()),
         }
 
-    async def report_holdings(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send the holdings every HOLDINGS_INTERVAL until the new process closes the connection.
+    async def report_open_resources(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send the open resources every OPEN_RESOURCES_INTERVAL until the new process closes the connection.
 
         Raises OSError if the connection breaks.
         """
         ended = asyncio.ensure_future(reader.read())
         try:
             while not ended.done():
-                await asyncio.wait([ended], timeout=HOLDINGS_INTERVAL.total_seconds())
-                await send_line(writer, write_holdings(self.holdings()))
+                await asyncio.wait([ended], timeout=OPEN_RESOURCES_INTERVAL.total_seconds())
+                await send_line(writer, write_open_resources(self.open_resources()))
         finally:
             ended.cancel()
 
@@ -211,9 +211,9 @@
         await self.resume_accepting()
         await self.listen()
 
-    def holdings(self) -> Holdings:
+    def open_resources(self) -> OpenResources:
         """Return what this process still has open, from which the new one computes its limits."""
-        return Holdings(
+        return OpenResources(
             clients=len(self.clients),
             connections=len(self.engine.nodes.pool.open_connections),
             attempts=dict(Counter(self.engine.reducer.nodes_in_flight())),
--- a/stoatrouter/net/handover_socket.py
+++ b/stoatrouter/net/handover_socket.py
@@ -1,8 +1,8 @@
 """The protocol between two processes of one head, over a Unix-domain socket in $TMPDIR.
 
 The new process connects and requests the state. The old one stops accepting and sends its state as one line
-of JSON, followed by its holdings (state_format.Holdings), one line each. The end of the connection tells each
-process that the other one has ended.
+of JSON, followed by its open resources (state_format.OpenResources), one line each. The end of the connection
+tells each process that the other one has ended.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from loguru import logger
 
 from stoatrouter.net.startup_notification import SOCKET_NAME, short_path
-from stoatrouter.net.state_format import Holdings, JsonObject, read_holdings
+from stoatrouter.net.state_format import JsonObject, OpenResources, read_open_resources
 
 PROTOCOL_VERSION = 1
 # A new process has to serve within 6 s, so it stops waiting for an unresponsive old one after this time.
 ANSWER_TIMEOUT = timedelta(seconds=2)
-HOLDINGS_INTERVAL = timedelta(milliseconds=25)
+OPEN_RESOURCES_INTERVAL = timedelta(milliseconds=25)
 MAX_LINE_BYTES = 16 * 1024 * 1024
 
 
@@ -49,11 +49,11 @@
         state, self._state = self._state, {}
         return state
 
-    async def follow(self, on_holdings: Callable[[Holdings], None]) -> None:
-        """Report the holdings of the previous process as they change, and empty ones once it has ended."""
+    async def follow(self, on_open_resources: Callable[[OpenResources], None]) -> None:
+        """Report the open resources of the previous process as they change, and none once it has ended."""
         try:
             while line := await self.reader.readline():
-                on_holdings(read_holdings(json.loads(line)))
+                on_open_resources(read_open_resources(json.loads(line)))
         except (OSError, ValueError) as error:
             logger.warning(
                 "upgrade: lost the connection to the old process: {error}",
@@ -62,7 +62,7 @@
             )
         finally:
             self.writer.close()
-            on_holdings(Holdings())
+            on_open_resources(OpenResources())
         logger.info("upgrade: the old process has ended", event="upgrade.old_gone")
 
 
--- a/stoatrouter/net/listener.py
+++ b/stoatrouter/net/listener.py
@@ -47,13 +47,13 @@
     answer_within: timedelta
 
 
-def shutdown_deadlines(longest_deadline: timedelta) -> ShutdownDeadlines:
+def shutdown_deadlines(max_class_deadline: timedelta) -> ShutdownDeadlines:
     """Return the deadlines of a shutdown.
 
     Clients use their existing connections and cannot reach this head otherwise until it has restarted, so it
     serves for as long as it can be sure to answer.
     """
-    within = min(longest_deadline, MAX_DEADLINE) + KILL_DELAY - ANSWER_MARGIN
+    within = min(max_class_deadline, MAX_DEADLINE) + KILL_DELAY - ANSWER_MARGIN
     return ShutdownDeadlines(min(MAX_ACCEPT_TIME, within - ACCEPT_MARGIN), within)
 
 
--- a/stoatrouter/net/state_format.py
+++ b/stoatrouter/net/state_format.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Holdings:
+class OpenResources:
     """What a process still has open while its successor serves, as limits apply to both together."""
 
     clients: int = 0  # client connections
@@ -25,22 +25,22 @@
     busy: int = 0  # client connections with an open request
 
 
-def write_holdings(holdings: Holdings) -> JsonObject:
-    """Return the holdings as plain data, to be read by read_holdings."""
+def write_open_resources(open_resources: OpenResources) -> JsonObject:
+    """Return the open resources as plain data, to be read by read_open_resources."""
     return {
-        "clients": holdings.clients,
-        "connections": holdings.connections,
-        "out": holdings.attempts,
-        "busy": holdings.busy,
+        "clients": open_resources.clients,
+        "connections": open_resources.connections,
+        "out": open_resources.attempts,
+        "busy": open_resources.busy,
     }
 
 
-def read_holdings(data: Any) -> Holdings:
-    """Read the output of write_holdings; missing figures count as zero.
+def read_open_resources(data: Any) -> OpenResources:
+    """Read the output of write_open_resources; missing figures count as zero.
 
     Raises TypeError, ValueError or AttributeError if a figure is malformed.
     """
-    return Holdings(
+    return OpenResources(
         clients=int(data.get("clients", 0)),
         connections=int(data.get("connections", 0)),
         attempts=dict(data.get("out", {})),
--- a/stoatrouter/peering/ledger_monitor.py
+++ b/stoatrouter/peering/ledger_monitor.py
@@ -38,7 +38,7 @@
         self._counts = counts
         self._unknown_volumes = unknown_volumes
         self._now = now
-        self._known = LedgerFreshness.CURRENT  # the state logged last
+        self._last_logged = LedgerFreshness.CURRENT  # the state logged last
         self._gap_began_at = now()
         self._reported_at = now()
         self._before_gap = UnownedCounts()
@@ -46,22 +46,22 @@
     def refresh(self) -> None:
         """Log a change since the last call and, while a gap lasts, its counts every REPORT_INTERVAL."""
         freshness = self._freshness()
-        if freshness is not self._known:
+        if freshness is not self._last_logged:
             if freshness is LedgerFreshness.CURRENT:
                 self._report_end()
             else:
                 self._report_gap(freshness)
-            self._known = freshness
+            self._last_logged = freshness
         elif freshness is not LedgerFreshness.CURRENT:
             self._report_progress()
 
     def close(self) -> None:
         """Log the counts of a gap that is still open when the head stops."""
-        if self._known is not LedgerFreshness.CURRENT:
+        if self._last_logged is not LedgerFreshness.CURRENT:
             self._log_gap()
 
     def _report_gap(self, freshness: LedgerFreshness) -> None:
-        if self._known is LedgerFreshness.CURRENT:
+        if self._last_logged is LedgerFreshness.CURRENT:
             self._gap_began_at = self._now()
             self._before_gap = self._counts.copy()
         self._reported_at = self._now()
@@ -82,7 +82,7 @@
             "credit: the ledger has been {state} for {seconds:.1f} s: {rejected} rejected, "
             "{served} uncharged",
             event="credit.ledger_gap",
-            state=self._known.value,
+            state=self._last_logged.value,
             **self._gap_fields(),
         )
 
--- a/stoatrouter/policy/simhost.py
+++ b/stoatrouter/policy/simhost.py
@@ -190,7 +190,7 @@
 }
 
 
-class Bridge:
+class SchedulerHost:
     """All instances of this process, each with its own scheduler."""
 
     def __init__(self) -> None:
@@ -252,10 +252,10 @@
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
     """Serve batches until the input ends."""
-    bridge = Bridge()
+    scheduler_host = SchedulerHost()
     for line in source:
         try:
-            reply = bridge.process_batch(line)
+            reply = scheduler_host.process_batch(line)
         except WireError as error:
             print(f"simhost: {error}", file=sys.stderr)
             return 2
--- a/stoatrouter/settings/evaluate.py
+++ b/stoatrouter/settings/evaluate.py
@@ -20,7 +20,7 @@
     is_set_by_operator,
 )
 from stoatrouter.settings.errors import Fault
-from stoatrouter.settings.vertex import Allowed, Conjunct, Label, Scope, Vertex, is_hidden
+from stoatrouter.settings.vertex import AllowedFields, Conjunct, Label, Scope, Vertex, is_hidden
 
 MAX_DEPTH = 60  # levels of vertices; a deeper one means that a definition contains itself
 MAX_PATH_SHOWN = 60  # characters of the path in the fault of a definition that contains itself
@@ -125,7 +125,7 @@
             vertex.marks[declared.label] = MARK_PRECEDENCE[strongest]
         vertex.patterns += [(pattern, conjunct, scope) for pattern in node.patterns]
         for closing_id in conjunct.closing_ids:
-            allowed = vertex.allowed.setdefault(closing_id, Allowed())
+            allowed = vertex.allowed.setdefault(closing_id, AllowedFields())
             allowed.labels.update(labels)
             allowed.patterns += [(pattern.label, scope) for pattern in node.patterns]
             allowed.open = allowed.open or node.open
@@ -224,7 +224,7 @@
                 vertex.faults.append(Fault(arc.at, arc.path, "field not allowed", f"allowed fields: {known}"))
                 break
 
-    def is_allowed(self, allowed: Allowed, label: str) -> bool:
+    def is_allowed(self, allowed: AllowedFields, label: str) -> bool:
         """Return whether one use of a definition allows a field."""
         if allowed.open or label in allowed.labels:
             return True
--- a/stoatrouter/settings/vertex.py
+++ b/stoatrouter/settings/vertex.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Allowed:
+class AllowedFields:
     """The fields that one use of a definition allows in a struct."""
 
     labels: set[str] = field(default_factory=set)
@@ -103,7 +103,7 @@
         optional: dict[Label, list[Conjunct]]  # conjuncts on optional fields that do not exist yet
         marks: dict[Label, str]
         disjunctions: list[Conjunct]
-        allowed: dict[int, Allowed]
+        allowed: dict[int, AllowedFields]
         patterns: list[tuple[s.Pattern, Conjunct, Scope]]
         lists: list[tuple[s.ListLiteral, Conjunct]]
         faults: list[Fault]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 
 from stoatrouter import head
-from stoatrouter.core.list_times import list_times
+from stoatrouter.core.discovery_timeouts import discovery_timeouts
 from stoatrouter.net import listener
 from tests.known_red import pass_over, read_known_red
 
@@ -71,4 +71,6 @@
 def short_first_answer(monkeypatch):
     """Heads inside a test start at once where it has no discovery; tests of a start have the real time."""
     short = timedelta(milliseconds=5)
-    monkeypatch.setattr(head, "list_times", lambda *told: replace(list_times(*told), first_answer=short))
+    monkeypatch.setattr(
+        head, "discovery_timeouts", lambda *args: replace(discovery_timeouts(*args), first_answer=short)
+    )
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -152,10 +152,10 @@
 
 
 def process_batches(*batches: list) -> list[dict]:
-    bridge = simhost.Bridge()
+    scheduler_host = simhost.SchedulerHost()
     batch_times = (8_412_250 + 2000 * i for i in range(len(batches)))  # microseconds
     return [
-        json.loads(bridge.process_batch(json.dumps({"Time": at, "events": events})))
+        json.loads(scheduler_host.process_batch(json.dumps({"Time": at, "events": events})))
         for at, events in zip(batch_times, batches, strict=True)
     ]
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -12,7 +12,7 @@
 
 from stoatrouter.head import tightened_busy_limit
 from stoatrouter.net import bodies, client_table
-from stoatrouter.net.state_format import Holdings
+from stoatrouter.net.state_format import OpenResources
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, WRITE, started
 
@@ -270,9 +270,9 @@
         async with started(Node("a", 0)) as (head, _):
             table = head.clients
             assert table.busy_limit() == table.max_busy > table.max_busy_tightened
-            head.handover.apply_holdings(Holdings(busy=7))
+            head.handover.apply_open_resources(OpenResources(busy=7))
             assert table.busy_limit() == table.max_busy_tightened - 7
-            head.handover.apply_holdings(Holdings())
+            head.handover.apply_open_resources(OpenResources())
             table.tightened_until = 0.0
             assert table.busy_limit() == table.max_busy
             table.tighten_busy_limit(timedelta(seconds=60))
--- a/tests/test_endpoint_list_and_descriptors.py
+++ b/tests/test_endpoint_list_and_descriptors.py
@@ -19,8 +19,8 @@
 
 from stoatrouter import head as head_module
 from stoatrouter.core.descriptors import divide_descriptors
+from stoatrouter.core.discovery_timeouts import MAX_NOTIFICATION_DELAY, MS, discovery_timeouts
 from stoatrouter.core.durations import to_microseconds
-from stoatrouter.core.list_times import MAX_NOTIFICATION_DELAY, MS, list_times
 from stoatrouter.head import Head
 from stoatrouter.net.discovery import Watch
 from stoatrouter.policy.interface import Phase
@@ -44,7 +44,7 @@
 from tests.test_program import ready
 
 SHORT_TIMES = replace(
-    list_times(True, 2000 * MS),
+    discovery_timeouts(True, 2000 * MS),
     hold=30 * MS,
     hold_grace=30 * MS,
     connect=30 * MS,
@@ -57,12 +57,12 @@
 @pytest.mark.parametrize("grace", [0, 250, 600, 1000, 2000, 10_000])
 def test_the_budget_of_the_list_keeps_to_the_term(grace):
     for pushed in (True, False):
-        times = list_times(pushed, grace * MS)
+        times = discovery_timeouts(pushed, grace * MS)
         assert times.max_change_delay < MAX_NOTIFICATION_DELAY
         assert times.max_recovery_delay < MAX_NOTIFICATION_DELAY
         assert times.first_answer <= timedelta(seconds=1)
     if grace >= 1000:  # a change that an agent gets as it recovers counts at once: due within the grace
-        assert list_times(True, grace * MS).max_recovery_delay < grace * MS
+        assert discovery_timeouts(True, grace * MS).max_recovery_delay < grace * MS
 
 
 @pytest.mark.parametrize("pushed", [True, False])
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("discovery", ["answers", "silent"])
 def test_a_new_process_asks_before_it_accepts_yet_does_not_wait_for_long(discovery, monkeypatch):
-    monkeypatch.setattr(head_module, "list_times", list_times)  # the production times
+    monkeypatch.setattr(head_module, "discovery_timeouts", discovery_timeouts)  # the production times
 
     async def scenario():
         a = Node("a", 0)
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -18,7 +18,7 @@
 
 from stoatrouter import config
 from stoatrouter.core import model
-from stoatrouter.core.list_times import MS
+from stoatrouter.core.discovery_timeouts import MS
 from stoatrouter.head import Head
 from stoatrouter.net import disconnects
 from stoatrouter.net.client_table import State
