--- a/stoatrouter/config.py
+++ b/stoatrouter/config.py
@@ -55,7 +55,7 @@
     discovery: str
     seed: int
     settings: api.Settings
-    known: dict[str, Any]
+    last_list: dict[str, Any]
     sockets: int
     memory_mb: int
     connect_timeout: timedelta
@@ -180,7 +180,7 @@
         discovery=str(data["discovery"]),
         seed=int(str(data.get("seed") or "0"), 16),
         settings=adapt_to_sockets(read_settings(raw), connect_timeout),
-        known=data.get("known") or {},
+        last_list=data.get("known") or {},
         sockets=int(limits.get("sockets") or DEFAULT_SOCKETS),
         memory_mb=int(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
         connect_timeout=connect_timeout,
--- a/stoatrouter/head.py
+++ b/stoatrouter/head.py
@@ -95,7 +95,7 @@
     pushed = not conf.settings.must_subscribe
     return Watch(
         conf.discovery,
-        conf.known,
+        conf.last_list,
         engine.apply_node_list,
         engine.reducer.tally.add,
         pushed,
--- a/stoatrouter/lab/hollow/tables.py
+++ b/stoatrouter/lab/hollow/tables.py
@@ -45,9 +45,9 @@
     active: CompiledTable | None = field(default=None, repr=False)
 
     async def compile(self, path: Path) -> CompiledTable:
-        """Compile a table of other files without putting it in force; raises SettingsError."""
+        """Compile a table of other files without activating it; raises SettingsError."""
         return await self.compilation_cache.compile(path)
 
     def activate(self, compiled: CompiledTable) -> None:
-        """Put a compiled table in force."""
+        """Activate a compiled table."""
         self.active = compiled
--- a/stoatrouter/matching/matcher.py
+++ b/stoatrouter/matching/matcher.py
@@ -1,6 +1,6 @@
-"""Decides requests by the table in force, compares a shadow table and counts decisions. No I/O, no clock.
+"""Decides requests by the active table, compares a shadow table and counts decisions. No I/O, no clock.
 
-A request is decided once, by the table in force at that time, and keeps the decision until it ends.
+A request is decided once, by the table that is active at that time, and keeps the decision until it ends.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     """Decides requests.
 
     Attributes:
-        table: The table in force.
+        table: The active table.
         windows: How long nodes remember idempotency keys, by class index; only idempotent classes have one.
         shadow: The shadow table, whose decisions are only compared.
         placements: The stored decisions of idempotency keys.
@@ -42,7 +42,7 @@
     shadowed: int = 0
 
     def replace(self, table: Table) -> None:
-        """Put a table in force. Placements are kept, as they belong to requests and not to tables."""
+        """Activate a table. Placements are kept, as they belong to requests and not to tables."""
         self.table = table
 
     def set_shadow(self, table: Table | None) -> None:
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -70,7 +70,7 @@
     def __init__(
         self,
         address: str,
-        known: dict[str, Any],
+        last_list: dict[str, Any],
         on_list: ListCallback,
         count: Callable[[str], None] = lambda _: None,
         pushed: bool = True,
@@ -81,7 +81,7 @@
 
         Args:
             address: The host:port of discovery.
-            known: The last list this head had (in discovery's format), to restore; empty: none.
+            last_list: The last list this head had (in discovery's format), to restore; empty: none.
             on_list: Called with the kind, the entries, and how long they may already have been in effect
                 (None: not known), for a restored list and for each list or watch event that changes anything.
             count: Called with the name of a fault to count, such as entry_unreadable.
@@ -95,7 +95,7 @@
         self.pushed = pushed
         self.zones = zones
         self.times = times or discovery_timeouts(pushed, timedelta(seconds=2))
-        self.known = known
+        self.last_list = last_list
         self.entry_faults = EntryFaults(count)
         self.cached: dict[str, NodeInfo] = {}  # as last received, to replace malformed entries
         self.generation: int | None = None
@@ -111,8 +111,8 @@
         nodes: tuple[NodeInfo, ...] = ()
         faults: tuple[str, ...] = ()
         try:
-            if self.known:
-                message = read_list(self.known, zones=self.zones)
+            if self.last_list:
+                message = read_list(self.last_list, zones=self.zones)
                 self.generation = message.generation
                 nodes = message.nodes
                 faults = message.faults
