--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -21,13 +21,13 @@
 
 from stoatrouter.config import Config, ConfigError
 from stoatrouter.core import model
-from stoatrouter.core.list_times import list_times
+from stoatrouter.core.discovery_timeouts import discovery_timeouts
 from stoatrouter.credit.gate import Gate
 from stoatrouter.fronts.http.settings import HttpSettings
 from stoatrouter.fronts.wiring import create_http_tables
 from stoatrouter.lab.hollow.logs import HEAD_FIELD
 from stoatrouter.lab.hollow.network import Network
-from stoatrouter.lab.hollow.tables import CompiledOnce, HollowTables
+from stoatrouter.lab.hollow.tables import CompilationCache, HollowTables
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
 from stoatrouter.peering.heads import Heads, persisted_version
@@ -81,7 +81,7 @@
         self.network = network
         self.watches = watches
         self.scheduler = Scheduler(conf.settings, seed=conf.seed)
-        self.tables = None if http is None else CompiledOnce(create_http_tables(conf, http))
+        self.tables = None if http is None else CompilationCache(create_http_tables(conf, http))
 
 
 class HollowHead:
@@ -166,7 +166,7 @@
             self._on_node_list,
             lambda _: None,
             pushed,
-            list_times(pushed, conf.drain_grace),
+            discovery_timeouts(pushed, conf.drain_grace),
             conf.zones,
         )
         self.watching = asyncio.get_running_loop().create_task(self.watch.run())
--- a/stoatrouter/net/discovery.py
+++ b/stoatrouter/net/discovery.py
@@ -14,7 +14,7 @@
 from loguru import logger
 from yarl import URL
 
-from stoatrouter.core.list_times import ListTimes, list_times
+from stoatrouter.core.discovery_timeouts import DiscoveryTimeouts, discovery_timeouts
 from stoatrouter.core.model import NodeInfo
 from stoatrouter.net.background import start_task
 from stoatrouter.net.endpoint_list import read_list
@@ -70,32 +70,32 @@
     def __init__(
         self,
         address: str,
-        known: dict[str, Any],
+        last_list: dict[str, Any],
         on_list: ListCallback,
         count: Callable[[str], None] = lambda _: None,
         pushed: bool = True,
-        times: ListTimes | None = None,
+        times: DiscoveryTimeouts | None = None,
         zones: tuple[str, ...] = (),
     ) -> None:
         """Set up a watch of the endpoint list; it makes no calls until run.
 
         Args:
             address: The host:port of discovery.
-            known: The last list this head had (in discovery's format), to restore; empty: none.
+            last_list: The last list this head had (in discovery's format), to restore; empty: none.
             on_list: Called with the kind, the entries, and how long they may already have been in effect
                 (None: not known), for a restored list and for each list or watch event that changes anything.
             count: Called with the name of a fault to count, such as entry_unreadable.
             pushed: Whether an agent on this machine, to which the list is pushed, is polled often; otherwise
                 one discovery service serves all heads and is polled rarely.
-            times: The timeouts and backoff of calls; None: those that list_times returns for `pushed`.
+            times: The timeouts and backoff of calls; None: those of discovery_timeouts for `pushed`.
             zones: The names of the zones, in the order in which the settings number them.
         """
         self.address = address
         self.on_list = on_list
         self.pushed = pushed
         self.zones = zones
-        self.times = times or list_times(pushed, timedelta(seconds=2))
-        self.known = known
+        self.times = times or discovery_timeouts(pushed, timedelta(seconds=2))
+        self.last_list = last_list
         self.entry_faults = EntryFaults(count)
         self.cached: dict[str, NodeInfo] = {}  # as last received, to replace malformed entries
         self.generation: int | None = None
@@ -111,8 +111,8 @@
         nodes: tuple[NodeInfo, ...] = ()
         faults: tuple[str, ...] = ()
         try:
-            if self.known:
-                message = read_list(self.known, zones=self.zones)
+            if self.last_list:
+                message = read_list(self.last_list, zones=self.zones)
                 self.generation = message.generation
                 nodes = message.nodes
                 faults = message.faults
