--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -21,7 +21,7 @@
 
 from benchmarks.capacity.harness import Measurement, Run, TooLarge, parser, process_memory_mb, recording
 from benchmarks.capacity.mixed import CapacityFleet, Size, count_of, cpu_of, fleet_up, show
-from stoatrouter.lab.hollow.census import Census, Incomplete, differences
+from stoatrouter.lab.hollow.fleet_report import FleetReport, IncompleteReport, differences
 
 
 async def measure(run: Run, fleet: CapacityFleet, seconds: float, seed: int) -> None:
@@ -47,7 +47,7 @@
     heads = fleet.size.heads
     try:
         means = after.mean_rates(before, span)
-    except Incomplete as error:
+    except IncompleteReport as error:
         show(f"no figures: {error}")
         return
     for kind in ("datagrams.sent", "datagrams.received", "datagrams.bytes", "streams.sent", "streams.bytes"):
@@ -59,7 +59,7 @@
     add_voters(run, fleet, real_before, real_after, span, seed)
 
 
-def add_fetches(run: Run, fleet: CapacityFleet, before: Census, after: Census, seed: int) -> None:
+def add_fetches(run: Run, fleet: CapacityFleet, before: FleetReport, after: FleetReport, seed: int) -> None:
     """How many fetches of hollow heads got no answer, by reason, and how many were answered without news."""
     total: Counter[str] = Counter()
     for report in after.running:
--- a/benchmarks/capacity/likeness.py
+++ b/benchmarks/capacity/likeness.py
@@ -22,7 +22,7 @@
 from benchmarks.capacity.harness import Measurement, Run, TooLarge, parser, recording
 from benchmarks.capacity.mixed import MORE, RULES, Size, count_of, nodes_process, show
 from benchmarks.capacity.realheads import RealHeads
-from stoatrouter.lab.hollow.census import Census
+from stoatrouter.lab.hollow.fleet_report import FleetReport
 from stoatrouter.lab.hollow.launcher import FleetSpec, HollowFleet
 from tests.heads.rules_clients import edit, rules
 
@@ -46,7 +46,7 @@
         if self.hollow is None:
             told = {name: await self.real[name].status() for name in self.followers}
             return {name: {kind: count_of(each, kind) for kind in KINDS} for name, each in told.items()}
-        census: Census = await self.hollow.report()
+        census: FleetReport = await self.hollow.report()
         assert not census.died, census.summary()
         return {report.name: report.counts for report in census.running}
 
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from benchmarks.capacity.mixed import CapacityFleet, cpu_of
-from stoatrouter.lab.hollow.census import Census
+from stoatrouter.lab.hollow.fleet_report import FleetReport
 
 EVERY = 1.0  # seconds
 SENT = ("datagrams.bytes", "streams.bytes")
@@ -21,7 +21,7 @@
     """One look at all heads."""
 
     at: float  # monotonic
-    census: Census
+    census: FleetReport
     cpu: dict[str, float]
     lag: float
 
--- a/benchmarks/capacity/story.py
+++ b/benchmarks/capacity/story.py
@@ -17,8 +17,8 @@
 from benchmarks.capacity.mixed import CapacityFleet
 from benchmarks.capacity.spans import ScenePart
 from stoatrouter.credit.records import charge_of
+from stoatrouter.lab.histories.checker import check_history
 from stoatrouter.lab.histories.history import History, read_history
-from stoatrouter.lab.histories.judge import judge
 from stoatrouter.lab.hollow.logs import read_events
 from tests.heads.history_clients import VOLUMES, HistoryClients
 from tests.heads.processes import HeadProcess
@@ -134,7 +134,7 @@
             requests = [event for event in events if event["event"] == "hollow.request"]
             history.lines += [request_line(name, event, customers) for event in requests]
             history.logs[name] = [event for event in events if event["event"] != "hollow.request"]
-        return history, judge(history)
+        return history, check_history(history)
 
 
 def request_line(head: str, event: dict[str, Any], customers: dict[str, str]) -> dict[str, Any]:
--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -21,7 +21,7 @@
 from stoatrouter.lab.fleet.credit import CreditFleet
 from stoatrouter.lab.fleet.credit_account import ACCOUNT
 from stoatrouter.lab.fleet.errors import InvariantViolated
-from stoatrouter.lab.fleet.stories import schedule_credit_run
+from stoatrouter.lab.fleet.scenarios import schedule_credit_run
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.peering.spent_journal import SpentJournal
 
@@ -128,7 +128,7 @@
     faults."""
     names = [*(f"h{i}" for i in range(5)), ACCOUNT]
     world = World(seed, names)
-    fleet = kind(world, returned=True)  # no overspending ends the run: it is what is measured
+    fleet = kind(world, refund_expired=True)  # no overspending ends the run: it is what is measured
     fleet.sent_fraction, fleet.uneven = 1.0, uneven
     span = 20 * SECOND
     schedule_credit_run(fleet, seed, span, wipes=False)
--- a/benchmarks/heads_history.py
+++ b/benchmarks/heads_history.py
@@ -14,8 +14,8 @@
 from collections import Counter
 from pathlib import Path
 
+from stoatrouter.lab.histories.checker import check_history, describe
 from stoatrouter.lab.histories.history import Payment, RegisterLine, Request
-from stoatrouter.lab.histories.judge import describe, judge
 
 
 async def play(folder: Path, heads: int, seed: int, seconds: float, ledger: bool) -> int:
@@ -28,7 +28,7 @@
     async with heads_up(folder, count=heads, seed=seed, more=more, http=rules("own")) as fleet:
         chaos = kind(fleet, seed, folder / "history.jsonl")
         history = await chaos.run(seconds, detect=not ledger)
-    wrong = judge(history)
+    wrong = check_history(history)
     statuses = Counter(request.status for request in history.of(Request))
     print(
         f"seed {seed}, {heads} heads, {seconds:.0f} s, {len(chaos.faults)} faults: "
--- a/benchmarks/heads_virtual.py
+++ b/benchmarks/heads_virtual.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from concurrent.futures import ProcessPoolExecutor
 
-from stoatrouter.lab.fleet import stories
+from stoatrouter.lab.fleet import scenarios
 from stoatrouter.lab.fleet.exhaustive import search
 
 
@@ -23,9 +23,9 @@
     story, seed, heads = job
     try:
         if story == "agreement":
-            result = stories.run_agreement(seed, heads)
+            result = scenarios.run_agreement(seed, heads)
             return story, seed, "", result.acknowledged, result.events
-        fleet = stories.run_credit(seed, heads, wipes=seed % 2 == 0)
+        fleet = scenarios.run_credit(seed, heads, wipes=seed % 2 == 0)
         return story, seed, "", fleet.admitted, fleet.world.events
     except Exception as error:  # noqa: BLE001 - a seed's fault is the result
         return story, seed, f"{type(error).__name__}: {error}"[:300], 0, 0
--- a/stoatrouter/lab/fleet/credit.py
+++ b/stoatrouter/lab/fleet/credit.py
@@ -43,7 +43,7 @@
 
     world: World  # with a machine for the account
     customers: int = 2
-    returned: bool = False  # customers get back what failed heads held, and may be overspent by that
+    refund_expired: bool = False  # customers get back what failed heads held, and may be overspent by that
     make_escrow: Callable[..., HeadEscrow] = HeadEscrow
     make_ledger: Callable[[], Ledger] = Ledger
     charged_if_unsent: bool = False  # a mutant: requests that never reached a node are charged too
@@ -64,7 +64,7 @@
             name = f"c{i}"
             self.charged[name] = 0
             self.paid[name] = 0
-            customer = PutCustomer(name, (f"v{i}",), low_water=LOW_WATER, refund_expired=self.returned)
+            customer = PutCustomer(name, (f"v{i}",), low_water=LOW_WATER, refund_expired=self.refund_expired)
             self.account.apply(customer, f"put{i}")
         for name in self.names:
             self.boot(name, f"{name}/0", CreditDisk())
@@ -182,7 +182,7 @@
         """
         charged, paid = self.charged[customer], self.paid[customer]
         self.overspent = max(self.overspent, charged - paid)
-        if charged > paid and not self.returned:
+        if charged > paid and not self.refund_expired:
             raise InvariantViolated(f"{customer} was charged {charged} of {paid} paid in")
 
     def check_settled(self) -> None:
--- a/stoatrouter/lab/fleet/credit_ledger.py
+++ b/stoatrouter/lab/fleet/credit_ledger.py
@@ -132,7 +132,7 @@
         """Make a customer, or give it other volumes, at the account; the truth notes when."""
         self.paid.setdefault(name, 0)
         self.charged.setdefault(name, 0)
-        command = PutCustomer(name, volumes, low_water=LOW_WATER, refund_expired=self.returned)
+        command = PutCustomer(name, volumes, low_water=LOW_WATER, refund_expired=self.refund_expired)
         self.account.apply(command, f"put{next(self.account.numbers)}")
         for volume in volumes:
             self.owners.setdefault(volume, []).append(OwnedSince(self.world.now, name))
--- a/stoatrouter/lab/histories/judge.py
+++ b/stoatrouter/lab/histories/checker.py
@@ -31,7 +31,7 @@
 GONE = ("failed", "left")  # statuses of a head that is down
 
 
-def judge(history: History) -> list[str]:
+def check_history(history: History) -> list[str]:
     """Return all violations of a history; none where every invariant holds."""
     return [
         *check_election_safety(history),
--- a/stoatrouter/lab/histories/requests.py
+++ b/stoatrouter/lab/histories/requests.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class Guarantees:
     """What the platform promises; spans in seconds."""
 
     classes: dict[str, RequestClass]
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class CheckResult:
     """What was found in a history."""
 
     violations: list[str] = field(default_factory=list)
@@ -75,12 +75,12 @@
 
 
 # -- the rules --------------------------------------------------------------------------------------------
-def judge(lines: Iterable[dict[str, Any]], terms: Terms) -> list[str]:
-    """Return all violations of a history, as `examine` does; none where every rule is kept."""
-    return examine(lines, terms).violations
+def find_violations(lines: Iterable[dict[str, Any]], terms: Guarantees) -> list[str]:
+    """Return all violations of a history, as `check_requests` does; none where every rule is kept."""
+    return check_requests(lines, terms).violations
 
 
-def examine(lines: Iterable[dict[str, Any]], terms: Terms) -> Verdict:
+def check_requests(lines: Iterable[dict[str, Any]], terms: Guarantees) -> CheckResult:
     """Return all violations of a history, and what was no violation as its node alone was late.
 
     Args:
@@ -96,7 +96,7 @@
         if isinstance(line, RequestLine):
             requests.setdefault(line.request, RequestHistory(line.request)).add(line)
     kills = [line for line in ordered if isinstance(line, Killed)]
-    verdict = Verdict()
+    verdict = CheckResult()
     notifications = Notifications(ordered)
     for request in requests.values():
         attempts = timed_attempts(request)
@@ -128,7 +128,7 @@
 
 
 def check_cancellation(
-    request: RequestHistory, attempts: list[TimedAttempt], terms: Terms
+    request: RequestHistory, attempts: list[TimedAttempt], terms: Guarantees
 ) -> Iterator[Delay]:
     """Check that no attempt begins once the client has gone."""
     for gone in request.clients_gone:
@@ -142,7 +142,7 @@
 
 
 def check_retries(
-    request: RequestHistory, attempts: list[TimedAttempt], terms: Terms
+    request: RequestHistory, attempts: list[TimedAttempt], terms: Guarantees
 ) -> Iterator[str | Delay]:
     """Check that no two attempts run at once, and that retries are as the class allows."""
     if not request.sent:
@@ -165,7 +165,7 @@
 
 
 def check_retry(
-    attempt: TimedAttempt, first: TimedAttempt, request_class: RequestClass, terms: Terms
+    attempt: TimedAttempt, first: TimedAttempt, request_class: RequestClass, terms: Guarantees
 ) -> Iterator[str | Delay]:
     """Check an attempt after one that may have run."""
     request = attempt.seen.request
@@ -203,7 +203,7 @@
 
 
 def check_draining(
-    request: RequestHistory, attempts: list[TimedAttempt], notifications: Notifications, terms: Terms
+    request: RequestHistory, attempts: list[TimedAttempt], notifications: Notifications, terms: Guarantees
 ) -> Iterator[Delay]:
     """Check that nothing goes to a draining node once the grace after its head's notification is over."""
     head = request.sent[0].head if request.sent else ""
--- a/stoatrouter/lab/hollow/census.py
+++ b/stoatrouter/lab/hollow/fleet_report.py
@@ -14,12 +14,12 @@
 MAX_NAMED = 20  # heads that a text names
 
 
-class Incomplete(Exception):
+class IncompleteReport(Exception):
     """A mean over heads that are not all there was requested; the text names the missing ones."""
 
 
 @dataclass(slots=True)
-class Census:
+class FleetReport:
     """All hollow heads of a fleet by name, as one round of reports has them."""
 
     expected: tuple[str, ...]
@@ -64,20 +64,22 @@
         counts = f"{len(self.running)} of {len(self.expected)} hollow heads run, {len(died)} died"
         return f"{counts} ({named}{more})" if died else counts
 
-    def mean_rates(self, before: Census, seconds: float) -> dict[str, float]:
+    def mean_rates(self, before: FleetReport, seconds: float) -> dict[str, float]:
         """Return the counts a head and second between two rounds, over all heads.
 
         Raises:
-            Incomplete: A head that is expected did not run at both rounds.
+            IncompleteReport: A head that is expected did not run at both rounds.
         """
         both = {report.name for report in self.running} & {report.name for report in before.running}
         if missing := [name for name in self.expected if name not in both]:
             named = ", ".join(missing[:MAX_NAMED])
-            raise Incomplete(f"{len(missing)} of {len(self.expected)} hollow heads have no figure: {named}")
+            raise IncompleteReport(
+                f"{len(missing)} of {len(self.expected)} hollow heads have no figure: {named}"
+            )
         return rates(self, before, sorted(both), seconds)
 
 
-def rates(after: Census, before: Census, names: list[str], seconds: float) -> dict[str, float]:
+def rates(after: FleetReport, before: FleetReport, names: list[str], seconds: float) -> dict[str, float]:
     """Return the counts a head and second of the heads named."""
     total: Counter[str] = Counter()
     for name in names:
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -62,7 +62,7 @@
     prepare: Callable[[model.Request], Awaitable[bool]] | None = None
 
 
-class Surroundings:
+class SharedResources:
     """The deployment's settings, compiled tables and the network, shared by all hollow heads of a process."""
 
     def __init__(
@@ -87,7 +87,7 @@
 class HollowHead:
     """One hollow head: `start` and `close` as of a real one; `crash` ends it as a killed process ends."""
 
-    def __init__(self, name: str, settings: HeadsSettings, surroundings: Surroundings) -> None:
+    def __init__(self, name: str, settings: HeadsSettings, surroundings: SharedResources) -> None:
         """Prepare a head; nothing runs before `start`."""
         self.name = name
         self.settings = settings
--- a/stoatrouter/lab/hollow/launcher.py
+++ b/stoatrouter/lab/hollow/launcher.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from stoatrouter.lab.hollow.census import Census
+from stoatrouter.lab.hollow.fleet_report import FleetReport
 from stoatrouter.lab.hollow.messages import (
     MAX_LINE,
     Close,
@@ -206,33 +206,35 @@
     # -- commands -----------------------------------------------------------------------------------------
     async def start(
         self, names: Iterable[str], timeout: float = START_TIMEOUT, concurrency: int = 16
-    ) -> Census:
+    ) -> FleetReport:
         """Start heads, so many at a time in each worker; returns when all run or died."""
         return await self._request_each(lambda own: Start(own, concurrency), names, timeout)
 
-    async def crash(self, names: Iterable[str], timeout: float = CRASH_TIMEOUT) -> Census:
+    async def crash(self, names: Iterable[str], timeout: float = CRASH_TIMEOUT) -> FleetReport:
         """End heads as killed processes end."""
         return await self._request_each(Crash, names, timeout)
 
-    async def stop(self, names: Iterable[str], timeout: float = CRASH_TIMEOUT) -> Census:
+    async def stop(self, names: Iterable[str], timeout: float = CRASH_TIMEOUT) -> FleetReport:
         """Shut heads down gracefully: each announces that it leaves."""
         return await self._request_each(Close, names, timeout)
 
-    async def partition(self, sides: dict[str, int], cut_pairs: tuple[tuple[int, int], ...] = ()) -> Census:
+    async def partition(
+        self, sides: dict[str, int], cut_pairs: tuple[tuple[int, int], ...] = ()
+    ) -> FleetReport:
         """Cut heads on different sides off from each other, or these pairs of sides alone; no sides: heal."""
         return await self._request_all(SetPartition(sides, cut_pairs), COMMAND_TIMEOUT)
 
-    async def spend(self, volumes: tuple[str, ...], rate: float, seed: int) -> Census:
+    async def spend(self, volumes: tuple[str, ...], rate: float, seed: int) -> FleetReport:
         """Let each head have requests of customers at a rate a second; 0: no more."""
         return await self._request_all(Spend(volumes, rate, seed), COMMAND_TIMEOUT)
 
-    async def report(self, timeout: float = COMMAND_TIMEOUT) -> Census:
+    async def report(self, timeout: float = COMMAND_TIMEOUT) -> FleetReport:
         """Make a round of reports, in which every head is named, whatever became of it."""
         return await self._request_all(Report(), timeout)
 
     async def _request_each(
         self, make_command: Callable[[tuple[str, ...]], Command], names: Iterable[str], timeout: float
-    ) -> Census:
+    ) -> FleetReport:
         """Give each worker a command for those of the heads that are its own."""
         wanted = set(names)
         commands = {}
@@ -242,12 +244,12 @@
                 commands[worker.number] = make_command(own)
         return await self._gather(commands, timeout)
 
-    async def _request_all(self, command: Command, timeout: float) -> Census:
+    async def _request_all(self, command: Command, timeout: float) -> FleetReport:
         return await self._gather({worker.number: command for worker in self.workers}, timeout)
 
-    async def _gather(self, commands: dict[int, Command], timeout: float) -> Census:
+    async def _gather(self, commands: dict[int, Command], timeout: float) -> FleetReport:
         """Give commands to workers and make a census; workers without a command report too."""
-        census = Census(self.names)
+        census = FleetReport(self.names)
 
         async def request(worker: WorkerProcess) -> None:
             try:
--- a/stoatrouter/lab/hollow/worker.py
+++ b/stoatrouter/lab/hollow/worker.py
@@ -22,7 +22,7 @@
 
 from stoatrouter import config
 from stoatrouter.fronts.http.settings import load_http
-from stoatrouter.lab.hollow.head import HollowHead, Lifecycle, Surroundings, settings_of_head
+from stoatrouter.lab.hollow.head import HollowHead, Lifecycle, SharedResources, settings_of_head
 from stoatrouter.lab.hollow.logs import HEAD_FIELD, write_events
 from stoatrouter.lab.hollow.messages import (
     MAX_LINE,
@@ -88,7 +88,7 @@
             {address: name for name, address in spec.addresses.items()},
             frozenset(spec.real),
         )
-        self.surroundings = Surroundings(conf, http, self.network, spec.watches)
+        self.surroundings = SharedResources(conf, http, self.network, spec.watches)
         peers = tuple(spec.addresses.values())
         self.heads = {
             name: HollowHead(
--- a/tests/departure_story.py
+++ b/tests/departure_story.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from stoatrouter.lab.histories.requests import Terms
+from stoatrouter.lab.histories.requests import Guarantees
 from tests.fleet_stand_ins import History, RoughNode
 from tests.fleet_story import CLASSES_BY_NAME, GRACE, Client, StoryHead, recorded, stand_ins
 from tests.peers import until
@@ -50,7 +50,7 @@
         return True
 
 
-async def play_departures(folder: Path, prelude: str = "") -> tuple[list[dict[str, Any]], Terms]:
+async def play_departures(folder: Path, prelude: str = "") -> tuple[list[dict[str, Any]], Guarantees]:
     """Play the story: what the stand-ins and clients saw, and the terms to judge it by."""
     history = History()
     nodes = [HoldingNode(f"n{i}", i % 2, history) for i in range(4)]  # two shards
@@ -66,7 +66,7 @@
             await head.process.wait()
         now = time.monotonic()
     lines = [line for line in history.lines if line["at"] <= now] + recorded([head])
-    return lines, Terms(CLASSES_BY_NAME, {node.name: node.cell for node in nodes}, GRACE, slack=0.4)
+    return lines, Guarantees(CLASSES_BY_NAME, {node.name: node.cell for node in nodes}, GRACE, slack=0.4)
 
 
 async def depart(client: Client, name: str, nodes: list[HoldingNode]) -> None:
--- a/tests/fleet_story.py
+++ b/tests/fleet_story.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, Protocol
 
-from stoatrouter.lab.histories.requests import Effect, RequestClass, Terms
+from stoatrouter.lab.histories.requests import Effect, Guarantees, RequestClass
 from tests.addresses import free_ports, own_host
 from tests.attempt_times import lines_written, recording
 from tests.fleet_stand_ins import History, PushingAgent, RoughNode
@@ -246,7 +246,7 @@
 
 async def play(
     folder: Path, seed: int, heads: int = 3, turns: int = 5, prelude: str = ""
-) -> tuple[list[dict[str, Any]], Terms]:
+) -> tuple[list[dict[str, Any]], Guarantees]:
     """Play one story: what the stand-ins and clients saw, and the terms to judge it by."""
     history, draws = History(), random.Random(f"story/{seed}")
     nodes = [RoughNode(f"n{i}", i % 2, seed, history) for i in range(6)]
@@ -259,7 +259,7 @@
         now = time.monotonic()
     lines = [line for line in history.lines if line["at"] <= now]
     lines += recorded(fleet)
-    return lines, Terms(CLASSES_BY_NAME, {node.name: node.cell for node in nodes}, GRACE, slack=0.4)
+    return lines, Guarantees(CLASSES_BY_NAME, {node.name: node.cell for node in nodes}, GRACE, slack=0.4)
 
 
 def recorded(fleet: Sequence[StoryHead]) -> list[dict[str, Any]]:
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -34,7 +34,7 @@
     Voter,
     WriteCompleted,
 )
-from stoatrouter.lab.fleet import stories
+from stoatrouter.lab.fleet import scenarios
 from stoatrouter.lab.fleet.errors import InvariantViolated
 from stoatrouter.lab.fleet.exhaustive import search
 
@@ -43,16 +43,16 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_promises_hold_under_drawn_faults(seed):
-    outcome = stories.run_agreement(seed)
+    outcome = scenarios.run_agreement(seed)
     assert outcome.acknowledged and outcome.reads
 
 
 def test_a_seed_replays_byte_for_byte():
-    assert stories.run_agreement(7) == stories.run_agreement(7)
+    assert scenarios.run_agreement(7) == scenarios.run_agreement(7)
 
 
 def test_heads_without_a_vote_follow_the_voters():
-    assert stories.run_agreement(3, heads=20, span=6 * stories.SECOND).acknowledged
+    assert scenarios.run_agreement(3, heads=20, span=6 * scenarios.SECOND).acknowledged
 
 
 # -- mutants: each breaks one rule of the program, and a promise must show it
@@ -168,7 +168,7 @@
 def test_a_mutant_is_caught(mutant, first):
     for seed in [first, *range(150)]:
         try:
-            stories.run_agreement(seed, make_raft=mutant)
+            scenarios.run_agreement(seed, make_raft=mutant)
         except (InvariantViolated, AssertionError) as caught:
             print(f"{mutant.__name__}: seed {seed}: {caught}")
             return
--- a/tests/heads/test_contact.py
+++ b/tests/heads/test_contact.py
@@ -11,8 +11,8 @@
 from stoatrouter.agreement.contact import MAX_ROUNDS, MajorityContact, RoundStarts
 from stoatrouter.agreement.raft import Raft
 from stoatrouter.agreement.records import Tick
-from stoatrouter.lab.fleet.contact_stories import LOSSES, run_majority_loss
 from stoatrouter.lab.fleet.errors import InvariantViolated
+from stoatrouter.lab.fleet.majority_loss import LOSSES, run_majority_loss
 from tests.heads.test_agreement import GENESIS, elected, voter
 
 MS = timedelta(milliseconds=1)
--- a/tests/heads/test_credit.py
+++ b/tests/heads/test_credit.py
@@ -13,7 +13,7 @@
     CustomerReport,
     Settlement,
 )
-from stoatrouter.lab.fleet import stories
+from stoatrouter.lab.fleet import scenarios
 from stoatrouter.lab.fleet.credit_head import CreditDisk
 from stoatrouter.lab.fleet.errors import InvariantViolated
 
@@ -23,18 +23,18 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_promises_hold_under_drawn_faults(seed):
-    fleet = stories.run_credit(seed, wipes=seed % 2 == 0)
+    fleet = scenarios.run_credit(seed, wipes=seed % 2 == 0)
     assert fleet.admitted and fleet.rejected
 
 
 def test_refund_expired_overspends_by_no_more_than_failed_heads_held():
     for seed in range(6):
-        fleet = stories.run_credit(seed, wipes=False, returned=True)
+        fleet = scenarios.run_credit(seed, wipes=False, refund_expired=True)
         assert fleet.overspent <= 2000
 
 
 def test_promises_hold_with_many_customers_mostly_idle():
-    fleet = stories.run_credit(3, heads=20, span=8 * SECOND, customers=1000)
+    fleet = scenarios.run_credit(3, heads=20, span=8 * SECOND, customers=1000)
     assert fleet.admitted
 
 
@@ -173,7 +173,7 @@
 def test_a_mutant_is_caught(how, words):
     for seed in range(60):
         try:
-            stories.run_credit(seed, wipes=seed % 2 == 0, **how)
+            scenarios.run_credit(seed, wipes=seed % 2 == 0, **how)
         except InvariantViolated as caught:
             print(f"seed {seed}: {caught}")
             if words in str(
--- a/tests/heads/test_credit_ledger.py
+++ b/tests/heads/test_credit_ledger.py
@@ -9,13 +9,13 @@
 
 from stoatrouter.credit.gate import Gate
 from stoatrouter.credit.ledger_freshness import LedgerFreshness, UnknownVolumes
-from stoatrouter.lab.fleet import stories
+from stoatrouter.lab.fleet import scenarios
 from stoatrouter.lab.fleet.errors import InvariantViolated
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_nothing_of_a_customer_is_served_free_of_charge(seed):
-    fleet = stories.run_ledger(seed)
+    fleet = scenarios.run_ledger(seed)
     unknown = sum(gate.unowned.rejected for gate in fleet.gates.values())
     print(f"seed {seed}: {fleet.admitted} admitted, {fleet.served_free} free, {unknown} unknown")
     assert fleet.admitted > fleet.served_free and fleet.served_free
@@ -71,7 +71,7 @@
 def test_a_mutant_is_caught(how):
     for seed in range(40):
         try:
-            stories.run_ledger(seed, **how)
+            scenarios.run_ledger(seed, **how)
         except InvariantViolated as caught:
             print(f"seed {seed}: {caught}")
             if "free of charge" in str(caught):
--- a/tests/heads/test_histories.py
+++ b/tests/heads/test_histories.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from stoatrouter.lab.histories.checker import check_history, describe
 from stoatrouter.lab.histories.history import CustomerPut, History, Payment, RegisterLine, Request
-from stoatrouter.lab.histories.judge import describe, judge
 from stoatrouter.lab.histories.linear import (
     NEVER,
     Call,
@@ -131,7 +131,7 @@
 
 
 def test_a_whole_history_is_found_whole():
-    assert judge(WHOLE) == []
+    assert check_history(WHOLE) == []
     assert describe([]) == "all promises are kept"
 
 
@@ -180,26 +180,26 @@
     ],
 )
 def test_each_checker_fails_on_its_fault(lines, logs, words):
-    (wrong,) = judge(History(lines, logs))
+    (wrong,) = check_history(History(lines, logs))
     assert words in wrong
 
 
 def test_a_head_that_lost_its_folder_begins_with_its_own_files():
     logs = {"a": [version(2) | {"at": 1.0}, version(1) | {"at": 3.0}]}
-    assert judge(History([{"what": "folder_lost", "at": 2.0, "head": "a"}], logs)) == []
+    assert check_history(History([{"what": "folder_lost", "at": 2.0, "head": "a"}], logs)) == []
     for lost in ({"at": 2.0, "head": "b"}, {"at": 4.0, "head": "a"}, {"at": 0.5, "head": "a"}):
-        (wrong,) = judge(History([{"what": "folder_lost"} | lost], logs))
+        (wrong,) = check_history(History([{"what": "folder_lost"} | lost], logs))
         assert "back to 1" in wrong
 
 
 def test_a_head_that_was_seen_as_failed_is_found_out_in_time():
-    assert judge(History([DOWN], {"a": [seen("failed")]})) == []
+    assert check_history(History([DOWN], {"a": [seen("failed")]})) == []
 
 
 async def play_and_judge(chaos: Chaos, detect: bool) -> History:
     """Play faults for a while: all promises are kept, and there was enough to judge."""
     history = await chaos.run(14, detect)
-    wrong = judge(history)
+    wrong = check_history(history)
     assert not wrong, describe(wrong) + "\n" + "\n".join(chaos.faults)
     statuses = [request.status for request in history.of(Request)]
     print(
@@ -280,7 +280,7 @@
     ],
 )
 def test_the_judge_knows_whose_a_volume_may_have_been(lines, words):
-    wrong = describe(judge(History([BEHIND, *lines], {})))
+    wrong = describe(check_history(History([BEHIND, *lines], {})))
     assert words in wrong if words else wrong == "all promises are kept"
 
 
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -27,10 +27,10 @@
 from stoatrouter import config
 from stoatrouter.agreement.records import Voter
 from stoatrouter.fronts.http.settings import load_http
+from stoatrouter.lab.histories.checker import check_history
 from stoatrouter.lab.histories.history import Request
-from stoatrouter.lab.histories.judge import judge
-from stoatrouter.lab.hollow.census import Census, Incomplete
-from stoatrouter.lab.hollow.head import HollowHead, Lifecycle, Surroundings, settings_of_head
+from stoatrouter.lab.hollow.fleet_report import FleetReport, IncompleteReport
+from stoatrouter.lab.hollow.head import HollowHead, Lifecycle, SharedResources, settings_of_head
 from stoatrouter.lab.hollow.launcher import choose_addresses
 from stoatrouter.lab.hollow.network import Network
 from stoatrouter.peering.counters import MessageCounters
@@ -82,7 +82,7 @@
     conf = config.read(files, {})
     common = load_heads(folder / "heads.cue", conf)
     network = Network({}, {address: name for name, address in addresses.items()})
-    surroundings = Surroundings(conf, load_http(folder / "http.cue"), network, watches=False)
+    surroundings = SharedResources(conf, load_http(folder / "http.cue"), network, watches=False)
     peers = tuple(addresses.values())
     heads = [
         HollowHead(name, settings_of_head(common, name, addresses[name], peers), surroundings)
@@ -304,7 +304,7 @@
             name = fleet.hollow.names[0]
             newest = next(e for e in reversed(history.logs[name]) if e["event"] == "rules.version")
             history.logs[name].append(newest | {"number": 0})
-            assert any(f"{name} went from version" in text for text in judge(history))
+            assert any(f"{name} went from version" in text for text in check_history(history))
 
     run(story(), LIMIT)
 
@@ -320,14 +320,14 @@
             assert set(after.died) == set(worker.names) and "worker 0" in after.died[worker.names[0]]
             assert after.lifecycles["died"] == len(worker.names) and len(after.running) == 2
             assert all(name in after.summary() for name in worker.names)
-            with pytest.raises(Incomplete, match=worker.names[0]):
+            with pytest.raises(IncompleteReport, match=worker.names[0]):
                 after.mean_rates(before, 1.0)
 
     run(story(), LIMIT)
 
 
 def test_a_head_without_a_report_counts_as_dead():
-    census = Census(("a", "b"))
+    census = FleetReport(("a", "b"))
     assert set(census.died) == {"a", "b"} and census.lifecycles["died"] == 2
 
 
--- a/tests/soak/credit_story.py
+++ b/tests/soak/credit_story.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from pathlib import Path
 
+from stoatrouter.lab.histories.checker import check_history
 from stoatrouter.lab.histories.history import Request
-from stoatrouter.lab.histories.judge import judge
 from tests.heads.ledger_chaos import LEDGER_MORE, LedgerChaos
 from tests.heads.processes import HeadProcess, Processes, heads_up
 from tests.heads.rules_clients import rules
@@ -48,7 +48,7 @@
         chaos.signaller = Signaller(report.seed, report, KILL_AFTER)
         history = await chaos.run(seconds, detect=False)
         report.after = usage(fleet)
-    for violation in judge(history):
+    for violation in check_history(history):
         text = str(violation)
         uncharged = any(word in text for word in UNCHARGED)
         report.add(Finding.UNCHARGED if uncharged else Finding.CREDIT, text)
--- a/tests/soak/story.py
+++ b/tests/soak/story.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from stoatrouter.lab.histories.requests import Terms, examine
+from stoatrouter.lab.histories.requests import Guarantees, check_requests
 from tests.fleet_stand_ins import History
 from tests.fleet_story import CLASSES_BY_NAME, GRACE, recorded, stand_ins
 from tests.soak.children import Child
@@ -195,8 +195,8 @@
         """Judge what clients, nodes and discovery saw, and what the logs say of errors in the program."""
         self.history.lines += recorded(self.heads)
         self.write_history()
-        terms = Terms(CLASSES_BY_NAME, {node.name: node.cell for node in self.nodes}, GRACE, slack=SLACK)
-        verdict = examine(self.history.lines, terms)
+        terms = Guarantees(CLASSES_BY_NAME, {node.name: node.cell for node in self.nodes}, GRACE, slack=SLACK)
+        verdict = check_requests(self.history.lines, terms)
         self.report.read_late = verdict.read_late
         for violation in verdict.violations:
             self.report.add_violation(violation)
--- a/tests/stall_story.py
+++ b/tests/stall_story.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from stoatrouter.lab.histories.requests import Terms
+from stoatrouter.lab.histories.requests import Guarantees
 from tests.fleet_stand_ins import History, RoughNode
 from tests.fleet_story import CLASSES_BY_NAME, GRACE, Client, StoryHead, read_answer, recorded, stand_ins
 from tests.process_signals import kill
@@ -70,7 +70,7 @@
 
 async def play_stalls(
     folder: Path, held: Held, seconds: float, slack: float, prelude: str = ""
-) -> tuple[list[dict[str, Any]], Terms]:
+) -> tuple[list[dict[str, Any]], Guarantees]:
     """Play the story: what the stand-ins, the client and the head's record have, and the terms."""
     history = History()
     nodes = [StallingNode(f"n{i}", i % 2, 0, history) for i in range(4)]  # two shards
@@ -92,7 +92,7 @@
             kill(head.process)
             await head.process.wait()
     lines = [*history.lines, *recorded([head])]
-    return lines, Terms(CLASSES_BY_NAME, {node.name: node.cell for node in nodes}, GRACE, slack=slack)
+    return lines, Guarantees(CLASSES_BY_NAME, {node.name: node.cell for node in nodes}, GRACE, slack=slack)
 
 
 async def ask(client: Client, name: str, stall: float) -> None:
--- a/tests/test_attempt_times.py
+++ b/tests/test_attempt_times.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from stoatrouter.lab.histories.requests import Effect, RequestClass, Terms, examine
+from stoatrouter.lab.histories.requests import Effect, Guarantees, RequestClass, check_requests
 from stoatrouter.net.tracked_request import TrackedRequest
 from tests.stall_story import REQUESTS, Held, play_stalls
 
 OUTSIDE = "repeated outside its window"
 SHORT, LONG = 0.15, 0.8  # seconds; the window is 0.5
 EXACT, BUSY = 0.05, 0.4  # seconds, slack: of the page, and for a whole program on a busy machine
-TERMS = Terms(
+TERMS = Guarantees(
     {"note": RequestClass(Effect.IDEMPOTENT, 0.5), "look": RequestClass(Effect.SAFE)},
     {"a": 0, "b": 0},
     drain_grace=0.5,
@@ -69,7 +69,7 @@
     ],
 )
 def test_only_a_record_of_a_write_in_time_shows_that_a_node_read_late(lines, found):
-    verdict = examine([SENT, ANSWERED, *lines], TERMS)
+    verdict = check_requests([SENT, ANSWERED, *lines], TERMS)
     assert len(verdict.violations) == (found == "head")
     assert len(verdict.read_late) == (found == "node")
     assert all("0.9" in text or "0.8" in text for text in verdict.read_late)  # with what the node saw
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("others", [[], [written("b", 0.3)]])
 def test_an_attempt_that_was_seen_before_it_was_written_is_found(others):
     lines = [SENT, ANSWERED, *seen("a", 0.1), *seen("b", 0.4), written("a", 0.2), *others]
-    assert len(found := examine(lines, TERMS).violations) == 1
+    assert len(found := check_requests(lines, TERMS).violations) == 1
     assert "before its head began to write it" in found[0]
 
 
@@ -94,7 +94,7 @@
     without = [line for line in lines if line["what"] != "written"]
     attempts = sum(line["what"] == "attempt" for line in lines)
     assert attempts == len(lines) - len(without) >= REQUESTS  # each one has its record
-    return examine(lines, terms), examine(without, terms)
+    return check_requests(lines, terms), check_requests(without, terms)
 
 
 # guards against a false finding by a stall that is shorter than the slack, or that the head allows for
--- a/tests/test_request_histories.py
+++ b/tests/test_request_histories.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from stoatrouter.lab.histories.requests import Effect, RequestClass, Terms, judge
+from stoatrouter.lab.histories.requests import Effect, Guarantees, RequestClass, find_violations
 from tests.departure_story import DEPARTURES, play_departures
 from tests.fleet_story import play
 
-TERMS = Terms(
+TERMS = Guarantees(
     {
         "look": RequestClass(Effect.SAFE),
         "note": RequestClass(Effect.IDEMPOTENT, 2.0),
@@ -74,7 +74,7 @@
     ],
 )
 def test_the_judge_finds_what_is_broken_and_nothing_else(lines, found):
-    said = judge(lines, TERMS)
+    said = find_violations(lines, TERMS)
     assert said == [] if found is None else len(said) == 1 and found in said[0]
 
 
@@ -82,7 +82,7 @@
 def test_three_heads_keep_the_rules_through_drains_silence_and_restarts(tmp_path, seed):
     print("seed", seed)
     lines, terms = asyncio.run(play(tmp_path, seed))
-    assert judge(lines, terms) == []
+    assert find_violations(lines, terms) == []
     said = {what: sum(line["what"] == what for line in lines) for what in ("answered", "gone", "attempt")}
     assert min(said.values()) >= 10, said  # there was something to judge
     served = sum(line["what"] == "answered" and line["status"] == 200 for line in lines)
@@ -106,14 +106,14 @@
 def test_a_program_that_does_not_see_its_clients_leave_is_caught(tmp_path):
     found = "after its client had gone"
     lines, terms = asyncio.run(play_departures(tmp_path, BROKEN[found]))
-    said = judge(lines, terms)
+    said = find_violations(lines, terms)
     # the first at least: after it the node has declined, and not each attempt is repeated
     assert said and all(found in violation for violation in said), said
 
 
 def test_nothing_is_sent_for_a_client_that_has_gone(tmp_path):
     lines, terms = asyncio.run(play_departures(tmp_path))
-    assert judge(lines, terms) == []
+    assert find_violations(lines, terms) == []
     assert sum(line["what"] == "attempt" for line in lines) == DEPARTURES
 
 
@@ -130,6 +130,6 @@
         folder.mkdir()
         lines, terms = asyncio.run(play(folder, seed, heads=2, turns=3, prelude=BROKEN[found]))
         # the slack of the page itself: the wider one above is for a whole program on a busy machine
-        return any(found in violation for violation in judge(lines, replace(terms, slack=0.05)))
+        return any(found in violation for violation in find_violations(lines, replace(terms, slack=0.05)))
 
     assert any(is_caught(seed) for seed in STORIES)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,7 +14,7 @@
 import pytest
 
 from benchmarks.soak import FOUND, NOT_ALL_JUDGED, exit_status, play_all
-from stoatrouter.lab.histories.requests import Verdict
+from stoatrouter.lab.histories.requests import CheckResult
 from tests.heads.ledger_chaos import LEDGER_MORE
 from tests.soak import ends, story
 from tests.soak.credit_story import SERIES, SeriesChaos, play_credit
@@ -93,14 +93,14 @@
     late = "c1-2: repeated outside its window (with no record, seen after 0.950 s, limit 0.900 s)"
     wrote_late = "c1-4: repeated outside its window (written after 0.950 s, seen after 0.951 s)"
 
-    def judge_something(*_: object) -> Verdict:
-        return Verdict([late, "c1-3: lost by h1", wrote_late])
+    def judge_something(*_: object) -> CheckResult:
+        return CheckResult([late, "c1-3: lost by h1", wrote_late])
 
     monkeypatch.setattr(Soak, "play_before", stall)
     lagged = play_seed(tmp_path, 2, 1.0)
     assert not lagged.findings and "NOT JUDGED" in lagged.line() and "nothing found" not in lagged.line()
     assert exit_status([lagged]) == NOT_ALL_JUDGED and "judged: 0, NOT JUDGED: 1" in summary([lagged])
-    monkeypatch.setattr(story, "examine", judge_something)
+    monkeypatch.setattr(story, "check_requests", judge_something)
     folder = tmp_path / "found"
     folder.mkdir()
     found = play_seed(folder, 2, 1.0)
