--- a/stoatrouter/lab/__init__.py
+++ b/stoatrouter/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The project's own laboratory: stand-ins of the systems that a head serves, and judges of what heads do."""
+"""Test and measurement code: stand-ins, the demo, simulated fleets, hollow heads and history checkers."""
--- a/stoatrouter/lab/demo.py
+++ b/stoatrouter/lab/demo.py
@@ -1,4 +1,4 @@
-"""A head with all its fronts before stand-in nodes, on loopback: what `stoatrouter demo` shows."""
+"""The `stoatrouter demo` command: one head with all its fronts and in-memory stand-in nodes, on loopback."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from stoatrouter.head import Head
 from stoatrouter.lab.standins import HOST, StandInDiscovery, StandInNode, StandInServers
 
-DEPLOYMENT = resources.files("stoatrouter.lab") / "demo_files"  # a small deployment
+DEPLOYMENT = resources.files("stoatrouter.lab") / "demo_files"  # files of a small deployment
 RULE_FILES = ("http.cue", "objects.cue", "rules.cue")
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 MAX_TARGET_SHOWN = 60  # characters
@@ -34,10 +34,10 @@
 
 # -- the deployment ---------------------------------------------------------------------------------------
 def write_files(folder: Path, nodes: list[StandInNode], discovery_port: int) -> Path:
-    """Write the configuration, settings and secrets of a head into a folder.
+    """Write the configuration, settings, rules and secret of a head into a folder.
 
     Returns:
-        The path of the configuration.
+        The path of the configuration file.
     """
     settings = json.loads((DEPLOYMENT / "settings.json").read_text())
     settings["Extra"]["Shards"] = len(nodes)
@@ -59,31 +59,31 @@
 
 
 def make_head(folder: Path, nodes: list[StandInNode], discovery_port: int) -> Head:
-    """Make a head with all fronts, from files written into a folder; raises ConfigError."""
+    """Create a head with all fronts from files written into a folder; raises ConfigError."""
     configuration = write_files(folder, nodes, discovery_port)
     conf = config.read({"NODE_CONFIG": str(configuration)}, {})
     objects = load_objects(folder / "objects.cue", conf.settings, conf.shards)
     return Head(conf, objects, load_http(folder / "http.cue"))
 
 
-# -- what is shown ----------------------------------------------------------------------------------------
+# -- output -----------------------------------------------------------------------------------------------
 class RequestPrinter:
-    """Prints each request of the core as it ends, with its outcome."""
+    """Prints each request of the core as it ends, with its outcome and duration."""
 
     def __init__(self, head: Head) -> None:
-        """Stand before a head's engine from now on."""
+        """Wrap the `serve` method of a head's engine."""
         self.serve = head.engine.serve
         self.classes = [request_class.name for request_class in head.conf.settings.classes]
         self.count = 0
         head.engine.serve = self.serve_and_print  # type: ignore[method-assign]
 
     async def serve_and_print(self, request: model.Request) -> model.Answer:
-        """Serve a request by the engine, and print its outcome."""
+        """Serve a request with the engine and print its outcome."""
         began = time.perf_counter()
         try:
             answer = await self.serve(request)
         except asyncio.CancelledError:
-            self._print(request, "its client left", began)
+            self._print(request, "client disconnected", began)
             raise
         self._print(request, describe_answer(answer), began)
         return answer
@@ -100,11 +100,11 @@
 
 
 def describe_answer(answer: model.Answer) -> str:
-    """Say how a request ended."""
+    """Return a short description of the result of a request."""
     match answer:
         case model.Served():
             status = f"{answer.head.status} " if answer.head is not None else ""
-            size = "a large answer" if answer.stream is not None else f"{len(answer.body)} bytes"
+            size = "streamed body" if answer.stream is not None else f"{len(answer.body)} bytes"
             return f"served: {status}{size} from shard {answer.shard}"
         case model.Refused():
             delay = answer.retry_after
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FrontPorts:
-    """The ports on which a head's fronts listen."""
+    """The ports on which the fronts of a head listen."""
 
     platform: int
     objects: int
@@ -124,13 +124,13 @@
 
     @classmethod
     def of(cls, head: Head) -> FrontPorts:
-        """Read the ports of a head that has started with all fronts."""
+        """Return the ports of a started head that has all fronts."""
         assert head.objects is not None and head.http is not None
         return cls(head.platform.port, head.objects.port, head.http.port, head.management.port)
 
 
 def example_calls(ports: FrontPorts) -> list[str]:
-    """Return lines with a call for each front that works as it stands."""
+    """Return the address of each front with curl commands that can be copied and run."""
     platform = f"http://{HOST}:{ports.platform}"
     objects = f"http://{HOST}:{ports.objects}"
     http = f"http://{HOST}:{ports.http}"
@@ -153,17 +153,17 @@
 
 
 def print_start(nodes: list[StandInNode], folder: Path, ports: FrontPorts) -> None:
-    """Print what runs, where its files are, and calls to try."""
-    print(f"a head with {len(nodes)} stand-in nodes, all on loopback; Ctrl-C ends it")
-    print(f"its files: {folder} (change rules.cue, then: kill -HUP {os.getpid()})\n")
+    """Print what is running, the folder of its files, and example commands."""
+    print(f"running one head with {len(nodes)} stand-in nodes on loopback; press Ctrl-C to stop")
+    print(f"files: {folder} (to reload the rules, edit rules.cue, then run: kill -HUP {os.getpid()})\n")
     print("\n".join(example_calls(ports)))
     print("\nwhat becomes of requests:", flush=True)
 
 
-# -- the run ----------------------------------------------------------------------------------------------
+# -- running the demo -------------------------------------------------------------------------------------
 @contextlib.asynccontextmanager
 async def stand_ins(count: int, seed: int) -> AsyncIterator[tuple[list[StandInNode], int]]:
-    """Run stand-in nodes and discovery; yields the nodes and discovery's port."""
+    """Run stand-in nodes and discovery; yields the nodes and the port of discovery."""
     servers = StandInServers()
     nodes = [StandInNode(f"node-{i}", i, seed) for i in range(count)]
     try:
@@ -175,7 +175,7 @@
 
 
 def stop_on_signals(head: Head) -> asyncio.Event:
-    """Reload the rules on SIGHUP, and return an event that SIGTERM and SIGINT set."""
+    """Install signal handlers: SIGHUP reloads the rules; SIGTERM and SIGINT set the returned event."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
 
@@ -190,15 +190,15 @@
 
 
 async def demo(count: int, seed: int, seconds: float | None) -> None:
-    """Serve until a signal, or for a time.
+    """Serve until SIGTERM or SIGINT, or for a fixed time.
 
     Args:
-        count: How many stand-in nodes there are.
-        seed: Of the nodes' service times.
-        seconds: How long to serve; None: until a signal.
+        count: Number of stand-in nodes.
+        seed: Seed of the service times of the nodes.
+        seconds: Maximum time to serve; None: until a signal.
 
     Raises:
-        ConfigError: The files of the deployment do not fit.
+        ConfigError: The files of the deployment are invalid.
         OSError: A port cannot be opened.
     """
     async with stand_ins(count, seed) as (nodes, discovery_port):
@@ -213,19 +213,19 @@
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(stop.wait(), seconds)
             finally:
-                print("\nstopping: requests in flight are answered first; wait for it", flush=True)
+                print("\nstopping: waiting for requests in flight to be answered", flush=True)
                 await head.stop()
     served = ", ".join(f"{node.name} {node.served}" for node in nodes)
     print(f"{printer.count} requests of the core, by node: {served}", flush=True)
 
 
 def run_demo(count: int, seed: int, seconds: float | None) -> int:
-    """Run the demo as a command; returns its exit code, 2 where it cannot start.
+    """Run the demo as a command; returns its exit code, which is 2 if the demo cannot start.
 
     Args:
-        count: How many stand-in nodes there are.
-        seed: Of the nodes' service times.
-        seconds: How long to serve; None: until a signal.
+        count: Number of stand-in nodes.
+        seed: Seed of the service times of the nodes.
+        seconds: Maximum time to serve; None: until a signal.
     """
     logger.remove()
     logger.add(
@@ -238,6 +238,6 @@
     try:
         asyncio.run(demo(count, seed, seconds))
     except (config.ConfigError, OSError) as error:
-        print(f"the demo cannot start: {error}", file=sys.stderr)
+        print(f"cannot start the demo: {error}", file=sys.stderr)
         return EXIT_NOT_STARTED
     return 0
--- a/stoatrouter/lab/fleet/__init__.py
+++ b/stoatrouter/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets of the heads' pure parts in virtual time: one seed gives one order of events and one digest."""
+"""Deterministic simulation of fleets in virtual time: a seed determines the events and their digest."""
--- a/stoatrouter/lab/fleet/contacts.py
+++ b/stoatrouter/lab/fleet/contacts.py
@@ -1,7 +1,7 @@
-"""Heads in virtual time that lose the majority of their voters: how long each still counts as in contact.
+"""A simulated fleet that loses the majority of its voters: how long does each head count as connected?
 
-The world alone says when a majority was connected last: from which machines run, which are paused and which
-links are cut, never from what a head thinks of itself.
+The reference is computed from the state of the simulated world (machines that run or are paused, links that
+are cut), never from the state of a head.
 """
 
 from __future__ import annotations
@@ -19,40 +19,40 @@
 SECOND = timedelta(seconds=1)
 CUT_OFF_AFTER = 3 * SECOND
 WARNING_AFTER = 10 * SECOND
-MAX_HOLD = timedelta(milliseconds=500)  # a poll waits so long for something new
-POLL_INTERVAL = timedelta(milliseconds=50)  # beside the hold
+MAX_HOLD = timedelta(milliseconds=500)  # a poll is held at most so long
+POLL_INTERVAL = timedelta(milliseconds=50)  # between polls, in addition to the hold time
 NEVER = timedelta(days=-1)
 
 
 @dataclass
 class ContactFleet(VoterFleet):
-    """Heads that learn of the majority from each other.
+    """Heads that learn from each other when a majority was last connected.
 
-    `make_contact` builds what a head knows of the majority (a mutant's, where a test shows that the invariant
-    is checked).
+    `make_contact` creates the record of what a head knows of the majority; tests pass a mutant to show that
+    the invariant is checked.
     """
 
     make_contact: Callable[[], MajorityContact] = MajorityContact
-    polled: dict[str, list[str]] = field(default_factory=dict)  # whom a head polls; all others by default
+    poll_targets: dict[str, list[str]] = field(default_factory=dict)  # by head; default: all others
     contacts: dict[str, MajorityContact] = field(default_factory=dict)
-    last_majority: dict[str, timedelta] = field(default_factory=dict)  # by head, in the world's time
+    last_majority: dict[str, timedelta] = field(default_factory=dict)  # by head, in world time
 
     def boot(self, name: str, voter: Voter, disk: PersistentState) -> None:
-        """Start a head: it knows of no majority yet."""
+        """Start a head, which does not know of a majority yet."""
         super().boot(name, voter, disk)
         self.heads[name].raft.contact = self.make_contact()
         self.contacts[name] = self.make_contact()
 
-    # -- what a head knows --------------------------------------------------------------------------------
+    # -- knowledge of a head ------------------------------------------------------------------------------
     def contact(self, name: str) -> MajorityContact:
-        """Return what a head knows of the majority, by itself or from others."""
+        """Return what a head knows of the majority, from its own role and from reports of others."""
         raft, contact = self.heads[name].raft, self.contacts[name]
         if raft.settled or not raft.leads:
             contact.record(raft.contact.latest)
         return contact
 
     def is_connected(self, name: str) -> bool:
-        """Whether a head counts itself as connected, by the program's own table."""
+        """Whether a head counts itself as connected, according to `availability_of`."""
         if not self.world.is_running(name):
             return False
         raft = self.heads[name].raft
@@ -61,10 +61,10 @@
         return availability_of(facts, CUT_OFF_AFTER, WARNING_AFTER, SECOND).state is HeadState.CONNECTED
 
     def poll(self, name: str) -> None:
-        """Poll one head, unless a leader sends to this one; the answer waits there for a while."""
+        """Poll one head, unless a leader sends entries to this one; the poll is held there for a while."""
         world = self.world
         if not self.hears_from_leader(name):
-            others = self.polled.get(name) or [n for n in world.names if n != name]
+            others = self.poll_targets.get(name) or [n for n in world.names if n != name]
             other = world.rng.choice(others)
             asked_at, after = world.clock(name), self.heads[name].index
             world.send(name, other, lambda: self.hold_poll(other, name, asked_at, after))
@@ -72,24 +72,24 @@
         world.schedule_on(name, interval, lambda: self.poll(name))
 
     def hold_poll(self, name: str, poller: str, asked_at: timedelta, after: int) -> None:
-        """Let a poll that has come wait for something new."""
-        came_at = self.world.clock(name)
+        """Hold a poll that has arrived until its hold time is over."""
+        arrival = self.world.clock(name)
         hold = MAX_HOLD * self.world.rng.random()
-        self.world.schedule_on(name, hold, lambda: self.end_poll(name, poller, asked_at, came_at, after))
+        self.world.schedule_on(name, hold, lambda: self.end_poll(name, poller, asked_at, arrival, after))
 
-    def end_poll(self, name: str, poller: str, asked_at: timedelta, came_at: timedelta, after: int) -> None:
-        """Answer a poll: what was agreed on, and when a majority was connected.
+    def end_poll(self, name: str, poller: str, asked_at: timedelta, arrival: timedelta, after: int) -> None:
+        """Answer a poll with committed entries and with the age of the last contact to a majority.
 
         Args:
-            name: The head that was polled.
-            poller: The head that gets the answer.
-            asked_at: When it asked, by its own clock.
-            came_at: When the poll came, by the polled head's clock.
+            name: The polled head.
+            poller: The head that polls.
+            asked_at: When the poll was sent, on the clock of the poller.
+            arrival: When the poll arrived, on the clock of the polled head.
             after: The index up to which the poller has applied the log.
         """
         self.answer_poll(name, poller, after)
         now, incarnation = self.world.clock(name), self.world.machines[poller].incarnation
-        age, wait = self.contact(name).age(now), now - came_at
+        age, wait = self.contact(name).age(now), now - arrival
         if not self.is_connected(name) or age is None:
             return
 
@@ -99,18 +99,18 @@
 
         self.world.send(name, poller, deliver)
 
-    # -- what the world sees ------------------------------------------------------------------------------
+    # -- reference state ----------------------------------------------------------------------------------
     def are_linked(self, a: str, b: str) -> bool:
         """Whether two different machines reach each other in both directions."""
         return a != b and not self.world.links[a, b].cut and not self.world.links[b, a].cut
 
     def has_majority(self, names: set[str]) -> bool:
-        """Whether some voter among these reaches, in both directions, a majority of the voters."""
+        """Whether some voter among these heads has links in both directions to a majority of the voters."""
         voters = [name for name in names if self.heads[name].voter in self.founders]
         return any(2 * (1 + sum(self.are_linked(a, b) for b in voters)) > len(self.founders) for a in voters)
 
     def components(self) -> list[set[str]]:
-        """Return the connected components of the machines that run."""
+        """Return the connected components of the running machines."""
         left = {name for name in self.world.names if self.world.is_running(name)}
         found: list[set[str]] = []
         while left:
@@ -124,35 +124,35 @@
         return found
 
     def update_last_majority(self) -> None:
-        """Note for each head the latest majority that it may have heard of, through whomever."""
+        """Record for each head the latest time of a majority that it can know of, over any path."""
         for component in self.components():
             latest = max(self.last_majority.get(name, NEVER) for name in component)
             if self.has_majority(component):
                 latest = self.world.now
-            for name in self.world.names:  # what is sent to a paused machine waits for it
+            for name in self.world.names:  # messages to a paused machine wait for it
                 if name in component or any(self.are_linked(name, other) for other in component):
                     self.last_majority[name] = max(latest, self.last_majority.get(name, NEVER))
 
     # -- invariants ---------------------------------------------------------------------------------------
     def check_contact(self) -> None:
-        """Check that no head counts as connected for too long after the last majority it can have heard of.
+        """Check that no head counts as connected for too long after the last majority that it can know of.
 
         Raises:
-            InvariantViolated: A head does, counted over all paths by which it may have heard.
+            InvariantViolated: A head does; all paths by which it can know of a majority are counted.
         """
         self.update_last_majority()
         for name, last in self.last_majority.items():
             if self.world.now - last > CUT_OFF_AFTER * MAX_CLOCK_DRIFT and self.is_connected(name):
                 raise InvariantViolated(
-                    f"{name} is in touch at {self.world.now}, the last majority was at {last}"
+                    f"{name} counts as connected at {self.world.now}, the last majority was at {last}"
                 )
 
     def check_all_connected(self, when: str) -> None:
-        """Check that, with a majority there and no faults, every head is connected.
+        """Check that every head is connected; to be called while there is a majority and no fault.
 
         Raises:
-            InvariantViolated: Some head is not.
+            InvariantViolated: Some head is not connected.
         """
         missing = [name for name in self.world.names if not self.is_connected(name)]
         if missing:
-            raise InvariantViolated(f"{', '.join(missing)} not in touch {when}")
+            raise InvariantViolated(f"{', '.join(missing)} not connected {when}")
--- a/stoatrouter/lab/fleet/credit.py
+++ b/stoatrouter/lab/fleet/credit.py
@@ -1,6 +1,6 @@
-"""Escrows and an account in virtual time: what clients were charged, against what was paid in.
+"""Simulated heads with credit escrows, and one account: checks charges against payments.
 
-The truth is counted here, at each final answer, and never asked of an escrow or the account.
+Charges are counted here at each final answer, independently of the state of escrows and of the account.
 """
 
 from __future__ import annotations
@@ -18,9 +18,10 @@
 from stoatrouter.lab.fleet.world import World
 
 LOW_WATER = 200
-FAVOURITE_SPAN = timedelta(seconds=5)  # with an uneven load, a customer's favourite head changes so often
-MANY_CUSTOMERS = 10  # from here on most customers are idle
-RANKS = 3
+# With an uneven load, the preferred head of a customer changes at this interval.
+PREFERRED_HEAD_INTERVAL = timedelta(seconds=5)
+SKEWED_LOAD_CUSTOMERS = 10  # from this number of customers on, most of them are idle
+RANKS = 3  # number of priority ranks
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,35 +31,35 @@
     id: str
     customer: str
     charge: int
-    is_sent: bool  # an attempt reaches a node, so that it may run
+    is_sent: bool  # whether an attempt reaches a node, so that it may run
 
 
 @dataclass
 class CreditFleet:
-    """Heads with customers' credit, beside one account that is always right.
+    """Heads with credit of customers, and one account that never fails.
 
-    `make_escrow` and `make_ledger` build the program's parts (mutants, where a test shows that the invariants
-    are checked).
+    `make_escrow` and `make_ledger` create the parts of the program; tests pass mutants to show that the
+    invariants are checked.
     """
 
     world: World  # with a machine for the account
     customers: int = 2
-    refund_expired: bool = False  # customers get back what failed heads held, and may be overspent by that
+    refund_expired: bool = False  # customers get back what failed heads held, and may overspend by it
     make_escrow: Callable[..., HeadEscrow] = HeadEscrow
     make_ledger: Callable[[], Ledger] = Ledger
-    charged_if_unsent: bool = False  # a mutant: requests that never reached a node are charged too
-    uneven: bool = False  # a customer comes through one head above all
-    sent_fraction: float = 0.9  # of the requests that are admitted; the others never reach a node
+    charged_if_unsent: bool = False  # a mutant: also charges requests that never reached a node
+    uneven: bool = False  # most requests of a customer go to one preferred head
+    sent_fraction: float = 0.9  # fraction of the admitted requests that reach a node
     heads: dict[str, CreditHead] = field(default_factory=dict)
-    charged: dict[str, int] = field(default_factory=dict)  # at final answers, by customer
+    charged: dict[str, int] = field(default_factory=dict)  # counted at final answers, by customer
     paid: dict[str, int] = field(default_factory=dict)  # by customer
     wiped_disks: int = 0
-    admitted: int = 0  # requests
+    admitted: int = 0  # number of requests
     rejected: int = 0
-    overspent: int = 0  # the most by which a customer was charged more than was paid in
+    overspent: int = 0  # maximum amount by which charges of a customer exceeded its payments
 
     def __post_init__(self) -> None:
-        """Make the customers and start all heads."""
+        """Create the customers and start all heads."""
         self.account = self.make_account()
         for i in range(self.customers):
             name = f"c{i}"
@@ -71,17 +72,17 @@
         self.world.schedule(EXPIRY_INTERVAL, self.account.expire_allotments)
 
     def make_account(self) -> CreditAccount:
-        """Make the account."""
+        """Create the account."""
         return CreditAccount(self.world, self.make_ledger())
 
     @property
     def names(self) -> list[str]:
-        """The names of all heads."""
+        """Return the names of all heads."""
         return [name for name in self.world.names if name != ACCOUNT]
 
     # -- heads --------------------------------------------------------------------------------------------
     def boot(self, name: str, identity: str, disk: CreditDisk) -> None:
-        """Start a head with what is on its disk."""
+        """Start a head with the contents of its disk."""
         escrow = self.make_escrow(LEASE, disk)
         self.heads[name] = CreditHead(
             self.world, self.account, name, identity, disk, escrow, self._is_current
@@ -91,7 +92,7 @@
         return self.heads[head.name] is head
 
     def kill(self, name: str, wipe: bool) -> None:
-        """End a head, perhaps with its disk; the account cannot be killed."""
+        """Kill a head, and lose its disk if `wipe` is set; the account cannot be killed."""
         if name == ACCOUNT:
             return
         self.world.stop_machine(name)
@@ -101,7 +102,7 @@
             self.heads[name].identity = f"{name}/{self.wiped_disks}"
 
     def start(self, name: str) -> None:
-        """Start a head again."""
+        """Restart a head."""
         if name == ACCOUNT:
             return
         self.world.start_machine(name)
@@ -109,18 +110,18 @@
 
     # -- customers ----------------------------------------------------------------------------------------
     def pay(self, customer: str, amount: int) -> None:
-        """Pay in for a customer; it counts as paid from now on, as it may be booked at any time."""
+        """Top up a customer; the amount counts as paid from now on, as it may be booked at any time."""
         id = f"t{next(self.account.numbers)}"
         self.paid[customer] += amount
         self.account.top_up(customer, amount, id)
 
     def load(self, until: timedelta, mean_interval: timedelta) -> None:
-        """Make requests, now and then many at once, on few customers, up to a time."""
+        """Make requests until a time, sometimes in bursts; of many customers, few make most requests."""
         rng = self.world.rng
         if self.world.now >= until:
             return
         for _ in range(rng.choice([1, 1, 1, 8])):
-            skew = 1 if self.customers < MANY_CUSTOMERS else 12
+            skew = 1 if self.customers < SKEWED_LOAD_CUSTOMERS else 12
             customer = int(self.customers * rng.random() ** skew)
             head = self._choose_head(customer)
             self.request(head, f"c{customer}", rng.randint(1, 9), rng.randrange(RANKS))
@@ -131,12 +132,12 @@
         names, rng = self.names, self.world.rng
         if not self.uneven:
             return rng.choice(names)
-        favourite = int(self.world.now / FAVOURITE_SPAN) + customer
-        return names[(int(len(names) * rng.random() ** 4) + favourite) % len(names)]
+        preferred = int(self.world.now / PREFERRED_HEAD_INTERVAL) + customer
+        return names[(int(len(names) * rng.random() ** 4) + preferred) % len(names)]
 
     # -- requests -----------------------------------------------------------------------------------------
     def request(self, name: str, customer: str, charge: int, rank: int) -> None:
-        """Make one request at a head: admitted or rejected now, answered a little later."""
+        """Make one request at a head: it is admitted or rejected now and answered later."""
         world, head = self.world, self.heads[name]
         if not world.is_running(name):
             return
@@ -161,24 +162,24 @@
 
     # -- invariants ---------------------------------------------------------------------------------------
     def _check_not_expired(self, head: CreditHead, request: str, now: timedelta) -> None:
-        """Check that nothing is reserved from an allotment after its lease, counted from its asking."""
+        """Check that nothing is reserved from an allotment after its lease, counted from its request."""
         reservation = head.escrow.reservations.get(request)
         if reservation is None:
             return
         allotment = reservation.allotment.id
         if now > head.asked_at[allotment] + LEASE:
-            raise InvariantViolated(f"{head.name} took from {allotment} after it had expired")
+            raise InvariantViolated(f"{head.name} reserved from {allotment} after it had expired")
 
     def _check_charge(self, request: Reserved, charged: int) -> None:
-        """Check that a request is charged once, and only where an attempt may have run."""
+        """Check that a request is charged once, and only if an attempt may have run."""
         if charged != (request.charge if request.is_sent else 0):
             raise InvariantViolated(f"{request.id} of {request.charge} was charged {charged}")
 
     def check_not_overspent(self, customer: str) -> None:
-        """Check that what was charged never passes what was paid in (there is no overdraft here).
+        """Check that a customer is never charged more than was paid in (there is no overdraft here).
 
         Raises:
-            InvariantViolated: It did, of a customer that does not get back what failed heads held.
+            InvariantViolated: The customer is, and does not get back what failed heads held.
         """
         charged, paid = self.charged[customer], self.paid[customer]
         self.overspent = max(self.overspent, charged - paid)
@@ -186,16 +187,16 @@
             raise InvariantViolated(f"{customer} was charged {charged} of {paid} paid in")
 
     def check_settled(self) -> None:
-        """Check, at the end, that the balance is what was paid in less what was charged, exactly.
+        """Check at the end that paid and charged amounts of each account are exactly those counted here.
 
-        Where a disk was lost, what its head held is charged too.
+        If a disk was lost, what its head held may be charged too.
 
         Raises:
-            InvariantViolated: An account has allotments out or figures that differ from the truth.
+            InvariantViolated: An account has outstanding allotments, or its amounts differ.
         """
         for name, account in self.account.ledger.accounts.items():
             if account.outstanding:
-                raise InvariantViolated(f"{name} still has allotments out: {account.outstanding}")
+                raise InvariantViolated(f"{name} still has outstanding allotments: {account.outstanding}")
             if account.paid != self.paid[name]:
                 raise InvariantViolated(f"{name}: {account.paid} booked of {self.paid[name]} paid in")
             charged = self.charged[name]
--- a/stoatrouter/lab/fleet/credit_account.py
+++ b/stoatrouter/lab/fleet/credit_account.py
@@ -1,7 +1,7 @@
-"""One account that is always right, asked over a faulty network: it stands for the agreement of the voters.
+"""A single account, called over a faulty network, that stands in for the replicated ledger of the voters.
 
-An answer may be lost after its command was booked, as when a leader dies in between. `voters.py` has the
-agreement itself.
+A reply may be lost after its command was applied, as when a leader crashes in between. `voters.py` simulates
+the replication itself.
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
 from stoatrouter.credit.records import BookEntry, Command, Expired
 from stoatrouter.lab.fleet.world import World
 
-ACCOUNT = "account"  # the machine; all others are heads
+ACCOUNT = "account"  # name of its machine; all other machines are heads
 LEASE = timedelta(seconds=2)
-EXPIRY_MARGIN = 1.05  # the account waits so much longer than the lease, as clocks differ
+EXPIRY_MARGIN = 1.05  # the account waits longer than the lease by this factor, as clocks differ
 EXPIRY_INTERVAL = LEASE / 4
 RETRY_INTERVAL = timedelta(milliseconds=300)
-REPLY_LOST = 0.05  # probability that the account has forgotten its reply when a command comes
+REPLY_DROP_PROBABILITY = 0.05  # probability that the reply is gone when a command arrives
 
 
 @dataclass
 class CreditAccount:
-    """The ledger on its machine, with the replies to commands by their ids."""
+    """The ledger on its own machine, with the replies to commands by id."""
 
     world: World
     ledger: Ledger
     replies: dict[str, bytes] = field(default_factory=dict)
-    index: int = 0  # of the command applied last
+    index: int = 0  # of the last applied command
     first_seen: dict[str, timedelta] = field(default_factory=dict)  # by allotment, on the account's clock
     acknowledged: set[str] = field(default_factory=set)  # ids of top-ups
-    numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))  # for ids of all kinds
+    numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))  # source of unique ids
 
     def apply(self, command: Command, id: str) -> bytes:
-        """Apply a command, once under its id; returns the reply."""
+        """Apply a command unless its id was applied before; returns the reply."""
         if id not in self.replies:
             self.index += 1
             self.replies[id] = self.ledger.apply(self.index, msgspec.msgpack.encode(command))
         return self.replies[id]
 
-    def forget_reply_at_times(self, id: str) -> None:
-        """Forget a reply now and then, as the agreement does in the end.
+    def maybe_drop_reply(self, id: str) -> None:
+        """Drop a stored reply with a small probability, as the replicated ledger drops old replies.
 
-        The command's number is then all that guards against applying it twice.
+        Only the number in the command then prevents its effect from being applied twice.
         """
-        if self.world.rng.random() < REPLY_LOST:
+        if self.world.rng.random() < REPLY_DROP_PROBABILITY:
             self.replies.pop(id, None)
 
     def expire_allotments(self) -> None:
-        """Expire the allotments whose lease is over, now and again later."""
+        """Expire the allotments whose lease is over, and schedule the next check."""
         now = self.world.clock(ACCOUNT)
         self.first_seen = {id: self.first_seen.get(id, now) for id in self.ledger.customer_by_allotment}
         expired = tuple(
@@ -66,12 +66,12 @@
         self.world.schedule(EXPIRY_INTERVAL, self.expire_allotments)
 
     def top_up(self, customer: str, amount: int, id: str) -> None:
-        """Pay in as an operator does, who retries through any head until the top-up is acknowledged."""
+        """Top up a customer; like an operator, retry through random heads until it is acknowledged."""
         if id in self.acknowledged:
             return
         head = self.world.rng.choice([name for name in self.world.names if name != ACCOUNT])
         number = next(self.numbers)
-        is_new_call = self.world.rng.random() < 0.5  # else a retry is the same call once more
+        is_new_call = self.world.rng.random() < 0.5  # otherwise a retry repeats the same call
         call = f"{id}/{number if is_new_call else 0}"
 
         def arrive() -> None:
--- a/stoatrouter/lab/fleet/credit_head.py
+++ b/stoatrouter/lab/fleet/credit_head.py
@@ -1,4 +1,4 @@
-"""One head of a virtual fleet with credit: its escrow, its disk, and its numbered calls to the account."""
+"""One head of a simulated fleet with credit: its escrow, its disk and its numbered calls to the account."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 
 @dataclass(slots=True)
 class CreditDisk:
-    """What a head's process leaves behind: what was spent of each allotment, as an escrow's `Record`."""
+    """What survives a head process: the amount spent of each allotment; a `SpentStore`."""
 
     spent: dict[str, int] = field(default_factory=dict)
-    log: list[bytes] = field(default_factory=list)  # of committed commands, where heads follow the ledger
+    log: list[bytes] = field(default_factory=list)  # committed commands, if heads follow the ledger
 
     def begin(self, allotment: str) -> bool:
-        """Record an allotment; there is always space for it."""
+        """Record an allotment; there is always space for one more."""
         self.spent[allotment] = 0
         return True
 
     def set(self, allotment: str, spent: int) -> None:
-        """Record what was spent of an allotment in all."""
+        """Record the total amount spent of an allotment."""
         self.spent[allotment] = spent
 
     def end(self, allotment: str) -> None:
-        """Forget an allotment."""
+        """Delete the record of an allotment."""
         self.spent.pop(allotment, None)
 
 
 @dataclass(eq=False)
 class CreditHead:
-    """One incarnation of a head. Once another one has begun, what still comes for this one is dropped."""
+    """One incarnation of a head. Replies that arrive after the next incarnation has started are dropped."""
 
     world: World
     account: CreditAccount
@@ -55,28 +55,28 @@
     identity: str  # of its disk
     disk: CreditDisk
     escrow: HeadEscrow
-    is_current: Callable[[CreditHead], bool]  # whether no other incarnation has begun
-    number: int = 0  # of the call made last
-    has_begun: bool = False  # the account has answered `Begin`, and the last incarnation is settled
-    spent_before: dict[str, int] = field(default_factory=dict)  # by an earlier incarnation, by allotment
-    predecessor: str = ""  # the identity that it takes over from
-    pending_call: int | None = None  # the number of the call that waits for its reply
-    asked_at: dict[str, timedelta] = field(default_factory=dict)  # of each allotment, by this head's clock
+    is_current: Callable[[CreditHead], bool]  # whether no later incarnation has started
+    number: int = 0  # of the last call
+    is_registered: bool = False  # registered at the account, and the previous incarnation is settled
+    spent_before: dict[str, int] = field(default_factory=dict)  # by earlier incarnations, by allotment
+    predecessor: str = ""  # the identity that this one replaces
+    pending_call: int | None = None  # number of the call that has no reply yet
+    asked_at: dict[str, timedelta] = field(default_factory=dict)  # by allotment, on this clock
 
     def __post_init__(self) -> None:
-        """Number calls from the incarnation on, and begin to tick."""
+        """Choose the first call number from the incarnation, and schedule the first tick."""
         self.number = self.world.machines[self.name].incarnation << 32
         self.spent_before = dict(self.disk.spent)
         self.world.schedule_on(self.name, FIRST_TICK, self.tick)
 
     def tick(self) -> None:
-        """Call the account, unless a call is pending, and again later."""
+        """Call the account unless a call is pending, and schedule the next tick."""
         now = self.world.clock(self.name)
         if self.pending_call is None:
-            if not self.has_begun:
-                self._call_begin()
-            elif turns := self.escrow.due_reports(now):
-                self._call_turns(turns, now)
+            if not self.is_registered:
+                self._call_register()
+            elif reports := self.escrow.due_reports(now):
+                self._call_report(reports, now)
         self.world.schedule_on(self.name, TICK, self.tick)
 
     # -- calls --------------------------------------------------------------------------------------------
@@ -84,51 +84,51 @@
         self.number += 1
         return self.number
 
-    def _call_begin(self) -> None:
-        holds = tuple(self.disk.spent)
-        command = RegisterHead(self.name, self.identity, self.predecessor, self._next_number(), holds)
-        self._call(command, self._on_begun)
+    def _call_register(self) -> None:
+        held = tuple(self.disk.spent)
+        command = RegisterHead(self.name, self.identity, self.predecessor, self._next_number(), held)
+        self._call(command, self._on_registered)
 
-    def _on_begun(self, reply: bytes) -> None:
-        """Settle what the incarnation before had spent, now that the account knows this one."""
-        booked = msgspec.msgpack.decode(reply, type=CommandResult)
-        if not booked.ok:
-            self.predecessor = booked.reason  # sent with the next tick
+    def _on_registered(self, reply: bytes) -> None:
+        """Settle what the previous incarnation had spent, now that the account knows this one."""
+        result = msgspec.msgpack.decode(reply, type=CommandResult)
+        if not result.ok:
+            self.predecessor = result.reason  # sent with the next tick
             return
         spent_before = self.spent_before
         if not spent_before:
-            self.has_begun = True
+            self.is_registered = True
             return
-        turn = CustomerReport(
+        report = CustomerReport(
             "", (), tuple(Settlement(id, spent, True) for id, spent in spent_before.items())
         )
 
         def on_settled(_: bytes) -> None:
             for id in spent_before:
                 self.disk.end(id)
-            self.has_begun = True
+            self.is_registered = True
             self.spent_before = {}
 
-        self._call(CreditReport(self.name, self.identity, self._next_number(), (turn,)), on_settled)
+        self._call(CreditReport(self.name, self.identity, self._next_number(), (report,)), on_settled)
 
-    def _call_turns(self, turns: list[CustomerReport], asked_at: timedelta) -> None:
-        command = CreditReport(self.name, self.identity, self._next_number(), tuple(turns))
-        self._call(command, lambda reply: self._on_granted(turns, reply, asked_at))
+    def _call_report(self, reports: list[CustomerReport], asked_at: timedelta) -> None:
+        command = CreditReport(self.name, self.identity, self._next_number(), tuple(reports))
+        self._call(command, lambda reply: self._on_granted(reports, reply, asked_at))
 
-    def _on_granted(self, turns: list[CustomerReport], reply: bytes, asked_at: timedelta) -> None:
-        """Hand the grants to the escrow; turns without one mean that the account knows another identity."""
+    def _on_granted(self, reports: list[CustomerReport], reply: bytes, asked_at: timedelta) -> None:
+        """Apply grants; a report without a grant means that the account knows another identity."""
         now = self.world.clock(self.name)
         grants = msgspec.msgpack.decode(reply, type=Grants).grants
-        for turn, grant in zip(turns, grants, strict=False):
-            self.escrow.apply_grant(turn, grant, asked_at, now)
+        for report, grant in zip(reports, grants, strict=False):
+            self.escrow.apply_grant(report, grant, asked_at, now)
             self.asked_at[grant.allotment] = asked_at
-        for turn in turns[len(grants) :]:
-            self.escrow.forget_report(turn)
-            self.has_begun = False
+        for report in reports[len(grants) :]:
+            self.escrow.forget_report(report)
+            self.is_registered = False
             self.predecessor = self.identity
 
     def _call(self, command: CreditReport | RegisterHead, on_reply: Callable[[bytes], None]) -> None:
-        """Send a command under its number until there is a reply."""
+        """Send a command, and resend it under the same number until a reply arrives."""
         number = command.number
         self.pending_call = number
 
@@ -142,7 +142,7 @@
 
         def arrive() -> None:
             id = f"{self.identity}/{number}"
-            self.account.forget_reply_at_times(id)
+            self.account.maybe_drop_reply(id)
             reply = self.account.apply(command, id)
             self.world.send(ACCOUNT, self.name, lambda: receive(reply))
 
--- a/stoatrouter/lab/fleet/credit_ledger.py
+++ b/stoatrouter/lab/fleet/credit_ledger.py
@@ -1,7 +1,7 @@
-"""Credit in virtual time, each head with its own copy of the ledger: is a customer served free of charge?
+"""Simulated credit with a copy of the ledger on each head: checks that no customer is served free of charge.
 
-Customers are made and volumes move while heads are cut off, killed, wiped and paused. What a head knows of
-the ledger comes by polls over the faulty network; whose a volume was, and when, is the world's to know.
+Customers are created and volumes move while heads are cut off, killed, wiped and paused. Heads learn of the
+ledger by polls over the faulty network; the actual owners of volumes over time are recorded here.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 
 POLL_INTERVAL = timedelta(milliseconds=100)
 CUT_OFF_AFTER = timedelta(seconds=1)
-# A copy counts as current for CUT_OFF_AFTER on its head's clock, which may be slow.
-LONGEST_BEHIND = CUT_OFF_AFTER / (1 - CLOCK_DRIFT)
-CHANGE_INTERVAL = timedelta(milliseconds=600)  # between changes of whose a volume is, in the mean
-MOST_MADE = 12  # customers made during the faults; they pay nothing in
-UNITS_PRICE = 1  # of a unit, in every class
+# A copy counts as current for CUT_OFF_AFTER on the clock of its head, which may be slow.
+MAX_LEDGER_AGE = CUT_OFF_AFTER / (1 - CLOCK_DRIFT)
+CHANGE_INTERVAL = timedelta(milliseconds=600)  # mean interval between changes of owners of volumes
+MAX_NEW_CUSTOMERS = 12  # customers created during the faults; they pay nothing
+UNITS_PRICE = 1  # price of a unit in every class
 TIME_TO_ANSWER = timedelta(seconds=1)
 
 
 @dataclass
 class LoggedAccount(CreditAccount):
-    """The account with the log of what it applied, which heads follow."""
+    """The account with the log of the commands that it has applied, which heads follow."""
 
     log: list[bytes] = field(default_factory=list)
 
     def apply(self, command: Command, id: str) -> bytes:
-        """Apply a command, once under its id; returns the reply."""
+        """Apply and log a command unless its id was applied before; returns the reply."""
         if id not in self.replies:
             self.log.append(msgspec.msgpack.encode(command))
         return super().apply(command, id)
@@ -48,35 +48,35 @@
 
 @dataclass(eq=False)
 class LedgerCopy:
-    """One incarnation's copy of the ledger."""
+    """The copy of the ledger of one incarnation of a head."""
 
     world: World
     account: LoggedAccount
     name: str
-    stored: list[bytes]  # the disk's log: what was applied here before, and is from now on
-    is_current: Callable[[], bool]  # whether no other incarnation of this head has begun
+    stored: list[bytes]  # the log on the disk; commands are appended as they are applied
+    is_current: Callable[[], bool]  # whether no later incarnation of this head has started
     ledger: Ledger = field(default_factory=Ledger)
-    followed_at: timedelta | None = None  # on the head's clock
+    followed_at: timedelta | None = None  # on the clock of the head
 
     def __post_init__(self) -> None:
-        """Apply what is on the disk, and begin to poll."""
+        """Apply the log on the disk, and schedule the first poll."""
         for index, command in enumerate(self.stored, 1):
             self.ledger.apply(index, command)
         self.world.schedule_on(self.name, POLL_INTERVAL * self.world.rng.random(), self.poll)
 
     def poll(self) -> None:
-        """Ask the account for what was committed, and again later."""
+        """Poll the account for committed commands, and schedule the next poll."""
         asked_at, after = self.world.clock(self.name), len(self.stored)
 
         def answer() -> None:
             commands = self.account.log[after:]
-            self.world.send(ACCOUNT, self.name, lambda: self.learn(asked_at, after, commands))
+            self.world.send(ACCOUNT, self.name, lambda: self.apply_commands(asked_at, after, commands))
 
         self.world.send(self.name, ACCOUNT, answer)
         self.world.schedule_on(self.name, POLL_INTERVAL, self.poll)
 
-    def learn(self, asked_at: timedelta, after: int, commands: list[bytes]) -> None:
-        """Apply committed commands; the copy is as new as the question that brought them."""
+    def apply_commands(self, asked_at: timedelta, after: int, commands: list[bytes]) -> None:
+        """Apply committed commands; the copy is current as of the time of the poll."""
         if not self.is_current() or after > len(self.stored):
             return
         for command in commands[len(self.stored) - after :]:
@@ -85,14 +85,14 @@
         self.followed_at = max(asked_at, self.followed_at or asked_at)
 
     def freshness(self) -> LedgerFreshness:
-        """What the head knows of the ledger at this moment."""
+        """Return how current the copy is now."""
         now = self.world.clock(self.name)
         age = None if self.followed_at is None else now - self.followed_at
         return freshness_of(LedgerFacts(len(self.stored), age), CUT_OFF_AFTER)
 
 
 class OwnedSince(msgspec.Struct, frozen=True):
-    """Whose a volume is from a moment on."""
+    """The owner of a volume from a time on."""
 
     at: timedelta
     customer: str
@@ -100,23 +100,23 @@
 
 @dataclass
 class LedgerFleet(CreditFleet):
-    """Heads whose gates decide by copies of the ledger; `make_gate` builds them (mutants in tests)."""
+    """Heads whose gates decide by copies of the ledger; `make_gate` creates a gate (tests pass mutants)."""
 
     make_gate: Callable[..., Gate] = Gate
     unknown_volumes: UnknownVolumes = UnknownVolumes.REJECT
     gates: dict[str, Gate] = field(default_factory=dict)
     copies: dict[str, LedgerCopy] = field(default_factory=dict)
     owners: dict[str, list[OwnedSince]] = field(default_factory=dict)  # by volume
-    made: int = 0  # customers, during the faults
-    served_free: int = 0
+    new_customers: int = 0  # number of customers created during the faults
+    served_free: int = 0  # number of requests of volumes without a customer
 
     def make_account(self) -> CreditAccount:
-        """The account, with the log that heads follow."""
+        """Create the account with the log that heads follow."""
         return LoggedAccount(self.world, self.make_ledger())
 
     # -- heads --------------------------------------------------------------------------------------------
     def boot(self, name: str, identity: str, disk: CreditDisk) -> None:
-        """Start a head with what is on its disk: the book of what was spent, and the log."""
+        """Start a head with the contents of its disk: amounts spent and the log."""
         super().boot(name, identity, disk)
         head, account = self.heads[name], self.account
         assert isinstance(account, LoggedAccount)
@@ -129,7 +129,7 @@
 
     # -- customers ----------------------------------------------------------------------------------------
     def put_customer(self, name: str, *volumes: str) -> None:
-        """Make a customer, or give it other volumes, at the account; the truth notes when."""
+        """Create a customer or change its volumes at the account, and record the time."""
         self.paid.setdefault(name, 0)
         self.charged.setdefault(name, 0)
         command = PutCustomer(name, volumes, low_water=LOW_WATER, refund_expired=self.refund_expired)
@@ -138,13 +138,13 @@
             self.owners.setdefault(volume, []).append(OwnedSince(self.world.now, name))
 
     def change_owners(self, until: timedelta) -> None:
-        """Make customers of volumes that had none, or move a volume between customers, up to a time."""
+        """Until a time, create customers for volumes without one, or move a volume between customers."""
         rng = self.world.rng
         if self.world.now >= until:
             return
-        if self.made < MOST_MADE and rng.random() < 0.7:
-            self.put_customer(f"n{self.made}", f"w{self.made}")
-            self.made += 1
+        if self.new_customers < MAX_NEW_CUSTOMERS and rng.random() < 0.7:
+            self.put_customer(f"n{self.new_customers}", f"w{self.new_customers}")
+            self.new_customers += 1
         else:
             first, second = ("c0", "c1") if rng.random() < 0.5 else ("c1", "c0")
             self.put_customer(second, f"v{second[1:]}")
@@ -153,13 +153,13 @@
         self.world.schedule(delay, lambda: self.change_owners(until))
 
     def draw_volume(self) -> str:
-        """A volume that is somebody's from the start, or moves, or may get a customer some time."""
+        """Draw a volume that has a customer from the start, that moves, or that may get a customer."""
         rng = self.world.rng
-        return rng.choice(["v0", "v1", "moving", f"w{rng.randrange(MOST_MADE)}"])
+        return rng.choice(["v0", "v1", "moving", f"w{rng.randrange(MAX_NEW_CUSTOMERS)}"])
 
     # -- requests -----------------------------------------------------------------------------------------
     def request(self, name: str, customer: str, charge: int, rank: int) -> None:
-        """Make one request at a head, of a drawn volume: whose it is, the head has to know."""
+        """Make one request of a random volume at a head, which has to know the customer of the volume."""
         world, head, gate = self.world, self.heads[name], self.gates[name]
         if not world.is_running(name):
             return
@@ -178,12 +178,12 @@
         delay = timedelta(seconds=world.rng.uniform(0.01, 0.4))
         world.schedule_on(name, delay, lambda: self._end_request(head, reserved))
 
-    # -- the invariant ------------------------------------------------------------------------------------
+    # -- invariant ----------------------------------------------------------------------------------------
     def _check_free(self, head: str, volume: str) -> None:
-        """Check that a volume served free of charge was nobody's a moment ago, by LONGEST_BEHIND at most."""
+        """Check that a volume served free of charge had no customer MAX_LEDGER_AGE ago."""
         self.served_free += 1
         owners = self.owners.get(volume)
-        if owners and owners[0].at < max(ZERO, self.world.now - LONGEST_BEHIND):
+        if owners and owners[0].at < max(ZERO, self.world.now - MAX_LEDGER_AGE):
             raise InvariantViolated(
                 f"{head} served {volume} of {owners[-1].customer} free of charge, "
                 f"{self.world.now - owners[0].at} after it had got a customer"
--- a/stoatrouter/lab/fleet/detectors.py
+++ b/stoatrouter/lab/fleet/detectors.py
@@ -1,4 +1,4 @@
-"""A fleet of failure detectors in virtual time, over real datagrams: each one's view against the truth."""
+"""A simulated fleet of failure detectors that exchange encoded datagrams; views are compared with reality."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 TICK = timedelta(milliseconds=50)
 SECRET = b"s" * 64
-FLEET = "fleet"  # the name under which datagrams are authenticated
-FALSE_FAILURE_WINDOW = timedelta(seconds=30)  # reports of one head within it count as one false failure
+FLEET = "fleet"  # fleet name with which datagrams are authenticated
+FALSE_FAILURE_WINDOW = timedelta(seconds=30)  # false reports of one head within it are counted once
 
 
 class StatusChange(NamedTuple):
-    """One head's view of another changed."""
+    """A change of the status that one head gives to another."""
 
     at: timedelta
     observer: str
@@ -39,10 +39,10 @@
 
 @dataclass
 class DetectorFleet:
-    """One detector a machine; a machine's name is its address.
+    """One detector on each machine; the name of a machine is its address.
 
-    A restarted head has lost its incarnation and begins with that of its own clock, as a head without a disk
-    does. `make_detector` builds a detector (a mutant's, where a test shows that faults are found).
+    A restarted head has lost its incarnation number and derives a new one from its clock, as a head without a
+    disk does. `make_detector` creates a detector; tests pass a mutant to show that faults are found.
     """
 
     world: World
@@ -59,7 +59,7 @@
             self.boot(name, 1)
 
     def boot(self, name: str, incarnation: int) -> None:
-        """Start a head's detector."""
+        """Start the detector of a head."""
         peers = tuple(other for other in self.world.names if other != name)
         seed = self.world.seed * 7 + self.world.machines[name].incarnation
         self.detectors[name] = self.make_detector(name, incarnation, peers, seed, self.timing)
@@ -67,12 +67,12 @@
         self.world.schedule_on(name, first_tick, lambda: self.tick(name))
 
     def tick(self, name: str) -> None:
-        """Let time pass for a head."""
+        """Send a tick to a head, and schedule the next one."""
         self.reduce(name, Tick(self.world.clock(name)))
         self.world.schedule_on(name, TICK, lambda: self.tick(name))
 
     def reduce(self, name: str, event: Event) -> None:
-        """Reduce an event at a head, and run its effects."""
+        """Apply an event to the detector of a head, and run the effects."""
         for effect in self.detectors[name].reduce(event):
             match effect:
                 case SendTo():
@@ -97,25 +97,25 @@
 
     # -- faults -------------------------------------------------------------------------------------------
     def kill(self, name: str, wipe: bool = False) -> None:
-        """End a head without a word to anybody; there is no disk to wipe."""
+        """Kill a head without notice; there is no disk to wipe."""
         self.world.stop_machine(name)
         self.down_since[name] = self.world.now
 
     def start(self, name: str) -> None:
-        """Start a head again."""
+        """Restart a head."""
         self.down_since.pop(name, None)
         self.world.start_machine(name)
-        clock_went_on = self.world.rng.random() < 0.5
-        self.boot(name, 1 + self.world.machines[name].incarnation if clock_went_on else 1)
+        clock_advanced = self.world.rng.random() < 0.5
+        self.boot(name, 1 + self.world.machines[name].incarnation if clock_advanced else 1)
 
     def leave(self, name: str) -> None:
-        """End a head that announces that it leaves."""
+        """Stop a head that announces that it leaves."""
         self.reduce(name, Leaving(self.world.clock(name)))
         self.kill(name)
 
     # -- measurements and invariants ----------------------------------------------------------------------
     def views(self, subject: str) -> set[Status | None]:
-        """The statuses that the other heads that are up give to a head."""
+        """Return the statuses that the other running heads give to a head."""
         return {
             detector.roster.status(subject)
             for name, detector in self.detectors.items()
@@ -123,10 +123,10 @@
         }
 
     def complete(self) -> bool:
-        """Whether all that are up see each head that is down as gone, and each that is up as alive."""
-        return all(self._seen_as_it_is(name) for name in self.world.names)
+        """Whether all running heads see stopped heads as failed or left, and running ones as alive."""
+        return all(self._is_seen_correctly(name) for name in self.world.names)
 
-    def _seen_as_it_is(self, name: str) -> bool:
+    def _is_seen_correctly(self, name: str) -> bool:
         views = self.views(name)
         if not views:
             return True
@@ -135,10 +135,10 @@
         return views == {Status.ALIVE}
 
     def false_failures(self) -> int:
-        """Count heads that were up and taken for failed, at most once a head and window."""
-        false = [c for c in self.changes if c.status is Status.FAILED and not c.subject_was_down]
-        return len({(change.subject, change.at // FALSE_FAILURE_WINDOW) for change in false})
+        """Count reports of running heads as failed, at most one for each head and window."""
+        false_reports = [c for c in self.changes if c.status is Status.FAILED and not c.subject_was_down]
+        return len({(change.subject, change.at // FALSE_FAILURE_WINDOW) for change in false_reports})
 
     def suspicions(self) -> int:
-        """Count how often a head that was up was suspected."""
+        """Count how often a running head was suspected."""
         return sum(c.status is Status.SUSPECT and not c.subject_was_down for c in self.changes)
--- a/stoatrouter/lab/fleet/disk.py
+++ b/stoatrouter/lab/fleet/disk.py
@@ -1,4 +1,4 @@
-"""A voter's disk as SQLite keeps it: a transaction is on it whole or not at all."""
+"""A simulated disk of a voter with the semantics of SQLite: writes are atomic."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def apply_write(disk: PersistentState, write: Write) -> PersistentState:
-    """Return the disk as it is after a write."""
+    """Return the contents of the disk after a write."""
     term, voted_for = disk.term, disk.voted_for
     if write.term is not None:
         term, voted_for = write.term, write.voted_for
@@ -21,5 +21,5 @@
 
 
 def record_commit(disk: PersistentState, index: int) -> PersistentState:
-    """Return the disk with the commit index, which is in a mapped file beside the database."""
+    """Return the disk with a new commit index, which is stored in a mapped file beside the database."""
     return msgspec.structs.replace(disk, commit=index) if index != disk.commit else disk
--- a/stoatrouter/lab/fleet/exhaustive.py
+++ b/stoatrouter/lab/fleet/exhaustive.py
@@ -1,7 +1,7 @@
-"""A model check of a few voters: all orders of events up to a depth, with lost messages and one crash.
+"""Model checking of a few voters: all orders of events up to a depth, with message loss and crashes.
 
-Time is left out: any voter may stand for election at any moment, which is more than clocks allow. Two states
-that differ only in numbers of writes are one.
+Time is not modelled: any voter may start an election at any moment, which includes every order that clocks
+allow. States that differ only in the numbers of writes count as equal.
 """
 
 from __future__ import annotations
@@ -34,30 +34,30 @@
 from stoatrouter.lab.fleet.errors import InvariantViolated
 
 NOW = timedelta(0)
-AT_ONCE = Timing(timedelta(0), timedelta(0))
+ZERO_TIMING = Timing(timedelta(0), timedelta(0))
 UNLIMITED = 1 << 62  # states
 
 
 class ActionKind(Enum):
-    """What may happen next in a state."""
+    """The kinds of transitions."""
 
     DELIVER = auto()
     LOSE = auto()
     WRITE = auto()
-    STAND = auto()
+    START_ELECTION = auto()
     PROPOSE = auto()
     CRASH = auto()
 
 
 class Action(NamedTuple):
-    """One thing that may happen: to a message in flight (DELIVER, LOSE), else to a voter."""
+    """A transition of a message in flight (DELIVER, LOSE) or of a voter (the other kinds)."""
 
     kind: ActionKind
-    target: int  # an index into the messages in flight, or into the voters
+    target: int  # index of the message in flight or of the voter
 
 
 class InFlight(NamedTuple):
-    """A message on its way; sender and receiver are indexes of voters."""
+    """A message in flight; sender and receiver are indexes of voters."""
 
     sender: int
     receiver: int
@@ -66,15 +66,15 @@
 
 @dataclass(slots=True)
 class VoterState:
-    """One voter with its disk."""
+    """A voter with its disk."""
 
     raft: Raft
     disk: PersistentState
     pending: list[Persist] = field(default_factory=list)
-    applied: int = 1  # index of the entry applied last
+    applied: int = 1  # index of the last applied entry
 
     def key(self) -> tuple[object, ...]:
-        """Return all that distinguishes this state of the voter from others."""
+        """Return the fields in which distinct states of the voter differ."""
         raft = self.raft
         return (
             raft.term,
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class ClusterState:
-    """A state of all voters and of the messages between them."""
+    """The state of all voters and of the messages between them."""
 
     make_raft: Callable[..., Raft]
     voters: list[VoterState] = field(default_factory=list)
@@ -107,15 +107,15 @@
     proposals_left: int = 1
 
     def key(self) -> bytes:
-        """Return what distinguishes this state from others."""
+        """Return a key that is equal for equal states."""
         voters = [voter.key() for voter in self.voters]
         in_flight = sorted(pickle.dumps(message) for message in self.in_flight)
         counts = (self.crashes_left, self.proposals_left)
         return pickle.dumps((voters, in_flight, *counts, sorted(self.leaders.items())))
 
-    # -- what may happen next -----------------------------------------------------------------------------
+    # -- transitions --------------------------------------------------------------------------------------
     def actions(self) -> Iterator[Action]:
-        """List all that may happen in this state."""
+        """Yield all actions that are possible in this state."""
         for i in range(len(self.in_flight)):
             yield Action(ActionKind.DELIVER, i)
             yield Action(ActionKind.LOSE, i)
@@ -123,7 +123,7 @@
             if voter.pending:
                 yield Action(ActionKind.WRITE, i)
             if not voter.raft.leads:
-                yield Action(ActionKind.STAND, i)
+                yield Action(ActionKind.START_ELECTION, i)
             elif self.proposals_left:
                 yield Action(ActionKind.PROPOSE, i)
             if self.crashes_left:
@@ -149,7 +149,7 @@
                 self.in_flight.pop(i)
             case ActionKind.WRITE:
                 self._end_write(i)
-            case ActionKind.STAND:
+            case ActionKind.START_ELECTION:
                 self.voters[i].raft.election_at = NOW
                 self._reduce(i, Tick(NOW))
             case ActionKind.PROPOSE:
@@ -167,10 +167,10 @@
         self._reduce(i, WriteCompleted(NOW, effect.number))
 
     def _crash(self, i: int) -> None:
-        """End a voter and start it again with what is on its disk."""
+        """Crash a voter and restart it with the contents of its disk."""
         self.crashes_left -= 1
         disk = self.voters[i].disk
-        raft = self.make_raft(self.voters[i].raft.me, disk, 1, AT_ONCE)
+        raft = self.make_raft(self.voters[i].raft.me, disk, 1, ZERO_TIMING)
         self.voters[i] = VoterState(raft, disk, applied=disk.snapshot.index)
         for entry in raft.restored_entries():
             self._apply(self.voters[i], entry)
@@ -193,13 +193,13 @@
 
     def _apply(self, voter: VoterState, entry: Entry) -> None:
         if self.committed.setdefault(entry.index, entry) != entry:
-            raise InvariantViolated(f"two entries agreed on at {entry.index}")
+            raise InvariantViolated(f"two entries committed at {entry.index}")
         if entry.index != voter.applied + 1:
             raise InvariantViolated(f"{entry.index} applied after {voter.applied}")
         voter.applied = entry.index
 
     def _send(self, i: int, send: Send) -> None:
-        """Put a message in flight; one that is there already is not doubled."""
+        """Put a message in flight, unless an equal one is in flight already."""
         receiver = next(j for j, voter in enumerate(self.voters) if voter.raft.me == send.to)
         message = InFlight(i, receiver, send.message)
         if message not in self.in_flight:
@@ -207,10 +207,10 @@
 
 
 class SearchResult(NamedTuple):
-    """How much of the state space was searched."""
+    """The extent of a search."""
 
     states: int
-    depth: int  # up to which all states were visited
+    depth: int  # all states up to this depth were visited
 
 
 def search(
@@ -223,14 +223,14 @@
     """Visit all states up to a depth, breadth first.
 
     Args:
-        voters: How many voters there are.
-        depth: How many actions in a row are tried.
-        make_raft: Builds a voter's reducer.
-        crashes: How many voters may crash in all.
-        max_states: The search ends once it has seen so many states.
+        voters: Number of voters.
+        depth: Maximum number of consecutive actions.
+        make_raft: Creates the reducer of a voter.
+        crashes: Maximum number of crashes of all voters.
+        max_states: The search stops once it has seen this many states.
 
     Returns:
-        How many states were seen, and the depth up to which the search is complete.
+        The number of states seen, and the depth up to which the search is complete.
 
     Raises:
         InvariantViolated: An invariant does not hold in some state.
@@ -238,12 +238,12 @@
     first = initial_state(voters, make_raft, crashes)
     seen = {first.key()}
     level = [first]
-    for done in range(depth):
+    for visited_depth in range(depth):
         next_level: list[ClusterState] = []
         for state in successors(level, seen):
             next_level.append(state)
             if len(seen) >= max_states:
-                return SearchResult(len(seen), done)
+                return SearchResult(len(seen), visited_depth)
         level = next_level
         if not level:
             break
@@ -251,7 +251,7 @@
 
 
 def successors(level: list[ClusterState], seen: set[bytes]) -> Iterator[ClusterState]:
-    """Yield the states one action after those of a level that are not seen yet, and count them as seen."""
+    """Yield the states that are one action after a level and not in `seen`, and add them to `seen`."""
     for state in level:
         for action in state.actions():
             successor = state.after(action)
@@ -262,8 +262,8 @@
 
 
 def initial_state(voters: int, make_raft: Callable[..., Raft], crashes: int) -> ClusterState:
-    """Return the state of voters that have just been founded."""
-    everybody = tuple(Voter(f"h{i}", f"h{i}/0") for i in range(voters))
-    disk = PersistentState(0, None, Snapshot(1, 0, everybody, b""))
-    states = [VoterState(make_raft(me, disk, 1, AT_ONCE), disk) for me in everybody]
+    """Return the state of a newly founded set of voters."""
+    all_voters = tuple(Voter(f"h{i}", f"h{i}/0") for i in range(voters))
+    disk = PersistentState(0, None, Snapshot(1, 0, all_voters, b""))
+    states = [VoterState(make_raft(me, disk, 1, ZERO_TIMING), disk) for me in all_voters]
     return ClusterState(make_raft, states, crashes_left=crashes)
--- a/stoatrouter/lab/fleet/faults.py
+++ b/stoatrouter/lab/fleet/faults.py
@@ -1,4 +1,4 @@
-"""Schedules of faults drawn from a seed: what fails when, on which machines and for how long."""
+"""Fault schedules drawn from a seed: the time, kind, machines and duration of each fault."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 from stoatrouter.lab.fleet.world import Link, World
 
-Kill = Callable[[str, bool], None]  # a machine's name, and whether its disk is lost too
+Kill = Callable[[str, bool], None]  # called with the name of a machine and whether its disk is lost too
 Start = Callable[[str], None]
 
 
 class FaultKind(StrEnum):
-    """What fails. The values are part of every run's digest."""
+    """The kinds of faults. The values are part of the digest of a run."""
 
-    PARTITION = "split"  # cut from all other machines, in both directions
-    ONE_WAY = "one_way"  # cut in the direction away from the machines alone
+    PARTITION = "split"  # links to all other machines are cut in both directions
+    ONE_WAY = "one_way"  # only outgoing links are cut
     LOSS = "loss"
     DELAY = "delay"
     DUPLICATION = "twice"
     PAUSE = "pause"
     KILL = "kill"
-    WIPE = "wipe"  # killed, and the disk is lost with it
+    WIPE = "wipe"  # killed, and its disk is lost
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault of some machines, or of the links between them and all others."""
+    """A fault of some machines or of the links between them and all others."""
 
     at: timedelta
     kind: FaultKind
     machines: tuple[str, ...]
     duration: timedelta
-    amount: float = 0.0  # a probability, or for DELAY the longest delay in seconds
+    amount: float = 0.0  # a probability, or for DELAY the maximum delay in seconds
 
     def __str__(self) -> str:
-        """Describe the fault in one line; the line is recorded in the run's digest."""
+        """Describe the fault in one line, which is recorded in the digest of the run."""
         return (
             f"{self.at.total_seconds():.3f} {self.kind} {','.join(self.machines)} "
             f"for {self.duration.total_seconds():.3f} ({self.amount:.2f})"
@@ -56,14 +56,14 @@
     FaultKind.KILL,  # drawn twice as often
     FaultKind.WIPE,
 )
-LINK_SETTINGS = {  # the field of `Link` that a fault of links changes
+LINK_SETTINGS = {  # field of `Link` that a link fault changes
     FaultKind.PARTITION: "cut",
     FaultKind.ONE_WAY: "cut",
     FaultKind.LOSS: "loss",
     FaultKind.DELAY: "max_delay",
     FaultKind.DUPLICATION: "duplication",
 }
-OF_ONE_MACHINE = (FaultKind.KILL, FaultKind.WIPE, FaultKind.PAUSE)
+SINGLE_MACHINE_KINDS = (FaultKind.KILL, FaultKind.WIPE, FaultKind.PAUSE)
 
 
 def draw(
@@ -74,7 +74,7 @@
     mean_interval: timedelta = timedelta(seconds=1.5),
     max_duration: timedelta = timedelta(seconds=9),
 ) -> list[Fault]:
-    """Draw faults that overlap, some of them in one instant, and that are all over by `until`."""
+    """Draw faults that may overlap or begin at the same instant, and that all end by `until`."""
     rng = random.Random(f"faults/{seed}")
     faults: list[Fault] = []
     at = timedelta(seconds=rng.uniform(0.5, 3))
@@ -82,16 +82,16 @@
         kind = rng.choice(kinds)
         duration = timedelta(seconds=rng.choice([0.05, 0.3, 1, 3, 6]) * rng.uniform(0.5, 1.5))
         count = rng.randint(1, max(1, len(names) // 2))
-        machines = tuple(rng.sample(names, 1 if kind in OF_ONE_MACHINE else count))
+        machines = tuple(rng.sample(names, 1 if kind in SINGLE_MACHINE_KINDS else count))
         amount = rng.uniform(0.05, 0.6)
         faults.append(Fault(at, kind, machines, min(duration, max_duration, until - at), amount))
-        if rng.random() > 0.2:  # else the next one comes in the same instant
+        if rng.random() > 0.2:  # otherwise the next fault begins at the same instant
             at += mean_interval * rng.uniform(0.2, 1.8)
     return faults
 
 
 def schedule(world: World, faults: Iterable[Fault], kill: Kill, start: Start) -> None:
-    """Put faults on a world's queue, with the fleet's own ways to kill and to start a head."""
+    """Schedule faults in a world; `kill` and `start` stop and restart a head of the fleet."""
     for fault in faults:
         world.schedule(fault.at - world.now, _injection(world, fault, kill, start))
 
@@ -101,7 +101,7 @@
 
 
 def inject(world: World, fault: Fault, kill: Kill, start: Start) -> None:
-    """Begin one fault now, and schedule its end."""
+    """Start a fault now, and schedule its end."""
     world.record(str(fault))
     if fault.kind in (FaultKind.KILL, FaultKind.WIPE):
         _kill_machines(world, fault, kill, start)
@@ -124,10 +124,10 @@
 
 def _inject_in_links(world: World, fault: Fault) -> None:
     setting = LINK_SETTINGS[fault.kind]
-    usual = getattr(Link(), setting)
+    default_value = getattr(Link(), setting)
     links = _affected_links(world, fault)
     _set_all(links, setting, _faulty_value(fault))
-    world.schedule(fault.duration, lambda: _set_all(links, setting, usual))
+    world.schedule(fault.duration, lambda: _set_all(links, setting, default_value))
 
 
 def _faulty_value(fault: Fault) -> bool | float | timedelta:
@@ -139,7 +139,7 @@
 
 
 def _affected_links(world: World, fault: Fault) -> list[Link]:
-    """List the links between the fault's machines and all others; for ONE_WAY only the outgoing ones."""
+    """Return the links between the machines of a fault and all others; for ONE_WAY only the outgoing ones."""
     inside = set(fault.machines)
     outgoing_only = fault.kind is FaultKind.ONE_WAY
     return [
--- a/stoatrouter/lab/fleet/majority_loss.py
+++ b/stoatrouter/lab/fleet/majority_loss.py
@@ -1,4 +1,4 @@
-"""Whole runs of virtual fleets that lose the majority of their voters in one of several ways."""
+"""Simulated runs in which a fleet loses the majority of its voters in one of several ways."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from stoatrouter.lab.fleet.contacts import SECOND, ContactFleet
 from stoatrouter.lab.fleet.world import World
 
-CALM = 6 * SECOND  # at the start
-WITHOUT_MAJORITY = 20 * SECOND
-RECOVERY = 12 * SECOND
+INITIAL_PERIOD = 6 * SECOND  # without faults, at the start
+OUTAGE_PERIOD = 20 * SECOND
+RECOVERY_PERIOD = 12 * SECOND
 
 
 class Loss(StrEnum):
@@ -29,38 +29,38 @@
 
 
 def run_majority_loss(seed: int, make_contact: Callable[[], MajorityContact] = MajorityContact) -> None:
-    """Run a fleet, or a region of it, that loses its majority, and gets it back where its disks are left.
+    """Run a fleet that loses its majority, or of which a region does; it recovers unless disks are lost.
 
     Args:
-        seed: Everything that is random, and which way the majority is lost.
-        make_contact: Builds what a head knows of the majority.
+        seed: Seed of all random choices; it also selects how the majority is lost.
+        make_contact: Creates the record of what a head knows of the majority.
 
     Raises:
-        InvariantViolated: An invariant does not hold at some moment.
+        InvariantViolated: An invariant does not hold after some step.
     """
     voters = 3 if seed % 2 else 5
     world = World(seed, [f"h{i}" for i in range(voters + seed % 4)])
     fleet = ContactFleet(world, voters, make_contact=make_contact)
-    fleet.polled = draw_topology(world, voters)
-    world.run(CALM, fleet.check_contact)
-    fleet.check_all_connected("while all is calm")
+    fleet.poll_targets = draw_topology(world, voters)
+    world.run(INITIAL_PERIOD, fleet.check_contact)
+    fleet.check_all_connected("before the faults")
     loss = LOSSES[seed // 4 % len(LOSSES)]
     lose_majority(fleet, loss)
     fleet.check_contact()
-    disturb(fleet, world.now + WITHOUT_MAJORITY)
-    world.run(CALM + WITHOUT_MAJORITY, fleet.check_contact)
+    inject_disturbances(fleet, world.now + OUTAGE_PERIOD)
+    world.run(INITIAL_PERIOD + OUTAGE_PERIOD, fleet.check_contact)
     if loss is Loss.WIPE:
         return
     world.heal()
     for name in world.names:
         if not world.machines[name].up:
             fleet.start(name)
-    world.run(world.now + RECOVERY, fleet.check_contact)
+    world.run(world.now + RECOVERY_PERIOD, fleet.check_contact)
     fleet.check_all_connected("after the faults")
 
 
 def draw_topology(world: World, voters: int) -> dict[str, list[str]]:
-    """Draw whom heads without a vote poll: anybody, their predecessor in a chain, or mostly each other."""
+    """Draw which heads a follower polls: any head, its predecessor in a chain, or mostly followers."""
     first, rest = world.names[:voters], world.names[voters:]
     match world.rng.randrange(3):
         case 0:
@@ -72,7 +72,7 @@
 
 
 def lose_majority(fleet: ContactFleet, loss: Loss) -> None:
-    """Take so many voters away that the others are no majority; perhaps all of them."""
+    """Make a majority of the voters, or all of them, unavailable."""
     world = fleet.world
     voters = [voter.name for voter in fleet.founders]
     if loss is Loss.REGION:
@@ -88,7 +88,7 @@
             case Loss.PARTITION:
                 world.partition([name], [other for other in world.names if other != name])
             case Loss.PAUSE:
-                world.pause(name, WITHOUT_MAJORITY)
+                world.pause(name, OUTAGE_PERIOD)
 
 
 def cut_off_region(world: World, voters: list[str]) -> None:
@@ -100,14 +100,14 @@
 
 
 def restart_without_disk(fleet: ContactFleet, name: str) -> None:
-    """Kill a head and start it again within a second with an empty disk, which is another identity."""
+    """Kill a head and restart it within a second with an empty disk, and thus with a new identity."""
     fleet.kill(name, wipe=False)
     fleet.wipe(name)
     fleet.world.schedule(SECOND * fleet.world.rng.random(), lambda: fleet.start(name))
 
 
-def disturb(fleet: ContactFleet, until: timedelta) -> None:
-    """Pause heads without a vote, and delay and lose messages, now and then up to a time."""
+def inject_disturbances(fleet: ContactFleet, until: timedelta) -> None:
+    """Every second until a time, set random loss and delay on all links and sometimes pause a follower."""
     world = fleet.world
     followers = world.names[len(fleet.founders) :]
     if world.now >= until:
@@ -117,4 +117,4 @@
     for link in world.links.values():
         link.loss = 0.1 * world.rng.random()
         link.max_delay = SECOND * world.rng.random() ** 4
-    world.schedule(SECOND, lambda: disturb(fleet, until))
+    world.schedule(SECOND, lambda: inject_disturbances(fleet, until))
--- a/stoatrouter/lab/fleet/register.py
+++ b/stoatrouter/lab/fleet/register.py
@@ -1,7 +1,7 @@
-"""The clients of a virtual agreement: they append values to a list and read it, and write down what they saw.
+"""The history of clients that append values to a replicated list and read it.
 
-A list that only grows is the smallest state machine that shows a lost, doubled or reordered entry. The
-history holds invocations and responses, as papers on linearizability (Herlihy and Wing, 1990) name them.
+An append-only list is the smallest state machine that shows a lost, duplicated or reordered entry. The
+history consists of invocations and responses in the terms of linearizability (Herlihy and Wing, 1990).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PutInvoked:
-    """A client proposed a value."""
+    """The invocation of a put: a client proposes a value."""
 
     client: int
     at: timedelta
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PutAcknowledged:
-    """The head at which a value was proposed has applied it."""
+    """The response to a put: the head at which the value was proposed has applied it."""
 
     client: int
     at: timedelta
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadInvoked:
-    """A client asked for the list."""
+    """The invocation of a read: a client asks for the list."""
 
     read: int
     at: timedelta
@@ -42,11 +42,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadReturned:
-    """A read was confirmed by a majority."""
+    """The response to a read that a majority has confirmed."""
 
     read: int
     at: timedelta
-    values: tuple[bytes, ...] | None  # None: the head had not applied enough yet, so nothing was shown
+    values: tuple[bytes, ...] | None  # None: the head had not applied enough entries to return them
 
 
 Operation = PutInvoked | PutAcknowledged | ReadInvoked | ReadReturned
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingPut:
-    """A proposal that is in a leader's log and not applied there yet."""
+    """A proposal that is in the log of a leader but not applied there yet."""
 
     term: int
     value: bytes
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingRead:
-    """A read that waits for its confirmation."""
+    """A read that waits for confirmation by a majority."""
 
     head: str
     read: int
@@ -71,22 +71,22 @@
 
 @dataclass(slots=True)
 class RegisterHistory:
-    """What clients asked and were answered."""
+    """The operations of all clients."""
 
     operations: list[Operation] = field(default_factory=list)
     acknowledged: dict[bytes, int] = field(default_factory=dict)  # index of the entry, by value
     pending_puts: dict[tuple[str, int], PendingPut] = field(default_factory=dict)  # by head and index
-    pending_reads: dict[str, PendingRead] = field(default_factory=dict)  # by the id of the request
+    pending_reads: dict[str, PendingRead] = field(default_factory=dict)  # by request id
     rejected: int = 0
 
     # -- invocations --------------------------------------------------------------------------------------
     def invoke_put(self, client: int, at: timedelta, value: bytes) -> str:
-        """Note that a client proposes a value; returns the id of the proposal."""
+        """Record that a client proposes a value; returns the id of the proposal."""
         self.operations.append(PutInvoked(client, at, value))
         return f"{client}={value.decode()}"
 
     def invoke_read(self, head: str, read: int, at: timedelta) -> str:
-        """Note that a client reads at a head; returns the id of the request."""
+        """Record that a client reads at a head; returns the id of the request."""
         self.operations.append(ReadInvoked(read, at))
         id = f"r{read}"
         self.pending_reads[id] = PendingRead(head, read)
@@ -94,42 +94,42 @@
 
     # -- responses ----------------------------------------------------------------------------------------
     def accept(self, head: str, effect: Accepted) -> None:
-        """Note that a proposal is in a head's log."""
+        """Record that a proposal is in the log of a head."""
         client, value = effect.id.split("=", 1)
         self.pending_puts[head, effect.index] = PendingPut(effect.term, value.encode(), int(client))
 
     def reject(self, id: str) -> None:
-        """Note that a proposal or read was rejected."""
+        """Record that a proposal or read was rejected."""
         self.rejected += 1
         self.pending_reads.pop(id, None)
 
-    def applied(self, head: str, index: int, term: int, at: timedelta, is_command: bool) -> None:
-        """Acknowledge the proposal at an index of a head, unless an entry of another term took its place."""
+    def complete_put(self, head: str, index: int, term: int, at: timedelta, is_command: bool) -> None:
+        """Acknowledge the proposal at an index of a head, unless an entry of another term replaced it."""
         put = self.pending_puts.pop((head, index), None)
         if put is not None and put.term == term and is_command:
             self.acknowledged[put.value] = index
             self.operations.append(PutAcknowledged(put.client, at, put.value))
 
-    def readable(self, head: str, id: str, at: timedelta, values: tuple[bytes, ...] | None) -> None:
-        """Return what a head holds to the read that waits there, if any."""
+    def complete_read(self, head: str, id: str, at: timedelta, values: tuple[bytes, ...] | None) -> None:
+        """Complete a read that waits at a head, if there is one, with the values that the head holds."""
         read = self.pending_reads.pop(id, None)
         if read is not None and read.head == head:
             self.operations.append(ReadReturned(read.read, at, values))
 
     # -- the invariant ------------------------------------------------------------------------------------
     def check_reads(self, log: Iterable[bytes]) -> int:
-        """Check that every read shows all puts acknowledged before its invocation, in the order of the log.
+        """Check that every read returns all puts acknowledged before its invocation, in the order of the log.
 
-        For a list that only grows this is linearizability.
+        For an append-only list this is linearizability.
 
         Args:
-            log: All values that were committed, in their order.
+            log: All committed values, in the order of the log.
 
         Returns:
             The number of reads that returned values.
 
         Raises:
-            InvariantViolated: A read misses a value, or shows values in another order.
+            InvariantViolated: A read misses a value or returns values in another order.
         """
         invoked: dict[int, timedelta] = {}
         acknowledged: list[PutAcknowledged] = []
@@ -156,9 +156,9 @@
 ) -> None:
     """Check one read against the log and the puts acknowledged so far; raises InvariantViolated."""
     if list(values) != committed[: len(values)]:
-        raise InvariantViolated(f"a read at {returned_at} shows values in another order than the log's")
+        raise InvariantViolated(f"a read at {returned_at} returned values in another order than the log")
     missing = [put.value for put in acknowledged if put.at < invoked_at and put.value not in values]
     if missing:
         raise InvariantViolated(
-            f"a read asked at {invoked_at} does not show {missing[0]!r}, acknowledged before"
+            f"a read invoked at {invoked_at} did not return {missing[0]!r}, acknowledged before"
         )
--- a/stoatrouter/lab/fleet/register_clients.py
+++ b/stoatrouter/lab/fleet/register_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a virtual agreement, each of which puts values and reads the list at heads that it draws."""
+"""Simulated clients of the replicated list, which put values and read at random heads."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from stoatrouter.agreement.records import Propose, Read
 from stoatrouter.lab.fleet.voters import VoterFleet
 
-PUT_FRACTION = 0.6  # of the requests; the others are reads
+PUT_FRACTION = 0.6  # fraction of puts among the requests; the others are reads
 
 
 def run_client(fleet: VoterFleet, client: int, mean_interval: timedelta, until: timedelta) -> None:
-    """Put a value or read at some head, if it runs, now and again later up to a time."""
+    """Put a value or read at a random head, if it is running, and repeat this until a time."""
     world = fleet.world
     if world.now >= until:
         return
@@ -26,7 +26,7 @@
 
 
 def put_value(fleet: VoterFleet, client: int, name: str) -> None:
-    """Propose a value that nobody else proposes."""
+    """Propose a unique value."""
     world, history = fleet.world, fleet.history
     value = f"{client}.{len(history.operations)}.{world.sequence}".encode()
     id = history.invoke_put(client, world.now, value)
@@ -34,7 +34,7 @@
 
 
 def read_list(fleet: VoterFleet, name: str) -> None:
-    """Ask a head for a linearizable read."""
+    """Request a linearizable read from a head."""
     world = fleet.world
     id = fleet.history.invoke_read(name, world.sequence, world.now)
     fleet.reduce(name, Read(world.clock(name), id))
--- a/stoatrouter/lab/fleet/scenarios.py
+++ b/stoatrouter/lab/fleet/scenarios.py
@@ -1,4 +1,4 @@
-"""Whole runs of virtual fleets: drawn faults and clients beside them, checked invariants, then a calm end."""
+"""Simulated runs of whole fleets: clients and random faults, then a fault-free period and final checks."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from stoatrouter.lab.fleet.world import World
 
 SECOND = timedelta(seconds=1)
-SETTLE_TIME = 12 * SECOND  # without faults, before voters are checked
+SETTLE_TIME = 12 * SECOND  # time without faults before the final checks of voters
 CREDIT_SETTLE_TIME = 20 * SECOND
 SLOW_DISK_DELAY = timedelta(milliseconds=250)
-ROUGH_INTERVAL = timedelta(milliseconds=400)  # between faults, in the mean
+FREQUENT_FAULT_INTERVAL = timedelta(milliseconds=400)  # mean interval between faults
 CLIENTS = 3
 CLIENT_INTERVAL = SECOND / 10
 LOAD_INTERVAL = timedelta(milliseconds=25)
 TOP_UPS = 16
-# Short partitions and kills that follow each other closely.
-ROUGH_KINDS = (
+# Short partitions and kills in quick succession.
+FREQUENT_FAULT_KINDS = (
     FaultKind.PARTITION,
     FaultKind.PARTITION,
     FaultKind.ONE_WAY,
@@ -43,11 +43,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AgreementResult:
-    """What a run of voters came to; equal results mean equal runs, as the digest is one of them."""
+    """The result of a run of voters. Equal results mean equal runs, as the digest is part of them."""
 
     digest: str
     events: int
-    acknowledged: int  # puts
+    acknowledged: int  # number of puts
     reads: int
     voter_changes: int
 
@@ -59,26 +59,26 @@
     span: timedelta = 20 * SECOND,
     script: list[Fault] | None = None,
 ) -> AgreementResult:
-    """Run voters under faults, with clients and changes of voters.
+    """Run voters with faults, clients and changes of voters.
 
     Args:
-        seed: Everything that is random.
-        heads: How many machines there are.
-        make_raft: Builds a head's reducer.
-        span: How long faults and clients go on.
-        script: These faults, in place of drawn ones.
+        seed: Seed of all random choices.
+        heads: Number of machines.
+        make_raft: Creates the reducer of a head.
+        span: How long clients and faults are active.
+        script: Faults to inject instead of random ones.
 
     Returns:
-        What the run came to.
+        The result of the run.
 
     Raises:
         InvariantViolated: An invariant does not hold.
-        AssertionError: One of the program's own assertions fails.
+        AssertionError: An assertion of the program fails.
     """
     fleet = make_voter_fleet(seed, heads, make_raft)
     world = fleet.world
-    drawn = draw_faults(seed, world.names, span) if script is None else script
-    faults.schedule(world, drawn, fleet.kill, fleet.start)
+    injected = draw_faults(seed, world.names, span) if script is None else script
+    faults.schedule(world, injected, fleet.kill, fleet.start)
     for client in range(1, CLIENTS + 1):
         run_client(fleet, client, CLIENT_INTERVAL, span)
     change_voters(fleet, span)
@@ -92,29 +92,29 @@
     return AgreementResult(world.digest.hexdigest(), world.events, acknowledged, reads, fleet.voter_changes)
 
 
-def is_rough(seed: int) -> bool:
-    """Whether a run has slow disks, and faults in quick succession: half of the seeds have."""
+def has_frequent_faults(seed: int) -> bool:
+    """Whether a run has slow disks and faults in quick succession, as half of the seeds have."""
     return seed % 4 >= 2
 
 
 def make_voter_fleet(seed: int, heads: int, make_raft: Callable[..., Raft]) -> VoterFleet:
-    """Make the machines of a run, three or five of them voters."""
+    """Create the machines of a run, three or five of which are voters."""
     world = World(seed, [f"h{i}" for i in range(heads)])
     fleet = VoterFleet(world, 3 if seed % 2 else min(5, heads), make_raft)
-    if is_rough(seed):
+    if has_frequent_faults(seed):
         fleet.max_disk_delay = SLOW_DISK_DELAY
     return fleet
 
 
 def draw_faults(seed: int, names: list[str], span: timedelta) -> list[Fault]:
     """Draw the faults of a run of voters."""
-    if is_rough(seed):
-        return faults.draw(seed, names, span, ROUGH_KINDS, ROUGH_INTERVAL, SECOND)
+    if has_frequent_faults(seed):
+        return faults.draw(seed, names, span, FREQUENT_FAULT_KINDS, FREQUENT_FAULT_INTERVAL, SECOND)
     return faults.draw(seed, names, span)
 
 
 def restart_all(fleet: VoterFleet | CreditFleet, names: list[str]) -> None:
-    """End all faults: heal the network, and start every head that is down."""
+    """Heal the network, and restart every head that is down."""
     fleet.world.heal()
     for name in names:
         if not fleet.world.machines[name].up:
@@ -124,12 +124,12 @@
 def run_credit(
     seed: int, heads: int = 5, span: timedelta = 20 * SECOND, wipes: bool = True, **options: Any
 ) -> CreditFleet:
-    """Run credit under faults, so little of it that accounts run empty again and again.
+    """Run credit under faults, with so little of it that accounts repeatedly run empty.
 
     Args:
-        seed: Everything that is random.
-        heads: How many heads there are, beside the account.
-        span: How long faults and clients go on.
+        seed: Seed of all random choices.
+        heads: Number of heads, without the account.
+        span: How long clients and faults are active.
         wipes: Whether heads may lose their disks.
         options: Passed on to `CreditFleet`.
 
@@ -150,12 +150,12 @@
 
 
 def run_ledger(seed: int, heads: int = 5, span: timedelta = 20 * SECOND, **options: Any) -> LedgerFleet:
-    """Run credit under faults while customers are made and volumes move; heads know the ledger by copies.
+    """Run credit under faults while customers are created and volumes move; heads have copies of the ledger.
 
     Args:
-        seed: Everything that is random.
-        heads: How many heads there are, beside the account.
-        span: How long faults and clients go on.
+        seed: Seed of all random choices.
+        heads: Number of heads, without the account.
+        span: How long clients and faults are active.
         options: Passed on to `LedgerFleet`.
 
     Returns:
@@ -178,7 +178,7 @@
 
 
 def schedule_credit_run(fleet: CreditFleet, seed: int, span: timedelta, wipes: bool) -> None:
-    """Schedule the faults, requests and top-ups of a run of credit."""
+    """Schedule the faults, requests and top-ups of a credit run."""
     world = fleet.world
     all_kinds = (*faults.KINDS, FaultKind.PAUSE, FaultKind.DUPLICATION)
     kinds = tuple(kind for kind in all_kinds if wipes or kind is not FaultKind.WIPE)
--- a/stoatrouter/lab/fleet/voter_changes.py
+++ b/stoatrouter/lab/fleet/voter_changes.py
@@ -1,4 +1,4 @@
-"""Changes of voters while a virtual fleet runs: one voter at a time, proposed at the leader."""
+"""Membership changes of a simulated fleet: one voter at a time, proposed at the leader."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from stoatrouter.agreement.records import VOTERS, Propose, Voter
 from stoatrouter.lab.fleet.voters import VoterFleet
 
-INTERVAL = timedelta(seconds=1)
+INTERVAL = timedelta(seconds=1)  # between proposals
 MIN_VOTERS, MAX_VOTERS = 3, 5
-MAX_LAG = 50  # entries by which a head may be behind the leader and still become a voter
+MAX_LAG = 50  # maximum number of entries by which a new voter may be behind the leader
 
 
 def change_voters(fleet: VoterFleet, until: timedelta) -> None:
-    """Propose a change at every head that leads, now and again every second up to a time."""
+    """Propose a change at every head that leads, now and every second until a time."""
     world = fleet.world
     if world.now >= until:
         return
@@ -28,28 +28,28 @@
 
 
 def next_voters(fleet: VoterFleet, leader: str) -> tuple[Voter, ...] | None:
-    """Choose the next voters: without a wiped one, else with one more, else with one less; None: as they are.
+    """Choose the next voters: a wiped one is removed, else one is added, else one removed; None: no change.
 
-    A wiped voter's name comes back as a candidate under its new identity.
+    The name of a wiped voter becomes a candidate again under its new identity.
     """
     rng = fleet.world.rng
     head = fleet.heads[leader]
     voters = head.raft.voters
     present = {other.voter for other in fleet.heads.values()}
-    gone = [voter for voter in voters if voter not in present]
-    candidates = candidates_for(fleet, voters, head.index)
-    if gone:
-        return tuple(voter for voter in voters if voter != gone[0])
+    wiped = [voter for voter in voters if voter not in present]
+    candidates = voter_candidates(fleet, voters, head.index)
+    if wiped:
+        return tuple(voter for voter in voters if voter != wiped[0])
     if candidates and len(voters) < MAX_VOTERS:
         return tuple(sorted((*voters, rng.choice(candidates))))
     if len(voters) > MIN_VOTERS:
-        # Drawn anew for each voter, so that none, one or several may go; the leader rejects several.
+        # Drawn for each voter, so none, one or several may be removed; the leader rejects several.
         return tuple(voter for voter in voters if voter != rng.choice(voters))
     return None
 
 
-def candidates_for(fleet: VoterFleet, voters: tuple[Voter, ...], leader_index: int) -> list[Voter]:
-    """List the heads that may become voters: not too far behind, and with a name that no voter has."""
+def voter_candidates(fleet: VoterFleet, voters: tuple[Voter, ...], leader_index: int) -> list[Voter]:
+    """Return the heads that may become voters: not too far behind, and with a name that no voter has."""
     names = {voter.name for voter in voters}
     return [
         head.voter
--- a/stoatrouter/lab/fleet/voters.py
+++ b/stoatrouter/lab/fleet/voters.py
@@ -1,7 +1,7 @@
-"""A fleet of Raft voters in virtual time, with disks that lose what was not yet on them; invariants checked.
+"""A simulated fleet of Raft voters, whose disks lose unfinished writes in a crash.
 
-Invariants are checked after each step on what the world saw (messages and applied entries), never by asking a
-head's own opinion of itself.
+Invariants are checked after each step against all leaders and applied entries seen so far, not against the
+state of a single head.
 """
 
 from __future__ import annotations
@@ -40,28 +40,28 @@
 from stoatrouter.lab.fleet.world import World
 
 TICK = timedelta(milliseconds=50)
-POLL_INTERVAL = timedelta(milliseconds=150)  # a head without a vote asks others so often
+POLL_INTERVAL = timedelta(milliseconds=150)  # interval at which a follower polls others
 MIN_DISK_DELAY = timedelta(milliseconds=1)
 MAX_DISK_DELAY = timedelta(milliseconds=12)
 
 
 @dataclass
 class VoterHead:
-    """One machine: its reducer, its disk, and the list of values that it has applied."""
+    """The head on one machine: its reducer, its disk and the list of values that it has applied."""
 
     voter: Voter
     raft: Raft
     disk: PersistentState
     values: list[bytes] = field(default_factory=list)
-    index: int = 0  # of the entry applied last
+    index: int = 0  # of the last applied entry
     pending: list[Persist] = field(default_factory=list)  # writes in flight, in order
 
 
 @dataclass
 class VoterFleet:
-    """Heads that agree on a list of values, and clients that append to it and read it.
+    """Heads that replicate a list of values, with the history of the clients that append to it and read it.
 
-    `make_raft` builds a head's reducer (a mutant's, where a test shows that the invariants are checked).
+    `make_raft` creates the reducer of a head; tests pass a mutant to show that the invariants are checked.
     """
 
     world: World
@@ -69,17 +69,17 @@
     make_raft: Callable[..., Raft] = Raft
     timing: Timing = field(default_factory=Timing)
     max_disk_delay: timedelta = MAX_DISK_DELAY
-    compact_every: int = 40  # entries
+    compact_every: int = 40  # number of entries after which a log is compacted
     heads: dict[str, VoterHead] = field(default_factory=dict)
-    applied: dict[int, Entry] = field(default_factory=dict)  # the one entry for each index, over all heads
-    leaders: dict[int, str] = field(default_factory=dict)  # the identity that led, by term
+    applied: dict[int, Entry] = field(default_factory=dict)  # by index; the same on all heads
+    leaders: dict[int, str] = field(default_factory=dict)  # identity of the leader, by term
     history: RegisterHistory = field(default_factory=RegisterHistory)
-    identities_issued: int = 0  # beyond those that heads began with
-    forgotten: int = 0  # times that a head found its disk older than what it had acknowledged
-    voter_changes: int = 0  # proposed
+    identities_issued: int = 0  # after the initial ones
+    log_losses: int = 0  # number of times that a head found its disk older than what it had acknowledged
+    voter_changes: int = 0  # number of proposed changes
 
     def __post_init__(self) -> None:
-        """Found the fleet with its first machines as voters, and start every machine."""
+        """Found the fleet with its first machines as voters, and start all machines."""
         names = self.world.names
         self.founders = tuple(Voter(name, f"{name}/0") for name in names[: self.voter_count])
         founded = Founded(self.founders[0].identity, self.founders)
@@ -90,7 +90,7 @@
 
     # -- machines -----------------------------------------------------------------------------------------
     def boot(self, name: str, voter: Voter, disk: PersistentState) -> None:
-        """Start a head with what is on its disk."""
+        """Start a head with the contents of its disk."""
         world = self.world
         seed = world.seed * 1000 + world.machines[name].incarnation
         raft = self.make_raft(voter, disk, seed, self.timing, now=world.clock(name))
@@ -102,15 +102,15 @@
         world.schedule_on(name, TICK, lambda: self.poll(name))
 
     def tick(self, name: str) -> None:
-        """Let time pass for a head."""
+        """Send a tick to a head, and schedule the next one."""
         self.reduce(name, Tick(self.world.clock(name)))
         self.world.schedule_on(name, TICK, lambda: self.tick(name))
 
     def kill(self, name: str, wipe: bool) -> None:
-        """End a head; of its writes in flight, some first ones may have reached the disk.
+        """Kill a head; a random number of its oldest pending writes reaches the disk.
 
-        A wiped disk comes back as another identity. It is wiped only where the algorithm still promises
-        something (see `may_wipe`).
+        If its disk is wiped, the head restarts with a new identity. The disk is wiped only if the algorithm
+        can still guarantee safety (see `may_wipe`).
         """
         head = self.heads[name]
         written = self.world.rng.randint(0, len(head.pending))
@@ -122,26 +122,26 @@
         self.world.stop_machine(name)
 
     def wipe(self, name: str) -> None:
-        """Replace a head's disk by an empty one, which is another identity."""
+        """Replace the disk of a head with an empty one, which has a new identity."""
         self.identities_issued += 1
         head = self.heads[name]
         head.disk = PersistentState()
         head.voter = Voter(name, f"{name}/{self.identities_issued}")
 
     def may_wipe(self, name: str) -> bool:
-        """Whether, without this disk, a majority stays intact of every set of voters that any head knows."""
+        """Whether every set of voters known to any head keeps a majority of intact disks without this one."""
         intact = {head.voter for other, head in self.heads.items() if other != name}
         voter_sets = {head.raft.voters for head in self.heads.values()}
         return all(2 * len(intact & set(voters)) > len(voters) for voters in voter_sets)
 
     def start(self, name: str) -> None:
-        """Start a head again."""
+        """Restart a head."""
         self.world.start_machine(name)
         self.boot(name, self.heads[name].voter, self.heads[name].disk)
 
     # -- the reducer and its effects ----------------------------------------------------------------------
     def reduce(self, name: str, event: Event) -> None:
-        """Reduce an event at a head, and run its effects."""
+        """Apply an event to the reducer of a head, and run the effects."""
         head = self.heads[name]
         for effect in head.raft.reduce(event):
             self._run_effect(name, head, effect)
@@ -173,16 +173,16 @@
                 self.history.reject(effect.id)
             case ReadConfirmed():
                 values = tuple(head.values) if head.index >= effect.index else None
-                self.history.readable(name, effect.id, self.world.now, values)
+                self.history.complete_read(name, effect.id, self.world.now, values)
             case LogLost():
-                self.forgotten += 1
+                self.log_losses += 1
 
     def _send(self, name: str, head: VoterHead, effect: Send) -> None:
         sender, receiver = head.voter, effect.to
         self.world.record(f"{name}>{receiver.name} {effect.message!r:.60}")
 
         def deliver() -> None:
-            # one of an earlier incarnation may well arrive: the invariants hold all the same
+            # a message to an earlier incarnation may arrive: the invariants hold nevertheless
             if self.heads[receiver.name].voter == receiver:
                 clock = self.world.clock(receiver.name)
                 self.reduce(receiver.name, Received(clock, sender, effect.message))
@@ -191,14 +191,14 @@
 
     # -- disks --------------------------------------------------------------------------------------------
     def _begin_write(self, name: str, head: VoterHead, effect: Persist) -> None:
-        """Queue a write: a disk does one at a time, in order."""
+        """Queue a write; a disk performs writes one at a time, in order."""
         head.pending.append(effect)
-        delay = self._disk_delay()  # drawn for each write, also for one that waits: seeds depend on it
+        delay = self._disk_delay()  # also drawn for a queued write: seeds depend on the sequence
         if len(head.pending) == 1:
             self.world.schedule_on(name, delay, lambda: self._end_write(name, head))
 
     def _end_write(self, name: str, head: VoterHead) -> None:
-        """Put a head's oldest write on its disk, send what waited for it, and begin the next write."""
+        """Complete the oldest write of a head, send the messages that depend on it, and begin the next."""
         effect = head.pending.pop(0)
         head.disk = apply_write(head.disk, effect.write)
         for send in effect.then:
@@ -212,7 +212,7 @@
 
     # -- applied entries ----------------------------------------------------------------------------------
     def _apply_entries(self, name: str, head: VoterHead, effect: Apply) -> None:
-        """Apply entries in order, and compact the log once enough of them have been applied."""
+        """Apply entries in order, and compact the log once enough entries have been applied."""
         for entry in effect.entries:
             self._apply(name, head, entry)
         if head.index - head.raft.log.snapshot.index >= self.compact_every:
@@ -220,16 +220,16 @@
             self.reduce(name, Compact(self.world.clock(name), head.index, state))
 
     def _apply(self, name: str, head: VoterHead, entry: Entry) -> None:
-        """Apply an entry, once it is checked against what all heads applied at its index."""
+        """Check an entry against those that other heads applied at its index, and apply it."""
         self._check_state_machine_safety(name, head, entry)
         head.index = entry.index
         is_command = entry.kind == COMMAND
         if is_command:
             head.values.append(entry.body)
-        self.history.applied(name, entry.index, entry.term, self.world.now, is_command)
+        self.history.complete_put(name, entry.index, entry.term, self.world.now, is_command)
 
     def _check_state_machine_safety(self, name: str, head: VoterHead, entry: Entry) -> None:
-        """Check that all heads apply the same entry at each index, and leave none out."""
+        """Check that all heads apply the same entry at each index, without gaps."""
         known = self.applied.setdefault(entry.index, entry)
         if known != entry:
             raise InvariantViolated(f"{name} applied another entry at {entry.index}: {entry} and {known}")
@@ -237,17 +237,17 @@
             raise InvariantViolated(f"{name} applied {entry.index} after {head.index}")
 
     def committed_values(self) -> list[bytes]:
-        """All values that any head has applied, in the order of the log."""
+        """Return all values that any head has applied, in the order of the log."""
         return [entry.body for _, entry in sorted(self.applied.items()) if entry.kind == COMMAND]
 
-    # -- heads without a vote -----------------------------------------------------------------------------
+    # -- followers ----------------------------------------------------------------------------------------
     def hears_from_leader(self, name: str) -> bool:
-        """Whether a head leads, or votes under a leader that it knows; others have to poll."""
+        """Whether a head is the leader, or a voter that knows the leader; other heads have to poll."""
         raft = self.heads[name].raft
         return raft.leads or (raft.votes_here and raft.leader is not None)
 
     def poll(self, name: str) -> None:
-        """Ask some other head for what was agreed on, unless a leader sends it, and again later."""
+        """Poll a random head for committed entries unless a leader sends them; schedule the next poll."""
         world = self.world
         if not self.hears_from_leader(name):
             other = world.rng.choice([n for n in world.names if n != name])
@@ -256,7 +256,7 @@
         world.schedule_on(name, POLL_INTERVAL, lambda: self.poll(name))
 
     def answer_poll(self, name: str, poller: str, after: int) -> None:
-        """Send the entries after an index, or a snapshot where they are compacted already."""
+        """Send the entries after an index, or a snapshot if they have been compacted."""
         raft = self.heads[name].raft
         term = raft.log.term_at(after)
         snapshot: Snapshot | None = None
@@ -275,12 +275,12 @@
 
         self.world.send(name, poller, deliver)
 
-    # -- at the end ---------------------------------------------------------------------------------------
+    # -- final checks -------------------------------------------------------------------------------------
     def check_converged(self) -> None:
-        """Check, after the faults, that all hold the same, somebody leads, and no acknowledged put is lost.
+        """Check that heads hold the same values, one of them leads and no acknowledged put is lost.
 
         Raises:
-            InvariantViolated: Heads differ, a value is lost or there twice, or nobody leads.
+            InvariantViolated: Heads differ, a value is lost or duplicated, or there is no leader.
         """
         up = [head for name, head in self.heads.items() if self.world.machines[name].up]
         longest = max(up, key=lambda head: head.index)
@@ -293,11 +293,11 @@
         for value, index in self.history.acknowledged.items():
             count = longest.values.count(value)
             if count != 1:
-                raise InvariantViolated(f"{value!r}, acknowledged at {index}, is there {count} times")
+                raise InvariantViolated(f"{value!r}, acknowledged at {index}, is present {count} times")
         if not any(head.raft.leads for head in up):
-            raise InvariantViolated("nobody leads after the faults")
+            raise InvariantViolated("there is no leader after the faults")
 
 
 def decode_values(state: bytes) -> list[bytes]:
-    """Read the list of values out of a snapshot's state."""
+    """Decode the list of values from the state of a snapshot."""
     return state.split(b"\n") if state else []
--- a/stoatrouter/lab/fleet/world.py
+++ b/stoatrouter/lab/fleet/world.py
@@ -1,9 +1,9 @@
-"""Virtual time and a faulty network for machines that are reducers: no socket, no clock, one seed.
+"""Deterministic simulation of machines that run reducers: virtual time and a network with faults.
 
-This is deterministic simulation: all randomness comes from one generator, and everything that happens is one
-queue of events in the order of virtual time. Every machine's own clock runs at its own rate from its own
-origin. A message to a paused machine waits until the machine resumes; a message to a stopped one is lost.
-Events are recorded in a digest: two runs with the same seed are equal if and only if their digests are.
+All randomness derives from one seed, and all actions are in one queue ordered by virtual time; no socket and
+no real clock is used. The clock of each machine has its own rate and origin. A message to a paused machine
+waits until the machine resumes; a message to a stopped one is lost. Events are recorded in a digest: two runs
+with the same seed are equal if and only if their digests are.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 ZERO = timedelta(0)
 DEFAULT_MAX_DELAY = timedelta(milliseconds=8)  # of a link without faults
-CLOCK_DRIFT = 0.02  # a machine's clock runs at most so much faster or slower than the world's
+CLOCK_DRIFT = 0.02  # maximum fraction by which the clock of a machine is faster or slower than world time
 DIGEST_BYTES = 16
 
 Action = Callable[[], None]
 
 
 class ScheduledAction(NamedTuple):
-    """An action in the queue; actions of one instant run in the order in which they were scheduled."""
+    """An action in the queue; actions with equal times run in the order in which they were scheduled."""
 
     at: timedelta
     sequence: int
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True)
 class Machine:
-    """The machine that a reducer runs on."""
+    """A machine that runs a reducer."""
 
     name: str
-    rate: float = 1.0  # of its clock, relative to the world's
+    rate: float = 1.0  # of its clock, relative to world time
     offset: timedelta = ZERO
     up: bool = True
     paused_until: timedelta = ZERO
-    incarnation: int = 0  # how often it was started again
+    incarnation: int = 0  # number of restarts
 
 
 @dataclass(slots=True)
@@ -57,23 +57,23 @@
 
 @dataclass(slots=True)
 class World:
-    """All machines, the links between them, and the queue of what happens next."""
+    """All machines, the links between them, and the queue of scheduled actions."""
 
     seed: int
     names: list[str]
     now: timedelta = ZERO
     queue: list[ScheduledAction] = field(default_factory=list)
-    sequence: int = 0  # of the action scheduled last
+    sequence: int = 0  # number of the last scheduled action
     links: dict[tuple[str, str], Link] = field(default_factory=dict)  # by sender and receiver
     machines: dict[str, Machine] = field(default_factory=dict)
     rng: random.Random = field(init=False)
     digest: Any = field(default_factory=lambda: hashlib.blake2b(digest_size=DIGEST_BYTES))
-    events: int = 0  # actions that have run
+    events: int = 0  # number of actions that have run
     messages_sent: dict[str, int] = field(default_factory=dict)  # by sender
     bytes_sent: dict[str, int] = field(default_factory=dict)  # by sender
 
     def __post_init__(self) -> None:
-        """Draw each machine's clock and connect all machines."""
+        """Draw the clock of each machine and connect all machines."""
         self.rng = random.Random(f"world/{self.seed}")
         for name in self.names:
             rate = 1 + self.rng.uniform(-CLOCK_DRIFT, CLOCK_DRIFT)
@@ -82,7 +82,7 @@
 
     # -- time ---------------------------------------------------------------------------------------------
     def clock(self, name: str) -> timedelta:
-        """Read a machine's own monotonic clock."""
+        """Return the time of the monotonic clock of a machine."""
         machine = self.machines[name]
         return machine.offset + self.now * machine.rate
 
@@ -92,14 +92,14 @@
         return machine.up and machine.paused_until <= self.now
 
     def schedule(self, delay: timedelta, action: Action) -> None:
-        """Run an action after a delay; a negative delay counts as none."""
+        """Schedule an action after a delay; a negative delay counts as zero."""
         self.sequence += 1
         heapq.heappush(self.queue, ScheduledAction(self.now + max(ZERO, delay), self.sequence, action))
 
     def schedule_on(self, name: str, delay: timedelta, action: Action) -> None:
-        """Run an action on a machine after a delay.
+        """Schedule an action on a machine after a delay.
 
-        While the machine is paused the action waits; once this incarnation has ended it is dropped.
+        The action waits while the machine is paused, and is dropped if its current incarnation has ended.
         """
         incarnation = self.machines[name].incarnation
 
@@ -115,7 +115,7 @@
         self.schedule(delay, run)
 
     def step(self) -> bool:
-        """Run the next action; returns False where the queue is empty."""
+        """Run the next action; returns False if the queue is empty."""
         if not self.queue:
             return False
         at, _, action = heapq.heappop(self.queue)
@@ -125,7 +125,7 @@
         return True
 
     def run(self, until: timedelta, after_each: Action | None = None) -> None:
-        """Run all actions due by a time, calling `after_each` after every one of them."""
+        """Run all actions that are due by a time, and call `after_each` after each of them."""
         while self.queue and self.queue[0].at <= until:
             self.step()
             if after_each is not None:
@@ -133,18 +133,18 @@
         self.now = max(self.now, until)
 
     def record(self, event: str) -> None:
-        """Add an event, with its time, to the digest."""
+        """Add an event and its time to the digest."""
         self.digest.update(f"{self.now // timedelta(microseconds=1)} {event}\n".encode())
 
     # -- network ------------------------------------------------------------------------------------------
     def send(self, sender: str, receiver: str, deliver: Action, size: int = 0) -> None:
-        """Send a message: `deliver` runs at the receiver once, twice or never, in any order.
+        """Send a message: `deliver` runs at the receiver once, twice or never; messages may be reordered.
 
         Args:
-            sender: The sending machine, whose counts of messages and bytes grow.
+            sender: The sending machine, to whose counters of messages and bytes it is added.
             receiver: The receiving machine. A message to a machine without a link is lost.
-            deliver: What the message does where it arrives.
-            size: Bytes of the message, for the count alone.
+            deliver: The action to run when the message arrives.
+            size: Bytes of the message, only for the counter.
         """
         self.messages_sent[sender] = self.messages_sent.get(sender, 0) + 1
         self.bytes_sent[sender] = self.bytes_sent.get(sender, 0) + size
@@ -177,7 +177,7 @@
                         self.links[b, a].cut = True
 
     def heal(self) -> None:
-        """Remove all faults from all links."""
+        """Remove the faults of all links."""
         for link in self.links.values():
             link.cut = False
             link.loss = 0.0
@@ -185,15 +185,15 @@
             link.max_delay = DEFAULT_MAX_DELAY
 
     def pause(self, name: str, duration: timedelta) -> None:
-        """Stop a machine in its tracks, as SIGSTOP does; its clock runs on."""
+        """Suspend a machine as SIGSTOP does; its clock keeps running."""
         self.machines[name].paused_until = self.now + duration
 
     def stop_machine(self, name: str) -> None:
-        """End a machine's incarnation without a word to anybody."""
+        """Stop a machine without notice to the others."""
         self.machines[name].up = False
 
     def start_machine(self, name: str) -> None:
-        """Begin another incarnation of a machine."""
+        """Restart a machine as a new incarnation."""
         machine = self.machines[name]
         machine.up = True
         machine.incarnation += 1
--- a/stoatrouter/lab/histories/__init__.py
+++ b/stoatrouter/lab/histories/__init__.py
@@ -1,1 +1,1 @@
-"""Histories of heads and clients, judged after the fact: no code of the program, no question to it."""
+"""Checkers of recorded histories of heads and clients, independent of the code and state of the program."""
--- a/stoatrouter/lab/histories/checker.py
+++ b/stoatrouter/lab/histories/checker.py
@@ -1,4 +1,4 @@
-"""Judges a whole history of heads: every invariant is one function that returns its violations as texts."""
+"""Checks the history of a run: one function for each invariant, which returns violations as texts."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 from stoatrouter.lab.histories.credit import check_charges, check_top_ups
 from stoatrouter.lab.histories.history import (
-    Calm,
     Contents,
     Down,
+    FaultFree,
     FolderLost,
     HeadSeen,
     History,
@@ -28,11 +28,11 @@
     register_model,
 )
 
-GONE = ("failed", "left")  # statuses of a head that is down
+DOWN_STATUSES = ("failed", "left")  # statuses that detectors give to a head that is down
 
 
 def check_history(history: History) -> list[str]:
-    """Return all violations of a history; none where every invariant holds."""
+    """Return all violations of a history; empty if every invariant holds."""
     return [
         *check_election_safety(history),
         *check_versions(history),
@@ -46,8 +46,8 @@
 
 
 def describe(violations: Iterable[str]) -> str:
-    """Write violations one a line, or that there are none."""
-    return "\n".join(violations) or "all promises are kept"
+    """Format violations, one on each line, or state that there are none."""
+    return "\n".join(violations) or "no violations found"
 
 
 def check_election_safety(history: History) -> list[str]:
@@ -61,9 +61,9 @@
 
 
 def check_versions(history: History) -> list[str]:
-    """Check that no head's version goes back, also over restarts, and that a number names one content.
+    """Check that versions never go back on a head, even over restarts, and that a number has one content.
 
-    A head whose folder is lost begins with its own files again.
+    A head that has lost its folder starts again with its own files.
     """
     lost = history.of(FolderLost)
     violations = []
@@ -71,8 +71,8 @@
     for name in history.logs:
         events = history.events(name, VersionInForce)
         for before, after in zip(events, events[1:], strict=False):
-            began_anew = any(line.head == name and before.at <= line.at <= after.at for line in lost)
-            if after.number < before.number and not began_anew:
+            folder_was_lost = any(line.head == name and before.at <= line.at <= after.at for line in lost)
+            if after.number < before.number and not folder_was_lost:
                 violations.append(f"{name} went from version {before.number} back to {after.number}")
         for event in events:
             known = digests.setdefault(event.number, event.digest)
@@ -82,7 +82,7 @@
 
 
 def check_register(history: History) -> list[str]:
-    """Check that the register of versions is linearizable: edits by their base, reads of the newest."""
+    """Check that the register of versions is linearizable: edits against a base, reads of the newest."""
     calls = [register_call(line) for line in history.of(RegisterLine)]
     if linearizable(calls, RegisterState(), register_model):
         return []
@@ -90,13 +90,13 @@
 
 
 def register_call(line: RegisterLine) -> RegisterCall:
-    """Return a line of the history as a call to the register."""
+    """Convert a line of the history to a call to the register."""
     returned_at = line.until if line.answer is not None else NEVER
     return Call(line.at, returned_at, RegisterOperation(line.kind, line.id, line.base), line.answer)
 
 
 def check_contents(history: History) -> list[str]:
-    """Check that all heads end with the same rules, and that every undo restored what was in force before."""
+    """Check that all heads end with the same rules, and that every undo restored the previous rules."""
     violations = [
         f"heads hold different contents: {line.digests}"
         for line in history.of(Contents)
@@ -111,7 +111,7 @@
 
 
 def check_completeness(history: History) -> list[str]:
-    """Check that a head that was down for long was seen as failed (or left) by all that were up."""
+    """Check that all witnesses saw a head that was down long enough as failed or left."""
     violations = []
     for down in history.of(Down):
         duration = down.until - down.at
@@ -119,17 +119,17 @@
             continue
         for witness in down.witnesses:
             seen = [event for event in history.events(witness, HeadSeen) if event.head == down.head]
-            if not any(event.status in GONE and down.at <= event.at <= down.until for event in seen):
+            if not any(event.status in DOWN_STATUSES and down.at <= event.at <= down.until for event in seen):
                 violations.append(f"{witness} did not see within {duration:.1f} s that {down.head} was down")
     return violations
 
 
 def check_accuracy(history: History) -> list[str]:
-    """Check that nobody takes a head for failed while all are up and no fault is near."""
+    """Check that no head reports another as failed in a span without faults."""
     return [
-        f"{observer} took {event.head} for failed in calm times"
-        for calm in history.of(Calm)
+        f"{observer} reported {event.head} as failed while there was no fault"
+        for span in history.of(FaultFree)
         for observer in history.logs
         for event in history.events(observer, HeadSeen)
-        if event.status == "failed" and calm.at <= event.at <= calm.until
+        if event.status == "failed" and span.at <= event.at <= span.until
     ]
--- a/stoatrouter/lab/histories/credit.py
+++ b/stoatrouter/lab/histories/credit.py
@@ -1,7 +1,7 @@
-"""Judges what customers were charged and paid, by their requests and top-ups and the accounts at the end.
+"""Checks charges and top-ups of customers against recorded requests and the accounts at the end.
 
-What was served is counted whether or not anybody was charged for it: a request that was served free of charge
-though its volume had a customer makes that account's charges less than its clients say.
+Served requests are counted whether or not they were charged: if a request was served free of charge although
+its volume had a customer, the charges of the account are lower than those that follow from its requests.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
     Request,
     Settled,
 )
-from stoatrouter.lab.histories.ownership import NOBODY, Ownership, ownership_of
+from stoatrouter.lab.histories.ownership import NO_OWNER, Ownership, ownership_of
 
 OK, UNAVAILABLE = 200, 503
 
 
 class Posting(NamedTuple):
-    """An amount that was paid in or, negative, charged at a moment; of one moment payments come first."""
+    """An amount that was paid or (negative) charged at some time; payments sort first at equal times."""
 
     at: float
     is_charge: bool
@@ -33,15 +33,15 @@
 
 @dataclass(slots=True)
 class ChargeBounds:
-    """What a customer must and may have been charged, as its clients know."""
+    """The minimum and maximum charges of a customer that its requests allow."""
 
-    least: int = 0
-    most: int = 0
+    minimum: int = 0
+    maximum: int = 0
 
 
 @dataclass(slots=True)
-class CustomerBooks:
-    """What clients know of one customer."""
+class CustomerPostings:
+    """The payments and charges of one customer as seen by clients."""
 
     payments: list[Posting] = field(default_factory=list)
     charges: list[Posting] = field(default_factory=list)
@@ -49,81 +49,81 @@
 
 
 def check_charges(history: History) -> list[str]:
-    """Check that charges never pass what was paid in, at any moment, and that the accounts agree in the end.
+    """Check that charges never exceed payments at any time, and that the accounts match at the end.
 
-    A served request is charged for sure; one that was rejected is not, unless an attempt may have run; one
-    without an answer may be. A top-up counts from its invocation, as it may take effect from then on. Where a
-    volume may have been another customer's at some moment that the head may have decided by, or nobody's at
-    some moment of the request, each of them may be charged and none must be.
+    A served request must be charged; a rejected one must not be, unless an attempt may have run; one without
+    an answer may be. A top-up counts from its invocation, as it may take effect from then on. If a volume may
+    have belonged to another customer in the state of the ledger by which the head decided, or to none at some
+    time during the request, each possible customer may be charged and none has to be.
     """
     requests = history.of(Request)
-    owners = Owners(ownership_of(history.of(CustomerPut)), longest_behind(history))
-    books = books_of(history.of(Payment), requests, owners)
+    owners = ChargeableCustomers(ownership_of(history.of(CustomerPut)), max_ledger_age(history))
+    postings = postings_by_customer(history.of(Payment), requests, owners)
     violations = duplicate_requests(requests)
-    for customer, book in books.items():
-        violations += overspending(customer, book)
+    for customer, entry in postings.items():
+        violations += overspending(customer, entry)
     for settled in history.of(Settled):
-        violations += settlement_errors(settled, books[settled.customer].bounds)
+        violations += settlement_errors(settled, postings[settled.customer].bounds)
     return violations
 
 
 @dataclass(slots=True)
-class Owners:
-    """Who may be charged for a request."""
+class ChargeableCustomers:
+    """Determines which customers may be charged for a request."""
 
     ownership: Ownership
-    behind: float  # seconds that the ledger may be old by which a head decides
+    max_ledger_age: float  # seconds; maximum age of the ledger by which a head decides
 
     def of(self, request: Request) -> set[str]:
-        """The customers that may be charged for a request; NOBODY among them: perhaps nobody is."""
+        """Return the customers that may be charged for a request; NO_OWNER among them: possibly none is."""
         if not request.volume:
             return {request.customer}
-        since = request.at - self.behind
+        since = request.at - self.max_ledger_age
         possible = self.ownership.possible_owners(request.volume, since, request.until)
-        # a call that gives a volume its customer answers once no head serves it free of charge any more
-        free = NOBODY in self.ownership.possible_owners(request.volume, request.at, request.until)
-        return possible if free else possible - {NOBODY}
+        # a call that assigns a volume to a customer answers once no head serves it free of charge any more
+        free = NO_OWNER in self.ownership.possible_owners(request.volume, request.at, request.until)
+        return possible if free else possible - {NO_OWNER}
 
 
-def longest_behind(history: History) -> float:
-    """The age of the oldest ledger by which a head may decide, in seconds; 0 where none is named."""
+def max_ledger_age(history: History) -> float:
+    """Return the maximum age in seconds of a ledger by which a head may decide; 0 if none is recorded."""
     return max((line.seconds for line in history.of(LedgerBehind)), default=0.0)
 
 
-def books_of(
-    payments: list[Payment], requests: list[Request], owners: Owners
-) -> defaultdict[str, CustomerBooks]:
-    """Sum up, by customer, what clients paid and asked for."""
-    books: defaultdict[str, CustomerBooks] = defaultdict(CustomerBooks)
+def postings_by_customer(
+    payments: list[Payment], requests: list[Request], owners: ChargeableCustomers
+) -> defaultdict[str, CustomerPostings]:
+    """Collect payments, charges and bounds of charges by customer."""
+    postings: defaultdict[str, CustomerPostings] = defaultdict(CustomerPostings)
     booked: set[str] = set()
     for payment in payments:
         if payment.id not in booked:
             booked.add(payment.id)
             posting = Posting(payment.at, False, payment.amount)
-            books[payment.customer].payments.append(posting)
+            postings[payment.customer].payments.append(posting)
     for request in requests:
         if request.status == UNAVAILABLE:
             continue
         possible = owners.of(request)
-        for customer in possible - {NOBODY}:
-            books[customer].bounds.most += request.charge
-        if request.status == OK and len(possible) == 1 and NOBODY not in possible:
-            book = books[possible.pop()]
-            book.charges.append(Posting(request.until, True, -request.charge))
-            book.bounds.least += request.charge
-    return books
+        for customer in possible - {NO_OWNER}:
+            postings[customer].bounds.maximum += request.charge
+        if request.status == OK and len(possible) == 1 and NO_OWNER not in possible:
+            entry = postings[possible.pop()]
+            entry.charges.append(Posting(request.until, True, -request.charge))
+            entry.bounds.minimum += request.charge
+    return postings
 
 
 def duplicate_requests(requests: list[Request]) -> list[str]:
-    """Find ids that are in the history more than once: such a history proves nothing."""
+    """Find ids that occur more than once: such a history is not valid evidence."""
     counts = Counter(request.id for request in requests)
     return [f"request {id} is in the history {count} times" for id, count in counts.items() if count > 1]
 
 
-def overspending(customer: str, book: CustomerBooks) -> list[str]:
-    """Find the first moment at which a customer was served more than was paid in."""
+def overspending(customer: str, entry: CustomerPostings) -> list[str]:
+    """Find the first time at which a customer was served more than was paid in."""
     left = 0
-    for posting in sorted(book.charges + book.payments):
+    for posting in sorted(entry.charges + entry.payments):
         left += posting.amount
         if left < 0:
             return [f"{customer} was served {-left} more than was paid in, at {posting.at:.3f}"]
@@ -131,16 +131,16 @@
 
 
 def settlement_errors(settled: Settled, bounds: ChargeBounds) -> list[str]:
-    """Compare an account at the end with itself and with what its clients know."""
+    """Check an account at the end for consistency, and against the bounds of its charges."""
     violations = []
     if settled.balance != settled.paid - settled.charged:
         violations.append(
             f"{settled.customer}: balance {settled.balance} of {settled.paid} less {settled.charged}"
         )
-    if not bounds.least <= settled.charged <= bounds.most + settled.lost:
+    if not bounds.minimum <= settled.charged <= bounds.maximum + settled.lost:
         violations.append(
-            f"{settled.customer}: charged {settled.charged}, clients say {bounds.least} to "
-            f"{bounds.most}, and {settled.lost} may be lost"
+            f"{settled.customer}: charged {settled.charged}, clients say {bounds.minimum} to "
+            f"{bounds.maximum}, and {settled.lost} may be lost"
         )
     return violations
 
--- a/stoatrouter/lab/histories/history.py
+++ b/stoatrouter/lab/histories/history.py
@@ -1,8 +1,8 @@
-"""The history of a run: what clients asked and were answered, and the events in the logs of heads.
+"""The history of a run: requests and responses of clients, and events from the logs of heads.
 
-A line of the history file is JSON: {"what", "at", ...}. Logs are the heads' own JSON lines; of them only
-events with their times and fields are read (docs/on-call.md). Times are Unix times in seconds. Records have
-the names of the fields in those files; fields that no judge needs are left out.
+Each line of the history file is a JSON object {"what", "at", ...}. Logs are the JSON lines that heads write;
+only events with their times and fields are read (docs/on-call.md). Times are Unix times in seconds. Records
+use the field names of those files and omit fields that no checker needs.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Request(Line, frozen=True, tag="request"):
-    """A customer's request."""
+    """A request of a customer."""
 
     until: float
     id: str
@@ -42,11 +42,11 @@
     charge: int
     status: int  # of HTTP; 0: no answer came
     head: str = ""
-    volume: str = ""  # "": it is the customer's all the time
+    volume: str = ""  # empty: a volume that belongs to the customer all the time
 
 
 class CustomerPut(Line, frozen=True, tag="customer"):
-    """A call that makes a customer, or gives it other volumes, which are taken from whoever had them."""
+    """A call that creates a customer or sets its volumes, which are removed from their previous customers."""
 
     until: float
     customer: str
@@ -55,25 +55,25 @@
 
 
 class LedgerBehind(Line, frozen=True, tag="ledger_behind"):
-    """How old the ledger may be by which a head decides, from this moment on."""
+    """The maximum age of the ledger by which a head decides, from this time on."""
 
     seconds: float
 
 
 class FolderLost(Line, frozen=True, tag="folder_lost"):
-    """A head's folder was lost while it was down: nothing that it had stored is there from now on."""
+    """The folder of a head was lost while the head was down, with everything that it had stored."""
 
     head: str
 
 
 class Settled(Line, frozen=True, tag="settled"):
-    """A customer's account at the end, with nothing in flight."""
+    """The account of a customer at the end, with no request in flight."""
 
     customer: str
     paid: int
     charged: int
     balance: int
-    lost: int = 0  # what was in flight on disks that are lost for good
+    lost: int = 0  # amount that was in flight on permanently lost disks
 
 
 class RegisterLine(Line, frozen=True, tag="register"):
@@ -93,7 +93,7 @@
 
 
 class Restored(Line, frozen=True, tag="restored"):
-    """An undo of a version, with digests of what was in force before that version and of what is now."""
+    """An undo of a version, with digests of the rules in force before that version and after the undo."""
 
     undone: int
     before: str
@@ -101,7 +101,7 @@
 
 
 class Down(Line, frozen=True, tag="down"):
-    """A head was down; its witnesses were up all the while."""
+    """A span in which a head was down while its witnesses were up."""
 
     until: float
     head: str
@@ -109,34 +109,34 @@
     detect_within: float  # seconds
 
 
-class Calm(Line, frozen=True, tag="calm"):
+class FaultFree(Line, frozen=True, tag="calm"):
     """A span without faults."""
 
     until: float
 
 
 class LogEvent(msgspec.Struct, frozen=True, tag_field="event"):
-    """An event in a head's log."""
+    """An event in the log of a head."""
 
     at: float
 
 
 class RoleChanged(LogEvent, frozen=True, tag="heads.role"):
-    """A head knows of a leader of a term."""
+    """A head learned of the leader of a term."""
 
     term: int
     leader: str
 
 
 class VersionInForce(LogEvent, frozen=True, tag="rules.version"):
-    """A head decides by a version of the rules from now on."""
+    """A head put a version of the rules in force."""
 
     number: int
     digest: str
 
 
 class HeadSeen(LogEvent, frozen=True, tag="heads.seen"):
-    """A head's detector gives another head this status."""
+    """The detector of a head gave another head this status."""
 
     head: str
     status: str
@@ -148,7 +148,7 @@
 
 @dataclass
 class History:
-    """All that is judged, as read from files."""
+    """All records that are checked, as read from files."""
 
     lines: list[dict[str, Any]] = field(default_factory=list)
     logs: dict[str, list[dict[str, Any]]] = field(default_factory=dict)  # events by head, in order
@@ -163,7 +163,7 @@
         return [msgspec.convert(line, kind) for line in self.lines if line["what"] == tag]
 
     def events(self, head: str, kind: type[AnyEvent]) -> list[AnyEvent]:
-        """Return a head's events of one kind, in order.
+        """Return the events of one kind from the log of a head, in order.
 
         Raises:
             msgspec.ValidationError: An event of that kind is malformed.
@@ -173,13 +173,13 @@
 
 
 def read_history(history: Path, logs: dict[str, Path]) -> History:
-    """Read a history file and the logs of heads by name."""
+    """Read a history file and the logs of heads, by name."""
     lines = [json.loads(line) for line in history.read_text().splitlines() if line]
     return History(lines, {name: list(read_log(path)) for name, path in logs.items()})
 
 
 def read_log(path: Path) -> Iterator[dict[str, Any]]:
-    """Read the events in a head's log; lines that are not JSON records, as one cut short, are skipped."""
+    """Read the events in the log of a head; lines that are not complete JSON records are skipped."""
     return _events(path.read_text(errors="replace").splitlines())
 
 
--- a/stoatrouter/lab/histories/linear.py
+++ b/stoatrouter/lab/histories/linear.py
@@ -1,8 +1,8 @@
-"""Linearizability of a history of calls: Wing and Gong's search (1993), with a memory of tried states.
+"""Linearizability check of a history of calls: the search of Wing and Gong (1993) with memoization of states.
 
-A call is known by when it was invoked, when it returned, and what. One that never returned may have taken
-effect at any later time, or never. The model is a function from a state and a call to the states that may
-follow.
+A call consists of the times of its invocation and return, its operation and its response. A call that never
+returned may have taken effect at any later time, or never. The model maps a state and a call to the possible
+next states.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Call(Generic[Operation, Response]):
-    """One call of a client; times are in seconds of one clock."""
+    """One call of a client; times are in seconds on one clock."""
 
     invoked_at: float
-    returned_at: float  # NEVER: no response came
+    returned_at: float  # NEVER: there was no response
     operation: Operation
     response: Response | None = None
 
@@ -35,22 +35,22 @@
 def linearizable(
     calls: list[Call[Operation, Response]], initial: State, model: Model[State, Operation, Response]
 ) -> bool:
-    """Whether there is an order of the calls, each within its time, that the model allows."""
+    """Whether some order, with each call between its invocation and return, is allowed by the model."""
     return linearization_of(calls, initial, model) is not None
 
 
 def linearization_of(
     calls: list[Call[Operation, Response]], initial: State, model: Model[State, Operation, Response]
 ) -> list[Call[Operation, Response]] | None:
-    """Find an order of the calls, each within its time, that the model allows.
+    """Find an order that the model allows, in which each call takes effect between invocation and return.
 
     Args:
-        calls: The history; a call without a response may be left out of the order.
+        calls: The history; calls without a response may be omitted from the order.
         initial: The state before all calls.
-        model: Returns the states that may follow when a call takes effect; none where it cannot.
+        model: Returns the possible states after a call takes effect; none if it cannot take effect.
 
     Returns:
-        Such an order, or None where there is none.
+        Such an order, or None if there is none.
     """
     calls = sorted(calls, key=lambda call: call.invoked_at)
     everything = (1 << len(calls)) - 1
@@ -58,7 +58,7 @@
     tried: set[tuple[int, State]] = set()
     stack: list[tuple[int, State, tuple[int, ...]]] = [(0, initial, ())]
     while stack:
-        done, state, order = stack.pop()  # done: the bits of the calls that have taken effect
+        done, state, order = stack.pop()  # done: bit mask of the calls that have taken effect
         if done | optional == everything:
             return [calls[i] for i in order]
         for i in next_calls(calls, done):
@@ -71,11 +71,11 @@
 
 
 def next_calls(calls: list[Call[Operation, Response]], done: int) -> Iterator[int]:
-    """Return the calls that may take effect next: none of the others had returned before their invocation.
+    """Return the calls that may take effect next: no other remaining call returned before their invocation.
 
     Args:
-        calls: All calls, by their invocation.
-        done: The bits of the calls that have taken effect; not all of them.
+        calls: All calls, sorted by invocation.
+        done: Bit mask of the calls that have taken effect; at least one call remains.
     """
     left = [i for i in range(len(calls)) if not done >> i & 1]
     first_return = min(calls[i].returned_at for i in left)
@@ -85,7 +85,7 @@
 # -- the version register of routing rules ----------------------------------------------------------------
 @dataclass(slots=True, frozen=True)
 class RegisterOperation:
-    """An edit against a base, an undo of a version, or a read of the newest version's number."""
+    """An edit against a base, an undo of a version, or a read of the number of the newest version."""
 
     kind: str  # "edit", "undo" or "read"
     id: str = ""
@@ -93,14 +93,14 @@
 
 
 class RegisterResponse(NamedTuple):
-    """What the register answered: "ok" and the new number, or "refused" or "read" and the newest number."""
+    """A response of the register: "ok" and the new number, or "refused" or "read" and the newest number."""
 
     outcome: str
     number: int
 
 
 class RegisterState(NamedTuple):
-    """The newest version's number, and the ids that took effect, with their numbers."""
+    """The number of the newest version, and the ids that took effect with their numbers."""
 
     newest: int = 0
     numbers: tuple[tuple[str, int], ...] = ()
@@ -110,9 +110,9 @@
 
 
 def register_model(state: RegisterState, call: RegisterCall) -> list[RegisterState]:
-    """Apply a call to the register as its users understand it.
+    """Apply a call to a model of the register.
 
-    Numbers go up, an edit holds only against the newest version, and an id takes effect once.
+    Numbers increase, an edit succeeds only against the newest version, and an id takes effect once.
     """
     operation, response = call.operation, call.response
     number_of_id = dict(state.numbers).get(operation.id)
--- a/stoatrouter/lab/histories/ownership.py
+++ b/stoatrouter/lab/histories/ownership.py
@@ -1,7 +1,7 @@
-"""Whose a volume may have been, by the calls that made customers: for the judge of charges.
+"""Possible owners of volumes over time, derived from the calls that create customers or change their volumes.
 
-A call that was acknowledged takes effect between its invocation and its answer; one that was not may take
-effect at any time after its invocation, or never.
+An acknowledged call takes effect between its invocation and its answer; any other may take effect at any time
+after its invocation, or never.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from stoatrouter.lab.histories.history import CustomerPut
 
 OK = 200
-REJECTED = range(400, 500)  # statuses of a call that never takes effect
-NOBODY = ""  # the owner of a free volume
+REJECTED = range(400, 500)  # status codes of calls that never take effect
+NO_OWNER = ""  # the owner of a volume without a customer
 
 
 @dataclass(slots=True, frozen=True)
 class Assignment:
-    """A call that may make a volume somebody's.
+    """A call that may change the owner of a volume.
 
     Attributes:
-        invoked: When it may first take effect.
-        done: When it has taken effect at the latest; infinite where that is not known.
-        owner: Whose the volume is then.
+        invoked: Earliest time at which it may take effect.
+        done: Latest time at which it has taken effect; infinite if unknown.
+        owner: The new owner.
     """
 
     invoked: float
@@ -39,18 +39,17 @@
     by_volume: dict[str, list[Assignment]] = field(default_factory=dict)
 
     def possible_owners(self, volume: str, since: float, until: float) -> set[str]:
-        """Whose a volume may have been at some moment of a span; NOBODY among them: free.
+        """Return all owners that a volume may have had during a span; NO_OWNER stands for none.
 
-        An assignment is out of the question where another one began after it was done and was done before the
-        span.
+        An assignment is excluded if another one was invoked after it was done and was done before the span.
         """
-        assignments = [Assignment(-math.inf, -math.inf, NOBODY), *self.by_volume.get(volume, [])]
+        assignments = [Assignment(-math.inf, -math.inf, NO_OWNER), *self.by_volume.get(volume, [])]
         latest_start = max(known.invoked for known in assignments if known.done <= since)
         return {known.owner for known in assignments if known.invoked <= until and known.done >= latest_start}
 
 
 def ownership_of(puts: list[CustomerPut]) -> Ownership:
-    """Collect the assignments of all volumes. A customer that is put again loses the volumes not named."""
+    """Collect the assignments of all volumes; a repeated put removes the volumes that it does not name."""
     by_volume: defaultdict[str, list[Assignment]] = defaultdict(list)
     volumes_of: defaultdict[str, set[str]] = defaultdict(set)
     for put in sorted(puts, key=lambda put: put.at):
@@ -60,6 +59,6 @@
         for volume in put.volumes:
             by_volume[volume].append(Assignment(put.at, done, put.customer))
         for volume in volumes_of[put.customer] - set(put.volumes):
-            by_volume[volume].append(Assignment(put.at, done, NOBODY))
+            by_volume[volume].append(Assignment(put.at, done, NO_OWNER))
         volumes_of[put.customer] |= set(put.volumes)
     return Ownership(dict(by_volume))
--- a/stoatrouter/lab/histories/request_lines.py
+++ b/stoatrouter/lab/histories/request_lines.py
@@ -1,4 +1,4 @@
-"""The lines of a history of requests, as clients, nodes, discovery and a head's debug record wrote them."""
+"""Records of a request history, written by clients, nodes, discovery and the debug records of heads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Line(msgspec.Struct, frozen=True, tag_field="what"):
-    """A line of the history."""
+    """One line of the history."""
 
     at: float
 
@@ -18,19 +18,19 @@
 
     request: str
     head: str
-    kind: str  # the name of its class
+    kind: str  # name of the request class
 
 
 class Answered(Line, frozen=True, tag="answered"):
-    """A client got its one final answer, complete."""
+    """A client received a complete final answer."""
 
     request: str
     status: int
-    of: str | None = None  # the request that the body names; None: it names none
+    of: str | None = None  # id of the request that the body names; None: it names none
 
 
 class Ended(Line, frozen=True, tag="ended"):
-    """A request's connection ended without a complete answer."""
+    """The connection of a request ended without a complete answer."""
 
     request: str
 
@@ -42,20 +42,20 @@
 
 
 class Attempt(Line, frozen=True, tag="attempt"):
-    """A node got a request."""
+    """A node received a request."""
 
     request: str
     node: str
-    first: float  # when its first byte came; `at` is that of the last
+    first: float  # time of the first byte; `at` is the time of the last
 
 
 class AttemptWritten(Line, frozen=True, tag="written"):
-    """A head's debug record: the system had accepted an attempt's first byte at `at`."""
+    """A debug record of a head: the kernel accepted the first byte of an attempt by the time `at`."""
 
     request: str
     node: str
-    attempt: int  # its number at the head
-    began: float  # just before the byte was handed over
+    attempt: int  # number of the attempt at the head
+    began: float  # time just before the byte was written
 
 
 class AttemptEnded(Line, frozen=True, tag="over"):
@@ -66,28 +66,28 @@
     ran: bool  # whether it may have run
 
 
-class LeavingNotified(Line, frozen=True, tag="told"):
-    """From now on a head counts as notified that a node is draining."""
+class DrainingNotified(Line, frozen=True, tag="told"):
+    """From this time on, a head counts as notified that a node is draining."""
 
     head: str
     node: str
 
 
 class ServingNotified(Line, frozen=True, tag="back"):
-    """From now on a head counts as notified that a node serves."""
+    """From this time on, a head counts as notified that a node serves again."""
 
     head: str
     node: str
 
 
 class Killed(Line, frozen=True, tag="killed"):
-    """A head was killed outright."""
+    """A head was killed without a graceful shutdown."""
 
     head: str
 
 
 RequestLine = Sent | Answered | Ended | ClientGone | Attempt | AttemptWritten | AttemptEnded
-AnyLine = RequestLine | LeavingNotified | ServingNotified | Killed
+AnyLine = RequestLine | DrainingNotified | ServingNotified | Killed
 
 
 @dataclass(slots=True)
@@ -104,7 +104,7 @@
     attempt_ends: list[AttemptEnded] = field(default_factory=list)
 
     def add(self, line: RequestLine) -> None:
-        """Add the next line."""
+        """Add the next line to the list of its type."""
         match line:
             case Sent():
                 self.sent.append(line)
@@ -122,6 +122,6 @@
                 self.attempt_ends.append(line)
 
     def end_of(self, attempt: Attempt) -> AttemptEnded | None:
-        """Return the end of an attempt at its node; None where it never ended."""
+        """Return the end of an attempt at its node; None if it never ended."""
         ends = (end for end in self.attempt_ends if end.node == attempt.node and end.at >= attempt.at)
         return next(ends, None)
--- a/stoatrouter/lab/histories/requests.py
+++ b/stoatrouter/lab/histories/requests.py
@@ -1,9 +1,9 @@
-"""Judges requests as clients, nodes and discovery wrote them down, by the rules of the platform's pages.
+"""Checks the recorded history of requests against the documented guarantees of the platform.
 
-It knows nothing of the program: it imports no code of a head and reads nothing that one logs, but for the
-debug record of when attempts were written, which tells a head that wrote late from a node that read late. A
-line is a dict with "what" and "at" (seconds, one clock for all) and the fields of the record of that tag; the
-records of `request_lines` say what each line means.
+The check is independent of the program: it imports no code of a head and reads none of its logs. The only
+exception is the debug record of when attempts were written, which distinguishes a head that wrote late from a
+node that read late. A line is a dict with "what", "at" (seconds, on one clock for all) and the fields of the
+record with that tag; `request_lines` documents the records.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 from stoatrouter.lab.histories.request_lines import (
     AnyLine,
+    DrainingNotified,
     Killed,
-    LeavingNotified,
     RequestHistory,
     RequestLine,
     ServingNotified,
@@ -27,46 +27,46 @@
 from stoatrouter.lab.histories.written_times import Delay, TimedAttempt, check_order, timed_attempts
 
 NEVER = float("inf")
-KILL_MARGIN = 1.0  # seconds; a request is lost by a kill that is at most so far from it
+KILL_MARGIN = 1.0  # seconds; a lost request is attributed to a kill that is at most this far from it
 
 
 class Effect(StrEnum):
-    """Whether a request may run twice."""
+    """Whether a request may run more than once."""
 
-    SAFE = "safe"  # it changes nothing
-    IDEMPOTENT = "keyed"  # by its idempotency key, within a window
+    SAFE = "safe"  # read-only
+    IDEMPOTENT = "keyed"  # repeatable with its idempotency key, within a window
     UNSAFE = "unsafe"
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """What a class of requests allows."""
+    """What a class of requests permits."""
 
     effect: Effect
-    window: float = 0.0  # seconds in which an idempotency key is known
-    group: str = "cell"  # where a key is known: in one "cell", or else everywhere
+    window: float = 0.0  # seconds for which an idempotency key is remembered
+    group: str = "cell"  # scope in which a key is remembered: "cell", or otherwise all nodes
 
 
 @dataclass(slots=True, frozen=True)
 class Guarantees:
-    """What the platform promises; spans in seconds."""
+    """The documented guarantees of the platform; durations in seconds."""
 
     classes: dict[str, RequestClass]
-    cells: dict[str, int]  # by node
+    cells: dict[str, int]  # cell number by node
     drain_grace: float
-    cancel_within: float = 0.1  # an attempt may still begin so long after its client has gone
-    slack: float = 0.05  # every limit is so much longer
+    cancel_within: float = 0.1  # an attempt may begin up to this long after its client has disconnected
+    slack: float = 0.05  # tolerance added to every limit
 
 
 @dataclass(slots=True)
 class CheckResult:
-    """What was found in a history."""
+    """The result of checking a history."""
 
     violations: list[str] = field(default_factory=list)
-    read_late: list[str] = field(default_factory=list)  # attempts written in time that nodes saw too late
+    read_late: list[str] = field(default_factory=list)  # written in time, seen too late by nodes
 
     def add(self, findings: Iterable[str | Delay]) -> None:
-        """Add violations, and delays that may be one."""
+        """Add violations, and delays that exceed their limit."""
         for finding in findings:
             if isinstance(finding, str) or finding.is_violation:
                 self.violations.append(str(finding))
@@ -74,21 +74,21 @@
                 self.read_late.append(f"read late, written in time: {finding}")
 
 
-# -- the rules --------------------------------------------------------------------------------------------
-def find_violations(lines: Iterable[dict[str, Any]], terms: Guarantees) -> list[str]:
-    """Return all violations of a history, as `check_requests` does; none where every rule is kept."""
-    return check_requests(lines, terms).violations
+# -- checks -----------------------------------------------------------------------------------------------
+def find_violations(lines: Iterable[dict[str, Any]], limits: Guarantees) -> list[str]:
+    """Return the violations that `check_requests` finds; empty if there are none."""
+    return check_requests(lines, limits).violations
 
 
-def check_requests(lines: Iterable[dict[str, Any]], terms: Guarantees) -> CheckResult:
-    """Return all violations of a history, and what was no violation as its node alone was late.
+def check_requests(lines: Iterable[dict[str, Any]], limits: Guarantees) -> CheckResult:
+    """Find all violations in a history, and delays for which only the node was responsible.
 
     Args:
         lines: The history, in any order.
-        terms: What is promised.
+        limits: The guarantees to check.
 
     Raises:
-        msgspec.ValidationError: A line is malformed, or of an unknown kind.
+        msgspec.ValidationError: A line is malformed or of an unknown kind.
     """
     ordered = sorted((msgspec.convert(line, AnyLine) for line in lines), key=lambda line: line.at)
     requests: dict[str, RequestHistory] = {}
@@ -96,20 +96,20 @@
         if isinstance(line, RequestLine):
             requests.setdefault(line.request, RequestHistory(line.request)).add(line)
     kills = [line for line in ordered if isinstance(line, Killed)]
-    verdict = CheckResult()
+    result = CheckResult()
     notifications = Notifications(ordered)
     for request in requests.values():
         attempts = timed_attempts(request)
-        verdict.add(check_answers(request, kills))
-        verdict.add(check_order(request))
-        verdict.add(check_cancellation(request, attempts, terms))
-        verdict.add(check_retries(request, attempts, terms))
-        verdict.add(check_draining(request, attempts, notifications, terms))
-    return verdict
+        result.add(check_answers(request, kills))
+        result.add(check_order(request))
+        result.add(check_cancellation(request, attempts, limits))
+        result.add(check_retries(request, attempts, limits))
+        result.add(check_draining(request, attempts, notifications, limits))
+    return result
 
 
 def check_answers(request: RequestHistory, kills: list[Killed]) -> Iterator[str]:
-    """Check that a request has one final answer, unless its client left or its head was killed."""
+    """Check that a request has one final answer, unless its client disconnected or its head was killed."""
     answers = request.answers
     if len(answers) > 1:
         yield f"{request.id}: {len(answers)} answers"
@@ -120,44 +120,44 @@
             yield f"{request.id}: answered with the answer to {answer.of}"
     for end in request.ends:
         sent = request.sent[0]
-        from_, until = sent.at - KILL_MARGIN, end.at + KILL_MARGIN
-        if not any(kill.head == sent.head and from_ <= kill.at <= until for kill in kills):
+        since, until = sent.at - KILL_MARGIN, end.at + KILL_MARGIN
+        if not any(kill.head == sent.head and since <= kill.at <= until for kill in kills):
             yield f"{request.id}: lost by {sent.head}, which ended its connection with no whole answer"
     if request.sent and not (answers or request.ends or request.clients_gone):
         yield f"{request.id}: never answered"
 
 
 def check_cancellation(
-    request: RequestHistory, attempts: list[TimedAttempt], terms: Guarantees
+    request: RequestHistory, attempts: list[TimedAttempt], limits: Guarantees
 ) -> Iterator[Delay]:
-    """Check that no attempt begins once the client has gone."""
-    for gone in request.clients_gone:
+    """Check that no attempt begins after the client has disconnected."""
+    for disconnect in request.clients_gone:
         for attempt in attempts:
             yield Delay(
                 f"{request.id}: an attempt after its client had gone",
-                terms.cancel_within + terms.slack,
-                attempt.seen.first - gone.at,
-                attempt.record.at - gone.at if attempt.record else None,
+                limits.cancel_within + limits.slack,
+                attempt.seen.first - disconnect.at,
+                attempt.record.at - disconnect.at if attempt.record else None,
             )
 
 
 def check_retries(
-    request: RequestHistory, attempts: list[TimedAttempt], terms: Guarantees
+    request: RequestHistory, attempts: list[TimedAttempt], limits: Guarantees
 ) -> Iterator[str | Delay]:
-    """Check that no two attempts run at once, and that retries are as the class allows."""
+    """Check that no two attempts run concurrently, and that the class permits each retry."""
     if not request.sent:
         if attempts:
             yield f"{request.id}: an attempt of what no client sent"
         return
-    request_class = terms.classes[request.sent[0].kind]
+    request_class = limits.classes[request.sent[0].kind]
     first_that_may_have_run: TimedAttempt | None = None
     for number, attempt in enumerate(attempts):
         for earlier in attempts[:number]:
             end = request.end_of(earlier.seen)
-            if (end.at if end else NEVER) > attempt.seen.first + terms.slack:
+            if (end.at if end else NEVER) > attempt.seen.first + limits.slack:
                 yield f"{request.id}: two attempts at once"
         if first_that_may_have_run is not None:
-            yield from check_retry(attempt, first_that_may_have_run, request_class, terms)
+            yield from check_retry(attempt, first_that_may_have_run, request_class, limits)
             continue
         end = request.end_of(attempt.seen)
         if end is None or end.ran:
@@ -165,9 +165,9 @@
 
 
 def check_retry(
-    attempt: TimedAttempt, first: TimedAttempt, request_class: RequestClass, terms: Guarantees
+    attempt: TimedAttempt, first: TimedAttempt, request_class: RequestClass, limits: Guarantees
 ) -> Iterator[str | Delay]:
-    """Check an attempt after one that may have run."""
+    """Check an attempt that follows one that may have run."""
     request = attempt.seen.request
     if request_class.effect is Effect.UNSAFE:
         yield f"{request}: repeated, though it may have run and may not run twice"
@@ -176,26 +176,26 @@
     recorded = attempt.record is not None and first.record is not None
     yield Delay(
         f"{request}: repeated outside its window",
-        request_class.window + terms.slack,
+        request_class.window + limits.slack,
         attempt.seen.first - first.seen.first,
-        attempt.last_moment - first.first_moment if recorded else None,
+        attempt.latest_write - first.earliest_effect if recorded else None,
     )
-    if request_class.group == "cell" and terms.cells[attempt.seen.node] != terms.cells[first.seen.node]:
+    if request_class.group == "cell" and limits.cells[attempt.seen.node] != limits.cells[first.seen.node]:
         yield f"{request}: repeated in another cell"
 
 
 class Notifications:
-    """When heads were notified that nodes drain, or serve again."""
+    """Times at which heads were notified that nodes are draining or serve again."""
 
     def __init__(self, lines: list[AnyLine]) -> None:
-        """Take the notifications out of a history that is in order."""
-        self.by_head: dict[tuple[str, str], list[LeavingNotified | ServingNotified]] = defaultdict(list)
+        """Collect the notifications from an ordered history."""
+        self.by_head: dict[tuple[str, str], list[DrainingNotified | ServingNotified]] = defaultdict(list)
         for line in lines:
-            if isinstance(line, LeavingNotified | ServingNotified):
+            if isinstance(line, DrainingNotified | ServingNotified):
                 self.by_head[line.head, line.node].append(line)
 
     def draining_for(self, head: str, node: str, at: float) -> float:
-        """For how many seconds a head had been notified at some moment that a node drains; 0: it serves."""
+        """Return for how many seconds a head had known at a time that a node is draining; 0: it serves."""
         before = [line for line in self.by_head[head, node] if line.at <= at]
         if not before or isinstance(before[-1], ServingNotified):
             return 0.0
@@ -203,15 +203,15 @@
 
 
 def check_draining(
-    request: RequestHistory, attempts: list[TimedAttempt], notifications: Notifications, terms: Guarantees
+    request: RequestHistory, attempts: list[TimedAttempt], notifications: Notifications, limits: Guarantees
 ) -> Iterator[Delay]:
-    """Check that nothing goes to a draining node once the grace after its head's notification is over."""
+    """Check that no attempt goes to a draining node once the drain grace since the notification is over."""
     head = request.sent[0].head if request.sent else ""
     for attempt in attempts:
         node = attempt.seen.node
         yield Delay(
             f"{request.id}: sent to {node} after it was told as leaving",
-            terms.drain_grace + terms.slack,
+            limits.drain_grace + limits.slack,
             notifications.draining_for(head, node, attempt.seen.first),
             notifications.draining_for(head, node, attempt.record.at) if attempt.record else None,
         )
--- a/stoatrouter/lab/histories/written_times.py
+++ b/stoatrouter/lab/histories/written_times.py
@@ -1,7 +1,7 @@
-"""When attempts were written, by their heads' debug records, beside when their nodes saw them.
+"""Matches the times at which nodes saw attempts with the debug records of when heads wrote them.
 
-A node that was held up sees an attempt late, though it was written in time. Only a record shows that: where
-one is missing, what the node saw is all there is.
+A delayed node sees an attempt late although it was written in time. Only a record can show that; without one,
+the time at the node is used.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 
 @dataclass(slots=True, frozen=True)
 class TimedAttempt:
-    """An attempt as its node saw it, with what its head recorded of it."""
+    """An attempt as seen by its node, with the matching record of its head."""
 
     seen: Attempt
-    record: AttemptWritten | None = None  # of its writing, if it is known which one is its own
-    earliest: float = float("inf")  # at which it may have been written, by any record that may be its own
+    record: AttemptWritten | None = None  # of its write, if it can be identified
+    earliest: float = float("inf")  # time at which it may have been written, by any record that may match
 
     @property
-    def last_moment(self) -> float:
-        """The latest moment at which its first byte may have been written."""
+    def latest_write(self) -> float:
+        """The latest time at which the first byte may have been written."""
         return self.seen.first if self.record is None else self.record.at
 
     @property
-    def first_moment(self) -> float:
-        """The earliest moment from which its effect may count."""
+    def earliest_effect(self) -> float:
+        """The earliest time from which its effect may count."""
         return min(self.seen.first, self.earliest)
 
 
 def timed_attempts(request: RequestHistory) -> list[TimedAttempt]:
-    """The attempts of a request, in the order in which their nodes saw them, with their records."""
+    """Return the attempts of a request with their records, in the order in which nodes saw them."""
     timed: dict[int, TimedAttempt] = {}
     for attempts, records in by_node(request):
         for attempt in attempts:
             timed[id(attempt)] = TimedAttempt(attempt)
         if len(records) < len(attempts):
-            continue  # whose record is missing is not known
+            continue  # it is unknown which attempt has no record
         earliest = records[0].began
-        # From the end on, each has the latest that it can have: none is taken for earlier than it was.
+        # Backwards, each attempt gets its latest possible record, so that none counts as written too early.
         for attempt in reversed(attempts):
             while records and records[-1].began > attempt.first:
                 records.pop()
@@ -54,7 +54,7 @@
     """Check that no node saw an attempt before its head began to write it."""
     for attempts, records in by_node(request):
         if len(records) < len(attempts):
-            continue  # what was seen first may be what has no record
+            continue  # the attempt that was seen first may have no record
         for attempt, record in zip(attempts, records, strict=False):
             if record.began > attempt.first:
                 yield (
@@ -64,7 +64,7 @@
 
 
 def by_node(request: RequestHistory) -> Iterator[tuple[list[Attempt], list[AttemptWritten]]]:
-    """The attempts at each node and the records of them, both in order."""
+    """Yield the attempts at each node and their records, both in order."""
     records: dict[str, list[AttemptWritten]] = defaultdict(list)
     for record in sorted(request.attempts_written, key=lambda line: line.began):
         records[record.node].append(record)
@@ -77,24 +77,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Delay:
-    """How long after something an attempt began, and how long it may: seconds."""
+    """The delay of an attempt after some event, and its limit, in seconds."""
 
-    violation: str  # what it is where that is too long
+    violation: str  # description of the violation if the limit is exceeded
     limit: float
-    seen: float  # by its node's clock
-    written: float | None  # by its head's record
+    seen: float  # by the time at its node
+    written: float | None  # by the record of its head
 
     @property
     def is_violation(self) -> bool:
-        """Whether it was too long; the record decides where there is one."""
+        """Whether the limit is exceeded, by the record if there is one."""
         return (self.seen if self.written is None else self.written) > self.limit
 
     @property
     def is_read_late(self) -> bool:
-        """Whether only the node was late."""
+        """Whether the limit is exceeded only by the time at the node."""
         return self.written is not None and self.written <= self.limit < self.seen
 
     def __str__(self) -> str:
-        """The attempt, with both times."""
+        """Return the description with both times and the limit."""
         written = "with no record" if self.written is None else f"written after {self.written:.3f} s"
         return f"{self.violation} ({written}, seen after {self.seen:.3f} s, limit {self.limit:.3f} s)"
--- a/stoatrouter/lab/hollow/__init__.py
+++ b/stoatrouter/lab/hollow/__init__.py
@@ -1,5 +1,5 @@
-"""Hollow heads: the control loops and the wire code of heads without fronts and clients, many to a process.
+"""Hollow heads: the control loops and network code of heads without fronts or clients, many in one process.
 
-`HollowHead` is one of them, `HollowFleet` starts many in worker processes (docs/measurements/capacity.md). No
-serving head imports this package.
+`HollowHead` is one such head; `HollowFleet` runs many of them in worker processes
+(docs/measurements/capacity.md). The program does not import this package when it serves requests.
 """
--- a/stoatrouter/lab/hollow/head.py
+++ b/stoatrouter/lab/hollow/head.py
@@ -1,8 +1,8 @@
-"""One hollow head: the real control loops of `peering.heads.Heads`, without fronts, engine and clients.
+"""One hollow head: the real control loops of `peering.heads.Heads` without fronts, engine and clients.
 
-Hollow is what surrounds the control part: the engine has a clock, a gate and no nodes, rule tables are
-shared within the process. The detector, the streams, the agreement with its disk, the history of rules,
-credit and the discovery watch are the objects that a real head runs.
+Only the environment of the control part is replaced: the engine has a clock and a gate but no nodes, and rule
+tables are shared within the process. The detector, the streams, the agreement with its disk, the history of
+rules, credit and the discovery watch are the same objects as in a real head.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from stoatrouter.fronts.wiring import http_tables
 from stoatrouter.lab.hollow.logs import HEAD_FIELD
 from stoatrouter.lab.hollow.network import Network
-from stoatrouter.lab.hollow.tables import CompiledOnce, HollowTables
+from stoatrouter.lab.hollow.tables import HollowTables, SharedTableCache
 from stoatrouter.net.clock import Clock
 from stoatrouter.net.discovery import Watch
 from stoatrouter.peering.heads import Heads, persisted_version
@@ -41,13 +41,13 @@
     NEW = "new"
     STARTING = "starting"
     RUNNING = "running"
-    DOWN = "down"  # ended on command
-    DIED = "died"  # ended by itself
+    DOWN = "down"  # stopped by a command
+    DIED = "died"  # ended with an error
 
 
 @dataclass(slots=True)
 class HollowReducer:
-    """The part of the core's reducer that credit reads and sets."""
+    """The part of the reducer of the core that credit reads and sets."""
 
     scheduler: Scheduler
     gate: Gate | None = None
@@ -63,90 +63,90 @@
 
 
 class SharedResources:
-    """The deployment's settings, compiled tables and the network, shared by all hollow heads of a process."""
+    """Settings, compiled tables and the network, which all hollow heads of a process share."""
 
     def __init__(
         self, conf: Config, http: HttpSettings | None, network: Network, watches: bool = True
     ) -> None:
-        """Compile the deployment's tables.
+        """Compile the tables of the deployment.
 
         Args:
-            conf: The configuration of every head.
-            http: The settings of the HTTP front, whose rules the heads agree on; None: no rules.
-            network: Delays and partitions between the heads.
-            watches: Whether heads follow discovery.
+            conf: The configuration of all heads.
+            http: The settings of the HTTP front, whose rules are replicated; None: no rules.
+            network: The simulated delays and partitions between heads.
+            watches: Whether heads watch discovery.
         """
         self.conf = conf
         self.http = http
         self.network = network
         self.watches = watches
         self.scheduler = Scheduler(conf.settings, seed=conf.seed)
-        self.tables = None if http is None else CompiledOnce(http_tables(conf, http))
+        self.tables = None if http is None else SharedTableCache(http_tables(conf, http))
 
 
 class HollowHead:
-    """One hollow head: `start` and `close` as of a real one; `crash` ends it as a killed process ends."""
+    """One hollow head: `start` and `close` act as on a real head; `crash` ends it like a killed process."""
 
-    def __init__(self, name: str, settings: HeadsSettings, surroundings: SharedResources) -> None:
-        """Prepare a head; nothing runs before `start`."""
+    def __init__(self, name: str, settings: HeadsSettings, shared: SharedResources) -> None:
+        """Create a head; nothing runs before `start`."""
         self.name = name
         self.settings = settings
-        self.surroundings = surroundings
+        self.shared = shared
         self.lifecycle = Lifecycle.NEW
         self.death_reason = ""
         self.heads: Heads | None = None
         self.watch: Watch | None = None
-        self.listed_nodes = 0  # in the largest list that discovery sent
-        self.served = 0  # requests of `spend`
+        self.listed_nodes = 0  # maximum length of a list from discovery
+        self.served = 0  # requests made by `spend`
         self.rejected = 0
         self.watching: asyncio.Task[None] | None = None
         self.ready: asyncio.Task[None] | None = None
-        # The interface of a head that `Heads` uses.
-        self.conf = surroundings.conf
-        self.engine = HollowEngine(HollowReducer(surroundings.scheduler))
-        self.http_tables = None if surroundings.tables is None else HollowTables(surroundings.tables)
+        # The attributes of a head that `Heads` uses.
+        self.conf = shared.conf
+        self.engine = HollowEngine(HollowReducer(shared.scheduler))
+        self.http_tables = None if shared.tables is None else HollowTables(shared.tables)
 
     def is_running(self) -> bool:
         """Whether the head has started and has not ended."""
         return self.lifecycle is Lifecycle.RUNNING
 
     def is_active(self) -> bool:
-        """Whether the head runs or is starting."""
+        """Whether the head is running or starting."""
         return self.lifecycle in (Lifecycle.STARTING, Lifecycle.RUNNING)
 
     @property
     def counts(self) -> Counter[str]:
-        """Messages by kind since the last start, as a real head counts them."""
+        """The message counters since the last start, by kind, as on a real head."""
         return Counter() if self.heads is None else Counter(self.heads.fleet.counters.by_name)
 
     # -- lifecycle ---------------------------------------------------------------------------------------
     async def start(self) -> None:
-        """Start, or start again with the same folder; returns once a real head would be ready.
+        """Start, or restart with the same folder; returns once a real head would be ready.
 
         Raises:
             OSError: A socket or file cannot be opened.
-            ConfigError: The settings do not fit.
+            ConfigError: The settings are invalid.
         """
-        assert not self.is_active(), f"{self.name} runs already"
+        assert not self.is_active(), f"{self.name} is already running"
         self.lifecycle = Lifecycle.STARTING
         self.death_reason = ""
         with logger.contextualize(**{HEAD_FIELD: self.name}):
             try:
                 await self._start()
             except (OSError, ConfigError) as error:
-                self.die(f"it did not start: {error}")
+                self.mark_died(f"failed to start: {error}")
                 raise
         if self.lifecycle is Lifecycle.STARTING:
             self.lifecycle = Lifecycle.RUNNING
 
     async def _start(self) -> None:
-        started_with, _ = persisted_version(self.settings, self.surroundings.http)
+        started_with, _ = persisted_version(self.settings, self.shared.http)
         heads = self.heads = Heads(self.settings, cast(Any, self), started_with)
         self._begin_watch()
-        network, fleet = self.surroundings.network, heads.fleet
+        network, fleet = self.shared.network, heads.fleet
         network.attach_streams(self.name, fleet.streams)
         self.ready = ready = asyncio.get_running_loop().create_task(heads.start())
-        while not ready.done() and not fleet.tasks:  # its sockets are open once its loops run
+        while not ready.done() and not fleet.tasks:  # the sockets are open once the loops run
             await asyncio.sleep(0)
         if fleet.datagrams is not None and fleet.datagrams.transport is not None:
             network.attach_datagrams(self.name, fleet.datagrams)
@@ -155,9 +155,9 @@
             task.add_done_callback(self._on_task_end)
 
     def _begin_watch(self) -> None:
-        """Follow the node list as a real head does, where there is discovery."""
-        conf = self.surroundings.conf
-        if not self.surroundings.watches:
+        """Watch the node list as a real head does, unless watches are disabled."""
+        conf = self.shared.conf
+        if not self.shared.watches:
             return
         pushed = not conf.settings.must_subscribe
         self.watch = Watch(
@@ -177,25 +177,25 @@
             self.listed_nodes = max(self.listed_nodes, len(nodes))
 
     def _on_task_end(self, task: asyncio.Task[None]) -> None:
-        """Notice that a task of the control part has ended.
+        """Mark the head as died if a task of the control part has failed or was cancelled.
 
-        Its loops never do, but by an error or a cancellation; the founding returns when it is done.
+        Its loops never end otherwise; the founding task returns when it is done.
         """
         if not self.is_active():
             return
-        error = "it was cancelled" if task.cancelled() else task.exception()
+        error = "cancelled" if task.cancelled() else task.exception()
         if error is not None:
-            self.die(f"{task.get_name()} ended: {error!r}")
+            self.mark_died(f"{task.get_name()} ended: {error!r}")
 
-    def die(self, reason: str) -> None:
-        """Count this head as dead; it is named with the reason in every report from now on."""
+    def mark_died(self, reason: str) -> None:
+        """Mark this head as died; all later reports contain the reason."""
         self.lifecycle = Lifecycle.DIED
         self.death_reason = reason
         with logger.contextualize(**{HEAD_FIELD: self.name}):
-            logger.error("hollow: {name} died: {why}", event="hollow.died", name=self.name, why=reason)
+            logger.error("hollow head {name} died: {why}", event="hollow.died", name=self.name, why=reason)
 
     async def close(self) -> None:
-        """Shut down gracefully: the head announces that it leaves, and settles its credit."""
+        """Shut down gracefully: announce that the head leaves, and settle its credit."""
         if not self.is_active():
             return
         self.lifecycle = Lifecycle.DOWN
@@ -205,7 +205,7 @@
                 await self.heads.close()
 
     async def crash(self) -> None:
-        """End as a killed process: nothing is sent to anybody, and files stay as they are."""
+        """End like a killed process: send nothing, and leave files as they are."""
         if not self.is_active():
             return
         self.lifecycle = Lifecycle.DOWN
@@ -234,7 +234,7 @@
 
     # -- credit -------------------------------------------------------------------------------------------
     async def spend(self, id: str, volume: str, units: float = 1.0) -> bool:
-        """Make one request of a customer, as far as credit sees it; returns whether it was served.
+        """Run the credit part of one request of a customer; returns whether it was served.
 
         A request that credit admits counts as served.
         """
@@ -257,7 +257,7 @@
 def settings_of_head(
     common: HeadsSettings, name: str, address: str | None, peers: tuple[str, ...]
 ) -> HeadsSettings:
-    """Return one head's settings from those of the fleet's file, with its own name, folder and datagrams."""
+    """Return the settings of one head: those of the fleet with its own name, folder and addresses."""
     return msgspec.structs.replace(
         common,
         name=name,
