--- a/stoatrouter/lab/hollow/launcher.py
+++ b/stoatrouter/lab/hollow/launcher.py
@@ -1,9 +1,9 @@
-"""Hollow heads in worker processes, started, commanded and ended by one object.
+"""Runs hollow heads in worker processes and controls them through one object.
 
 fleet = HollowFleet(folder, spec, workers=8)
 async with fleet:
     await fleet.start(fleet.names)
-    census = await fleet.report()
+    report = await fleet.report()
 """
 
 from __future__ import annotations
@@ -36,27 +36,27 @@
 )
 
 ROOT = Path(__file__).parent.parent.parent.parent
-SHUTDOWN_TIMEOUT = 8.0  # seconds that a worker has to end by itself; then it is killed
+SHUTDOWN_TIMEOUT = 8.0  # seconds that a worker has to exit before it is killed
 COMMAND_TIMEOUT = 30.0  # seconds
 CRASH_TIMEOUT = 60.0  # seconds
 START_TIMEOUT = 240.0  # seconds
-LOG_TAIL = 400  # characters of a dead worker's log that an error shows
-FIRST_HOST = 64  # 127.64.W.1 is the address of worker W: no connection that goes out takes a port of it
+LOG_TAIL = 400  # characters from the end of the log of an exited worker that an error shows
+FIRST_HOST = 64  # worker W's address is 127.64.W.1 or above: no outgoing connection takes its ports
 
 
 class WorkerLost(Exception):
-    """A worker process has ended, or did not answer; its heads died with it."""
+    """A worker process has exited, did not reply in time, or failed a command; its heads count as died."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSpec:
-    """The part of the specification that all workers share."""
+    """The part of a worker specification that all workers share."""
 
     heads_file: Path
     config_file: Path
     http_file: Path | None
     names: tuple[str, ...]  # of all hollow heads
-    addresses: dict[str, str]  # of the datagrams of real heads, as hollow heads reach them
+    addresses: dict[str, str]  # datagram addresses of real heads, as reached by hollow heads
     places: dict[str, tuple[int, int, int]]  # region, zone and rack of all heads
     watches: bool = True
 
@@ -77,18 +77,18 @@
 
 @dataclass(slots=True)
 class WorkerProcess:
-    """One worker process and the commands that it has not answered yet."""
+    """One worker process with the commands that it has not replied to yet."""
 
     number: int
     names: tuple[str, ...]
     process: asyncio.subprocess.Process
     log: Path
-    pending: dict[int, asyncio.Future[Reply]] = field(default_factory=dict)  # by the number of the command
-    reading: asyncio.Task[None] | None = None
+    pending: dict[int, asyncio.Future[Reply]] = field(default_factory=dict)  # by command number
+    reader: asyncio.Task[None] | None = None
     numbers: itertools.count[int] = field(default_factory=itertools.count)
 
     async def read_replies(self) -> None:
-        """Hand each reply to whoever waits for it, until the process ends."""
+        """Pass each reply to its pending command, until the process exits."""
         assert self.process.stdout is not None
         while line := await self.process.stdout.readline():
             reply = msgspec.json.decode(line, type=Reply)
@@ -103,14 +103,14 @@
         self.pending.clear()
 
     async def request(self, command: Command, timeout: float) -> Reply:
-        """Give a command and wait for its reply.
+        """Send a command and wait for its reply.
 
         Args:
-            command: What the worker is to do.
+            command: The command for the worker to run.
             timeout: Seconds.
 
         Raises:
-            WorkerLost: The process has ended, no reply came in time, or the command failed.
+            WorkerLost: The process has exited, no reply arrived in time, or the command failed.
         """
         if self.process.returncode is not None or self.process.stdin is None:
             raise WorkerLost(self.describe_end())
@@ -122,18 +122,18 @@
             async with asyncio.timeout(timeout):
                 reply = await reply_future
         except (OSError, TimeoutError) as error:
-            raise WorkerLost(f"worker {self.number} gave no answer: {error!r}") from None
+            raise WorkerLost(f"worker {self.number} did not reply: {error!r}") from None
         if reply.error:
             raise WorkerLost(f"worker {self.number}: {reply.error}")
         return reply
 
     def describe_end(self) -> str:
-        """Say how the process ended, with the end of what it wrote."""
+        """Return a message with the exit code of the process and the end of its log."""
         tail = self.log.read_text(errors="replace").strip()[-LOG_TAIL:]
-        return f"worker {self.number} ended with {self.process.returncode}: {tail}"
+        return f"worker {self.number} exited with code {self.process.returncode}: {tail}"
 
     async def end(self) -> None:
-        """End the process: by the end of its input, and by a kill where that does not help."""
+        """End the process by closing its input; kill it if it does not exit in time."""
         if self.process.returncode is None:
             assert self.process.stdin is not None
             self.process.stdin.close()
@@ -143,21 +143,21 @@
             except TimeoutError:
                 self.process.kill()
                 await self.process.wait()
-        if self.reading is not None:
-            self.reading.cancel()
-            await asyncio.gather(self.reading, return_exceptions=True)
+        if self.reader is not None:
+            self.reader.cancel()
+            await asyncio.gather(self.reader, return_exceptions=True)
 
 
 class HollowFleet:
-    """All hollow heads of a run; an asynchronous context manager that ends the worker processes."""
+    """All hollow heads of a run; an asynchronous context manager that runs the worker processes."""
 
     def __init__(self, folder: Path, spec: FleetSpec, workers: int) -> None:
-        """Spread the heads over workers, and choose their addresses; no process runs yet.
+        """Assign heads to workers and choose their addresses; no process is started yet.
 
         Args:
-            folder: Where the files and logs of the workers go.
+            folder: The folder for the files and logs of the workers.
             spec: The heads, and the files that all of them read.
-            workers: How many processes there are; no more than heads.
+            workers: Maximum number of processes; there are no more than heads.
         """
         self.folder = folder
         self.spec = spec
@@ -166,15 +166,15 @@
         self.assignments = [spec.names[number::workers] for number in range(count)]
         self.hollow_addresses = choose_addresses(self.assignments)
         self.workers: list[WorkerProcess] = []
-        self.replies: dict[int, Reply] = {}  # the last of each worker
+        self.replies: dict[int, Reply] = {}  # last reply by worker number
 
     @property
     def logs(self) -> list[Path]:
-        """The files with the events of all hollow heads, by worker."""
+        """The event files of all workers, in order."""
         return [self.folder / f"worker-{number}.events" for number in range(len(self.assignments))]
 
     async def __aenter__(self) -> HollowFleet:
-        """Start all worker processes; their heads are not started yet."""
+        """Start all worker processes, but not their heads."""
         self.folder.mkdir(parents=True, exist_ok=True)
         try:
             for number, names in enumerate(self.assignments):
@@ -193,25 +193,25 @@
         await asyncio.gather(*(worker.end() for worker in self.workers))
 
     async def _open(self, number: int, names: tuple[str, ...]) -> WorkerProcess:
-        """Start a worker process, and read its replies from now on."""
+        """Start a worker process and a task that reads its replies."""
         spec = self.spec.for_worker(names, self.hollow_addresses, self.logs[number])
         file = self.folder / f"worker-{number}.json"
         file.write_bytes(msgspec.json.encode(spec))
         log_file = self.folder / f"worker-{number}.log"
         process = await open_process(file, log_file)
         worker = WorkerProcess(number, names, process, log_file)
-        worker.reading = asyncio.get_running_loop().create_task(worker.read_replies())
+        worker.reader = asyncio.get_running_loop().create_task(worker.read_replies())
         return worker
 
     # -- commands -----------------------------------------------------------------------------------------
     async def start(
         self, names: Iterable[str], timeout: float = START_TIMEOUT, concurrency: int = 16
     ) -> FleetReport:
-        """Start heads, so many at a time in each worker; returns when all run or died."""
+        """Start heads, at most `concurrency` at a time in each worker; returns when all run or died."""
         return await self._request_each(lambda own: Start(own, concurrency), names, timeout)
 
     async def crash(self, names: Iterable[str], timeout: float = CRASH_TIMEOUT) -> FleetReport:
-        """End heads as killed processes end."""
+        """End heads like killed processes."""
         return await self._request_each(Crash, names, timeout)
 
     async def stop(self, names: Iterable[str], timeout: float = CRASH_TIMEOUT) -> FleetReport:
@@ -221,21 +221,21 @@
     async def partition(
         self, sides: dict[str, int], cut_pairs: tuple[tuple[int, int], ...] = ()
     ) -> FleetReport:
-        """Cut heads on different sides off from each other, or these pairs of sides alone; no sides: heal."""
+        """Partition heads on different sides, or only the given pairs of sides; no sides: heal."""
         return await self._request_all(SetPartition(sides, cut_pairs), COMMAND_TIMEOUT)
 
     async def spend(self, volumes: tuple[str, ...], rate: float, seed: int) -> FleetReport:
-        """Let each head have requests of customers at a rate a second; 0: no more."""
+        """Make requests of customers at each head at a rate per second; 0 stops them."""
         return await self._request_all(Spend(volumes, rate, seed), COMMAND_TIMEOUT)
 
     async def report(self, timeout: float = COMMAND_TIMEOUT) -> FleetReport:
-        """Make a round of reports, in which every head is named, whatever became of it."""
+        """Collect a report that contains every head, whatever its state."""
         return await self._request_all(Report(), timeout)
 
     async def _request_each(
         self, make_command: Callable[[tuple[str, ...]], Command], names: Iterable[str], timeout: float
     ) -> FleetReport:
-        """Give each worker a command for those of the heads that are its own."""
+        """Send each worker a command for those of the named heads that it runs."""
         wanted = set(names)
         commands = {}
         for worker in self.workers:
@@ -248,24 +248,24 @@
         return await self._gather({worker.number: command for worker in self.workers}, timeout)
 
     async def _gather(self, commands: dict[int, Command], timeout: float) -> FleetReport:
-        """Give commands to workers and make a census; workers without a command report too."""
-        census = FleetReport(self.names)
+        """Send commands and collect the reports of all workers; those without a command are sent `Report`."""
+        report = FleetReport(self.names)
 
         async def request(worker: WorkerProcess) -> None:
             try:
                 reply = await worker.request(commands.get(worker.number, Report()), timeout)
             except WorkerLost as lost:
-                census.add_lost_process(worker.names, str(lost))
+                report.add_lost_process(worker.names, str(lost))
                 return
             self.replies[worker.number] = reply
-            census.add(reply.heads)
+            report.add(reply.heads)
 
         await asyncio.gather(*(request(worker) for worker in self.workers))
-        return census
+        return report
 
 
 async def open_process(spec_file: Path, log_file: Path) -> asyncio.subprocess.Process:
-    """Start a worker process in a session of its own, so that Ctrl-C reaches the launcher alone."""
+    """Start a worker process in its own session, so that Ctrl-C reaches only the launcher."""
     with log_file.open("wb") as log:
         return await asyncio.create_subprocess_exec(
             sys.executable,
@@ -284,10 +284,10 @@
 
 
 def choose_addresses(assignments: list[tuple[str, ...]]) -> dict[str, str]:
-    """Choose an address for the datagrams of each hollow head.
+    """Choose a datagram address for each hollow head.
 
-    Each worker has a loopback address of its own, where all ports are bound at once and then released: nobody
-    else takes them meanwhile.
+    Each worker has its own loopback address, on which the ports of all its heads are bound at the same time
+    and then released; no other process takes them before the heads bind them again.
     """
     addresses: dict[str, str] = {}
     for number, names in enumerate(assignments):
--- a/stoatrouter/lab/hollow/logs.py
+++ b/stoatrouter/lab/hollow/logs.py
@@ -1,7 +1,7 @@
-"""The events of hollow heads, in files that the judges of histories read like the logs of real heads.
+"""Event files of hollow heads, which the history checkers read like the logs of real heads.
 
-Many heads share one process and so one logger; a field of each record names its head. Events that a head is
-alive are left out: at a start each head logs one of each other, and no judge reads them.
+The heads of a process share one logger; a field of each record names the head. Events with the status alive
+are omitted: at a start each head logs one for each other head, and no checker reads them.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 if TYPE_CHECKING:
     from loguru import Message, Record
 
-HEAD_FIELD = "hollow"  # the field of a record that names its head
-UNNAMED = "?"  # the head of a record from a thread that knows none
+HEAD_FIELD = "hollow"  # field of a record that names its head
+UNKNOWN_HEAD = "?"  # value for records from threads without a head
 
 
-def is_for_judges(record: Record) -> bool:
-    """Whether a record is an event that a judge may read."""
+def is_checked_event(record: Record) -> bool:
+    """Whether a record is an event that a checker may read."""
     extra = record["extra"]
     return "event" in extra and not (extra["event"] == "heads.seen" and extra["status"] == "alive")
 
 
 def write_events(file: IO[str]) -> None:
-    """Write the events of this process's heads to a file from now on, and log nothing elsewhere."""
+    """Replace all log outputs of this process with a file of the events of its heads."""
 
     def write(message: Message) -> None:
         record = message.record
-        line = {HEAD_FIELD: UNNAMED} | record["extra"] | {"at": record["time"].timestamp()}
+        line = {HEAD_FIELD: UNKNOWN_HEAD} | record["extra"] | {"at": record["time"].timestamp()}
         file.write(json.dumps(line, default=str) + "\n")
         file.flush()
 
     logger.remove()
-    logger.add(write, level="INFO", format="", filter=is_for_judges, catch=False)
+    logger.add(write, level="INFO", format="", filter=is_checked_event, catch=False)
 
 
 def read_events(paths: Iterable[Path]) -> dict[str, list[dict[str, Any]]]:
@@ -48,7 +48,7 @@
             try:
                 event = json.loads(line)
             except ValueError:
-                continue  # cut short by a kill
-            if (name := event.pop(HEAD_FIELD)) != UNNAMED:
+                continue  # truncated by a kill
+            if (name := event.pop(HEAD_FIELD)) != UNKNOWN_HEAD:
                 found[name].append(event)
     return dict(found)
--- a/stoatrouter/lab/hollow/network.py
+++ b/stoatrouter/lab/hollow/network.py
@@ -1,10 +1,10 @@
-"""The network between hollow heads: delays by place, and partitions, where a head sends and receives.
+"""Network emulation between hollow heads: delays that depend on places, and partitions.
 
-Loopback has no delay of its own, so it is injected on the hollow side: a datagram is delayed before its
-socket sends it, a request before it is posted and its response before it is handed on. What a real head sends
-to a hollow one is delayed where the hollow head receives it. A partition drops datagrams, and lets requests
-run out of time as connections to a silent machine do. What passes between two real heads is not seen here:
-the relay between them delays it.
+Loopback has no noticeable delay, so delays are injected in the hollow heads: a datagram is delayed before
+its socket sends it, a request before it is sent and its response before it is returned. Datagrams from a real
+head to a hollow one are delayed at the receiver. A partition drops datagrams and lets requests time out like
+connections to an unreachable machine. Traffic between two real heads does not pass through this module: a
+relay between them delays it.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
     from stoatrouter.peering.streams import Reply, Streams
 
 Address = tuple[str, int]
-KIND_BITS = 0x0F  # of a datagram's first byte
+KIND_BITS = 0x0F  # bits of the first byte of a datagram
 
 
 @dataclass(slots=True)
 class Partition:
-    """Which heads cannot reach each other. Without sides nothing is cut."""
+    """Which heads cannot reach each other. Without sides there is no partition."""
 
     sides: Mapping[str, int] = field(default_factory=dict)  # by head; a head not named is on side 0
-    cut_pairs: frozenset[tuple[int, int]] = frozenset()  # the lower side first; none: all sides are cut
+    cut_pairs: frozenset[tuple[int, int]] = frozenset()  # lower side first; empty: all sides are cut
 
     def cuts(self, sender: str, receiver: str) -> bool:
-        """Whether two heads are on sides that cannot reach each other."""
+        """Whether the partition separates two heads."""
         if not self.sides:
             return False
         side, other = sorted((self.sides.get(sender, 0), self.sides.get(receiver, 0)))
@@ -46,16 +46,16 @@
 
 @dataclass(slots=True)
 class Network:
-    """All paths between heads, as one process sees them."""
+    """The emulated network between all heads, as used by one process."""
 
     places: Mapping[str, Place]
-    names: Mapping[str, str]  # of heads, by the address of their datagrams
-    real: frozenset[str] = frozenset()  # heads that do not delay what they send
+    names: Mapping[str, str]  # names of heads by datagram address
+    real: frozenset[str] = frozenset()  # real heads, which do not delay what they send
     partition: Partition = field(default_factory=Partition)
-    dropped: int = 0  # messages that a partition dropped
+    dropped: int = 0  # number of messages dropped by partitions
 
     def one_way(self, sender: str, receiver: str) -> float | None:
-        """Return the seconds from one head to another; None, counted as a drop, across a partition."""
+        """Return the one-way delay in seconds; None, and counted as dropped, across a partition."""
         if self.partition.cuts(sender, receiver):
             self.dropped += 1
             return None
@@ -63,11 +63,11 @@
         return 0.0 if here is None or there is None else one_way_seconds(here, there)
 
     def name_of(self, address: Address) -> str:
-        """Return the head at a datagram address; empty where there is none."""
+        """Return the name of the head at a datagram address; empty if there is none."""
         return self.names.get(f"{address[0]}:{address[1]}", "")
 
     def attach_datagrams(self, name: str, datagrams: Datagrams) -> None:
-        """Put this network before and behind a head's open datagram socket, and count what passes by kind."""
+        """Insert this network at the open datagram socket of a head, and count datagrams by kind."""
         transport, receive, counters = datagrams.transport, datagrams.datagram_received, datagrams.counters
         assert transport is not None
         datagrams.transport = DelayedTransport(transport, self, name, counters)  # type: ignore[assignment]
@@ -76,7 +76,7 @@
             counters.add(f"hollow.heard.{kind_of(data)}")
             sender = self.name_of(addr)
             if sender not in self.real:
-                receive(data, addr)  # delayed by its sender already
+                receive(data, addr)  # already delayed by its sender
                 return
             seconds = self.one_way(sender, name)
             if seconds is not None:
@@ -85,24 +85,24 @@
         datagrams.datagram_received = receive_delayed  # type: ignore[method-assign]
 
     def attach_streams(self, name: str, streams: Streams) -> None:
-        """Put this network between a head and its peers, and count its requests by kind."""
+        """Insert this network between a head and its peers, and count its requests by kind."""
         delayed = DelayedRequests(streams.request, self, name, streams.counters)
         streams.request = delayed.request  # type: ignore[method-assign]
 
 
 def kind_of(data: bytes) -> str:
-    """Return the kind of a datagram, from its first byte (membership/datagram.py)."""
+    """Return the kind of a datagram from its first byte (membership/datagram.py)."""
     kind = data[0] & KIND_BITS if data else len(Kind)
     return Kind(kind).name.lower() if kind < len(Kind) else "unknown"
 
 
 def reason_of(error: PeerUnreachable) -> str:
-    """Return the last word of an error's text: a status, or the error of the connection."""
+    """Return the last word of the message of an error: a status, or the connection error."""
     return str(error).rpartition(" ")[2]
 
 
 def call_later(seconds: float, function: Callable[..., None], *arguments: Any) -> None:
-    """Call a function after a delay, and at once where there is none."""
+    """Call a function after a delay, or immediately if the delay is zero."""
     if seconds > 0:
         asyncio.get_running_loop().call_later(seconds, function, *arguments)
     else:
@@ -110,22 +110,22 @@
 
 
 class DelayedRequests:
-    """The requests of one head to its peers, delayed on the way there and back."""
+    """The requests of one head to its peers, delayed in both directions."""
 
     def __init__(
         self, send: Callable[..., Awaitable[Reply]], network: Network, name: str, counters: MessageCounters
     ) -> None:
-        """Delay what `send`, the `request` of a head's streams, sends and returns."""
+        """Wrap `send`, which is the `request` method of the streams of a head."""
         self.send = send
         self.network = network
         self.name = name
         self.counters = counters
 
     async def request(self, name: str, kind: str, body: bytes, timeout: timedelta = REQUEST_TIMEOUT) -> Reply:
-        """Ask a peer, as `Streams.request` does, and count the request by kind and peer.
+        """Send a request to a peer, as `Streams.request` does, and count it by kind and by peer.
 
         Raises:
-            PeerUnreachable: No answer came, or a partition is between the two.
+            PeerUnreachable: There was no response, or a partition separates the two heads.
         """
         self.counters.add(f"hollow.asked.{kind}")
         self.counters.add(f"hollow.asked_of.{name}")
@@ -154,19 +154,19 @@
 
 
 class DelayedTransport:
-    """A datagram transport that delays what is sent by the time that the path takes."""
+    """A datagram transport that delays outgoing datagrams by the one-way delay to their receiver."""
 
     def __init__(
         self, transport: asyncio.DatagramTransport, network: Network, name: str, counters: MessageCounters
     ) -> None:
-        """Delay what a head sends through its open transport."""
+        """Wrap the open transport of a head."""
         self.transport = transport
         self.network = network
         self.name = name
         self.counters = counters
 
     def sendto(self, data: bytes, address: Address) -> None:
-        """Send to an address once the path's time is over; never across a partition."""
+        """Send a datagram after the one-way delay; drop it across a partition."""
         self.counters.add(f"hollow.said.{kind_of(data)}")
         seconds = self.network.one_way(self.name, self.network.name_of(address))
         if seconds is not None:
@@ -177,13 +177,13 @@
             self.transport.sendto(data, address)
 
     def is_closing(self) -> bool:
-        """Whether nothing is sent any more."""
+        """Whether the transport is closed or closing."""
         return self.transport.is_closing()
 
     def close(self) -> None:
-        """Close the socket; what is still delayed is not sent."""
+        """Close the socket; datagrams that are still delayed are dropped."""
         self.transport.close()
 
     def abort(self) -> None:
-        """Close the socket at once."""
+        """Close the socket immediately."""
         self.transport.abort()
--- a/stoatrouter/lab/hollow/places.py
+++ b/stoatrouter/lab/hollow/places.py
@@ -1,4 +1,4 @@
-"""Regions, zones and racks of heads, and how long a message takes between two places. No I/O."""
+"""The network topology: regions, zones and racks of heads, and delays between them. No I/O."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 
 REGIONS, ZONES, RACKS = 3, 12, 30
-ZONE_SECONDS = 0.001  # one way between two zones of a region
-REGION_SECONDS = {(0, 1): 0.008, (0, 2): 0.012, (1, 2): 0.015}  # one way between two regions
+ZONE_SECONDS = 0.001  # one-way delay between two zones of a region
+REGION_SECONDS = {(0, 1): 0.008, (0, 2): 0.012, (1, 2): 0.015}  # one-way delays between two regions
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """A rack, with its zone and region."""
+    """The location of a head: its region, zone and rack."""
 
     region: int
     zone: int
@@ -20,18 +20,18 @@
 
 
 def place_of_rack(rack: int) -> Place:
-    """Return the place of a rack; racks are spread over zones, and zones over regions, in order."""
+    """Return the place of a rack; racks are distributed over zones, and zones over regions, in order."""
     zone = rack * ZONES // RACKS
     return Place(zone * REGIONS // ZONES, zone, rack)
 
 
 def spread(names: Iterable[str]) -> dict[str, Place]:
-    """Give each head a rack in turn, so that each rack has a thirtieth of them."""
+    """Assign heads to racks in turn, so that each of the 30 racks has an equal share."""
     return {name: place_of_rack(index % RACKS) for index, name in enumerate(names)}
 
 
 def spread_voters(names: Iterable[str]) -> dict[str, Place]:
-    """Give each voter a rack of its own, two voters to a region at most (of five)."""
+    """Assign each voter to its own rack; of five voters, at most two are in the same region."""
     per_region = RACKS // REGIONS
     return {
         name: place_of_rack((index % REGIONS) * per_region + index // REGIONS)
@@ -40,7 +40,7 @@
 
 
 def one_way_seconds(sender: Place, receiver: Place) -> float:
-    """Return how long a message takes from one place to another."""
+    """Return the one-way delay between two places in seconds."""
     if sender.region != receiver.region:
         low, high = sorted((sender.region, receiver.region))
         return REGION_SECONDS[low, high]
--- a/stoatrouter/lab/hollow/tables.py
+++ b/stoatrouter/lab/hollow/tables.py
@@ -1,8 +1,8 @@
 """Rule tables of hollow heads: each set of files is compiled once for each process, not once for each head.
 
-A real head compiles each set beside its requests. A hundred hollow heads in one process would compile the
-same set a hundred times over one interpreter lock, so they use one result. What one head spends on
-compiling an edit is therefore to be measured at real heads.
+A real head compiles each set while it serves requests. A hundred hollow heads in one process would compile
+the same set a hundred times under one interpreter lock, so they share the result. The cost of compiling an
+edit on one head must therefore be measured on real heads.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 from stoatrouter.net.tables import CompiledTable, TableService
 
-MAX_CACHED = 8  # compiled sets; beyond, the oldest is evicted and compiled again when it is needed
+MAX_CACHED = 8  # compiled sets; the oldest is evicted first and compiled again if it is needed
 
 
-class CompiledOnce:
+class SharedTableCache:
     """The cache of compiled tables of all hollow heads in one process."""
 
     def __init__(self, service: TableService) -> None:
-        """Compile by a service that a real head would have for itself."""
+        """Create a cache that compiles with one table service, of which a real head has its own."""
         self.service = service
-        self.compiled = 0  # sets of files, for reports
+        self.compiled = 0  # number of compiled sets of files, for reports
         self.compilations: dict[str, asyncio.Task[CompiledTable]] = {}  # by digest
 
     async def compile(self, path: Path) -> CompiledTable:
-        """Compile a set of files, whose folder is named by its digest; raises SettingsError."""
+        """Compile files in a folder named by their digest, or reuse the result; raises SettingsError."""
         digest = path.parent.name
         if digest not in self.compilations:
             if len(self.compilations) >= MAX_CACHED:
@@ -38,15 +38,15 @@
 
 @dataclass(slots=True)
 class HollowTables:
-    """One hollow head's tables, as the history of rules needs them (net/tables.py)."""
+    """The tables of one hollow head, with the interface that the history of rules uses (net/tables.py)."""
 
-    compiled_once: CompiledOnce
+    cache: SharedTableCache
     managed: bool = False
     in_force: CompiledTable | None = field(default=None, repr=False)
 
     async def compile(self, path: Path) -> CompiledTable:
         """Compile a table of other files without putting it in force; raises SettingsError."""
-        return await self.compiled_once.compile(path)
+        return await self.cache.compile(path)
 
     def put(self, compiled: CompiledTable) -> None:
         """Put a compiled table in force."""
--- a/stoatrouter/lab/hollow/worker.py
+++ b/stoatrouter/lab/hollow/worker.py
@@ -1,8 +1,8 @@
-"""One process of hollow heads: runs the launcher's commands, line by line, and reports on each of its heads.
+"""A worker process of hollow heads: runs the commands of the launcher and reports on its heads.
 
     python -m stoatrouter.lab.hollow.worker SPEC.json
 
-It ends when its standard input ends, and with the process that started it.
+It exits when its standard input is closed or when the process that started it ends.
 """
 
 from __future__ import annotations
@@ -44,29 +44,29 @@
 from stoatrouter.peering.settings import load_heads
 
 PR_SET_PDEATHSIG = 1
-GC_THRESHOLDS = (10_000, 20, 20)  # as a real head has them (stoatrouter/__main__.py)
-LAG_INTERVAL = 0.1  # seconds
-LATE_AFTER = 0.1  # seconds; a wake that is later counts as late
-UNITS = (1, 4)  # of a request, at least and at most
+GC_THRESHOLDS = (10_000, 20, 20)  # as in a real head (stoatrouter/__main__.py)
+LAG_INTERVAL = 0.1  # seconds between measurements of the lag
+LATE_AFTER = 0.1  # seconds; a wake-up with a longer delay counts as late
+UNITS = (1, 4)  # minimum and maximum units of a request
 
 
 @dataclass(slots=True)
 class LoopLag:
-    """How late the event loop woke since the last report."""
+    """Delays of the wake-ups of the event loop since the last report."""
 
     wakes: int = 0
     late_wakes: int = 0
     longest: float = 0.0  # seconds
 
     def add(self, seconds: float) -> None:
-        """Count one wake."""
+        """Add the delay of one wake-up."""
         self.wakes += 1
         self.late_wakes += seconds > LATE_AFTER
         self.longest = max(self.longest, seconds)
 
     @property
     def late_fraction(self) -> float:
-        """The late ones among the wakes."""
+        """The fraction of late wake-ups."""
         return self.late_wakes / self.wakes if self.wakes else 0.0
 
 
@@ -74,10 +74,10 @@
     """The hollow heads of this process."""
 
     def __init__(self, spec: WorkerSpec) -> None:
-        """Read the files that the specification names, and make the heads; none is started yet.
+        """Read the files named in the specification, and create the heads without starting them.
 
         Raises:
-            ConfigError: A file is missing or wrong.
+            ConfigError: A file is missing or invalid.
         """
         environ = {"NODE_CONFIG": spec.config_file, "STOATROUTER_HEADS": spec.heads_file}
         conf = config.read(environ | {"STOATROUTER_HTTP": spec.http_file or ""}, {})
@@ -88,20 +88,18 @@
             {address: name for name, address in spec.addresses.items()},
             frozenset(spec.real),
         )
-        self.surroundings = SharedResources(conf, http, self.network, spec.watches)
+        self.shared = SharedResources(conf, http, self.network, spec.watches)
         peers = tuple(spec.addresses.values())
         self.heads = {
-            name: HollowHead(
-                name, settings_of_head(common, name, spec.addresses[name], peers), self.surroundings
-            )
+            name: HollowHead(name, settings_of_head(common, name, spec.addresses[name], peers), self.shared)
             for name in spec.names
         }
-        self.spending: list[asyncio.Task[None]] = []
+        self.spend_tasks: list[asyncio.Task[None]] = []
         self.lag = LoopLag()
 
     # -- commands -----------------------------------------------------------------------------------------
     async def run_command(self, command: Command) -> None:
-        """Run one command; a failure of one head is that head's alone, and in its report."""
+        """Run one command; if a head fails to start, its report contains the reason."""
         match command:
             case Start():
                 await self.start(command.names, command.concurrency)
@@ -114,34 +112,34 @@
             case Spend():
                 self.spend(command)
             case Report():
-                pass  # the reply is the report
+                pass  # every reply contains the report
 
     async def start(self, names: tuple[str, ...], concurrency: int) -> None:
-        """Start heads, so many at a time; returns when all run or died."""
-        gate = asyncio.Semaphore(concurrency)
+        """Start heads, at most `concurrency` at a time; returns when all are running or died."""
+        semaphore = asyncio.Semaphore(concurrency)
 
         async def start(head: HollowHead) -> None:
-            async with gate:
+            async with semaphore:
                 try:
                     await head.start()
-                except Exception as error:  # noqa: BLE001 - it is that head's, and named in its report
+                except Exception as error:  # noqa: BLE001 - affects one head and is in its report
                     if head.lifecycle not in (Lifecycle.DIED, Lifecycle.DOWN):
-                        head.die(f"{type(error).__name__}: {error}")
+                        head.mark_died(f"{type(error).__name__}: {error}")
 
         await asyncio.gather(*(asyncio.create_task(start(self.heads[name])) for name in names))
 
     def spend(self, command: Spend) -> None:
-        """Begin to make requests at each head, in place of those of an earlier command."""
-        for task in self.spending:
+        """Start making requests at each head, and stop those of an earlier command."""
+        for task in self.spend_tasks:
             task.cancel()
-        self.spending = []
+        self.spend_tasks = []
         if command.rate > 0:
-            self.spending = [
+            self.spend_tasks = [
                 asyncio.create_task(self.spend_at_head(head, command)) for head in self.heads.values()
             ]
 
     async def spend_at_head(self, head: HollowHead, command: Spend) -> None:
-        """Make one head's requests, at times drawn from the seed."""
+        """Make the requests of one head, at times drawn from the seed."""
         rng = random.Random(f"spend/{command.seed}/{head.name}")
         number = 0
         while True:
@@ -156,7 +154,7 @@
             served = await head.spend(id, volume, units)
             with logger.contextualize(**{HEAD_FIELD: head.name}):
                 logger.info(
-                    "hollow: a request is {served}",
+                    "hollow head: request served: {served}",
                     event="hollow.request",
                     id=id,
                     volume=volume,
@@ -167,8 +165,8 @@
 
     # -- reports ------------------------------------------------------------------------------------------
     def reply(self, number: int, error: str = "") -> Reply:
-        """Report on all heads, each by name, whatever became of it; the lag is counted anew."""
-        tables = self.surroundings.tables
+        """Create a reply with a report on all heads, whatever their state, and reset the lag."""
+        tables = self.shared.tables
         lag, self.lag = self.lag, LoopLag()
         return Reply(
             number=number,
@@ -183,14 +181,14 @@
         )
 
     async def watch_lag(self) -> None:
-        """Measure how late this loop wakes: where it is late, its heads are not at their real cadence."""
+        """Measure the delay of wake-ups of the event loop: if it is late, so are the timers of heads."""
         while True:
             due = time.monotonic() + LAG_INTERVAL
             await asyncio.sleep(LAG_INTERVAL)
             self.lag.add(time.monotonic() - due)
 
     async def serve(self) -> None:
-        """Run commands until there are no more; several may run at once."""
+        """Run commands until the input is closed; several may run concurrently."""
         reader = asyncio.StreamReader(MAX_LINE)
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -207,18 +205,18 @@
         error = ""
         try:
             await self.run_command(command.command)
-        except Exception as fault:  # noqa: BLE001 - passed on to the launcher
-            error = f"{type(fault).__name__}: {fault}"
+        except Exception as failure:  # noqa: BLE001 - reported to the launcher
+            error = f"{type(failure).__name__}: {failure}"
         sys.stdout.buffer.write(msgspec.json.encode(self.reply(command.number, error)) + b"\n")
         sys.stdout.buffer.flush()
 
 
 def report_of(head: HollowHead) -> HeadReport:
-    """Report on one head; one that does not run has no more than its name, state and counts of requests."""
+    """Report on one head; if it is not active, only its name, state, reason and request counts."""
     lifecycle = head.lifecycle.value
     if head.heads is None or not head.is_active():
         return HeadReport(head.name, lifecycle, head.death_reason, served=head.served, rejected=head.rejected)
-    status = HeadCalls(head.heads.fleet).status()  # as an operator sees it
+    status = HeadCalls(head.heads.fleet).status()  # the status that operators see
     rules = head.heads.rules
     statuses = list(status.seen.values())
     return HeadReport(
@@ -238,12 +236,12 @@
 
 
 def end_with_parent() -> None:
-    """End this process with the one that started it, also when that one is killed (prctl(2))."""
+    """Let the kernel kill this process when its parent ends, even if the parent is killed (prctl(2))."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 async def run(spec: WorkerSpec) -> None:
-    """Run the launcher's commands until it closes this process's input."""
+    """Run commands of the launcher until it closes the input of this process."""
     worker = Worker(spec)
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
@@ -251,9 +249,9 @@
 
 
 def main() -> None:
-    """Run the worker whose specification the first argument names."""
+    """Run the worker with the specification file given as the first argument."""
     end_with_parent()
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C reaches the whole group; the launcher ends this
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C signals the whole group; the launcher ends this
     spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=WorkerSpec)
     with Path(spec.log_file).open("a") as log:
         write_events(log)
--- a/stoatrouter/lab/standins.py
+++ b/stoatrouter/lab/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for tests, benchmarks and the demo: storage nodes in memory, and discovery."""
+"""Stand-ins on loopback for tests, benchmarks and the demo: in-memory storage nodes and discovery."""
 
 from __future__ import annotations
 
@@ -17,38 +17,38 @@
 ANY_PORT = 0
 PIECE = re.compile(r"/[^/]+/([0-9a-fA-F]{16}/[0-9a-fA-F]{16})")
 MAX_BODY = 40 * 1024 * 1024  # bytes
-MAX_STORED = 256 * 1024 * 1024  # bytes in all; beyond, a write is rejected as a full node rejects it
+MAX_STORED = 256 * 1024 * 1024  # bytes in a node; a write beyond this is rejected as by a full node
 MAX_HOLD = timedelta(seconds=60)
-SERVICE_SECONDS = (0.004, 0.02)  # of a request, at least and at most
-CLOSE_TIMEOUT = 0.1  # seconds that connections have to end
+SERVICE_SECONDS = (0.004, 0.02)  # minimum and maximum service time of a request
+CLOSE_TIMEOUT = 0.1  # seconds for open connections to finish
 
 RequestHandler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 @dataclass(slots=True)
 class StandInNode:
-    """A storage node in memory, with slots, a queue, and service times drawn from a seed."""
+    """An in-memory storage node with a fixed number of slots, a bounded queue and seeded service times."""
 
     name: str
     shard: int
     seed: int
     slots: int = 4
     queue: int = 16
-    stored: dict[str, bytes] = field(default_factory=dict)  # bodies by path, or by piece
+    stored: dict[str, bytes] = field(default_factory=dict)  # bodies by path, or by key of an object's piece
     waiting: int = 0  # requests in a slot or in the queue
-    size: int = 0  # bytes stored
+    size: int = 0  # stored bytes
     served: int = 0
     port: int = 0
     free_slots: asyncio.Semaphore = field(init=False)
     rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        """Free all slots, and seed the service times by the node's name."""
+        """Create the semaphore of the slots, and seed the service times with the name of the node."""
         self.free_slots = asyncio.Semaphore(self.slots)
         self.rng = random.Random(f"{self.seed}/{self.name}")
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request of the nodes' protocol, or a load probe."""
+        """Serve one request of the node protocol, or a load probe."""
         if request.raw_path == "/load":
             return web.Response(text=self.load())
         if "Req-Id" not in request.headers:
@@ -65,7 +65,7 @@
             self.waiting -= 1
 
     def answer(self, request: web.BaseRequest, body: bytes) -> web.Response:
-        """Store or return a body; where nothing is stored, 404, or an empty body for pieces of objects."""
+        """Store or return a body; a missing one is a 404, or an empty body for a piece of an object."""
         path = request.raw_path.partition("?")[0]
         piece = PIECE.fullmatch(path)
         key = piece[1] if piece is not None else path
@@ -81,11 +81,11 @@
         return web.Response(body=found or b"", headers=headers)
 
     def load(self) -> str:
-        """Return the load report, as nodes send it in Srv-Load."""
+        """Return the load report in the format of the Srv-Load header."""
         return f"util={min(1.0, self.waiting / self.slots):.2f},inflight={self.waiting}"
 
     def entry(self) -> dict[str, object]:
-        """Return the node's entry in discovery's list."""
+        """Return the entry of the node in the list of discovery."""
         return {
             "instanceId": self.name,
             "hostPort": f"{HOST}:{self.port}",
@@ -98,25 +98,25 @@
         }
 
 
-class Listed(Protocol):
-    """A node that discovery lists."""
+class ListedNode(Protocol):
+    """A node that discovery can list."""
 
     def entry(self) -> dict[str, object]:
-        """Return the node's entry in the list."""
+        """Return the entry of the node in the list."""
         ...
 
 
 class StandInDiscovery:
-    """Discovery: the full list, and watches that are held until it changes."""
+    """A discovery service that returns the full list and holds watches until the list changes."""
 
-    def __init__(self, nodes: Sequence[Listed]) -> None:
-        """List these nodes, as generation 1."""
+    def __init__(self, nodes: Sequence[ListedNode]) -> None:
+        """Serve a list of these nodes, starting at generation 1."""
         self.nodes = nodes
         self.generation = 1
         self.changed = asyncio.Event()
 
     def full_list(self) -> dict[str, object]:
-        """Return the full list as discovery's message."""
+        """Return the full list as a discovery message."""
         return {
             "generation": self.generation,
             "reset": True,
@@ -124,7 +124,7 @@
         }
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a call with the full list; a watch is held until the list changes or its time is over."""
+        """Answer with the full list; a watch of the current list is held until a change or its timeout."""
         if "from" in request.query and request.query["from"] == str(self.generation):
             hold = min(MAX_HOLD, timedelta(milliseconds=int(request.query.get("hold_ms", "0"))))
             try:
@@ -136,35 +136,35 @@
 
 
 async def read_body(request: web.BaseRequest) -> bytes:
-    """Read a body.
+    """Read a request body.
 
     Raises:
-        RequestPayloadError: It is larger than MAX_BODY; aiohttp closes the connection then.
+        RequestPayloadError: The body is larger than MAX_BODY; aiohttp then closes the connection.
     """
     body = bytearray()
     async for chunk in request.content.iter_any():
         body += chunk
         if len(body) > MAX_BODY:
-            raise web.RequestPayloadError("a body over the bound")
+            raise web.RequestPayloadError("request body is too large")
     return bytes(body)
 
 
 class StandInServers:
-    """Servers of stand-ins on free ports of loopback."""
+    """HTTP servers of stand-ins on free loopback ports."""
 
     def __init__(self) -> None:
-        """Begin without a server."""
+        """Create an empty set of servers."""
         self.servers: list[tuple[asyncio.Server, web.Server]] = []
 
     async def serve(self, handler: RequestHandler) -> int:
-        """Serve a handler on a free port of loopback; returns the port."""
+        """Start a server for a handler on a free loopback port; returns the port."""
         server = web.Server(handler, access_log=None)
         listener = await asyncio.get_running_loop().create_server(server, HOST, ANY_PORT)
         self.servers.append((listener, server))
         return int(listener.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
-        """Close all listening sockets and connections."""
+        """Close all listening sockets and open connections."""
         for listener, server in self.servers:
             listener.close()
             await server.shutdown(CLOSE_TIMEOUT)
--- a/tests/heads/test_histories.py
+++ b/tests/heads/test_histories.py
@@ -132,7 +132,7 @@
 
 def test_a_whole_history_is_found_whole():
     assert check_history(WHOLE) == []
-    assert describe([]) == "all promises are kept"
+    assert describe([]) == "no violations found"
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
         ([{"what": "contents", "at": 0, "digests": {"a": "x", "b": "y"}}], {}, "different contents"),
         ([{"what": "restored", "at": 0, "undone": 2, "before": "x", "now": "y"}], {}, "did not restore"),
         ([DOWN], {"a": [seen("suspect")]}, "did not see"),
-        ([{"what": "calm", "at": 0.0, "until": 9.0}], {"a": [seen("failed")]}, "calm times"),
+        ([{"what": "calm", "at": 0.0, "until": 9.0}], {"a": [seen("failed")]}, "while there was no fault"),
     ],
 )
 def test_each_checker_fails_on_its_fault(lines, logs, words):
@@ -281,7 +281,7 @@
 )
 def test_the_judge_knows_whose_a_volume_may_have_been(lines, words):
     wrong = describe(check_history(History([BEHIND, *lines], {})))
-    assert words in wrong if words else wrong == "all promises are kept"
+    assert words in wrong if words else wrong == "no violations found"
 
 
 @pytest.mark.parametrize("seed", [3, 4])
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -82,11 +82,10 @@
     conf = config.read(files, {})
     common = load_heads(folder / "heads.cue", conf)
     network = Network({}, {address: name for name, address in addresses.items()})
-    surroundings = SharedResources(conf, load_http(folder / "http.cue"), network, watches=False)
+    shared = SharedResources(conf, load_http(folder / "http.cue"), network, watches=False)
     peers = tuple(addresses.values())
     heads = [
-        HollowHead(name, settings_of_head(common, name, addresses[name], peers), surroundings)
-        for name in names
+        HollowHead(name, settings_of_head(common, name, addresses[name], peers), shared) for name in names
     ]
     try:
         await asyncio.gather(*(asyncio.create_task(head.start()) for head in heads))
