--- a/stoatrouter/lab/hollow/network.py
+++ b/stoatrouter/lab/hollow/network.py
@@ -59,8 +59,8 @@
         if self.partition.cuts(sender, receiver):
             self.dropped += 1
             return None
-        here, there = self.places.get(sender), self.places.get(receiver)
-        return 0.0 if here is None or there is None else one_way_seconds(here, there)
+        origin, target = self.places.get(sender), self.places.get(receiver)
+        return 0.0 if origin is None or target is None else one_way_seconds(origin, target)
 
     def name_of(self, address: Address) -> str:
         """Return the name of the head at a datagram address; empty if there is none."""
@@ -138,18 +138,18 @@
         return reply
 
     async def _request_delayed(self, name: str, kind: str, body: bytes, timeout: timedelta) -> Reply:
-        there = self.network.one_way(self.name, name)
-        if there is None:
+        request_delay = self.network.one_way(self.name, name)
+        if request_delay is None:
             await asyncio.sleep(min(timeout, CONNECT_TIMEOUT).total_seconds())
             raise PeerUnreachable(f"{name}: cut off by the partition")
-        if there:
-            await asyncio.sleep(there)
+        if request_delay:
+            await asyncio.sleep(request_delay)
         reply = await self.send(name, kind, body, timeout)
-        back = self.network.one_way(name, self.name)
-        if back is None:
+        response_delay = self.network.one_way(name, self.name)
+        if response_delay is None:
             raise PeerUnreachable(f"{name}: cut off by the partition")
-        if back:
-            await asyncio.sleep(back)
+        if response_delay:
+            await asyncio.sleep(response_delay)
         return reply
 
 
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -241,9 +241,9 @@
 async def counts_of(fleet: CapacityFleet) -> tuple[dict[str, int], dict[str, dict[str, int]]]:
     """What the real follower and the hollow ones have counted."""
     real = next(head for head in fleet.real if head.name not in fleet.real.voters)
-    census = await fleet.hollow.report()
-    assert not census.died, census.summary()
-    return (await real.status())["counts"], {report.name: report.counts for report in census.running}
+    fleet_report = await fleet.hollow.report()
+    assert not fleet_report.died, fleet_report.summary()
+    return (await real.status())["counts"], {report.name: report.counts for report in fleet_report.running}
 
 
 def test_a_hollow_head_counts_what_a_real_one_does(tmp_path):
@@ -326,8 +326,8 @@
 
 
 def test_a_head_without_a_report_counts_as_dead():
-    census = FleetReport(("a", "b"))
-    assert set(census.died) == {"a", "b"} and census.lifecycles["died"] == 2
+    fleet_report = FleetReport(("a", "b"))
+    assert set(fleet_report.died) == {"a", "b"} and fleet_report.lifecycles["died"] == 2
 
 
 # -- sizes and ends -----------------------------------------------------------------------------------------
