--- a/tests/test_attempt_times.py
+++ b/tests/test_attempt_times.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stoatrouter.lab.histories.requests import Effect, RequestClass, Terms, examine
+from stoatrouter.lab.histories.requests import Effect, Guarantees, RequestClass, check_requests
 from stoatrouter.net.tracked_request import TrackedRequest
 from tests.stall_story import REQUESTS, Held, play_stalls
 
@@ -15,7 +15,7 @@
 LONG_STALL = 0.8  # seconds, longer than the repeat window
 EXACT_SLACK = 0.05  # seconds, as documented
 BUSY_SLACK = 0.4  # seconds, for a whole program on a busy machine
-TERMS = Terms(
+TERMS = Guarantees(
     {"note": RequestClass(Effect.IDEMPOTENT, 0.5), "look": RequestClass(Effect.SAFE)},
     {"a": 0, "b": 0},
     drain_grace=0.5,
@@ -81,7 +81,7 @@
     ],
 )
 def test_only_a_record_of_a_write_in_time_shows_that_a_node_read_late(lines, late_side):
-    verdict = examine([SENT, ANSWERED, *lines], TERMS)
+    verdict = check_requests([SENT, ANSWERED, *lines], TERMS)
     assert len(verdict.violations) == (late_side == "head")
     assert len(verdict.read_late) == (late_side == "node")
     # the text names the time at the node
@@ -99,7 +99,7 @@
         written("a", 0.2),
         *others,
     ]
-    violations = examine(lines, TERMS).violations
+    violations = check_requests(lines, TERMS).violations
     assert len(violations) == 1
     assert "before its head began to write it" in violations[0]
 
@@ -115,7 +115,7 @@
     without = [line for line in lines if line["what"] != "written"]
     attempts = sum(line["what"] == "attempt" for line in lines)
     assert attempts == len(lines) - len(without) >= REQUESTS  # each attempt has a record
-    return examine(lines, terms), examine(without, terms)
+    return check_requests(lines, terms), check_requests(without, terms)
 
 
 # Guards against a false violation from a stall that is shorter than the slack or that the head allows for.
