--- a/tests/node_stories.py
+++ b/tests/node_stories.py
@@ -1,6 +1,6 @@
-"""Stories of events for two schedulers side by side: the shipped one, and one whose nodes are found by walks.
+"""Random events for two schedulers side by side: one with the node index, one that scans all nodes.
 
-Both get the same events at the same times; whatever one of them does otherwise is an error.
+Both get the same events at the same times; it is an error if their actions differ.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 from stoatrouter.policy.handover import hand_over, take_over
 from stoatrouter.policy.node_index import NodeIndex
 
-MS, SECOND = 1_000, 1_000_000
+MS = 1_000  # microseconds
+SECOND = 1_000_000  # microseconds
 START = 1_000 * SECOND
 COLD_TIME = 6 * SECOND
 CLASSES = (
@@ -59,8 +60,8 @@
 )
 
 
-class WalkedNodes(NodeIndex):
-    """The plain way that the index has to equal: all nodes are walked each time, nothing is remembered."""
+class ScannedNodes(NodeIndex):
+    """The reference for the index: scans all nodes each time and keeps no state."""
 
     def listed(self) -> int:
         return sum(node.phase is not api.Phase.GONE for node in self.values())
@@ -84,27 +85,29 @@
     def least_loaded(
         self, now: int, capacity_fraction: Callable[[Any, int], float], draw: float
     ) -> Any | None:
-        scores = {node: self.load(node) / capacity_fraction(node, now) for node in self.values() if on(node)}
+        scores = {
+            node: self.load(node) / capacity_fraction(node, now) for node in self.values() if is_on(node)
+        }
         equal = [node for node, score in scores.items() if score == min(scores.values())]
         return equal[int(draw * len(equal))] if equal else None
 
 
-def on(node: Any) -> bool:
+def is_on(node: Any) -> bool:
     return node.phase is api.Phase.ON
 
 
-class Differs(AssertionError):
-    """The two schedulers acted otherwise."""
+class ActionsDiffer(AssertionError):
+    """The two schedulers returned different actions."""
 
 
 @dataclass
-class Story:
-    """One run of events, drawn from a seed."""
+class Scenario:
+    """One sequence of events, drawn from a seed."""
 
     seed: int
     index: type[NodeIndex] = NodeIndex
     count: int = 24
-    any_node: float = 0.3  # what part of the requests is for new data, which any node takes
+    new_data_fraction: float = 0.3  # part of the requests that is for new data, which any node may take
     now: int = START
     queue: list[tuple[int, int, api.Event]] = field(default_factory=list)
     sends: int = 0
@@ -114,95 +117,99 @@
         self.random = random.Random(f"story/{self.seed}")
         self.numbers = itertools.count()
         self.attempts: dict[str, int] = {}
-        self.entries = [self.fresh(i) for i in range(self.count)]
-        self.schedulers = self.made()
-        self.tell(api.EndpointList(api.ListKind.RESTORED, tuple(self.entries)))
+        self.entries = [self.new_entry(i) for i in range(self.count)]
+        self.schedulers = self.new_schedulers()
+        self.deliver(api.EndpointList(api.ListKind.RESTORED, tuple(self.entries)))
 
-    def made(self) -> list[Scheduler]:
-        found = []
-        for table in (self.index, WalkedNodes):
+    def new_schedulers(self) -> list[Scheduler]:
+        schedulers = []
+        for table in (self.index, ScannedNodes):
             scheduler = Scheduler(SETTINGS, self.seed)
             scheduler.state.nodes = table(COLD_TIME, methodcaller("load"))
-            found.append(scheduler)
-        return found
+            schedulers.append(scheduler)
+        return schedulers
 
-    def fresh(self, i: int, up_since: int = 0) -> api.NodeEntry:
+    def new_entry(self, i: int, up_since: int = 0) -> api.NodeEntry:
         return api.NodeEntry(f"n{i}", i % max(1, self.count // 3), i % 2, up_since=up_since)
 
-    def tell(self, event: api.Event) -> None:
-        """Give an event to both; raises Differs where their actions are not equal."""
-        shipped, walked = (list(s.handle(self.now, event)) for s in self.schedulers)
-        if shipped != walked:
-            raise Differs(f"seed {self.seed} at {self.now - START}: {event}: {shipped}, by walks {walked}")
-        self.kinds |= {type(action) for action in shipped}
-        for action in shipped:
-            self.follow(action)
-
-    def follow(self, action: api.Action) -> None:
-        """What comes of an action, later."""
+    def deliver(self, event: api.Event) -> None:
+        """Deliver an event to both schedulers; raises ActionsDiffer if their actions are not equal."""
+        indexed, scanned = (list(s.handle(self.now, event)) for s in self.schedulers)
+        if indexed != scanned:
+            raise ActionsDiffer(
+                f"seed {self.seed} at {self.now - START}: {event}: {indexed}, by scans {scanned}"
+            )
+        self.kinds |= {type(action) for action in indexed}
+        for action in indexed:
+            self.schedule_result(action)
+
+    def schedule_result(self, action: api.Action) -> None:
+        """Schedule the event that an action leads to."""
         match action:
             case api.SetTimer():
-                self.later(action.after, api.TimerFired(action.token))
+                self.schedule(action.after, api.TimerFired(action.token))
             case api.Send():
                 self.sends += 1
                 attempt = self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
-                self.later(*self.outcome(action, attempt))
+                self.schedule(*self.random_outcome(action, attempt))
             case api.CheckHealth():
                 load = {"queue": float(self.random.randrange(20))}
-                self.later(20 * MS, api.HealthCheckEnded(action.node, api.Outcome.OK, 20 * MS, load))
+                self.schedule(20 * MS, api.HealthCheckEnded(action.node, api.Outcome.OK, 20 * MS, load))
 
-    def outcome(self, send: api.Send, attempt: int) -> tuple[int, api.Event]:
+    def random_outcome(self, send: api.Send, attempt: int) -> tuple[int, api.Event]:
+        """Return how long an attempt takes and the event that ends it."""
         outcomes = list(api.Outcome)
         weights = [2, 80, 6, 4, 3, 2, 0, 1, 2]
         (outcome,) = self.random.choices(outcomes, weights)
-        longest = 900 if self.random.random() < 0.1 else 60
-        took = self.random.randrange(2, longest) * MS
+        max_latency = 900 if self.random.random() < 0.1 else 60  # milliseconds
+        latency = self.random.randrange(2, max_latency) * MS
         ended = api.AttemptEnded(
-            send.request, attempt, send.node, outcome, took, outcome is api.Outcome.OK, units_by_others=0.1
+            send.request, attempt, send.node, outcome, latency, outcome is api.Outcome.OK, units_by_others=0.1
         )
-        return took, ended
+        return latency, ended
 
-    def later(self, after: int, event: api.Event) -> None:
+    def schedule(self, after: int, event: api.Event) -> None:
         heapq.heappush(self.queue, (self.now + max(0, after), next(self.numbers), event))
 
-    # -- what happens -------------------------------------------------------------------------------------
-    def play(self, steps: int) -> Story:
+    # -- random events ------------------------------------------------------------------------------------
+    def run(self, steps: int) -> Scenario:
         for _ in range(steps):
-            self.pass_time(self.random.randrange(1, 60) * MS)
-            self.happen()
+            self.advance(self.random.randrange(1, 60) * MS)
+            self.random_event()
         return self
 
-    def pass_time(self, span: int) -> None:
+    def advance(self, span: int) -> None:
         until = self.now + span
         while self.queue and self.queue[0][0] <= until:
             at, _, event = heapq.heappop(self.queue)
             self.now = max(self.now, at)
-            self.tell(event)
+            self.deliver(event)
         self.now = until
 
-    def happen(self) -> None:
+    def random_event(self) -> None:
         draw = self.random.random()
         if draw < 0.85:
             for _ in range(self.random.choice((1, 1, 2, 6))):
-                self.tell(self.request())
+                self.deliver(self.random_request())
         elif draw < 0.95:
-            self.change()
+            self.change_nodes()
         elif draw < 0.96:
             self.queue = [(at + SECOND, number, event) for at, number, event in self.queue]
-            self.now += SECOND  # the process stood still
+            self.now += SECOND  # the process did not run
         elif draw < 0.97:
-            self.pass_time(9 * SECOND)  # nothing is asked for: nodes come to rest
+            self.advance(9 * SECOND)  # without requests, so that nodes become idle
         elif draw < 0.98:
-            self.next_process()
+            self.hand_over_to_next_process()
         elif draw < 0.99:
-            self.tell(api.EndpointList(api.ListKind.UNAVAILABLE))
+            self.deliver(api.EndpointList(api.ListKind.UNAVAILABLE))
         else:
             gone = self.random.choice(sorted(self.attempts) or ["r0"])
-            self.tell(api.ClientGone(gone))
+            self.deliver(api.ClientGone(gone))
 
-    def request(self) -> api.RequestArrived:
+    def random_request(self) -> api.RequestArrived:
         number = next(self.numbers)
-        shard = -1 if self.random.random() < self.any_node else self.random.randrange(max(1, self.count // 3))
+        is_new_data = self.random.random() < self.new_data_fraction
+        shard = -1 if is_new_data else self.random.randrange(max(1, self.count // 3))
         return api.RequestArrived(
             f"r{number}",
             f"v{self.random.randrange(6)}",
@@ -215,37 +222,38 @@
             write=self.random.random() < 0.2,
         )
 
-    def change(self) -> None:
-        """Nodes drain, go, come back cold, or join; told as changes or as a whole list."""
+    def change_nodes(self) -> None:
+        """Let nodes drain, go, come back cold or join; delivered as changes or as a full list."""
         for _ in range(self.random.choice((1, 1, 3))):
             i = self.random.randrange(len(self.entries))
             entry = self.entries[i]
             draw = self.random.random()
             if draw < 0.3:
-                self.entries[i] = replaced(entry, phase=api.Phase.DRAINING)
+                self.entries[i] = with_fields(entry, phase=api.Phase.DRAINING)
             elif draw < 0.5:
-                self.entries[i] = replaced(entry, phase=api.Phase.GONE)
+                self.entries[i] = with_fields(entry, phase=api.Phase.GONE)
             elif draw < 0.9:
-                self.entries[i] = replaced(entry, phase=api.Phase.ON, up_since=self.now)
+                self.entries[i] = with_fields(entry, phase=api.Phase.ON, up_since=self.now)
             else:
-                self.entries.append(self.fresh(len(self.entries), self.now))
+                self.entries.append(self.new_entry(len(self.entries), self.now))
         if self.random.random() < 0.3:
-            there = tuple(e for e in self.entries if e.phase is not api.Phase.GONE)
-            self.tell(api.EndpointList(api.ListKind.FULL, there))
+            present = tuple(e for e in self.entries if e.phase is not api.Phase.GONE)
+            self.deliver(api.EndpointList(api.ListKind.FULL, present))
         else:
-            self.tell(api.EndpointList(api.ListKind.CHANGES, tuple(self.entries)))
-
-    def next_process(self) -> None:
-        """Both hand over to a next process, which goes on with new requests only."""
-        known = [hand_over(scheduler, self.now) for scheduler in self.schedulers]
-        self.schedulers = self.made()
-        self.queue, self.attempts = [], {}
-        there = tuple(e for e in self.entries if e.phase is not api.Phase.GONE)
-        self.tell(api.EndpointList(api.ListKind.RESTORED, there))
-        for scheduler, data in zip(self.schedulers, known, strict=True):
+            self.deliver(api.EndpointList(api.ListKind.CHANGES, tuple(self.entries)))
+
+    def hand_over_to_next_process(self) -> None:
+        """Hand both over to a next process, which continues with new requests only."""
+        states = [hand_over(scheduler, self.now) for scheduler in self.schedulers]
+        self.schedulers = self.new_schedulers()
+        self.queue = []
+        self.attempts = {}
+        present = tuple(e for e in self.entries if e.phase is not api.Phase.GONE)
+        self.deliver(api.EndpointList(api.ListKind.RESTORED, present))
+        for scheduler, data in zip(self.schedulers, states, strict=True):
             take_over(scheduler, data)
 
 
-def replaced(entry: api.NodeEntry, **fields: Any) -> api.NodeEntry:
-    known = {"phase": entry.phase, "up_since": entry.up_since} | fields
-    return api.NodeEntry(entry.node, entry.shard, entry.zone, **known)
+def with_fields(entry: api.NodeEntry, **fields: Any) -> api.NodeEntry:
+    changed = {"phase": entry.phase, "up_since": entry.up_since} | fields
+    return api.NodeEntry(entry.node, entry.shard, entry.zone, **changed)
--- a/tests/test_node_control.py
+++ b/tests/test_node_control.py
@@ -1,4 +1,4 @@
-"""What is known of a node: average of protected reads, controller, throttleable volumes, window."""
+"""Tests of per-node control: read latency average, delay controller, throttleable volumes and window."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 def test_step_is_zero_at_or_below_the_threshold():
     for reads in (0.0, THRESHOLD / 2, THRESHOLD):
         node = busy_node(reads)
-        node.controller_output, node.delay_step = 9.0, 9
+        node.controller_output = 9.0
+        node.delay_step = 9
         node.update_delay_step(0)
         assert node.delay_step == 0
 
@@ -37,7 +38,7 @@
 
 def test_no_delay_on_old_averages_and_a_step_kept_while_answers_are_seconds_apart():
     node = busy_node(1.5 * THRESHOLD)
-    node.in_flight.clear()  # an answer a second ago, nothing out
+    node.in_flight.clear()  # the last answer came a second ago, nothing is in flight
     for _ in range(30):
         node.update_delay_step(1 * SECOND)
     assert node.delay_step > 0
@@ -48,7 +49,8 @@
 def test_averages_follow_time_where_answers_are_few():
     driver = SchedulerDriver(hosts=200)
     node = driver.scheduler.nodes["n1"]
-    node.latency, node.read_latency = 900.0 * MS, 900.0 * MS
+    node.latency = 900.0 * MS
+    node.read_latency = 900.0 * MS
     for i in range(3):
         driver.wait(3500 * MS)
         driver.request(f"r{i}")
@@ -61,7 +63,8 @@
 def test_a_node_not_heard_from_is_neutral_again():
     driver = SchedulerDriver(hosts=200)
     node = driver.scheduler.nodes["n1"]
-    node.latency, node.window = 900.0 * MS, 20.0
+    node.latency = 900.0 * MS
+    node.window = 20.0
     driver.wait(5 * SECOND)
     assert node.latency < 100 * MS and node.window == 1.0
 
@@ -138,35 +141,41 @@
 
 
 def test_a_window_shrinks_once_others_stand_before_a_request_and_long_before_its_objective():
-    """A few hosts with windows of three each keep a node's queue at half the tightest aim, and none of their
-    answers took a quarter of it while it built up: on the second deployment answers took 84 of 150 ms."""
-    for took, shrinks in ((30 * MS, False), (45 * MS, True), (60 * MS, True)):
+    """Guards against a few hosts that keep a node's queue long with small windows.
+
+    Windows of three each kept the queue at half of the tightest latency objective, and no answer took a
+    quarter of it while the queue built up: on the second deployment answers took 84 of 150 ms.
+    """
+    for latency, shrinks in ((30 * MS, False), (45 * MS, True), (60 * MS, True)):
         driver = SchedulerDriver()
         node = driver.scheduler.nodes["n1"]
         before = node.window
         driver.request("r")
-        driver.wait(took)
+        driver.wait(latency)
         driver.end("r")
         assert (node.window < before) == shrinks
 
 
 def test_with_many_hosts_each_answer_counts_as_it_is():
-    """There a host hears of a node every few seconds; one slow answer is the news that it is slow now."""
+    """With many hosts, each gets an answer of a node every few seconds: one slow answer is current news."""
     driver = SchedulerDriver(hosts=200)
     node = driver.scheduler.nodes["n1"]
-    for took in (60 * MS, 1900 * MS):  # neither slow, nor bounded
+    for latency in (60 * MS, 1900 * MS):  # the first is not slow; the second counts without a bound
         driver.wait(7 * SECOND)
         before = node.window
-        driver.request(f"r{took}")
-        driver.wait(took)
-        driver.end(f"r{took}")
-        assert (node.window < before) == (took > 62 * MS)
+        driver.request(f"r{latency}")
+        driver.wait(latency)
+        driver.end(f"r{latency}")
+        assert (node.window < before) == (latency > 62 * MS)
     assert node.read_latency > 800 * MS
 
 
 def test_one_long_read_makes_no_later_read_late():
-    """Some requests are ten to thirty times the usual work. With one of them whole in the average, all that
-    came after it was late as it came: next to nothing was sent, and nothing brought the average down."""
+    """Guards against one long request that stops the traffic to its node.
+
+    Some requests are ten to thirty times the usual work. With the whole latency of one in the average, every
+    later request counted as late on arrival: hardly any were sent, so nothing brought the average down.
+    """
     driver = SchedulerDriver()
     node = driver.scheduler.nodes["n1"]
     for i in range(5):
@@ -185,7 +194,7 @@
 def test_what_is_late_anyway_takes_no_room_from_others():
     driver = SchedulerDriver()
     node = driver.scheduler.nodes["n1"]
-    node.read_latency = 300.0 * MS  # no read can make its aim
+    node.read_latency = 300.0 * MS  # no read can meet its objective
     driver.request("r0")
     driver.request("r1")
     assert len(driver.sends()) == 1
@@ -196,7 +205,8 @@
 def test_what_is_late_anyway_waits_while_the_node_is_pressed_and_goes_when_it_is_not():
     driver = SchedulerDriver()
     node = driver.scheduler.nodes["n1"]
-    node.read_latency, node.window_cut_at = 300.0 * MS, driver.now + 100 * MS
+    node.read_latency = 300.0 * MS
+    node.window_cut_at = driver.now + 100 * MS
     driver.request("r0")
     assert not driver.sends()
     driver.wait(1200 * MS)
@@ -232,19 +242,17 @@
 
 
 def test_a_jam_drains_as_time_outs_and_refusals_lengthen_the_pace_of_many_hosts():
+    def time_out_old_attempts(driver: SchedulerDriver) -> None:
+        for name, _, _, sent_at in list(driver.open_sends):
+            if driver.now - sent_at >= 2 * SECOND:
+                driver.end(name, Outcome.TIMEOUT)
+
     sent = 0
-    for me in range(20):  # a node that answers nobody in time and refuses some, as with its queue full
-        driver = SchedulerDriver(hosts=200, host_index=me, seed=me)
+    for host_index in range(20):  # a node that answers nothing in time, as with its queue full
+        driver = SchedulerDriver(hosts=200, host_index=host_index, seed=host_index)
         for i in range(100):
             driver.request(f"r{i}", left=2 * SECOND)
-            driver.wait(
-                200 * MS,
-                lambda h: [
-                    h.end(n, Outcome.TIMEOUT)
-                    for n, _, _, at in list(h.open_sends)
-                    if h.now - at >= 2 * SECOND
-                ],
-            )
+            driver.wait(200 * MS, time_out_old_attempts)
         sent += len([t for t, _ in driver.sends() if t > driver.now - 10 * SECOND])
     assert sent / 20 <= 3
 
@@ -265,8 +273,8 @@
 def test_subscribes_again_after_a_failure_where_the_list_must_be_asked_for():
     driver = SchedulerDriver(must_subscribe=True)
     driver.wait(100 * MS)
-    asked = [t for t, a in driver.log if isinstance(a, api.Subscribe)]
-    assert len(asked) == 1
+    subscribed = [t for t, a in driver.log if isinstance(a, api.Subscribe)]
+    assert len(subscribed) == 1
     driver.listed(kind=api.ListKind.UNAVAILABLE)
     driver.wait(3 * SECOND)
     assert len([t for t, a in driver.log if isinstance(a, api.Subscribe)]) >= 2
@@ -277,11 +285,16 @@
 
 
 def test_what_later_attempts_have_overtaken_holds_no_place_and_is_no_jam():
+    def end_answered(driver: SchedulerDriver) -> None:
+        for name in ("a", "b"):
+            if any(send[0] == name for send in driver.open_sends):
+                driver.end(name)
+
     driver = SchedulerDriver()
     node = driver.scheduler.nodes["n1"]
     node.window = 2.0
     driver.request("gone", left=1 * SECOND)
-    for i in range(8):  # the node goes on answering others
+    for i in range(8):  # the node keeps answering other requests
         driver.request(f"r{i}")
         driver.wait(30 * MS)
         driver.end(f"r{i}")
@@ -289,7 +302,7 @@
     driver.request("b")
     assert len(node.in_flight) == 3
     window = node.window
-    driver.wait(600 * MS, lambda h: [h.end(n) for n in ("a", "b") if any(s[0] == n for s in h.open_sends)])
+    driver.wait(600 * MS, end_answered)
     driver.end("gone", Outcome.TIMEOUT)
     assert node.window >= window
 
@@ -297,7 +310,8 @@
 def test_an_attempt_out_far_longer_than_answers_take_holds_no_place():
     driver = SchedulerDriver()
     node = driver.scheduler.nodes["n1"]
-    node.window, node.latency = 1.0, 20.0 * MS
+    node.window = 1.0
+    node.latency = 20.0 * MS
     driver.request("gone", left=2 * SECOND)
     driver.request("next", left=2 * SECOND)
     assert not driver.sends("next")
--- a/tests/test_node_index.py
+++ b/tests/test_node_index.py
@@ -1,4 +1,4 @@
-"""The index of nodes decides as walks over all nodes do, and looks at few of them."""
+"""Tests that the node index decides as scans of all nodes do, and looks at few of them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stoatrouter.policy.node import Node
 from stoatrouter.policy.node_index import IndexedNode, NodeIndex, RecentKeys
 from stoatrouter.policy.slow_start import SlowStart
-from tests.node_stories import MS, SECOND, START, Differs, Story
+from tests.node_stories import MS, SECOND, START, ActionsDiffer, Scenario
 
 SEEDS = range(1, 13)
 
@@ -18,26 +18,28 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_every_action_is_that_of_walks_over_all_nodes(seed):
     print("seed", seed)
-    story = Story(seed, any_node=random.Random(seed).choice((0.0, 0.3, 1.0))).play(600)
-    assert story.sends > 300 and {api.Send, api.Reject, api.SetTimer} <= story.kinds
+    scenario = Scenario(seed, new_data_fraction=random.Random(seed).choice((0.0, 0.3, 1.0))).run(600)
+    assert scenario.sends > 300 and {api.Send, api.Reject, api.SetTimer} <= scenario.kinds
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
 def test_a_fleet_that_restarts_as_one_is_ranked_as_by_walks(seed):
     print("seed", seed)
-    story = Story(seed, any_node=1.0)
+    scenario = Scenario(seed, new_data_fraction=1.0)
     for _ in range(4):
-        story.entries = [story.fresh(i, story.now - 5 * MS * (i % 7)) for i in range(story.count)]
-        story.tell(api.EndpointList(api.ListKind.FULL, tuple(story.entries)))
+        scenario.entries = [
+            scenario.new_entry(i, scenario.now - 5 * MS * (i % 7)) for i in range(scenario.count)
+        ]
+        scenario.deliver(api.EndpointList(api.ListKind.FULL, tuple(scenario.entries)))
         for _ in range(120):
-            story.pass_time(story.random.randrange(1, 120) * MS)
-            story.tell(story.request())
-    assert story.sends > 100
+            scenario.advance(scenario.random.randrange(1, 120) * MS)
+            scenario.deliver(scenario.random_request())
+    assert scenario.sends > 100
 
 
 # -- mutants ----------------------------------------------------------------------------------------------
 class ForgetsPhases(NodeIndex):
-    """A node that drains or goes keeps its rank."""
+    """Keeps the rank of a node that drains or goes."""
 
     def note_phase(self, node):
         super().note_phase(node)
@@ -45,14 +47,14 @@
 
 
 class SleepsThrough(NodeIndex):
-    """A node at rest is not read again once its news is old."""
+    """Never reads an idle node again once its readings are old."""
 
     def mark_idle(self, node, now, until):
         self.to_update.discard(node)
 
 
 class KeepsRanks(NodeIndex):
-    """What changes a load is not heard of."""
+    """Never ranks a node again when its load changes."""
 
     def _update_ranking(self, now):
         self._pass_on_changes()
@@ -61,7 +63,7 @@
 
 
 class ForgetsWriters(NodeIndex):
-    """The throttleable set of a node is made anew only while requests come to it."""
+    """Rebuilds the throttleable set of a node only while requests come to it."""
 
     def writers(self):
         found = super().writers()
@@ -70,14 +72,14 @@
 
 
 class CountsTheGone(NodeIndex):
-    """Nodes that are gone count as listed."""
+    """Counts nodes that are gone as listed."""
 
     def listed(self):
         return len(self)
 
 
 class RanksAllAsWarm(NodeIndex):
-    """That a node is cold is not heard of."""
+    """Ranks cold nodes as warm ones."""
 
     def _rank(self, node, now):
         super()._rank(node, node.up_since + self.warm_up_time)
@@ -87,106 +89,102 @@
     "mutant", [ForgetsPhases, SleepsThrough, KeepsRanks, ForgetsWriters, CountsTheGone, RanksAllAsWarm]
 )
 def test_a_broken_index_is_caught(mutant):
-    with pytest.raises(Differs):
+    with pytest.raises(ActionsDiffer):
         for seed in range(1, 41):
-            Story(seed, mutant).play(600)
+            Scenario(seed, mutant).run(600)
 
 
-# -- what is looked at ------------------------------------------------------------------------------------
+# -- nodes looked at -------------------------------------------------------------------------------------
 class CountingNode(Node):
-    """Counts readings, loads taken and looks at whether a node takes work."""
+    """Counts updates of the delay step, readings of the load and checks whether a node accepts requests."""
 
-    looks = 0
+    lookups = 0
 
     def update_delay_step(self, now):
-        type(self).looks += 1
+        type(self).lookups += 1
         super().update_delay_step(now)
 
     def accepts(self, now):
-        type(self).looks += 1
+        type(self).lookups += 1
         return super().accepts(now)
 
     def load(self):
-        type(self).looks += 1
+        type(self).lookups += 1
         return super().load()
 
 
 class CountingSlowStart(SlowStart):
-    """Counts looks at how warm a node is."""
+    """Counts readings of how warm a node is."""
 
-    looks = 0
+    lookups = 0
 
     def capacity_fraction(self, node, at):
-        type(self).looks += 1
+        type(self).lookups += 1
         return super().capacity_fraction(node, at)
 
 
-def looks_for(count: int, monkeypatch) -> int:
-    """How many looks at nodes the same 400 requests take with so many nodes listed, three to a shard."""
+def count_node_lookups(count: int, monkeypatch) -> int:
+    """Return how often nodes are looked at for the same 400 requests with `count` nodes, three to a shard."""
     monkeypatch.setattr("stoatrouter.policy.state.Node", CountingNode)
     monkeypatch.setattr("stoatrouter.policy.scheduler.SlowStart", CountingSlowStart)
-    story = Story(7, any_node=0.5)
-    story.entries = [api.NodeEntry(f"n{i}", i // 3) for i in range(count)]
-    story.tell(api.EndpointList(api.ListKind.FULL, tuple(story.entries)))
-    story.schedulers = story.schedulers[:1] * 2  # the shipped one alone
-    scheduler = story.schedulers[0]
-    story.pass_time(6 * SECOND)  # all come to rest
-    scheduler.nodes.least_loaded(
-        story.now, scheduler.slow_start.capacity_fraction, 0.0
-    )  # each is ranked once
-    CountingNode.looks = CountingSlowStart.looks = 0
-    now = story.now
+    scenario = Scenario(7, new_data_fraction=0.5)
+    scenario.entries = [api.NodeEntry(f"n{i}", i // 3) for i in range(count)]
+    scenario.deliver(api.EndpointList(api.ListKind.FULL, tuple(scenario.entries)))
+    scenario.schedulers = scenario.schedulers[:1] * 2  # the real index alone
+    scheduler = scenario.schedulers[0]
+    scenario.advance(6 * SECOND)  # all nodes become idle
+    # ranks each node once
+    scheduler.nodes.least_loaded(scenario.now, scheduler.slow_start.capacity_fraction, 0.0)
+    CountingNode.lookups = 0
+    CountingSlowStart.lookups = 0
+    now = scenario.now
     for number in range(400):
         shard = -1 if number % 2 else number % 8
-        sent = [
-            action
-            for action in scheduler.handle(
-                now, api.RequestArrived(f"q{number}", "v1", 0, 0, shard, 2 * SECOND)
-            )
-            if isinstance(action, api.Send)
-        ]
+        request = api.RequestArrived(f"q{number}", "v1", 0, 0, shard, 2 * SECOND)
+        actions = scheduler.handle(now, request)
+        sends = [action for action in actions if isinstance(action, api.Send)]
         now += 10 * MS
-        for send in sent:
+        for send in sends:
             ended = api.AttemptEnded(send.request, 0, send.node, api.Outcome.OK, 10 * MS, True)
             scheduler.handle(now, ended)
         if number % 10 == 9:
             scheduler.handle(now, api.TimerFired(0))
-    return CountingNode.looks + CountingSlowStart.looks
+    return CountingNode.lookups + CountingSlowStart.lookups
 
 
 def test_nodes_looked_at_for_a_request_do_not_grow_with_the_list(monkeypatch):
-    few, many = (looks_for(count, monkeypatch) for count in (400, 2_400))
+    few, many = (count_node_lookups(count, monkeypatch) for count in (400, 2_400))
     print(few, many)
     assert few > 400 and many < 1.05 * few, (few, many)
 
 
 def test_a_node_at_rest_is_not_read(monkeypatch):
     monkeypatch.setattr("stoatrouter.policy.state.Node", CountingNode)
-    story = Story(3, count=300)
-    story.pass_time(8 * SECOND)
-    scheduler = story.schedulers[0]
-    CountingNode.looks = 0
+    scenario = Scenario(3, count=300)
+    scenario.advance(8 * SECOND)
+    scheduler = scenario.schedulers[0]
+    CountingNode.lookups = 0
     for _ in range(50):
-        story.now += 100 * MS
-        scheduler.handle(story.now, api.TimerFired(0))
-    assert CountingNode.looks == 0
+        scenario.now += 100 * MS
+        scheduler.handle(scenario.now, api.TimerFired(0))
+    assert CountingNode.lookups == 0
 
 
 def test_nodes_that_went_are_forgotten_and_found_nowhere():
-    story = Story(5)
-    story.entries = story.entries[:2]
-    story.tell(api.EndpointList(api.ListKind.FULL, tuple(story.entries)))
-    index = story.schedulers[0].nodes
+    scenario = Scenario(5)
+    scenario.entries = scenario.entries[:2]
+    scenario.deliver(api.EndpointList(api.ListKind.FULL, tuple(scenario.entries)))
+    index = scenario.schedulers[0].nodes
     assert len(index) == 24 and index.listed() == 2
-    story.pass_time(80 * SECOND)
-    index.least_loaded(story.now, story.schedulers[0].slow_start.capacity_fraction, 0.5)
+    scenario.advance(80 * SECOND)
+    index.least_loaded(scenario.now, scenario.schedulers[0].slow_start.capacity_fraction, 0.5)
     for table in (index, index.numbered, index.ranked, index.ranks):
         assert len(table) == 2
     assert sum(map(len, index.shards.values())) == 2 and not index.gone and not index.to_update
 
 
 def test_a_start_ahead_of_this_clock_is_held_once_however_often_the_node_is_ranked():
-    """Guards memory: each placement added an entry until this clock had passed the start."""
+    """Guards against memory growth: each ranking added an entry until this clock had passed the start."""
     index = NodeIndex(6 * SECOND, lambda node: 1.0)
     node = index["n0"] = IndexedNode(api.NodeEntry("n0", 0, up_since=START + 3600 * SECOND))
     for i in range(100):
@@ -201,16 +199,19 @@
     index = NodeIndex(6 * SECOND, lambda node: 1.0)
     for i in range(4):
         index[f"n{i}"] = IndexedNode(api.NodeEntry(f"n{i}", i))
-    draws = [(i + 0.5) / 400 for i in range(400)]
-    found = [index.least_loaded(START, lambda node, at: 1.0, draw).id for draw in draws]
+    uniform = [(i + 0.5) / 400 for i in range(400)]
+    found = [index.least_loaded(START, lambda node, at: 1.0, draw).id for draw in uniform]
     assert {name: found.count(name) for name in set(found)} == {f"n{i}": 100 for i in range(4)}
 
 
 def test_recent_keys_are_those_that_a_walk_finds():
-    draws, recent, times, now = random.Random(4), RecentKeys(SECOND), {}, START
+    generator = random.Random(4)
+    recent = RecentKeys(SECOND)
+    times = {}  # of each key's latest use
+    now = START
     for _ in range(2_000):
-        now += draws.randrange(60 * MS)
-        key = draws.randrange(40)
+        now += generator.randrange(60 * MS)
+        key = generator.randrange(40)
         recent.note(key, now)
         times[key] = now
         assert recent.count(now) == sum(now - at <= SECOND for at in times.values())
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Stories of bad nodes, told byte by byte: only a whole answer that belongs to its request is served."""
+"""Tests of faulty nodes at byte level: only a complete answer that belongs to its request is served."""
 
 from __future__ import annotations
 
@@ -18,14 +18,16 @@
 from tests.platform_client import attempt
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
-REST = timedelta(milliseconds=100)
+STALL_TIMEOUT = timedelta(milliseconds=100)  # ends an answer that stops coming
 
 
-class Script:
-    """A node that sends these bytes, one entry for each request, and keeps its connections."""
+class ScriptedNode:
+    """A node that sends the given bytes, one entry for each request, and keeps its connections open."""
 
     def __init__(self, *answers: bytes | tuple[bytes, bytes]) -> None:
-        self.answers, self.connections, self.more = deque(answers), 0, asyncio.Event()
+        self.answers = deque(answers)
+        self.connections = 0
+        self.may_send_rest = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -36,12 +38,12 @@
                 first, later = answer if isinstance(answer, tuple) else (answer, b"")
                 writer.write(first)
                 if later:
-                    await self.more.wait()
+                    await self.may_send_rest.wait()
                     writer.write(later)
         writer.close()
 
 
-async def rested() -> None:
+async def wait_until_reusable() -> None:
     """Wait until idle connections may be used again."""
     await asyncio.sleep(2 * REUSE_AFTER.total_seconds())
 
@@ -52,9 +54,11 @@
 
 
 @contextlib.asynccontextmanager
-async def client_of(script: Script, most: int = 16):
-    server = await asyncio.start_server(script.serve, HOST, 0)
-    nodes = NodeClient(timedelta(milliseconds=250), timedelta(seconds=30), most, stall_timeout=REST)
+async def client_of(node: ScriptedNode, max_connections: int = 16):
+    server = await asyncio.start_server(node.serve, HOST, 0)
+    nodes = NodeClient(
+        timedelta(milliseconds=250), timedelta(seconds=30), max_connections, stall_timeout=STALL_TIMEOUT
+    )
     effect = attempt(address_of(server), timeout=timedelta(seconds=20))
     async with server:
         yield nodes, effect
@@ -84,16 +88,16 @@
     ],
 )
 def test_a_spoilt_answer_may_have_run_and_its_connection_is_of_no_more_use(answer):
-    """None is waited for until the client's deadline, none is served, none costs the next request."""
+    """Such an answer is not served, not awaited until the client's deadline, not seen by the next request."""
 
-    async def story():
-        script = Script(answer, OK + b"good")
-        async with client_of(script) as (nodes, effect):
+    async def scenario():
+        node = ScriptedNode(answer, OK + b"good")
+        async with client_of(node) as (nodes, effect):
             assert (await nodes.attempt(effect)).outcome in (Outcome.RESET, Outcome.ERROR)
             assert (await nodes.attempt(effect)).body == b"good"
-            assert script.connections == 2
+            assert node.connections == 2
 
-    run(story(), limit=10)
+    run(scenario(), limit=10)
 
 
 @pytest.mark.parametrize(
@@ -105,86 +109,87 @@
     ],
 )
 def test_a_good_answer_is_served_and_its_connection_kept(answer):
-    async def story():
-        script = Script(answer, OK + b"good")
-        async with client_of(script) as (nodes, effect):
+    async def scenario():
+        node = ScriptedNode(answer, OK + b"good")
+        async with client_of(node) as (nodes, effect):
             reply = await nodes.attempt(effect)
             assert (reply.body, reply.load, reply.units_by_others) == (b"body", None, 0.0)
-            assert all(
-                not c.head and not c.stall_timer for c in nodes.session.connector.alive
-            )  # nothing is kept
-            await rested()
+            # connections hold no state of the answer any more
+            assert all(not c.head and not c.stall_timer for c in nodes.session.connector.alive)
+            await wait_until_reusable()
             assert (await nodes.attempt(effect)).body == b"good"
-            assert script.connections == 1
+            assert node.connections == 1
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("more", [b"noise", OK + b"body", OK + b"bo", b"HTTP/1.1 20", b"\r\n\r\n"])
 @pytest.mark.parametrize("later", [False, True])
 def test_bytes_behind_an_answer_are_nobodys(more, later):
-    """In one segment with the answer or after it: the answer counts, the connection is not used again."""
+    """Surplus bytes, in one segment with the answer or after it: it is served, its connection closed."""
 
-    async def story():
-        script = Script((OK + b"body", more) if later else OK + b"body" + more, OK + b"good")
-        async with client_of(script) as (nodes, effect):
+    async def scenario():
+        node = ScriptedNode((OK + b"body", more) if later else OK + b"body" + more, OK + b"good")
+        async with client_of(node) as (nodes, effect):
             assert (await nodes.attempt(effect)).body == b"body"
-            script.more.set()
-            if later:  # they wait in the socket, where this loop has not yet read them
+            node.may_send_rest.set()
+            if later:  # the bytes are in the socket's buffer; this event loop has not read them yet
                 (connection,) = nodes.session.connector.alive
                 await until(lambda: connection._unread() or not connection.is_connected())
             assert (await nodes.attempt(effect)).body == b"good"
-            assert script.connections == 2
+            assert node.connections == 2
 
-    run(story())
+    run(scenario())
 
 
 def test_an_answer_far_over_what_the_protocol_promises_is_served_whole_and_in_pieces():
-    """Nodes in service send up to 400 KiB; refusing them lost every fourth read of a day."""
+    """Production nodes send answers of up to 400 KiB; refusing those lost a quarter of a day's reads."""
 
-    async def story():
+    async def scenario():
         body = bytes(range(256)) * 1600
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
-        script = Script((head + body[:200_000], body[200_000:]), OK + b"good")
-        async with client_of(script) as (nodes, effect):
-            script.more.set()
+        node = ScriptedNode((head + body[:200_000], body[200_000:]), OK + b"good")
+        async with client_of(node) as (nodes, effect):
+            node.may_send_rest.set()
             assert await (await nodes.attempt(effect)).stream.read_complete(len(body)) == body
-            await rested()
+            await wait_until_reusable()
             assert (await nodes.attempt(effect)).body == b"good"
-            assert script.connections == 1
+            assert node.connections == 1
 
-    run(story())
+    run(scenario())
 
 
 def test_idle_connections_count_among_those_that_may_be_held():
-    async def story():
-        scripts = [Script(OK + b"body", OK + b"body") for _ in range(4)]
+    async def scenario():
+        scripted_nodes = [ScriptedNode(OK + b"body", OK + b"body") for _ in range(4)]
         nodes = NodeClient(timedelta(milliseconds=250), timedelta(seconds=30), 2)
         async with contextlib.AsyncExitStack() as stack:
-            for script in scripts:
-                server = await stack.enter_async_context(await asyncio.start_server(script.serve, HOST, 0))
+            for scripted_node in scripted_nodes:
+                server = await asyncio.start_server(scripted_node.serve, HOST, 0)
+                await stack.enter_async_context(server)
                 assert (await nodes.attempt(attempt(address_of(server)))).outcome is Outcome.OK
                 await until(lambda: len(nodes.session.connector.alive) <= 2)
             await nodes.close()
 
-    run(story())
+    run(scenario())
 
 
 def test_how_long_idle_connections_are_used_follows_what_becomes_of_them(monkeypatch):
-    """A path that drops idle connections without a word costs a reset for each that is used again."""
+    """A network path that drops idle connections silently costs a reset for each one that is reused."""
 
-    async def story():
-        script = Script(OK + b"body", OK + b"good", OK + b"last")
-        async with client_of(script) as (nodes, effect):
-            pool, now = nodes.session.connector, 0.0
+    async def scenario():
+        node = ScriptedNode(OK + b"body", OK + b"good", OK + b"last")
+        async with client_of(node) as (nodes, effect):
+            pool = nodes.session.connector
+            now = 0.0
             monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: now)
             assert (await nodes.attempt(effect)).body == b"body"
             now = 1.0
-            pool.record_break(idle=0.5)  # another one
+            pool.record_break(idle=0.5)  # of another connection
             assert pool.max_reuse_idle < 0.5
-            assert (await nodes.attempt(effect)).body == b"good" and script.connections == 2
+            assert (await nodes.attempt(effect)).body == b"good" and node.connections == 2
             now = 1.0 + pool.max_reuse_idle * 0.9
-            assert (await nodes.attempt(effect)).body == b"last" and script.connections == 2
+            assert (await nodes.attempt(effect)).body == b"last" and node.connections == 2
             assert 0.4 < pool.max_reuse_idle < 0.5
             for _ in range(100):
                 pool.record_success(idle=pool.max_reuse_idle)
@@ -193,138 +198,144 @@
                 pool.record_break(idle=10.0)
             assert pool.max_reuse_idle >= 0.05
 
-    run(story())
+    run(scenario())
 
 
 # -- an answer that belongs to another request -------------------------------------------------------------
-# What happened: a node wrote an answer a second time after the next request had gone out on the connection,
-# and that request's client was given it, another caller's data; its own answer went to the one after it, and
-# so on. Answers name no request: all that tells them apart is what a connection brings, and when. So it rests
-# before it is used again, far longer once its node has sent too much, and a success that comes before its
-# request is written is no answer to it.
-def request_name(head: bytes) -> bytes:
-    """The id of a request that a node has got."""
+# These tests guard against serving one caller another caller's data. A node wrote an answer a second time
+# after the next request had gone out on the connection; that request's client was given the repeated answer,
+# its own answer went to the request after it, and so on. Answers do not name their request: only the bytes on
+# a connection and their times tell them apart. A connection therefore stays unused for a delay before it is
+# reused, a far longer one once its node has sent surplus bytes, and a success that arrives before its request
+# is written is not taken as the answer.
+def request_id(head: bytes) -> bytes:
+    """Return the id of a request that a node has received."""
     return head.split(b"Req-Id: ")[1].split(b"\r\n")[0]
 
 
 def answer_naming(name: bytes) -> bytes:
-    """An answer whose body is a request's id."""
+    """Return an answer whose body is a request's id."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(name) + name
 
 
-class Doubling:
-    """A node that writes its first answer again, on that connection, once it has the second request.
+class RepeatingNode:
+    """A node that repeats its first answer, on the same connection, once it has the second request.
 
-    It answers the second request after that, when told to.
+    It answers the second request itself once `own_answer` is set.
     """
 
     def __init__(self) -> None:
-        self.connections, self.answered, self.own_answer = 0, [], asyncio.Event()
-        self.first: asyncio.StreamWriter | None = None
+        self.connections = 0
+        self.answered = []  # ids of requests
+        self.own_answer = asyncio.Event()
+        self.first_writer: asyncio.StreamWriter | None = None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        self.first = self.first or writer
+        self.first_writer = self.first_writer or writer
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                name = request_name(await reader.readuntil(b"\r\n\r\n"))
+                name = request_id(await reader.readuntil(b"\r\n\r\n"))
                 if len(self.answered) == 1:
-                    self.first.write(answer_naming(self.answered[0]))
+                    self.first_writer.write(answer_naming(self.answered[0]))
                     await self.own_answer.wait()
                 self.answered.append(name)
                 writer.write(answer_naming(name))
         writer.close()
 
 
-def named(effect, name: str):
+def with_id(effect, name: str):
     return replace(effect, request=replace(effect.request, id=name))
 
 
-LONG, NONE = timedelta(hours=1), timedelta(0)
+NEVER_OVER = timedelta(hours=1)  # longer than any test
+NO_DELAY = timedelta(0)
 
 
-def let_rest(monkeypatch, span: timedelta, suspects: timedelta) -> None:
-    """Let connections rest for a span that is over at once, or never in a test."""
-    monkeypatch.setattr(rest_times, "REUSE_AFTER", span)
-    monkeypatch.setattr(rest_times, "SUSPECT_REUSE_AFTER", suspects)
+def set_reuse_delays(monkeypatch, delay: timedelta, suspect_delay: timedelta) -> None:
+    """Set how long connections stay unused, ordinary ones and those of nodes that sent surplus bytes."""
+    monkeypatch.setattr(rest_times, "REUSE_AFTER", delay)
+    monkeypatch.setattr(rest_times, "SUSPECT_REUSE_AFTER", suspect_delay)
 
 
 def test_an_answer_that_comes_again_within_the_rest_is_nobodys(monkeypatch):
-    async def story():
-        node = Doubling()
+    async def scenario():
+        node = RepeatingNode()
         node.own_answer.set()
         async with client_of(node) as (nodes, effect):
-            let_rest(monkeypatch, LONG, LONG)
-            assert (await nodes.attempt(named(effect, "first"))).body == b"first"
+            set_reuse_delays(monkeypatch, NEVER_OVER, NEVER_OVER)
+            assert (await nodes.attempt(with_id(effect, "first"))).body == b"first"
             (connection,) = nodes.session.connector.alive
-            assert (await nodes.attempt(named(effect, "second"))).body == b"second"
+            assert (await nodes.attempt(with_id(effect, "second"))).body == b"second"
             assert node.connections == 2
             await until(lambda: connection not in nodes.session.connector.alive)
-            let_rest(monkeypatch, LONG, NONE)
-            assert (await nodes.attempt(named(effect, "third"))).body == b"third"
+            set_reuse_delays(monkeypatch, NEVER_OVER, NO_DELAY)
+            assert (await nodes.attempt(with_id(effect, "third"))).body == b"third"
             assert node.connections == 2
 
-    run(story())
+    run(scenario())
 
 
 def test_an_answer_that_comes_again_ten_milliseconds_later_is_nobodys():
-    """Guards against the answer of another request: with a rest of 5 ms this one still was."""
+    """Guards against serving the answer of another request, as still happened with a reuse delay of 5 ms."""
 
-    async def story():
-        node = Doubling()
+    async def scenario():
+        node = RepeatingNode()
         node.own_answer.set()
         async with client_of(node) as (nodes, effect):
-            assert (await nodes.attempt(named(effect, "first"))).body == b"first"
+            assert (await nodes.attempt(with_id(effect, "first"))).body == b"first"
             (connection,) = nodes.session.connector.alive
-            connection.idle_since -= 0.01  # so much later
-            assert (await nodes.attempt(named(effect, "second"))).body == b"second"
+            connection.idle_since -= 0.01  # seconds: the repetition comes 10 ms after the answer
+            assert (await nodes.attempt(with_id(effect, "second"))).body == b"second"
 
-    run(story())
+    run(scenario())
 
 
 def test_what_cannot_be_told_apart_is_one_answer_and_its_node_is_known_afterwards(monkeypatch):
-    """The limit: it comes after the rest, between the next request and that one's own answer."""
+    """The limit of the guard: a repetition after the reuse delay, between the next request and its answer."""
 
-    async def story():
-        node = Doubling()
+    async def scenario():
+        node = RepeatingNode()
         async with client_of(node) as (nodes, effect):
-            let_rest(monkeypatch, NONE, LONG)
-            assert (await nodes.attempt(named(effect, "first"))).body == b"first"
-            assert (await nodes.attempt(named(effect, "second"))).body == b"first"  # another one's
+            set_reuse_delays(monkeypatch, NO_DELAY, NEVER_OVER)
+            assert (await nodes.attempt(with_id(effect, "first"))).body == b"first"
+            # the answer to another request
+            assert (await nodes.attempt(with_id(effect, "second"))).body == b"first"
             (connection,) = nodes.session.connector.alive
             node.own_answer.set()
-            # the second's own answer comes while the connection rests, which ends; the others rest long
+            # the second request's own answer comes in the reuse delay and ends the connection; the node's
+            # other connections get the long delay from then on
             await until(lambda: connection not in nodes.session.connector.alive)
             for number in range(5):
                 name = f"r{number}"
-                assert (await nodes.attempt(named(effect, name))).body == name.encode()
+                assert (await nodes.attempt(with_id(effect, name))).body == name.encode()
             assert node.connections == 6
-            let_rest(monkeypatch, LONG, NONE)
-            assert (await nodes.attempt(named(effect, "last"))).body == b"last"
+            set_reuse_delays(monkeypatch, NEVER_OVER, NO_DELAY)
+            assert (await nodes.attempt(with_id(effect, "last"))).body == b"last"
             assert node.connections == 6
 
-    run(story())
+    run(scenario())
 
 
 def test_a_connection_is_used_again_once_it_has_rested(monkeypatch):
-    async def story():
-        script = Script(*(OK + b"good" for _ in range(3)))
-        async with client_of(script) as (nodes, effect):
-            let_rest(monkeypatch, LONG, NONE)
+    async def scenario():
+        node = ScriptedNode(*(OK + b"good" for _ in range(3)))
+        async with client_of(node) as (nodes, effect):
+            set_reuse_delays(monkeypatch, NEVER_OVER, NO_DELAY)
             await nodes.attempt(effect)
             await nodes.attempt(effect)
-            assert script.connections == 2  # the first has not rested
-            let_rest(monkeypatch, NONE, LONG)
+            assert node.connections == 2  # the first one is still in its reuse delay
+            set_reuse_delays(monkeypatch, NO_DELAY, NEVER_OVER)
             await nodes.attempt(effect)
-            assert script.connections == 2
+            assert node.connections == 2
 
-    run(story())
+    run(scenario())
 
 
 def test_a_success_before_the_request_is_written_is_no_answer_to_it():
-    """The node has not read the body: what it sends is of an earlier request, or of nobody's."""
+    """The node has not read the body: what it sends answers an earlier request, or none."""
 
-    async def story():
+    async def scenario():
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 await reader.readuntil(b"\r\n\r\n")
@@ -333,12 +344,12 @@
                 await asyncio.sleep(5)
 
         server = await asyncio.start_server(serve, HOST, 0, limit=1024)
-        nodes = NodeClient(timedelta(milliseconds=250), timedelta(seconds=30), 4, stall_timeout=REST)
+        nodes = NodeClient(timedelta(milliseconds=250), timedelta(seconds=30), 4, stall_timeout=STALL_TIMEOUT)
         effect = attempt(address_of(server), timeout=timedelta(seconds=20))
         large = replace(effect.request, method="PUT", body=b"x" * 30_000_000)
         async with server:
             reply = await nodes.attempt(replace(effect, request=large))
-            assert reply.outcome is Outcome.CONNECT_FAILED  # it never got the request: it may be repeated
+            assert reply.outcome is Outcome.CONNECT_FAILED  # not received by the node: may be retried
             await nodes.close()
 
-    run(story())
+    run(scenario())
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself: started as the platform starts it, spoken to over sockets."""
+"""Tests of the program as a process, started as the platform starts it and called over sockets."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
 
 @contextlib.asynccontextmanager
 async def program(tmp_path: Path, *nodes: Node, objects: bool = False, environ: dict[str, str] | None = None):
-    """The program with these nodes in its list, ready to serve."""
+    """Run the program with these nodes in its endpoint list; it is ready to serve on entry."""
     async with nodes_up(*nodes), listening(Discovery().handle) as discovery:
-        port, object_port = free_port(), free_port()
+        port = free_port()
+        object_port = free_port()
         data = config_data(node_list(1, *(n.entry() for n in nodes)), discovery, port)
         (tmp_path / "config.json").write_text(json.dumps(data))
         more = (environ or {}) | {"NODE_DISCOVERY": data["discovery"]}
@@ -67,76 +68,74 @@
 
 
 def test_it_serves_and_an_asked_stop_loses_nothing(tmp_path):
-    async def story():
+    async def scenario():
         node = Node("a", 0)
         node.pieces[PATH.split("/", 2)[2]] = b"the score"
-        taken, go = asyncio.Event(), asyncio.Event()
+        node_has_request = asyncio.Event()
+        may_answer = asyncio.Event()
 
         async def hold(request):
             if request.headers["Req-Id"] == "held":
-                taken.set()
-                await go.wait()
+                node_has_request.set()
+                await may_answer.wait()
 
         node.gate = hold
         async with program(tmp_path, node) as (process, session, base, _):
             assert await read(session, base, "one") == (200, b"the score")
             held = asyncio.create_task(read(session, base, "held"))
-            await taken.wait()
+            await node_has_request.wait()
             send_signal(process, signal.SIGTERM)
-            # asked to stop, it goes on taking what still comes, on old connections and new ones
+            # it keeps accepting requests while it shuts down, on old connections and new ones
             assert await read(session, base, "two") == (200, b"the score")
             async with aiohttp.ClientSession() as fresh:
                 assert await read(fresh, base, "three") == (200, b"the score")
             assert process.returncode is None
-            go.set()
+            may_answer.set()
             assert await held == (200, b"the score")
             assert await process.wait() == 0
             assert set(node.ran.values()) == {1}
 
-    run(story())
+    run(scenario())
 
 
 def test_a_stopping_head_ends_idle_connections_and_not_only_its_ear_for_them(tmp_path):
-    """A connection that looks open but is read no more would swallow a request without any answer."""
+    """A connection that stays open but is no longer read would lose a request without any answer."""
 
-    async def story():
-        node, taken, go = Node("a", 0), asyncio.Event(), asyncio.Event()
+    async def scenario():
+        node = Node("a", 0)
+        node_has_request = asyncio.Event()
+        may_answer = asyncio.Event()
 
         async def hold(_):
-            taken.set()
-            await go.wait()
+            node_has_request.set()
+            await may_answer.wait()
 
         node.gate = hold
         async with program(tmp_path, node) as (process, session, base, _):
             reader, writer = await asyncio.open_connection(HOST, int(base.rpartition(":")[2]))
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
             await reader.readuntil(b"ok\n")
-            held = asyncio.create_task(
-                read(
-                    session,
-                    base,
-                    "held",
-                    PATH.replace("score-read", "stats-export"),
-                    **{"Req-Deadline-Ms": "6000"},
-                )
-            )
-            await taken.wait()
+            path = PATH.replace("score-read", "stats-export")
+            held = asyncio.create_task(read(session, base, "held", path, **{"Req-Deadline-Ms": "6000"}))
+            await node_has_request.wait()
             send_signal(process, signal.SIGTERM)
-            assert await reader.read() == b""  # ended, though an answer is still owed elsewhere
+            assert await reader.read() == b""  # closed, though another connection still awaits an answer
             assert not held.done()
             writer.close()
-            go.set()
+            may_answer.set()
             assert (await held)[0] == 200
             assert await process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
 def test_a_new_configuration_moves_discovery_and_a_bad_one_nothing(tmp_path):
-    """By default SIGHUP ends a process; the environment still names the old discovery."""
+    """By default SIGHUP ends a process. The environment variable still names the old discovery."""
 
-    async def story():
-        a, b, second = Node("a", 0), Node("b", 0), Discovery()
+    async def scenario():
+        a = Node("a", 0)
+        b = Node("b", 0)
+        second = Discovery()
         b.pieces[PATH.split("/", 2)[2]] = b"the other"
         async with (
             program(tmp_path, a) as (process, session, base, _),
@@ -153,7 +152,7 @@
             file.write_text(json.dumps(good | {"discovery": f"{HOST}:{port}"}))
             send_signal(process, signal.SIGHUP)
             await until(lambda: bool(second.calls))
-            assert "from=1&" in second.calls[0][1]  # the list that is held still counts
+            assert "from=1&" in second.calls[0][1]  # it continues from the list that it has
             second.script.put_nowait(node_list(2, b.entry()))
             await until(lambda: len(second.calls) == 2)
             assert await read(session, base, "two") == (200, b"the other")
@@ -161,50 +160,52 @@
             send_signal(process, signal.SIGTERM)
             assert await process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
 def test_a_hangup_before_the_program_can_take_it_is_kept():
-    held, before = HangupSignal(), signal.getsignal(signal.SIGHUP)
+    hangup = HangupSignal()
+    previous_handler = signal.getsignal(signal.SIGHUP)
     try:
-        held.install_handler()
+        hangup.install_handler()
         signal.raise_signal(signal.SIGHUP)
-        assert held.received
+        assert hangup.received
     finally:
-        signal.signal(signal.SIGHUP, before)
+        signal.signal(signal.SIGHUP, previous_handler)
 
 
 def test_a_stopping_head_serves_the_connections_it_has_for_as_long_as_it_can_answer(tmp_path):
-    """Its clients open no new ones: ending theirs at once would lose them all that is left of its time."""
+    """Its clients open no new connections: closing theirs at once would cost them the time that is left."""
 
-    async def story():
+    async def scenario():
         node = Node("a", 0)
         async with program(tmp_path, node) as (process, session, base, _):
             assert (await read(session, base, "r0"))[0] == 200
             send_signal(process, signal.SIGTERM)
-            began = asyncio.get_running_loop().time()
+            signalled_at = asyncio.get_running_loop().time()
             with contextlib.suppress(aiohttp.ClientConnectionError):
                 for i in range(1, 100):
                     status, _ = await read(session, base, f"r{i}")
                     assert status == 200
                     await asyncio.sleep(0.1)
-            assert asyncio.get_running_loop().time() - began > 2  # of the 3.7 s until it may be killed
+            # it may be killed 3.7 s after the signal
+            assert asyncio.get_running_loop().time() - signalled_at > 2
             assert await process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
 def test_the_object_front_is_off_unless_an_operator_sets_it_up(tmp_path):
-    async def story():
+    async def scenario():
         async with program(tmp_path, Node("a", 0)) as (_, session, _, objects):
             with pytest.raises(aiohttp.ClientConnectorError):
                 await session.get(objects + "/match-footage/o")
 
-    run(story())
+    run(scenario())
 
 
 def test_the_object_front_serves_by_the_operators_file(tmp_path):
-    async def story():
+    async def scenario():
         async with program(tmp_path, Node("a", 0), Node("b", 1), objects=True) as (process, session, _, base):
             body = os.urandom(200_000)
             async with session.put(base + "/match-footage/derby.mp4", data=body) as response:
@@ -216,7 +217,7 @@
             send_signal(process, signal.SIGTERM)
             assert await process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -224,24 +225,25 @@
     [(None, "NODE_CONFIG is not set"), ("no json", "cannot read"), ("{}", "bad configuration")],
 )
 def test_a_bad_configuration_ends_with_one_plain_line(tmp_path, text, word):
-    async def story():
-        environ = {k: v for k, v in os.environ.items() if k != "NODE_CONFIG"} | {"PYTHONPATH": str(ROOT)}
+    async def scenario():
+        environ = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
+        environ["PYTHONPATH"] = str(ROOT)
         if text is not None:
             (tmp_path / "config.json").write_text(text)
             environ["NODE_CONFIG"] = str(tmp_path / "config.json")
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "stoatrouter", cwd=tmp_path, env=environ, stderr=asyncio.subprocess.PIPE
         )
-        _, said = await process.communicate()
-        assert process.returncode == 2 and word in said.decode() and said.count(b"\n") == 1
+        _, stderr = await process.communicate()
+        assert process.returncode == 2 and word in stderr.decode() and stderr.count(b"\n") == 1
 
-    run(story())
+    run(scenario())
 
 
 def test_a_start_imports_nothing_of_a_front_that_is_off():
-    """A new version starts under load, on the core that the old one needs."""
+    """A new version starts under load, on the CPU core that the old one needs."""
 
-    async def story():
+    async def scenario():
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-B",
@@ -250,14 +252,14 @@
             cwd=ROOT,
             stdout=asyncio.subprocess.PIPE,
         )
-        said, _ = await process.communicate()
-        assert said == b"[]\n"
+        stdout, _ = await process.communicate()
+        assert stdout == b"[]\n"
 
-    run(story())
+    run(scenario())
 
 
 def test_a_start_on_the_platform_imports_nothing_that_its_build_does_not_install():
-    """Guards against heads that end at once on the platform: the tests' own environment has more packages."""
+    """Guards against heads that fail at start on the platform, where fewer packages are installed."""
     code = (
         "import sys\n"
         "class Absent:\n"
@@ -267,36 +269,33 @@
         "sys.meta_path.insert(0, Absent())\n"
         "import stoatrouter.__main__, stoatrouter.head, stoatrouter.policy.simhost\n"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert done.returncode == 0, done.stderr
+    completed = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+    assert completed.returncode == 0, completed.stderr
 
 
 def test_a_signal_swaps_the_rules_of_the_http_front(tmp_path):
-    async def story():
-        node, port = Node("a", 0), free_port()
+    async def scenario():
+        node = Node("a", 0)
+        port = free_port()
         rules = (ROOT / "deploy" / "http-rules.cue").read_text()
         settings = (ROOT / "deploy" / "http.cue").read_text().replace("8490", str(port))
         (tmp_path / "http.cue").write_text(settings)
         (tmp_path / "http-rules.cue").write_text(rules)
-        async with program(tmp_path, node, environ={"STOATROUTER_HTTP": str(tmp_path / "http.cue")}) as (
-            process,
-            session,
-            _,
-            _,
-        ):
+        environ = {"STOATROUTER_HTTP": str(tmp_path / "http.cue")}
+        async with program(tmp_path, node, environ=environ) as (process, session, _, _):
 
-            async def ask(path: str) -> int:
+            async def get_status(path: str) -> int:
                 async with session.get(f"http://{HOST}:{port}{path}") as response:
                     await response.read()
                     return response.status
 
-            assert [await ask("/feed/x"), await ask("/new/x")] == [200, 404]
+            assert [await get_status("/feed/x"), await get_status("/new/x")] == [200, 404]
             (tmp_path / "http-rules.cue").write_text(rules.replace("/feed/", "/new/"))
             send_signal(process, signal.SIGHUP)
-            while await ask("/new/x") != 200:
+            while await get_status("/new/x") != 200:
                 await asyncio.sleep(0.02)
-            assert await ask("/feed/x") == 404
+            assert await get_status("/feed/x") == 404
             send_signal(process, signal.SIGTERM)
             assert await process.wait() == 0
 
-    run(story())
+    run(scenario())
--- a/tests/test_rule_enforcement.py
+++ b/tests/test_rule_enforcement.py
@@ -1,4 +1,4 @@
-"""Each of the seven rules of a send is enforced; these tests fail where one is taken out."""
+"""Tests that each of the seven rules for sending is enforced; they fail where one is removed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     writes=True,
 )
 UNSAFE = api.RequestClass("unsafe", 3, 400 * MS, 5 * SECOND, 0.2, api.Effect.UNSAFE, writes=True)
-TURN = api.RequestClass("turn", 3, 400 * MS, 5 * SECOND, 0.2, ordered_by_key=True)
+ORDERED = api.RequestClass("turn", 3, 400 * MS, 5 * SECOND, 0.2, ordered_by_key=True)
 
 
 # 1 one final answer, in time -----------------------------------------------------------------------------
@@ -43,7 +43,7 @@
     for name, *_ in list(driver.open_sends):
         driver.end(name, Outcome.TIMEOUT)
     driver.wait(3 * SECOND)
-    assert len(driver.sends()) == sent, "something went out after its answer"
+    assert len(driver.sends()) == sent, "an attempt was sent after the request's final answer"
     assert all(len(driver.finals(f"r{i}")) == 1 for i in range(60))
 
 
@@ -104,7 +104,7 @@
     driver.request("r", left=5 * SECOND)
     driver.end("r", Outcome.RESET)
     driver.listed(api.NodeEntry("n1", 0, phase=Phase.GONE))
-    driver.wait(1100 * MS)  # the shard's next node comes when the window is over
+    driver.wait(1100 * MS)  # the shard's next node is listed once the retry window is over
     driver.listed(api.NodeEntry("n2", 0))
     driver.wait(5 * SECOND)
     assert len(driver.sends("r")) == 1 and driver.finals("r") == [api.Fail("r")]
@@ -161,13 +161,18 @@
 
 # 4 cold nodes --------------------------------------------------------------------------------------------
 def test_a_cold_node_gets_at_most_this_hosts_part_in_every_window():
-    start, hosts, units, fall, cold, warm_up_from = 100 * SECOND, 4, 40.0, 1 * SECOND, 10 * SECOND, 0.2
+    start = 100 * SECOND
+    hosts = 4
+    units = 40.0
+    overload_window = 1 * SECOND
+    warm_up_time = 10 * SECOND
+    warm_up_from = 0.2  # part of a warm node's capacity
     driver = SchedulerDriver(
         rules={
             "warm_up_from": warm_up_from,
-            "warm_up_time": cold,
+            "warm_up_time": warm_up_time,
             "warm_up_units": units,
-            "overload_window": fall,
+            "overload_window": overload_window,
         },
         hosts=hosts,
         nodes=[api.NodeEntry("n1", 0, up_since=start)],
@@ -179,26 +184,34 @@
     size = {f"r{i}": 1 + i % 3 for i in range(800)}
     sent = [(t, size[a.request]) for t, a in driver.sends()]
     for t, _ in sent:
-        warmed = (warm_up_from + (1 - warm_up_from) * max(0, t - start) / cold) / warm_up_from
-        assert sum(u for at, u in sent if t - fall <= at <= t) <= units / hosts * warmed + 1e-6
+        capacity_fraction = warm_up_from + (1 - warm_up_from) * max(0, t - start) / warm_up_time
+        warm_up_factor = capacity_fraction / warm_up_from
+        units_in_window = sum(u for at, u in sent if t - overload_window <= at <= t)
+        assert units_in_window <= units / hosts * warm_up_factor + 1e-6
     assert len(sent) > 50
 
 
 @pytest.mark.parametrize("hosts", [2, 30, 250])
 def test_all_hosts_together_keep_a_cold_node_within_what_it_bears_and_do_not_starve_it(hosts):
-    start, units, fall, cold, warm_up_from = 100 * SECOND, 60.0, 1 * SECOND, 5 * SECOND, 0.2
+    start = 100 * SECOND
+    units = 60.0
+    overload_window = 1 * SECOND
+    warm_up_time = 5 * SECOND
+    warm_up_from = 0.2  # part of a warm node's capacity
     rules = {
         "warm_up_from": warm_up_from,
-        "warm_up_time": cold,
+        "warm_up_time": warm_up_time,
         "warm_up_units": units,
-        "overload_window": fall,
+        "overload_window": overload_window,
     }
-    entry, sent = api.NodeEntry("n1", 0, phase=Phase.DRAINING), []
-    for me in range(hosts):  # each holds requests of every size when it hears of the restart, and gets more
-        driver = SchedulerDriver(rules=rules, hosts=hosts, host_index=me, nodes=[entry], start=start)
+    entry = api.NodeEntry("n1", 0, phase=Phase.DRAINING)
+    sent = []
+    # each host holds requests of every size when the restart is listed, and gets more
+    for host_index in range(hosts):
+        driver = SchedulerDriver(rules=rules, hosts=hosts, host_index=host_index, nodes=[entry], start=start)
         size = {}
         for i in range(60):
-            size[f"r{i}"] = (2, 8, 1)[(me + i) % 3]
+            size[f"r{i}"] = (2, 8, 1)[(host_index + i) % 3]
             driver.request(f"r{i}", left=2 * SECOND, units=size[f"r{i}"])
             if i == 4:
                 driver.listed(api.NodeEntry("n1", 0, up_since=start))
@@ -206,8 +219,8 @@
         sent += [(t, size[a.request]) for t, a in driver.sends()]
     sent.sort()
     for t, _ in sent:
-        warmed = 1 + (1 / warm_up_from - 1) * max(0, t - start) / cold
-        assert sum(u for at, u in sent if t - fall < at <= t) <= units * warmed + 8
+        warm_up_factor = 1 + (1 / warm_up_from - 1) * max(0, t - start) / warm_up_time
+        assert sum(u for at, u in sent if t - overload_window < at <= t) <= units * warm_up_factor + 8
     assert sum(u for t, u in sent if t < start + 1500 * MS) >= units / 4
     assert sum(u for t, u in sent) >= 3 * units
     assert {8, 2, 1} <= {u for _, u in sent}
@@ -218,39 +231,40 @@
 
 
 def test_first_attempts_stay_within_this_hosts_part_even_over_a_restart():
-    hosts, sent = 2, []
-    for life in range(2):  # the second life knows nothing of the first
-        driver = SchedulerDriver(plans=(LIMITED,), start=(100 + 3 * life) * SECOND)
+    hosts = 2
+    sent = []
+    for process_index in range(2):  # the second process has no state of the first
+        driver = SchedulerDriver(plans=(LIMITED,), start=(100 + 3 * process_index) * SECOND)
         for i in range(300):
-            driver.request(f"r{life}.{i}", units=2, hosts=hosts)
+            driver.request(f"r{process_index}.{i}", units=2, hosts=hosts)
             driver.wait(10 * MS, answer_after(5 * MS))
         sent += [(t, 2) for t, _ in driver.sends()]
-    store, last = LIMITED.burst / hosts, 100 * SECOND
+    tokens = LIMITED.burst / hosts
+    last_sent_at = 100 * SECOND
     for t, units in sent:
-        store = min(LIMITED.burst / hosts, store + LIMITED.limit / hosts * (t - last) / SECOND) - units
-        last = t
-        assert store >= -LIMITED.tolerance / hosts - 1e-6
+        filled = LIMITED.limit / hosts * (t - last_sent_at) / SECOND
+        tokens = min(LIMITED.burst / hosts, tokens + filled) - units
+        last_sent_at = t
+        assert tokens >= -LIMITED.tolerance / hosts - 1e-6
     assert len(sent) > 15
 
 
 def test_a_retry_does_not_draw_from_the_limit_again():
     driver = SchedulerDriver(plans=(LIMITED,))
     driver.wait(100 * MS)
-    driver.request("r0", units=1, left=1 * SECOND)  # the volume is known from here on
+    driver.request("r0", units=1, left=1 * SECOND)  # creates the volume's token bucket
     driver.wait(200 * MS, answer_after(5 * MS))
     driver.request("r", units=4)
     before = driver.scheduler.volumes["v1"].limit_tokens
     driver.wait(400 * MS, answer_after(5 * MS, Outcome.FULL))
     assert len(driver.sends("r")) >= 2
-    assert (
-        driver.scheduler.volumes["v1"].limit_tokens > before - 4.1
-        and driver.scheduler.volumes["v1"].limit_tokens > -8
-    )
+    tokens_left = driver.scheduler.volumes["v1"].limit_tokens
+    assert tokens_left > before - 4.1 and tokens_left > -8
 
 
 # 6 order -------------------------------------------------------------------------------------------------
 def test_requests_of_one_key_go_one_at_a_time_and_in_turn():
-    driver = SchedulerDriver(classes=(TURN,), rules={"key_hold_down": 300 * MS})
+    driver = SchedulerDriver(classes=(ORDERED,), rules={"key_hold_down": 300 * MS})
     for name in ("a", "b", "c"):
         driver.request(name, key="k")
     driver.wait(100 * MS)
@@ -261,7 +275,7 @@
 
 
 def test_a_key_rests_after_an_attempt_that_may_still_run():
-    driver = SchedulerDriver(classes=(TURN,), rules={"key_hold_down": 300 * MS}, max_attempts=1)
+    driver = SchedulerDriver(classes=(ORDERED,), rules={"key_hold_down": 300 * MS}, max_attempts=1)
     driver.request("a", key="k")
     driver.request("b", key="k")
     driver.end("a", Outcome.RESET)
@@ -273,7 +287,7 @@
 
 
 def test_a_later_arrival_waits_out_the_rest_too():
-    driver = SchedulerDriver(classes=(TURN,), rules={"key_hold_down": 300 * MS}, max_attempts=1)
+    driver = SchedulerDriver(classes=(ORDERED,), rules={"key_hold_down": 300 * MS}, max_attempts=1)
     driver.request("a", key="k")
     driver.end("a", Outcome.RESET)
     driver.wait(100 * MS)
@@ -290,16 +304,17 @@
     for i in range(400):
         driver.request(f"r{i}", left=1 * SECOND, volume=f"v{i % 20}")
         driver.wait(20 * MS, answer_after(5 * MS, Outcome.FULL if i % 2 else Outcome.OK))
-    seen, extras = set(), []
+    seen = set()
+    retry_times = []
     for t, a in driver.sends():
         if a.request in seen:
-            extras.append(t)
+            retry_times.append(t)
         seen.add(a.request)
     arrivals = [100 * SECOND + i * 20 * MS for i in range(400)]
-    for t in extras:
-        made = sum(1 for x in extras if t - 2 * SECOND <= x <= t)
-        assert made <= 3 + 0.1 * sum(1 for x in arrivals if t - 2 * SECOND < x <= t + 20 * MS)
-    assert len(extras) > 10
+    for t in retry_times:
+        retries = sum(1 for at in retry_times if t - 2 * SECOND <= at <= t)
+        assert retries <= 3 + 0.1 * sum(1 for at in arrivals if t - 2 * SECOND < at <= t + 20 * MS)
+    assert len(retry_times) > 10
 
 
 def test_no_budget_stated_leaves_retries_to_the_attempt_limit():
@@ -321,7 +336,7 @@
         nodes=[api.NodeEntry("n0", 1), api.NodeEntry("n1", 0, up_since=100 * SECOND)],
     )
     for i in range(20):
-        driver.scheduler.nodes["n1"].read_latency = 300.0 * MS  # no read can make its aim
+        driver.scheduler.nodes["n1"].read_latency = 300.0 * MS  # no read can meet its objective
         driver.request(f"r{i}")
         driver.wait(5 * MS, answer_after(1 * MS))
     assert 4 <= len(driver.sends()) <= 6
@@ -332,7 +347,7 @@
 def test_the_limits_part_fills_from_the_hosts_start_and_not_from_a_volumes_first_request():
     driver = SchedulerDriver(plans=(LIMITED,))
     driver.wait(3 * SECOND)
-    driver.request("r", units=8, hosts=4)  # needs what 1.6 s fill
+    driver.request("r", units=8, hosts=4)  # needs the tokens of 1.6 s
     assert driver.sends("r")
 
 
@@ -341,7 +356,7 @@
     driver.wait(10 * SECOND)
     driver.request("a", hosts=4)
     volume = driver.scheduler.volumes["v1"]
-    driver.request("b", hosts=2)  # those who left may have spent what they had
+    driver.request("b", hosts=2)  # the hosts that left may have spent their parts
     assert volume.hosts == 2 and volume.limit_tokens <= -LIMITED.tolerance / 2 and not driver.sends("b")
     driver.request("c", hosts=8)
     assert volume.hosts == 8 and volume.refill(driver.now).limit_tokens <= -LIMITED.tolerance / 8
@@ -350,9 +365,9 @@
 def test_an_attempt_that_fails_just_before_the_deadline_leaves_no_request_without_its_answer():
     driver = SchedulerDriver()
     driver.request("r", left=1 * SECOND)
-    driver.wait(980 * MS)  # past the time when what is held is given up
+    driver.wait(980 * MS)  # past the time at which held requests are rejected
     driver.listed(api.NodeEntry("n1", 0, phase=Phase.GONE))
-    assert api.Reject("r") in driver.end("r", Outcome.RESET)  # at once, as no pause before another fits
+    assert api.Reject("r") in driver.end("r", Outcome.RESET)  # at once: no retry delay fits
     driver = SchedulerDriver()
     driver.scheduler.nodes["n1"].in_flight[("other", 0)] = driver.now
     driver.request("r", left=1 * SECOND)
@@ -369,20 +384,20 @@
     driver = SchedulerDriver(rules=rules, tick=2 * MS)
     driver.wait(300 * MS)
     driver.listed(api.NodeEntry("n1", 0, phase=Phase.DRAINING))
-    told = driver.now
+    drain_listed_at = driver.now
     driver.request("within", left=5 * SECOND)
     assert driver.sends("within")
     driver.end("within")
     for i in range(60):
         driver.request(f"r{i}", left=5 * SECOND)
         driver.wait(50 * MS, answer_after(10 * MS))
-        driver.listed(api.NodeEntry("n1", 0, phase=Phase.DRAINING))  # said again: the grace is not begun anew
-    assert driver.sends("r30") and max(t for t, _ in driver.sends()) < told + 2 * SECOND
+        # listed again: the grace does not restart
+        driver.listed(api.NodeEntry("n1", 0, phase=Phase.DRAINING))
+    assert driver.sends("r30") and max(t for t, _ in driver.sends()) < drain_listed_at + 2 * SECOND
     driver.listed(api.NodeEntry("n2", 0))
     driver.request("successor")
     assert [a.node for _, a in driver.sends("successor")] == ["n2"]
-    driver = SchedulerDriver(
-        rules=rules, nodes=[api.NodeEntry("n1", 0, phase=Phase.DRAINING)]
-    )  # told before this start
+    # a node that was listed as draining before this process started
+    driver = SchedulerDriver(rules=rules, nodes=[api.NodeEntry("n1", 0, phase=Phase.DRAINING)])
     driver.request("r")
     assert not driver.sends("r")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A new version under load: two processes of the program, one head."""
+"""Tests of an upgrade under load: two processes of the program, one head."""
 
 from __future__ import annotations
 
@@ -29,11 +29,12 @@
 LIMITED = api.Plan("limited", usual_rate=5, reserve=1, weight=1, limit=20, burst=40, tolerance=4)
 
 
-class Process:
-    """One process of the program, and the operators' view of it."""
+class HeadProcess:
+    """One process of the program, with calls to its management address."""
 
     def __init__(self, process: asyncio.subprocess.Process, management: str) -> None:
-        self.process, self.management = process, management
+        self.process = process
+        self.management = management
 
     async def call(self, path: str, method: str = "GET") -> tuple[int, str]:
         async with aiohttp.ClientSession() as session:
@@ -42,34 +43,37 @@
                     return response.status, await response.text()
         return 0, ""
 
-    async def ready(self) -> Process:
+    async def ready(self) -> HeadProcess:
         while (await self.call("ready"))[0] != 200:
             await asyncio.sleep(0.02)
         return self
 
 
 class Platform:
-    """Holds the clients' socket and starts processes of one head, as the platform does."""
+    """Holds the clients' listening socket and starts processes of one head, as the platform does."""
 
     def __init__(self, folder: Path, discovery: int, nodes: tuple[Node, ...], stack) -> None:
-        self.ear = socket.create_server((HOST, 0), backlog=128)
-        self.folder, self.stack = folder, stack
-        self.base = f"http://{HOST}:{self.ear.getsockname()[1]}"
-        data = config_data(node_list(1, *(n.entry() for n in nodes)), discovery, self.ear.getsockname()[1])
+        self.listening_socket = socket.create_server((HOST, 0), backlog=128)
+        self.folder = folder
+        self.stack = stack
+        self.base = f"http://{HOST}:{self.listening_socket.getsockname()[1]}"
+        data = config_data(
+            node_list(1, *(n.entry() for n in nodes)), discovery, self.listening_socket.getsockname()[1]
+        )
         (folder / "config.json").write_text(json.dumps(data))
         (folder / "tmp").mkdir()
-        stack.callback(self.ear.close)
+        stack.callback(self.listening_socket.close)
 
-    async def start(self, **more: str) -> Process:
+    async def start(self, **more: str) -> HeadProcess:
         management = f"{HOST}:{free_port()}"
         environ = program_environ(
             self.folder / "config.json",
             NODE_MANAGEMENT=management,
             TMPDIR=str(self.folder / "tmp"),
-            NODE_INHERITED_FD=str(self.ear.fileno()),
+            NODE_INHERITED_FD=str(self.listening_socket.fileno()),
         )
         process = await start_program(
-            self.folder, environ | more, optimized=True, pass_fds=[self.ear.fileno()]
+            self.folder, environ | more, optimized=True, pass_fds=[self.listening_socket.fileno()]
         )
 
         async def end():
@@ -78,7 +82,7 @@
             await process.wait()
 
         self.stack.push_async_callback(end)
-        return Process(process, management)
+        return HeadProcess(process, management)
 
 
 @contextlib.asynccontextmanager
@@ -90,64 +94,68 @@
 
 
 def test_the_new_process_takes_what_is_new_and_the_old_one_ends_what_it_has(tmp_path):
-    async def story():
-        node, other, go = Node("a", 0), Node("b", 1), asyncio.Event()
+    async def scenario():
+        node = Node("a", 0)
+        other = Node("b", 1)
+        may_answer = asyncio.Event()
 
         async def hold(request):
             if request.headers["Req-Id"] == "held":
-                await go.wait()
+                await may_answer.wait()
 
         node.gate = hold
-        async with platform(tmp_path, node, other) as there, aiohttp.ClientSession() as kept:
-            old = await (await there.start()).ready()
+        async with platform(tmp_path, node, other) as platform_stand_in, aiohttp.ClientSession() as kept:
+            old = await (await platform_stand_in.start()).ready()
             assert (await old.call("bricks/b/offline", "POST"))[0] == 200
-            assert (await read(kept, there.base, "zero"))[0] == 200
+            assert (await read(kept, platform_stand_in.base, "zero"))[0] == 200
             path = PATH.replace("score-read", "stats-export")
-            held = asyncio.create_task(read(kept, there.base, "held", path, **{"Req-Deadline-Ms": "6000"}))
+            held = asyncio.create_task(
+                read(kept, platform_stand_in.base, "held", path, **{"Req-Deadline-Ms": "6000"})
+            )
             await until(lambda: node.ran["zero"] == 1 and len(node.seen) == 2)
-            new = await (await there.start()).ready()
+            new = await (await platform_stand_in.start()).ready()
             assert (await old.call("ready"))[0] == 503
             send_signal(old.process, signal.SIGTERM)
             for i in range(5):
                 async with aiohttp.ClientSession() as fresh:
-                    assert (await read(fresh, there.base, f"new{i}"))[0] == 200
-            _, figures = await new.call("counters")
-            assert "app.responses.score-read.ok:5|c" in figures and "app.pool_ejected:1|g" in figures
-            go.set()
+                    assert (await read(fresh, platform_stand_in.base, f"new{i}"))[0] == 200
+            _, counters = await new.call("counters")
+            assert "app.responses.score-read.ok:5|c" in counters and "app.pool_ejected:1|g" in counters
+            may_answer.set()
             assert (await held)[0] == 200
             assert await old.process.wait() == 0
             async with aiohttp.ClientSession() as fresh:
-                assert (await read(fresh, there.base, "after"))[0] == 200
+                assert (await read(fresh, platform_stand_in.base, "after"))[0] == 200
             assert set(node.ran.values()) == {1}
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("dies", ["old", "new"])
-def test_whichever_dies_the_other_serves_on(tmp_path, dies):
-    async def story():
-        async with platform(tmp_path, Node("a", 0)) as there:
-            old = await (await there.start()).ready()
-            new = await (await there.start()).ready()
-            gone, left = (old, new) if dies == "old" else (new, old)
-            kill(gone.process)
-            await gone.process.wait()
-            await left.ready()
+@pytest.mark.parametrize("killed", ["old", "new"])
+def test_whichever_dies_the_other_serves_on(tmp_path, killed):
+    async def scenario():
+        async with platform(tmp_path, Node("a", 0)) as platform_stand_in:
+            old = await (await platform_stand_in.start()).ready()
+            new = await (await platform_stand_in.start()).ready()
+            ended, remaining = (old, new) if killed == "old" else (new, old)
+            kill(ended.process)
+            await ended.process.wait()
+            await remaining.ready()
             async with aiohttp.ClientSession() as session:
-                assert (await read(session, there.base, "r"))[0] == 200
-            # and it hands over once more
-            third = await (await there.start()).ready()
-            assert (await left.call("ready"))[0] == 503
+                assert (await read(session, platform_stand_in.base, "r"))[0] == 200
+            # the remaining process can hand over again
+            third = await (await platform_stand_in.start()).ready()
+            assert (await remaining.call("ready"))[0] == 503
             async with aiohttp.ClientSession() as session:
-                assert (await read(session, there.base, "s"))[0] == 200
+                assert (await read(session, platform_stand_in.base, "s"))[0] == 200
             assert "score-read.ok:1|c" in (await third.call("counters"))[1]
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("left_behind", ["socket", "file"])
 def test_what_a_dead_process_left_behind_stops_no_start(tmp_path, left_behind):
-    async def story():
+    async def scenario():
         folder = tmp_path / ("long" * 30)
         folder.mkdir()
         if left_behind == "file":
@@ -156,31 +164,33 @@
             dead = HandoverSocket(str(folder))
             await dead.listen(lambda *_: None)
             await dead.close()
-        one = HandoverSocket(str(folder))
-        assert await one.take_over() is None
-        asked = asyncio.Event()
-        await one.listen(lambda *_: asked.set())
-        taking = asyncio.create_task(HandoverSocket(str(folder)).take_over())
-        await asked.wait()
-        taking.cancel()
-        await one.close()
+        first = HandoverSocket(str(folder))
+        assert await first.take_over() is None
+        take_over_requested = asyncio.Event()
+        await first.listen(lambda *_: take_over_requested.set())
+        take_over = asyncio.create_task(HandoverSocket(str(folder)).take_over())
+        await take_over_requested.wait()
+        take_over.cancel()
+        await first.close()
 
-    run(story())
+    run(scenario())
 
 
 # -- what the decision module hands over -------------------------------------------------------------------
-def scheduler(**more) -> Scheduler:
-    made = Scheduler(api.Settings(classes=CLASSES, plans=(PLAN, LIMITED), max_units=4, **more), seed=1)
-    made.handle(SECOND, api.EndpointList(api.ListKind.RESTORED, (api.NodeEntry("n", 0),)))
-    return made
+def new_scheduler(**more) -> Scheduler:
+    settings = api.Settings(classes=CLASSES, plans=(PLAN, LIMITED), max_units=4, **more)
+    scheduler = Scheduler(settings, seed=1)
+    scheduler.handle(SECOND, api.EndpointList(api.ListKind.RESTORED, (api.NodeEntry("n", 0),)))
+    return scheduler
 
 
-def ask(made: Scheduler, now: int, name: str, units: float = 4.0) -> bool:
-    actions = made.handle(now, api.RequestArrived(name, "v", 1, CLASSES.index(READ), 0, 2 * SECOND, units))
-    return any(isinstance(a, api.Send) for a in actions)
+def is_sent(scheduler: Scheduler, now: int, name: str, units: float = 4.0) -> bool:
+    """Hand a request to a scheduler; return whether it is sent at once."""
+    request = api.RequestArrived(name, "v", 1, CLASSES.index(READ), 0, 2 * SECOND, units)
+    return any(isinstance(action, api.Send) for action in scheduler.handle(now, request))
 
 
-def passed_on(old: Scheduler, now: int) -> Scheduler:
+def hand_over_to_new(old: Scheduler, now: int) -> Scheduler:
     new = Scheduler(old.settings, seed=2)
     entries = (api.NodeEntry(n.id, n.shard, phase=n.phase, up_since=n.up_since) for n in old.nodes.values())
     new.handle(now, api.EndpointList(api.ListKind.RESTORED, tuple(entries)))
@@ -189,34 +199,35 @@
 
 
 def test_old_and_new_together_keep_a_limit_as_one():
-    alone, old = scheduler(), scheduler()
+    alone = new_scheduler()
+    old = new_scheduler()
     now = 30 * SECOND
-    for made in alone, old:
-        made.volumes["v"] = made.volumes.get("v") or handover.Volume(SECOND, LIMITED, 1, 4)
-        made.volumes["v"].refill(now)
-    new = passed_on(old, now)
-    full = alone.volumes["v"].limit_tokens - alone.volumes["v"].limit_floor
-    parts = sum(made.volumes["v"].limit_tokens - made.volumes["v"].limit_floor for made in (old, new))
-    assert parts == pytest.approx(full - handover.STARTUP_LOSS_SECONDS * LIMITED.limit)
-    later = now + SECOND  # only the new one's part fills
-    kept = old.volumes["v"].limit_tokens
-    assert old.volumes["v"].refill(later).limit_tokens == kept
+    for scheduler in alone, old:
+        scheduler.volumes["v"] = scheduler.volumes.get("v") or handover.Volume(SECOND, LIMITED, 1, 4)
+        scheduler.volumes["v"].refill(now)
+    new = hand_over_to_new(old, now)
+    volumes = [scheduler.volumes["v"] for scheduler in (alone, old, new)]
+    available, old_part, new_part = (volume.limit_tokens - volume.limit_floor for volume in volumes)
+    assert old_part + new_part == pytest.approx(available - handover.STARTUP_LOSS_SECONDS * LIMITED.limit)
+    later = now + SECOND  # only the new process's part refills
+    tokens = old.volumes["v"].limit_tokens
+    assert old.volumes["v"].refill(later).limit_tokens == tokens
     assert new.volumes["v"].refill(later).limit_tokens > new.volumes["v"].limit_floor
     handover.take_back(old, later)
-    assert old.volumes["v"].refill(later + SECOND).limit_tokens > kept
+    assert old.volumes["v"].refill(later + SECOND).limit_tokens > tokens
 
 
 def test_an_old_process_gives_a_volume_it_never_saw_nothing():
-    old = scheduler()
-    passed_on(old, 30 * SECOND)
-    assert not ask(old, 31 * SECOND, "r")
+    old = new_scheduler()
+    hand_over_to_new(old, 30 * SECOND)
+    assert not is_sent(old, 31 * SECOND, "r")
 
 
 def test_what_was_learnt_of_nodes_is_passed_on():
-    old = scheduler()
-    assert ask(old, 10 * SECOND, "r", 1.0)
+    old = new_scheduler()
+    assert is_sent(old, 10 * SECOND, "r", 1.0)
     old.handle(10 * SECOND + 90_000, api.AttemptEnded("r", 0, "n", api.Outcome.OK, 90_000, True))
-    new = passed_on(old, 11 * SECOND)
+    new = hand_over_to_new(old, 11 * SECOND)
     for name in (
         "window",
         "latency",
@@ -231,57 +242,60 @@
 
 
 def test_windows_count_what_the_old_process_still_has_out():
-    new = passed_on(scheduler(), 30 * SECOND)
-    new.nodes["n"].window, new.nodes["n"].in_flight_elsewhere = 2.0, 2
-    assert not ask(new, 31 * SECOND, "r", 1.0)
+    new = hand_over_to_new(new_scheduler(), 30 * SECOND)
+    new.nodes["n"].window = 2.0
+    new.nodes["n"].in_flight_elsewhere = 2
+    assert not is_sent(new, 31 * SECOND, "r", 1.0)
     new.nodes["n"].in_flight_elsewhere = 0
-    assert ask(new, 31 * SECOND, "s", 1.0)
+    assert is_sent(new, 31 * SECOND, "s", 1.0)
 
 
 def test_a_warming_up_node_gets_nothing_from_the_old_process():
     rules = api.Rules(warm_up_time=18 * SECOND, warm_up_units=34, overload_window=3 * SECOND)
-    for handed, sent in (False, True), (True, False):
-        old = scheduler(rules=rules)
+    for handed_over, sent in (False, True), (True, False):
+        old = new_scheduler(rules=rules)
         cold = api.NodeEntry("n", 0, up_since=29 * SECOND)
         old.handle(30 * SECOND, api.EndpointList(api.ListKind.CHANGES, (cold,)))
-        if handed:
-            passed_on(old, 30 * SECOND)
+        if handed_over:
+            hand_over_to_new(old, 30 * SECOND)
         actions = old.handle(31 * SECOND, api.RequestArrived("r", "w", 0, 0, 0, 2 * SECOND, 1.0))
         assert any(isinstance(a, api.Send) for a in actions) is sent
 
 
 def test_the_kept_file_and_the_socket_share_the_folder(tmp_path):
-    async def story():
-        one = HandoverSocket(str(tmp_path))
-        await one.listen(lambda *_: None)
+    async def scenario():
+        handover_socket = HandoverSocket(str(tmp_path))
+        await handover_socket.listen(lambda *_: None)
         assert AdministrativeStateFile(str(tmp_path)).write(AdministrativeStateFile(str(tmp_path)).read())
-        await one.close()
+        await handover_socket.close()
         assert sorted(p.name for p in tmp_path.iterdir()) == ["stoatrouter-bricks.json", SOCKET_NAME]
 
-    run(story())
+    run(scenario())
 
 
 def test_a_process_that_starts_says_so_before_it_can_ask(tmp_path):
-    """The old one then holds less open: the start takes much of the core that both run on."""
+    """The old process then accepts fewer requests: the start takes much of the CPU core that both run on."""
 
-    async def story():
-        folder, came = tmp_path / ("long" * 30), asyncio.Event()
+    async def scenario():
+        folder = tmp_path / ("long" * 30)
         folder.mkdir()
-        notification, one = StartupNotification(), HandoverSocket(str(folder))
+        notified = asyncio.Event()
+        notification = StartupNotification()
+        old_socket = HandoverSocket(str(folder))
         notification.connect(str(folder))
-        assert notification.connection is None  # there is none to say it to
+        assert notification.connection is None  # no old process listens
         notification.connect(None)
-        await one.listen(lambda *_: came.set())
+        await old_socket.listen(lambda *_: notified.set())
         notification.connect(str(folder))
-        await came.wait()
+        await notified.wait()
         notification.close()
-        await one.close()
+        await old_socket.close()
 
-    run(story())
+    run(scenario())
 
 
 def test_a_head_holds_less_open_while_its_next_version_starts(tmp_path):
-    async def story():
+    async def scenario():
         async with started(Node("a", 0)) as (head, _):
             head.handover.socket.folder = str(tmp_path)
             await head.handover.listen()
@@ -292,27 +306,29 @@
             notification.close()
             assert head.serving and not head.drain.handed_over
 
-    run(story())
+    run(scenario())
 
 
 def test_the_http_front_goes_over_to_the_new_process(tmp_path):
-    """Its clients keep being answered; in the moment in which nobody listens they try again.
+    """Its clients keep getting answers; they retry while no process listens on its port.
 
-    A request that crossed the end of its connection is sent once more, as clients do; none fails otherwise.
+    A request that was sent as its connection closed is sent once more, as clients do; no other fails.
     """
 
-    async def story():
-        node, port = Node("a", 0), free_port()
+    async def scenario():
+        node = Node("a", 0)
+        port = free_port()
         settings = (ROOT / "deploy" / "http.cue").read_text().replace("8490", str(port))
         (tmp_path / "http.cue").write_text(settings)
         (tmp_path / "http-rules.cue").write_text((ROOT / "deploy" / "http-rules.cue").read_text())
         async with contextlib.AsyncExitStack() as stack:
             await stack.enter_async_context(nodes_up(node))
             discovery = await stack.enter_async_context(listening(Discovery().handle))
-            platform = Platform(tmp_path, discovery, (node,), stack)
+            platform_stand_in = Platform(tmp_path, discovery, (node,), stack)
             http = {"STOATROUTER_HTTP": str(tmp_path / "http.cue")}
-            old = await (await platform.start(**http)).ready()
-            answers, done = [], asyncio.Event()
+            old = await (await platform_stand_in.start(**http)).ready()
+            answers = []
+            done = asyncio.Event()
 
             async def get(session):
                 async with session.get(f"http://{HOST}:{port}/feed/x") as response:
@@ -328,15 +344,15 @@
                                 await get(session)
                         await asyncio.sleep(0.002)
 
-            asking = [asyncio.create_task(client()) for _ in range(4)]
+            client_tasks = [asyncio.create_task(client()) for _ in range(4)]
             await until(lambda: len(answers) > 20)
-            new = await (await platform.start(**http)).ready()
+            new = await (await platform_stand_in.start(**http)).ready()
             send_signal(old.process, signal.SIGTERM)
             assert await old.process.wait() == 0
             count = len(answers)
             await until(lambda: len(answers) > count + 20)
             done.set()
-            await asyncio.gather(*asking)
+            await asyncio.gather(*client_tasks)
             assert {status for status, _ in answers} == {200} and new.process.returncode is None
 
-    run(story())
+    run(scenario())
