--- a/tests/matching_tables.py
+++ b/tests/matching_tables.py
@@ -1,4 +1,4 @@
-"""Requests and rule tables made in memory, as tests of matching use them."""
+"""Requests and rule tables for tests of matching, built in memory."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 )
 
 
-def ask(target="/feed/a", method="GET", fields=(), peer="10.0.0.1", **more):
+def request_input(target="/feed/a", method="GET", fields=(), peer="10.0.0.1", **more):
     return read_input(method, target, ((b"Host", b"scores.example"), *fields), peer, **more)
 
 
 def table(*rules, scope=EVERYTHING):
-    made = Rules({"all": scope}, Otherwise(404, "no rule matches"))
-    return TableCompiler(WORDS).load(made, {"all": rules}, "epoch")
+    settings_record = Rules({"all": scope}, Otherwise(404, "no rule matches"))
+    return TableCompiler(WORDS).load(settings_record, {"all": rules}, "epoch")
 
 
 def rule(name, when, **more):
-    given = {"request_class": "event-write", "plan": "basic", "volume": FEED, **more}
-    return Rule(name, when, **given)
+    fields = {"request_class": "event-write", "plan": "basic", "volume": FEED, **more}
+    return Rule(name, when, **fields)
 
 
 def computed(expr):
--- a/tests/object_client.py
+++ b/tests/object_client.py
@@ -1,4 +1,4 @@
-"""A client of the object API, and a head with that front before scripted nodes."""
+"""A client of the object API, and a head with the object front in front of scripted nodes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,9 @@
     """A client of the object API that counts the final answer of each call."""
 
     def __init__(self, session: aiohttp.ClientSession, port: int, head: Head) -> None:
-        self.session, self.base, self.head = session, f"http://{HOST}:{port}", head
+        self.session = session
+        self.base = f"http://{HOST}:{port}"
+        self.head = head
         self.answers: Counter[str] = Counter()
 
     async def call(self, method: str, path: str, body: bytes | None = None, **headers: str):
@@ -53,7 +55,7 @@
         return re.search("<UploadId>(.*)</UploadId>", data.decode())[1]
 
     async def part(self, path: str, upload: str, number: int, body: bytes) -> str:
-        """Upload a part; told to slow down, come back as any client does: with a new call."""
+        """Upload a part; on SlowDown, retry with a new call."""
         while True:
             status, headers, data = await self.call(
                 "PUT", f"{path}?partNumber={number}&uploadId={upload}", body
@@ -73,7 +75,7 @@
 
 
 def object_settings(conf: Config, operator: dict | None = None) -> ObjectSettings:
-    """The front's settings as from a file with these fields; `folder` is where the file would lie."""
+    """Return the front's settings as from a file with these fields in `folder`."""
     fields = {**OPERATOR, **(operator or {})}
     folder = fields.pop("folder", Path())
     record = msgspec.convert(fields, ObjectsFile)
@@ -82,7 +84,7 @@
 
 @contextlib.asynccontextmanager
 async def gateway(*nodes: Node, operator: dict | None = None):
-    """A head with the object front before these nodes, and a client of it."""
+    """Run a head with the object front in front of these nodes; yield a client of it."""
     async with nodes_up(*nodes):
         conf = head_config(*nodes)
         head = Head(conf, object_settings(conf, operator))
@@ -94,12 +96,12 @@
                 await head.stop()
 
 
-def two() -> tuple[Node, Node]:
+def two_nodes() -> tuple[Node, Node]:
     return Node("a", 0), Node("b", 1)
 
 
-def settled(client: Client) -> None:
-    """Each call had exactly one final answer, and nothing of it is left in the head."""
+def check_settled(client: Client) -> None:
+    """Check that each call had exactly one final answer and that the head keeps no state of it."""
     assert set(client.answers.values()) == {1}
     assert not client.head.engine.waiters and not client.head.engine.attempts
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports point down, from the entry to the decision module, and no modules import each other in a circle.
+"""Tests that imports point down the layers, from the entry point to the policy, and that none are circular.
 
 The order is that of docs/ARCHITECTURE.md, "The layers". An import inside a function counts too; one for the
 type checker alone does not, as it is never run.
@@ -40,7 +40,7 @@
 
 
 def type_checker_only(tree: ast.Module) -> set[int]:
-    """The ids of the nodes under `if TYPE_CHECKING:`."""
+    """Return the ids of the syntax nodes under `if TYPE_CHECKING:`."""
     blocks = [
         node
         for node in ast.walk(tree)
@@ -50,7 +50,7 @@
 
 
 def imported_modules(path: Path, for_types: bool = False) -> set[str]:
-    """The project's modules that a file imports when it is run, or for types too, by their dotted names."""
+    """Return the dotted names of the project's modules that a file imports at run time, or for types too."""
     tree = ast.parse(path.read_text())
     skipped = set() if for_types else type_checker_only(tree)
     found: set[str] = set()
@@ -65,7 +65,7 @@
 
 
 def imported_names(node: ast.ImportFrom) -> set[str]:
-    """The modules that a `from ... import` names: submodules where it names any, else the module itself."""
+    """Return the submodules that a `from ... import` names, or else the module itself."""
     folder = ROOT.joinpath(*str(node.module).split("."))
     submodules = {
         f"{node.module}.{alias.name}"
@@ -76,7 +76,7 @@
 
 
 def package_imports(root: Path) -> dict[tuple[str, str], str]:
-    """Each pair of packages (importer, imported) under `root`/stoatrouter, with a file where it is met."""
+    """Return each pair of packages (importer, imported) under `root`/stoatrouter, with a file that has it."""
     pairs: dict[tuple[str, str], str] = {}
     for path in sorted((root / "stoatrouter").rglob("*.py")):
         parts = path.relative_to(root / "stoatrouter").with_suffix("").parts
@@ -88,18 +88,18 @@
 
 
 def upward_imports(root: Path) -> list[str]:
-    """One line for each pair of packages whose import points up, or that names no known package."""
-    faults = []
-    for (importer, imported), where in package_imports(root).items():
+    """Return a line for each pair of packages whose import points up or that names no known package."""
+    violations = []
+    for (importer, imported), file in package_imports(root).items():
         if importer not in LAYERS or imported not in LAYERS:
-            faults.append(f"{where}: {importer} or {imported} is in no layer")
+            violations.append(f"{file}: {importer} or {imported} is in no layer")
         elif LAYERS.index(importer) > LAYERS.index(imported):
-            faults.append(f"{where}: {importer} must not import {imported}, which is above it")
-    return faults
+            violations.append(f"{file}: {importer} must not import {imported}, which is above it")
+    return violations
 
 
 def module_imports(root: Path, package: str = "", for_types: bool = False) -> dict[str, set[str]]:
-    """For each module under `root`/stoatrouter (`package` of it), the project's modules that it imports."""
+    """Map each module under `root`/stoatrouter/`package` to the project's modules that it imports."""
     graph: dict[str, set[str]] = {}
     for path in (root / "stoatrouter" / package).rglob("*.py"):
         name = ".".join(path.relative_to(root).with_suffix("").parts).removesuffix(".__init__")
--- a/tests/test_matching.py
+++ b/tests/test_matching.py
@@ -1,4 +1,4 @@
-"""Rule tables: which rule wins, what is refused at load, and the files they are read from."""
+"""Tests of rule tables: which rule wins, what is refused at load, and the files they are read from."""
 
 from __future__ import annotations
 
@@ -17,9 +17,13 @@
 from stoatrouter.matching.files import TableLoader
 from stoatrouter.matching.records import Scope
 from stoatrouter.settings import SettingsError
-from tests.matching_tables import DETERMINED, ask, computed, rule, table
+from tests.matching_tables import DETERMINED, computed, request_input, rule, table
 from tests.rules import FEED, OPERATOR, READS, WORDS, write_rules
 
+# Hypothesis seeds a derandomized test (`DETERMINED`) with a digest of its source: editing such a test changes
+# its examples.
+
+
 # -- which rule wins ----------------------------------------------------------------------------------------
 CONJUNCTS = [
     'request.method == "GET"',
@@ -50,7 +54,7 @@
     "request.size > 10",
 ]
 REQUESTS = [
-    ask(target, method, fields, size=size, request_class=kind)
+    request_input(target, method, fields, size=size, request_class=kind)
     for target in ("/a/b/c", "/a/x", "/b", "/", "/a/b?q=1")
     for method, size, kind in (("GET", -1, "score-read"), ("PUT", 20, ""))
     for fields in ((), ((b"X-T", b"1"),), ((b"x-t", b"2"),))
@@ -92,19 +96,18 @@
         ('request.method == "PUT"', 'request.method in ["GET", "PUT"]', False),
         ("true", "request.size > 3", True),
         ("request.size > 3", "request.size > 3", True),
-        ("request.size > 3", "request.size > 4", False),  # more than parts of conditions show
+        ("request.size > 3", "request.size > 4", False),  # comparing parts of conditions does not show this
         ('"x" in request.headers', 'request.headers[?"X"].orValue("") == "1"', True),
         ("size(request.segments) > 0", 'request.segments[?2].orValue("") == "1"', True),
         ("size(request.segments) > 3", 'request.segments[?2].orValue("") == "1"', False),
     ],
 )
 def test_coverage(earlier, later, covered):
-    made = table(rule("first", earlier), rule("second", later))
-    assert (
-        [w for w in made.warnings if "'second' never matches" in w.what and "'first'" in w.what] != []
-        if covered
-        else not made.warnings
-    )
+    warnings = table(rule("first", earlier), rule("second", later)).warnings
+    if covered:
+        assert [w for w in warnings if "'second' never matches" in w.what and "'first'" in w.what] != []
+    else:
+        assert not warnings
 
 
 def test_an_index_over_many_rules_tries_few():
@@ -113,7 +116,9 @@
         for i in range(500)
     ]
     tree = index.build(conditions)
-    assert len(tree.find(ask("/a/123/x"))) <= index.MAX_LEAF_RULES and 123 in tree.find(ask("/a/123/x"))
+    assert len(tree.find(request_input("/a/123/x"))) <= index.MAX_LEAF_RULES and 123 in tree.find(
+        request_input("/a/123/x")
+    )
     assert tree.max_steps([10] * 500) < 100
 
 
@@ -152,7 +157,7 @@
     [
         ('request.method == "GET" ? "score-read" : "event-write"', True),
         ('request.method != "GET" ? "event-write" : "score-read"', True),
-        ('request.method == "PUT" ? "event-write" : "score-read"', False),  # what else may come: a POST
+        ('request.method == "PUT" ? "event-write" : "score-read"', False),  # other methods are possible: POST
         ('{"a": "score-read"}[?request.class].orValue("event-write")', False),
         ("request.method", False),
     ],
@@ -160,7 +165,7 @@
 def test_a_computed_class_is_proven_for_every_text_that_it_yields(expr, fine):
     given = rule("r", "true", request_class=computed(expr))
     if fine:
-        assert table(given).decide(ask(method="POST")).request_class == 1
+        assert table(given).decide(request_input(method="POST")).request_class == 1
         return
     with pytest.raises(TableError):
         table(given)
@@ -170,18 +175,16 @@
     from stoatrouter.matching.records import Rights
 
     scope = Scope(("*",), ("/",), ("score-read",), ("basic",), (FEED,), 1000, rights=Rights(True))
-    assert (
-        table(rule("r", "true", request_class="score-read"), scope=scope)
-        .decide(ask(method="PUT"))
-        .request_class
-        == 0
-    )
+    rules = table(rule("r", "true", request_class="score-read"), scope=scope)
+    assert rules.decide(request_input(method="PUT")).request_class == 0
 
 
 def test_a_budget_is_of_what_one_request_may_meet():
     spread = [rule(f"r{i}", f'request.path.startsWith("/{i}/") && request.size > {i}') for i in range(100)]
     scope = Scope(("*",), ("/",), ("event-write",), ("basic",), (FEED,), 100)
-    assert table(*spread, scope=scope).scopes["all"].max_steps <= 100  # each request meets few of them
+    assert (
+        table(*spread, scope=scope).scopes["all"].max_steps <= 100
+    )  # each request is tested against few of them
     with pytest.raises(TableError, match="keep rules apart"):
         table(*(rule(f"r{i}", f"request.size > {i}") for i in range(100)), scope=scope)
 
@@ -195,7 +198,9 @@
     )
     with pytest.raises(SettingsError) as refusal:
         TableLoader(path, WORDS).load()
-    assert "app.cue:4: scopes: there is no such field" in str(refusal.value)  # a team says nothing of scopes
+    assert "app.cue:4: scopes: there is no such field" in str(
+        refusal.value
+    )  # a team's file may not set scopes
     write_rules(
         tmp_path,
         operator=OPERATOR.replace('paths: ["/app/"]', 'paths: ["/app/", "/feed/"]'),
@@ -212,17 +217,17 @@
     path = write_rules(tmp_path)
     tables = TableLoader(path, WORDS)
     first, _ = tables.load()
-    write_rules(tmp_path, feed="rules: [")  # in the middle of being written
+    write_rules(tmp_path, feed="rules: [")  # a half-written file
     with pytest.raises(SettingsError, match="ends too early"):
         tables.load()
-    write_rules(tmp_path, feed="")  # just begun to be written
+    write_rules(tmp_path, feed="")  # an empty file, as when writing has just begun
     with pytest.raises(SettingsError, match="rules: is missing"):
         tables.load()
     write_rules(tmp_path)
     again, _ = tables.load()
     assert again.epoch == first.epoch
-    assert again.scopes["app"] is first.scopes["app"]  # what has not changed is not made again
-    assert again.decide(ask()) == first.decide(ask())
+    assert again.scopes["app"] is first.scopes["app"]  # unchanged scopes are not compiled again
+    assert again.decide(request_input()) == first.decide(request_input())
 
 
 def test_hostile_sources_in_a_table_are_flaws_with_a_place():
@@ -239,5 +244,5 @@
     page = Path(__file__).parents[1] / "docs" / "rules.md"
     blocks = page.read_text().split("```cue\n")[1:]
     operator, team = (block.partition("```")[0] for block in blocks[:2])
-    made, _ = TableLoader(write_rules(tmp_path, operator, feed=team), WORDS).load()
-    assert made.size >= 4 and not made.warnings
+    loaded, _ = TableLoader(write_rules(tmp_path, operator, feed=team), WORDS).load()
+    assert loaded.size >= 4 and not loaded.warnings
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""The object API, whole paths: a client over loopback, a head, and storage nodes that follow a script."""
+"""End-to-end tests of the object API: a client over loopback, a head, and scripted storage nodes."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     BODY,
     SECRET,
     Client,
+    check_settled,
     error_code,
     gateway,
     object_settings,
-    settled,
-    two,
+    two_nodes,
 )
 from tests.peers import HOST, Node, head_config, piece, run
 
 
 # -- whole objects and ranges ----------------------------------------------------------------------------
 def test_an_object_is_written_and_read_back():
-    async def story():
-        nodes = two()
+    async def scenario():
+        nodes = two_nodes()
         async with gateway(*nodes) as client:
             status, headers, _ = await client.call(
                 "PUT",
@@ -46,20 +46,20 @@
             assert headers["Content-Type"] == "video/mp4" and headers["x-amz-meta-camera"] == "4"
             status, headers, data = await client.call("HEAD", "/footage/derby%20night/a/b.mp4")
             assert (status, data, headers["Content-Length"]) == (200, b"", str(len(BODY)))
-            settled(client)
-            assert max(Counter(r.headers["Req-Id"] for n in nodes for r in n.requests).values()) == 1
-            assert all(
-                r.headers.get("Idempotency-Key") for n in nodes for r in n.requests if r.method == "PUT"
-            )
+            check_settled(client)
+            requests = [request for node in nodes for request in node.requests]
+            assert max(Counter(request.headers["Req-Id"] for request in requests).values()) == 1
+            assert all(r.headers.get("Idempotency-Key") for r in requests if r.method == "PUT")
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("asked", "status", "start", "stop"),
+    ("requested", "status", "start", "stop"),
     [
         ("bytes=0-99", 206, 0, 100),
-        (f"bytes={PAYLOAD - 5}-{PAYLOAD + 4}", 206, PAYLOAD - 5, PAYLOAD + 5),  # over the edge of two pieces
+        # across the boundary of two pieces
+        (f"bytes={PAYLOAD - 5}-{PAYLOAD + 4}", 206, PAYLOAD - 5, PAYLOAD + 5),
         (f"bytes={len(BODY) - 10}-", 206, len(BODY) - 10, len(BODY)),
         ("bytes=-7", 206, len(BODY) - 7, len(BODY)),
         (f"bytes=5-{10**12}", 206, 5, len(BODY)),
@@ -70,12 +70,12 @@
         ("lines=1-2", 200, 0, len(BODY)),
     ],
 )
-def test_ranges(asked, status, start, stop):
-    async def story():
-        async with gateway(*two()) as client:
+def test_ranges(requested, status, start, stop):
+    async def scenario():
+        async with gateway(*two_nodes()) as client:
             await client.call("PUT", "/footage/o", BODY)
-            got, headers, data = await client.call("GET", "/footage/o", Range=asked)
-            assert got == status
+            answer_status, headers, data = await client.call("GET", "/footage/o", Range=requested)
+            assert answer_status == status
             if status == 416:
                 assert error_code(data) == "InvalidRange"
                 assert headers["Content-Range"] == f"bytes */{len(BODY)}"
@@ -83,9 +83,9 @@
                 assert data == BODY[start:stop]
             if status == 206:
                 assert headers["Content-Range"] == f"bytes {start}-{stop - 1}/{len(BODY)}"
-            settled(client)
+            check_settled(client)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,8 @@
     ],
 )
 def test_if_range_joins_only_what_belongs_together(headers, whole):
-    filled = {k: v.format(etag="e1", date=ranges.format_date(1_700_000_000)) for k, v in headers.items()}
+    date = ranges.format_date(1_700_000_000)
+    filled = {name: value.format(etag="e1", date=date) for name, value in headers.items()}
     found = ranges.read_range({"Range": "bytes=2-4", **filled}, "e1", 1_700_000_000, 10)
     assert found == (None if whole else (2, 5))
 
@@ -126,12 +127,12 @@
 
 
 def test_a_ranged_read_cut_halfway_is_seen_and_resent():
-    async def story():
-        a, b = two()
+    async def scenario():
+        a, b = two_nodes()
         async with gateway(a, b) as client:
             await client.call("PUT", "/footage/o", BODY)
             wanted = f"bytes=10-{len(BODY) - 20}"
-            # the last piece is the only one of its size; its node breaks each time, after the others came
+            # the last piece is the only one of its size; its node resets each time, after the others came
             last = {
                 target.split("/", 2)[2]
                 for n in (a, b)
@@ -148,23 +149,24 @@
             a.gate = b.gate = break_last
             with pytest.raises(aiohttp.ClientPayloadError):
                 await client.call("GET", "/footage/o", Range=wanted)
-            cut = [name for name, count in client.answers.items() if not count]
-            assert len(cut) == 1  # it has no final answer: what came of it is not whole, and that shows
-            del client.answers[cut[0]]
+            unanswered = [name for name, count in client.answers.items() if not count]
+            assert len(unanswered) == 1  # without a final answer: the client sees that its data is incomplete
+            del client.answers[unanswered[0]]
             a.gate = b.gate = None
             status, _, data = await client.call("GET", "/footage/o", Range=wanted)
             assert (status, data) == (206, BODY[10 : len(BODY) - 19])
-            settled(client)
+            check_settled(client)
 
-    run(story())
+    run(scenario())
 
 
 def test_a_client_that_goes_halfway_leaves_nothing_behind():
-    async def story():
-        a, b = two()
+    async def scenario():
+        a, b = two_nodes()
         async with gateway(a, b) as client:
             await client.call("PUT", "/footage/o", BODY)
-            reached, never = asyncio.Event(), asyncio.Event()
+            reached = asyncio.Event()
+            never = asyncio.Event()
 
             async def stall(request):
                 reached.set()
@@ -180,12 +182,12 @@
             assert client.head.engine.reducer.open == 0
             never.set()
 
-    run(story())
+    run(scenario())
 
 
 def test_a_client_that_waits_to_be_asked_for_its_body_is_asked():
-    async def story():
-        async with gateway(*two()) as client:
+    async def scenario():
+        async with gateway(*two_nodes()) as client:
             reader, writer = await asyncio.open_connection(HOST, client.head.objects.port)
             writer.write(
                 b"PUT /footage/o HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n"
@@ -196,14 +198,14 @@
             writer.close()
             assert (await client.call("GET", "/footage/o"))[2] == b"body"
 
-    run(story())
+    run(scenario())
 
 
 def test_a_body_that_stalls_ends_its_operation(monkeypatch):
     monkeypatch.setattr(transfer, "STALL", timedelta(milliseconds=50))
 
-    async def story():
-        async with gateway(*two()) as client:
+    async def scenario():
+        async with gateway(*two_nodes()) as client:
             reader, writer = await asyncio.open_connection(HOST, client.head.objects.port)
             writer.write(b"PUT /footage/o HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbo")
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 400 ")
@@ -211,13 +213,13 @@
             assert client.head.object_front.operations == 0
             assert (await client.call("GET", "/footage/o"))[0] == 404
 
-    run(story())
+    run(scenario())
 
 
 # -- refusals, limits, what is not served ----------------------------------------------------------------
 def test_a_basic_volume_stays_within_its_limit_and_is_told_when_to_come_back():
-    async def story():
-        nodes = two()
+    async def scenario():
+        nodes = two_nodes()
         async with gateway(*nodes) as client:
             answers = await asyncio.gather(
                 *(client.call("PUT", f"/exports/o{i}", b"x" * (2 * PAYLOAD)) for i in range(8))
@@ -225,25 +227,26 @@
             slow = [(headers, data) for status, headers, data in answers if status == 503]
             assert slow and {status for status, _, _ in answers} <= {200, 503}
             assert all(error_code(d) == "SlowDown" and int(h["Retry-After"]) >= 1 for h, d in slow)
-            settled(client)
-            # units as the front counts them; the store starts full and fills at the limit's rate
+            check_settled(client)
+            # units as the front counts them; the token bucket starts full and refills at the limit's rate
             sent = sorted((at, max(1, -(-8 * size // 65536))) for n in nodes for _, _, at, size in n.seen)
-            spent, began = 0, sent[0][0]
+            spent = 0
+            began = sent[0][0]
             for at, units in sent:
                 spent += units
                 assert spent <= 48 + 8 + 19 * (at - began + 0.15)
 
-    run(story())
+    run(scenario())
 
 
 def test_what_the_core_refuses_is_told_at_once_and_not_asked_again():
-    async def story():
+    async def scenario():
         conf = head_config()
         head = Head(conf, object_settings(conf))
-        asked = []
+        requested = []
 
         async def refuse(request):
-            asked.append(request)
+            requested.append(request)
             return model.Refused(timedelta(milliseconds=400))
 
         await head.start()
@@ -252,10 +255,10 @@
             client = Client(session, head.objects.port, head)
             status, headers, data = await client.call("GET", "/footage/o")
             assert (status, error_code(data), headers["Retry-After"]) == (503, "SlowDown", "1")
-            assert len(asked) == 1
+            assert len(requested) == 1
         await head.stop()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -285,31 +288,33 @@
     ],
 )
 def test_errors_are_worded_as_the_protocol_words_them(method, path, headers, status, code):
-    async def story():
-        async with gateway(*two()) as client:
+    async def scenario():
+        async with gateway(*two_nodes()) as client:
             body = b"body" if method == "PUT" else None
-            got, _, data = await client.call(method, path, body, **headers)
-            assert (got, error_code(data)) == (status, code)
-            settled(client)
+            answer_status, _, data = await client.call(method, path, body, **headers)
+            assert (answer_status, error_code(data)) == (status, code)
+            check_settled(client)
 
-    run(story())
+    run(scenario())
 
 
 def test_a_write_that_may_have_run_is_sent_again_only_to_its_own_shard():
-    async def story():
-        a, b = Node("a", 0, "reset"), Node("b", 1, "reset")
+    async def scenario():
+        a = Node("a", 0, "reset")
+        b = Node("b", 1, "reset")
         async with gateway(a, b) as client:
             assert (await client.call("PUT", "/footage/o", b"x"))[0] == 200
             for node in (a, b):
-                targets = {r.raw_path for r in node.requests}
-                assert not targets & {r.raw_path for n in (a, b) if n is not node for r in n.requests}
+                other_node = b if node is a else a
+                targets = {request.raw_path for request in node.requests}
+                assert not targets & {request.raw_path for request in other_node.requests}
             assert (await client.call("GET", "/footage/o"))[2] == b"x"
-            settled(client)
+            check_settled(client)
 
-    run(story())
+    run(scenario())
 
 
-# -- the parts, without any socket -----------------------------------------------------------------------
+# -- components, without sockets -------------------------------------------------------------------------
 def test_pieces_know_when_they_are_not_themselves():
     assert unframe("a" * 16, frame("a" * 16, b"data")) == b"data"
     assert unframe("a" * 16, b"") is None
@@ -325,7 +330,8 @@
 
 
 def test_etags_of_parts_are_authenticated():
-    tokens, other = Tokens(SECRET), Tokens(SECRET[::-1])
+    tokens = Tokens(SECRET)
+    other = Tokens(SECRET[::-1])
     upload = tokens.new_upload("bucket", "key")
     part = Part(3, b"m" * 16, Ref("ab" * 8, 5, 1 << 33, 2))
     etag = tokens.part_etag(upload, part)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages that say how the parts fit name files that are there."""
+"""Tests that the paths named in the overview pages exist."""
 
 import re
 from pathlib import Path
@@ -10,15 +10,15 @@
 # In backticks, with a folder: `net/engine.py`, `stoatrouter/policy/`, `deploy/heads.cue`.
 PATH = re.compile(r"`([\w.-]+/[\w./-]*)`")
 SUFFIXES = (".py", ".md", ".cue", ".toml", "/")
-BASES = (ROOT, ROOT / "stoatrouter")
-# What operators name themselves, or the operators' own pages.
-NOT_OURS = {"folder/NAME", "rules/"}
+BASE_FOLDERS = (ROOT, ROOT / "stoatrouter")
+# Paths that operators choose, or that are in the operators' own pages.
+EXTERNAL_PATHS = {"folder/NAME", "rules/"}
 
 
 def missing_paths(text: str) -> list[str]:
-    """The paths that a page names and that are neither in the repository nor in its package."""
-    named = {path for path in PATH.findall(text) if path.endswith(SUFFIXES)} - NOT_OURS
-    return sorted(path for path in named if not any((base / path).exists() for base in BASES))
+    """Return the paths that a page names and that exist neither in the repository nor in its package."""
+    named = {path for path in PATH.findall(text) if path.endswith(SUFFIXES)} - EXTERNAL_PATHS
+    return sorted(path for path in named if not any((base / path).exists() for base in BASE_FOLDERS))
 
 
 @pytest.mark.parametrize("page", PAGES)
--- a/tests/test_rejection_in_time.py
+++ b/tests/test_rejection_in_time.py
@@ -1,6 +1,6 @@
-"""A refusal is of use while its client can still try anew: what is unsent at half its time is refused.
+"""Tests that a request not sent by half of its time is refused, while its client can still retry.
 
-Seen on the bench: clients paid for refusals after more than half their time with nothing written to a node.
+On the bench, clients got refusals after more than half of their time with nothing written to a node.
 """
 
 from __future__ import annotations
@@ -12,29 +12,28 @@
 from tests.scheduler_driver import MS, SECOND, SchedulerDriver
 
 
-def blocked() -> SchedulerDriver:
-    """A driver whose only node is full for this host."""
+def driver_with_full_node() -> SchedulerDriver:
+    """Return a driver whose only node has no place in its window."""
     driver = SchedulerDriver(accepts_retry_after=True, max_retry_after=500 * MS)
-    driver.scheduler.nodes["n1"].window, driver.scheduler.nodes["n1"].in_flight = (
-        1.0,
-        {("other", 0): driver.now + SECOND},
-    )
+    node = driver.scheduler.nodes["n1"]
+    node.window = 1.0
+    node.in_flight = {("other", 0): driver.now + SECOND}
     return driver
 
 
 def test_what_was_never_sent_is_refused_before_half_its_time():
-    driver = blocked()
-    began = driver.now
+    driver = driver_with_full_node()
+    arrived_at = driver.now
     driver.request("r", left=2 * SECOND)
     driver.wait(2 * SECOND)
     assert not driver.sends("r")
-    ((answered, final),) = [(t, a) for t, a in driver.log if isinstance(a, api.Reject | api.Fail)]
-    assert isinstance(final, api.Reject) and answered - began < SECOND
+    ((answered_at, final),) = [(at, a) for at, a in driver.log if isinstance(a, api.Reject | api.Fail)]
+    assert isinstance(final, api.Reject) and answered_at - arrived_at < SECOND
 
 
 def test_a_rejection_for_want_of_time_gives_no_advice_where_none_is_known():
-    """Forced: nobody knows when the node opens, so the advice is 0 (docs/incidents/0004)."""
-    driver = blocked()
+    """It is unknown when the node has a free place, so the advice is 0 (docs/incidents/0004)."""
+    driver = driver_with_full_node()
     driver.request("r", left=2 * SECOND)
     driver.wait(2 * SECOND)
     assert driver.finals("r") == [api.Reject("r", 0)]
@@ -52,10 +51,10 @@
 @pytest.mark.parametrize(("outcome", "early"), [(Outcome.CONNECT_FAILED, True), (Outcome.FULL, False)])
 def test_only_what_came_to_a_node_counts_as_sent(outcome, early):
     driver = SchedulerDriver(max_attempts=2)
-    began = driver.now
+    arrived_at = driver.now
     driver.request("r", left=2 * SECOND)
     driver.end("r", outcome)
-    driver.scheduler.nodes["n1"].phase = api.Phase.GONE  # nothing more can go out
+    driver.scheduler.nodes["n1"].phase = api.Phase.GONE  # no further attempt is possible
     driver.wait(2100 * MS)
-    answered = [t for t, a in driver.log if isinstance(a, api.Reject | api.Fail)]
-    assert len(answered) == 1 and (answered[0] - began < SECOND) is early
+    answer_times = [at for at, a in driver.log if isinstance(a, api.Reject | api.Fail)]
+    assert len(answer_times) == 1 and (answer_times[0] - arrived_at < SECOND) is early
--- a/tests/test_request_reading.py
+++ b/tests/test_request_reading.py
@@ -1,4 +1,4 @@
-"""How requests are read for rules, and which are refused before any rule is tried."""
+"""Tests of how requests are parsed for rules, and which are refused before any rule is tried."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from stoatrouter.matching.inputs import HTTP_ENVIRONMENT, UnreadableRequestError, read_input
-from tests.matching_tables import DETERMINED, ask
+from tests.matching_tables import DETERMINED, request_input
 
 READING = [
-    # target, fields, what is asked, what it is
+    # target, header fields, attribute, value
     ("/a%2Fb/c", (), "segments", ["a/b", "c"]),
     ("/a%2fb/c", (), "path", "/a%2Fb/c"),
     ("/%73cores", (), "path", "/scores"),
@@ -31,6 +31,7 @@
     ("/a", ((b"x-a", b"v" * 8192),), "headers", {"host": "scores.example", "x-a": "v" * 8192}),
     ("/a", ((b"Cookie", b"a=1; b=2"), (b"Cookie", b"a=3; c")), "cookies", {"a": "1", "b": "2"}),
 ]
+# target, header fields, status of the refusal
 UNREADABLE = [
     ("/a/../b", (), 400),
     ("/a/./b", (), 400),
@@ -63,13 +64,13 @@
 
 @pytest.mark.parametrize(("target", "fields", "name", "value"), READING)
 def test_reading(target, fields, name, value):
-    assert getattr(ask(target, fields=fields), name) == value
+    assert getattr(request_input(target, fields=fields), name) == value
 
 
 @pytest.mark.parametrize(("target", "fields", "status"), UNREADABLE)
 def test_what_has_two_readings_or_is_too_large_is_refused_before_rules(target, fields, status):
     with pytest.raises(UnreadableRequestError) as refusal:
-        ask(target, fields=fields)
+        request_input(target, fields=fields)
     assert refusal.value.status == status and str(refusal.value)
 
 
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The rules that every send meets, and the order in which waiting requests are sent, asked directly."""
+"""Unit tests of the rules for sending and of the order in which waiting requests are sent."""
 
 from __future__ import annotations
 
@@ -12,60 +12,63 @@
 from tests.scheduler_driver import CLASSES, MS, PLAN, SECOND, SchedulerDriver, answer_after
 
 
-def fill(driver: SchedulerDriver) -> None:
-    """Take the one place of the node's window."""
-    driver.scheduler.nodes["n1"].window, driver.scheduler.nodes["n1"].in_flight = (
-        1.0,
-        {("other", 0): driver.now},
-    )
+def fill_window(driver: SchedulerDriver) -> None:
+    """Fill the node's window, which has one place."""
+    node = driver.scheduler.nodes["n1"]
+    node.window = 1.0
+    node.in_flight = {("other", 0): driver.now}
 
 
-def blocked(driver: SchedulerDriver, request, node) -> int:
-    """From when the rules let a request go to a node; 0: now."""
+def blocked_until(driver: SchedulerDriver, request, node) -> int:
+    """Return from when the rules allow a request to be sent to a node; 0: now."""
     return driver.scheduler.send_rules.blocked_until(request, node, driver.now)
 
 
-def waiting(**more):
-    """A driver with one request held at a node that is full for it, and both of them."""
+def with_waiting_request(**more):
+    """Return a driver, a request that waits for a full node, and that node."""
     driver = SchedulerDriver(**more)
-    fill(driver)
+    fill_window(driver)
     driver.request("r")
-    request, node = driver.scheduler.requests["r"], driver.scheduler.nodes["n1"]
-    assert not blocked(driver, request, node)
+    request = driver.scheduler.requests["r"]
+    node = driver.scheduler.nodes["n1"]
+    assert not blocked_until(driver, request, node)
     return driver, request, node
 
 
 def test_blocks_what_is_done_overdue_or_out_of_attempts():
-    driver, request, node = waiting(max_attempts=1)
+    driver, request, node = with_waiting_request(max_attempts=1)
     request.done = True
-    assert blocked(driver, request, node)
-    request.done, driver.now = False, request.deadline
-    assert blocked(driver, request, node)
-    driver, request, node = waiting(max_attempts=1)
+    assert blocked_until(driver, request, node)
+    request.done = False
+    driver.now = request.deadline
+    assert blocked_until(driver, request, node)
+    driver, request, node = with_waiting_request(max_attempts=1)
     request.attempts.append(Attempt(node, driver.now, Outcome.FULL))
-    assert blocked(driver, request, node)
+    assert blocked_until(driver, request, node)
 
 
 def test_blocks_a_second_attempt_while_one_is_in_flight():
-    driver, request, node = waiting()
+    driver, request, node = with_waiting_request()
     request.attempts.append(Attempt(node, driver.now))
-    assert blocked(driver, request, node)
+    assert blocked_until(driver, request, node)
 
 
 def test_blocks_an_idempotent_retry_on_another_shard():
     keyed = api.RequestClass(
         "k", 3, 400 * MS, 5 * SECOND, 0.2, api.Effect.IDEMPOTENT, api.Group.SHARD, 4 * SECOND
     )
-    driver, request, node = waiting(classes=(keyed,), nodes=[api.NodeEntry("n1", 0), api.NodeEntry("n2", 1)])
+    driver, request, node = with_waiting_request(
+        classes=(keyed,), nodes=[api.NodeEntry("n1", 0), api.NodeEntry("n2", 1)]
+    )
     request.attempts.append(Attempt(node, driver.now, Outcome.RESET))
-    assert blocked(driver, request, driver.scheduler.nodes["n2"])
-    assert not blocked(driver, request, node)
+    assert blocked_until(driver, request, driver.scheduler.nodes["n2"])
+    assert not blocked_until(driver, request, node)
 
 
 def test_blocks_a_draining_node_even_for_what_waits_there():
-    driver, request, node = waiting()
+    driver, request, node = with_waiting_request()
     node.phase = Phase.DRAINING
-    assert blocked(driver, request, node)
+    assert blocked_until(driver, request, node)
 
 
 def test_files_at_a_node_that_is_on():
@@ -94,31 +97,31 @@
     assert driver.sends("x")
 
 
-def order(driver: SchedulerDriver, *names: str) -> list[str]:
-    """In which order the requests go once the window lets one through at a time."""
+def send_order(driver: SchedulerDriver, *names: str) -> list[str]:
+    """Return the order in which the requests are sent when the window has one place."""
     node = driver.scheduler.nodes["n1"]
     node.in_flight.clear()
     driver.wait(2 * SECOND, answer_after(1 * MS))
     return [a.request for _, a in driver.sends() if a.request in names]
 
 
-def held(plans, **more) -> SchedulerDriver:
+def driver_with_full_node(plans, **more) -> SchedulerDriver:
     driver = SchedulerDriver(
         plans=plans, quota_weight_factor=0.4, excess_weight_factor=0.05, max_units=1, **more
     )
-    fill(driver)
+    fill_window(driver)
     return driver
 
 
 def test_units_within_the_reserve_go_before_others():
-    driver = held((api.Plan("none", 10), PLAN))
+    driver = driver_with_full_node((api.Plan("none", 10), PLAN))
     driver.request("beyond", volume="a", plan=0)
     driver.request("inside", volume="b", plan=1)
-    assert order(driver, "beyond", "inside") == ["inside", "beyond"]
+    assert send_order(driver, "beyond", "inside") == ["inside", "beyond"]
 
 
 def test_what_other_hosts_were_served_draws_on_the_reserve():
-    driver = held((api.Plan("p", 4, reserve=4), PLAN))
+    driver = driver_with_full_node((api.Plan("p", 4, reserve=4), PLAN))
     driver.scheduler.nodes["n1"].in_flight.clear()
     driver.request("first", volume="a", plan=0)
     driver.end("first", units_by_others=20.0)
@@ -126,25 +129,26 @@
 
 
 def test_a_volume_far_beyond_its_quota_goes_after_one_within_it():
-    driver = held((api.Plan("none", 10),))
+    driver = driver_with_full_node((api.Plan("none", 10),))
     for name in ("greedy", "b", "c", "d"):
         driver.request(name, volume=name)
     driver.scheduler.volumes["greedy"].excess = 50.0
-    assert order(driver, "greedy", "b", "c", "d")[-1] == "greedy"
+    assert send_order(driver, "greedy", "b", "c", "d")[-1] == "greedy"
 
 
 def test_a_key_just_sent_goes_first():
-    driver = held((PLAN,))
+    driver = driver_with_full_node((PLAN,))
     driver.scheduler.nodes["n1"].recent_keys.append("warm")
     driver.request("other", key="x")
     driver.request("same", key="warm")
     driver.scheduler.requests["same"].objective_at = driver.scheduler.requests["other"].objective_at
-    node, requests = driver.scheduler.nodes["n1"], driver.scheduler.requests
-    same, other = (
-        driver.scheduler.dispatcher.priority(requests[name], node, 0.0, driver.now)
-        for name in ("same", "other")
-    )
-    assert same > other
+    node = driver.scheduler.nodes["n1"]
+
+    def priority(name: str) -> float:
+        request = driver.scheduler.requests[name]
+        return driver.scheduler.dispatcher.priority(request, node, 0.0, driver.now)
+
+    assert priority("same") > priority("other")
 
 
 def test_the_same_events_give_the_same_actions():
@@ -165,7 +169,7 @@
 
 
 def test_settings_that_make_no_sense_raise():
-    for wrong in (
+    for invalid in (
         lambda: api.Settings(classes=(), plans=(PLAN,)),
         lambda: api.Settings(classes=CLASSES, plans=(PLAN,), hosts=0),
         lambda: api.Settings(classes=CLASSES, plans=(PLAN,), tick=-1),
@@ -174,7 +178,7 @@
         lambda: api.Plan("p", usual_rate=-1),
     ):
         with pytest.raises(ValueError):
-            wrong()
+            invalid()
 
 
 def test_late_and_repeated_events_are_ignored():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: the kept subset of CUE, unification with a schema, and errors that say file, line, path and remedy."""
+"""Tests of settings: the supported subset of CUE, unification with a schema, and errors with their place."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stoatrouter.settings import SettingsError, load, load_data, load_text
 from tests.rules import OPERATOR
 
-# source => data, or a part of the refusal; from CUE's specification
+# A source and the data that it yields, or a part of the error; from CUE's specification.
 CASES = [
     ("a: 1", {"a": 1}),
     ('a: 1, b: "x"', {"a": 1, "b": "x"}),
@@ -83,8 +83,8 @@
     ("a: " + "[" * 100, "brackets more than"),
     ('a: "x\ny"', "cannot stand here"),
     ('import "x/y"\na: 1', "cue.mod"),
-    # What happened: these fields were dropped without a word, as hidden ones are: is_hidden took the first
-    # character of "" for one of "#_". In CUE all three are fields like any other.
+    # These fields were dropped silently, as hidden ones are, because is_hidden took the first character of ""
+    # for one of "#_". In CUE all three are ordinary fields.
     ('a: 1\n"": 2', 'text:2: found "" as a field\'s name'),
     ('a: {"": 2}', "as a field's name"),
     ('"_x": 1', 'found "_x" as a field\'s name'),
@@ -92,14 +92,14 @@
 ]
 
 
-@pytest.mark.parametrize(("source", "wanted"), CASES, ids=lambda value: str(value)[:50])
-def test_subset_of_cue(source, wanted):
-    if isinstance(wanted, dict):
-        assert load_data(source) == wanted
+@pytest.mark.parametrize(("source", "expected"), CASES, ids=lambda value: str(value)[:50])
+def test_subset_of_cue(source, expected):
+    if isinstance(expected, dict):
+        assert load_data(source) == expected
         return
     with pytest.raises(SettingsError) as refusal:
         load_data(source)
-    assert wanted in str(refusal.value)
+    assert expected in str(refusal.value)
     assert all(fault.at.file == "text" and fault.at.line >= 1 for fault in refusal.value.faults)
 
 
@@ -141,8 +141,8 @@
         'package rules\nimport "stoat.example/shared"\n'
         'scopes: feed: {plans: ["basic"], steps: 500, hosts: ["*"], volumes: [shared.volume]}\n'
     )
-    made = load(main, Rules, "rules.#Rules").record.scopes["feed"]
-    assert (made.volumes, made.classes, made.steps, made.paths) == (
+    feed = load(main, Rules, "rules.#Rules").record.scopes["feed"]
+    assert (feed.volumes, feed.classes, feed.steps, feed.paths) == (
         ("00000000f0a70001",),
         ("score-read",),
         500,
@@ -154,6 +154,7 @@
     assert "no file of package 'none'" in str(refusal.value) and "is not of the module" in str(refusal.value)
 
 
+# Hypothesis seeds a derandomized test with a digest of its source: editing it changes its examples.
 @settings(max_examples=600, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(
     st.one_of(
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,5 +1,4 @@
-"""Ends of the program at awkward moments: each signal comes at a point that a stand-in holds, on real
-sockets."""
+"""Tests of shutdown at critical points, on real sockets; stand-ins hold the head at each point."""
 
 from __future__ import annotations
 
@@ -20,12 +19,13 @@
 from tests.program_process import program_environ, start_program
 from tests.test_program import program, read
 
-LARGE = 3 * 1024 * 1024
+LARGE_BODY_BYTES = 3 * 1024 * 1024
 
 
 def test_a_signal_while_the_head_waits_for_its_first_answer_ends_it_in_order(tmp_path):
-    async def story():
-        a, agent = Node("a", 0), Agent()  # an agent that never answers
+    async def scenario():
+        a = Node("a", 0)
+        agent = Agent()  # never answers
         async with nodes_up(a), agent_up(agent) as at:
             data = config_data(node_list(1, a.entry()), at, free_port())
             (tmp_path / "config.json").write_text(json.dumps(data))
@@ -33,97 +33,102 @@
             process = await start_program(tmp_path, environ, stderr=asyncio.subprocess.PIPE)
             await until(lambda: agent.calls)
             send_signal(process, signal.SIGTERM)
-            _, said = await process.communicate()
-            assert process.returncode == 0 and b"stop: all accepted requests are answered" in said
+            _, stderr = await process.communicate()
+            assert process.returncode == 0 and b"stop: all accepted requests are answered" in stderr
 
-    run(story())
+    run(scenario())
 
 
 def test_a_large_answer_that_flows_as_the_head_is_asked_to_stop_comes_whole(tmp_path):
-    async def story():
-        class Slow(Node):
+    async def scenario():
+        class SlowNode(Node):
             async def handle(self, request):
-                response = aiohttp.web.StreamResponse(headers={"Content-Length": str(LARGE)})
+                response = aiohttp.web.StreamResponse(headers={"Content-Length": str(LARGE_BODY_BYTES)})
                 await response.prepare(request)
-                await response.write(b"x" * (LARGE // 2))
+                await response.write(b"x" * (LARGE_BODY_BYTES // 2))
                 self.halfway.set()
-                await self.go.wait()
-                await response.write(b"x" * (LARGE - LARGE // 2))
+                await self.may_finish.wait()
+                await response.write(b"x" * (LARGE_BODY_BYTES - LARGE_BODY_BYTES // 2))
                 return response
 
-        node = Slow("a", 0)
-        node.halfway, node.go = asyncio.Event(), asyncio.Event()
+        node = SlowNode("a", 0)
+        node.halfway = asyncio.Event()
+        node.may_finish = asyncio.Event()
         async with program(tmp_path, node) as (process, session, base, _):
             async with session.get(base + PATH, headers=HEADERS) as response:
                 first = await response.content.read(1000)
                 await node.halfway.wait()
                 send_signal(process, signal.SIGTERM)
                 await asyncio.sleep(0)
-                node.go.set()
-                assert len(first) + len(await response.read()) == LARGE
+                node.may_finish.set()
+                assert len(first) + len(await response.read()) == LARGE_BODY_BYTES
             assert await process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
 def test_a_head_that_is_out_of_service_still_answers_what_it_took_before_it_ends(tmp_path):
-    async def story():
-        node, management = Node("a", 0), f"{HOST}:{free_port()}"
-        taken, go = asyncio.Event(), asyncio.Event()
+    async def scenario():
+        node = Node("a", 0)
+        management = f"{HOST}:{free_port()}"
+        node_has_request = asyncio.Event()
+        may_answer = asyncio.Event()
 
         async def hold(_):
-            taken.set()
-            await go.wait()
+            node_has_request.set()
+            await may_answer.wait()
 
         node.gate = hold
         environ = {"NODE_MANAGEMENT": management}
         async with program(tmp_path, node, environ=environ) as (process, session, base, _):
             held = asyncio.create_task(read(session, base, "held"))
-            await taken.wait()
+            await node_has_request.wait()
             async with session.post(f"http://{management}/control/out-of-service") as answer:
                 assert answer.status == 200
             send_signal(process, signal.SIGTERM)
-            go.set()
+            may_answer.set()
             assert (await held)[0] == 200
             assert await process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("seen", [1, 2])
-def test_a_client_of_the_object_front_that_left_gets_no_further_piece(seen):
-    """One call is several requests of the core: it leaves behind unread bytes between two of them."""
+@pytest.mark.parametrize("pieces_before_close", [1, 2])
+def test_a_client_of_the_object_front_that_left_gets_no_further_piece(pieces_before_close):
+    """One call makes several requests of the core; the client leaves between two, with unread bytes."""
 
-    async def story():
+    async def scenario():
         nodes = Node("a", 0), Node("b", 1)
 
-        def came() -> int:
+        def count_node_requests() -> int:
             return sum(len(node.seen) for node in nodes)
 
         async with gateway(*nodes) as client:
             assert (await client.call("PUT", "/footage/match", BODY))[0] == 200
-            before, reached, go = came(), asyncio.Event(), asyncio.Event()
+            before = count_node_requests()
+            nodes_reached = asyncio.Event()
+            may_answer = asyncio.Event()
 
             async def hold(_):
-                if came() >= before + seen:
-                    reached.set()
-                    await go.wait()
+                if count_node_requests() >= before + pieces_before_close:
+                    nodes_reached.set()
+                    await may_answer.wait()
 
             for node in nodes:
                 node.gate = hold
             reader, writer = await asyncio.open_connection(HOST, client.head.objects.port)
             writer.write(b"GET /footage/match HTTP/1.1\r\nHost: x\r\n\r\n")
-            await reached.wait()
+            await nodes_reached.wait()
             transport = next(iter(client.head.engine.client_transports.values()))
             transport.pause_reading()
             writer.write(b"y" * 1000)
             await writer.drain()
             writer.close()
             await until(lambda: disconnects.has_disconnected(transport))
-            out = came()
-            go.set()
+            requests_at_nodes = count_node_requests()
+            may_answer.set()
             await until(lambda: not client.head.engine.reducer.records)
-            # what was at nodes already has come; nothing more was sent
-            assert came() == out < before + 5
+            # requests that were at nodes are complete; nothing more was sent
+            assert count_node_requests() == requests_at_nodes < before + 5
 
-    run(story())
+    run(scenario())
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,7 +1,7 @@
-"""What one process of a head stored or handed over is read by the next: the forms that main's code wrote.
+"""Tests that a process reads what an earlier version stored or handed over.
 
-The files under ``tests/data/`` were written by the code of commit b966509 (main, before this sitting renamed
-anything in ``stoatrouter/net``); a new process must still read them as they are.
+The files under ``tests/data/`` were written by the code of commit b966509, before names in
+``stoatrouter/net`` changed; a new process must still read them as they are.
 """
 
 from __future__ import annotations
--- a/tests/test_story_tasks.py
+++ b/tests/test_story_tasks.py
@@ -1,4 +1,4 @@
-"""A story's wait ends with the error of what it waits for."""
+"""Tests that a test's wait ends with the error of a task that it depends on."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 def test_a_task_that_nobody_awaits_ends_the_wait_with_its_error():
-    """Guards a story against waiting for what can no longer come."""
+    """Guards against waiting for something that can no longer happen."""
 
-    async def story():
-        _failing = asyncio.create_task(fail())
+    async def scenario():
+        _failing_task = asyncio.create_task(fail())
         await until(lambda: False)
 
     with pytest.raises(LookupError, match="seen"):
-        run(story(), 5.0)
+        run(scenario(), 5.0)
 
 
 def test_an_error_that_the_story_has_had_ends_no_later_wait():
-    async def story():
-        failing = asyncio.create_task(fail())
+    async def scenario():
+        failing_task = asyncio.create_task(fail())
         with pytest.raises(LookupError):
-            await failing
-        turns = iter(range(3))
-        await until(lambda: next(turns) == 2)
+            await failing_task
+        checks = iter(range(3))
+        await until(lambda: next(checks) == 2)
 
-    run(story(), 5.0)
+    run(scenario(), 5.0)
