--- a/benchmarks/matching.py
+++ b/benchmarks/matching.py
@@ -21,7 +21,7 @@
 from stoatrouter.matching.files import TableLoader
 from stoatrouter.matching.inputs import Input, read_input
 from stoatrouter.matching.table import Table
-from tests.rules import WORDS
+from tests.rules import VOCABULARY
 
 SIZES = ((1, 10), (2, 50), (20, 50), (200, 50))  # scopes, rules of each
 REQUESTS = 400
@@ -115,7 +115,7 @@
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             everything = write(folder, scopes, rules)
-            tables = TableLoader(folder / "rules.cue", WORDS)
+            tables = TableLoader(folder / "rules.cue", VOCABULARY)
             began = time.perf_counter()
             table, _ = tables.load()
             took = time.perf_counter() - began
@@ -148,7 +148,7 @@
     with tempfile.TemporaryDirectory() as name:
         write(Path(name), *SIZES[-1])
         tracemalloc.start()
-        kept = TableLoader(Path(name) / "rules.cue", WORDS)
+        kept = TableLoader(Path(name) / "rules.cue", VOCABULARY)
         table, _ = kept.load()
         held, peak = tracemalloc.get_traced_memory()
         print(f"\nmemory of {table.size} rules: {held / 1e6:.0f} MB, {peak / 1e6:.0f} MB while loading")
--- a/tests/departure_story.py
+++ b/tests/departure_story.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from stoatrouter.lab.histories.requests import Terms
-from tests.fleet_stand_ins import History, RoughNode
-from tests.fleet_story import CLASSES_BY_NAME, GRACE, Client, StoryHead, recorded, stand_ins
+from tests.fleet_stand_ins import FaultyNode, History
+from tests.fleet_story import CLASSES_BY_NAME, GRACE, Client, ScenarioHead, recorded, stand_ins
 from tests.peers import until
 from tests.process_signals import kill
 
@@ -20,7 +20,7 @@
 RETRIES_WITHIN = 0.8  # seconds: the longest backoff of a retry, and more
 
 
-class HoldingNode(RoughNode):
+class HoldingNode(FaultyNode):
     """A node that holds an attempt until it is released, and then declines it; released, it serves."""
 
     def __init__(self, name: str, cell: int, history: History) -> None:
@@ -54,7 +54,7 @@
     """Play the story: what the stand-ins and clients saw, and the terms to judge it by."""
     history = History()
     nodes = [HoldingNode(f"n{i}", i % 2, history) for i in range(4)]  # two shards
-    head = StoryHead("h0", folder, nodes, history, prelude)
+    head = ScenarioHead("h0", folder, nodes, history, prelude)
     async with stand_ins(nodes, [head]):
         await head.start(1)
         try:
--- a/tests/fleet_stand_ins.py
+++ b/tests/fleet_stand_ins.py
@@ -44,7 +44,7 @@
         return self.at_nodes[head]
 
 
-class RoughNode:
+class FaultyNode:
     """A node that serves, rejects, fails, resets after the last byte or is silent, as its seed has it."""
 
     def __init__(self, name: str, cell: int, seed: int, history: History) -> None:
@@ -124,7 +124,7 @@
 class PushingAgent:
     """The agent of one head: pushes changes, and may let the call that is open fall silent."""
 
-    def __init__(self, head: str, nodes: list[RoughNode], history: History) -> None:
+    def __init__(self, head: str, nodes: list[FaultyNode], history: History) -> None:
         self.head, self.nodes, self.history = head, nodes, history
         self.generation, self.changed = 1, asyncio.Event()
         self.open: set[asyncio.StreamWriter] = set()
@@ -132,7 +132,7 @@
         self.pending: dict[str, float] = {}  # draining nodes, which a silent watch misses
         self.down = False  # whether it ends all connections
 
-    def push(self, node: RoughNode) -> None:
+    def push(self, node: FaultyNode) -> None:
         """Push a node's change.
 
         The head counts as notified, unless the open watch has fallen silent; then it does 6 s later, and
--- a/tests/fleet_story.py
+++ b/tests/fleet_story.py
@@ -17,7 +17,7 @@
 from stoatrouter.lab.histories.requests import Effect, RequestClass, Terms
 from tests.addresses import free_ports, own_host
 from tests.attempt_times import lines_written, recording
-from tests.fleet_stand_ins import History, PushingAgent, RoughNode
+from tests.fleet_stand_ins import FaultyNode, History, PushingAgent
 from tests.peers import SETTINGS, node_list, until
 from tests.process_signals import kill, send_signal
 from tests.program_process import ROOT, end_with_parent
@@ -57,11 +57,11 @@
     }
 
 
-class StoryHead:
+class ScenarioHead:
     """One process, started again under its name after each end; a broken program runs `prelude` first."""
 
     def __init__(
-        self, name: str, folder: Path, nodes: list[RoughNode], history: History, prelude: str
+        self, name: str, folder: Path, nodes: list[FaultyNode], history: History, prelude: str
     ) -> None:
         self.name, self.folder, self.nodes, self.history = name, folder, nodes, history
         self.prelude = prelude
@@ -249,8 +249,8 @@
 ) -> tuple[list[dict[str, Any]], Terms]:
     """Play one story: what the stand-ins and clients saw, and the terms to judge it by."""
     history, draws = History(), random.Random(f"story/{seed}")
-    nodes = [RoughNode(f"n{i}", i % 2, seed, history) for i in range(6)]
-    fleet = [StoryHead(f"h{i}", folder, nodes, history, prelude) for i in range(heads)]
+    nodes = [FaultyNode(f"n{i}", i % 2, seed, history) for i in range(6)]
+    fleet = [ScenarioHead(f"h{i}", folder, nodes, history, prelude) for i in range(heads)]
     async with stand_ins(nodes, fleet):
         await asyncio.gather(*(head.start(heads) for head in fleet))
         clients = [Client(i, fleet[i % heads], seed, history) for i in range(8 * heads)]
@@ -262,7 +262,7 @@
     return lines, Terms(CLASSES_BY_NAME, {node.name: node.cell for node in nodes}, GRACE, slack=0.4)
 
 
-def recorded(fleet: Sequence[StoryHead]) -> list[dict[str, Any]]:
+def recorded(fleet: Sequence[ScenarioHead]) -> list[dict[str, Any]]:
     """When heads that have ended wrote their attempts, as lines of the history."""
     names = [head.name for head in fleet]
     nodes = {node.address: node.name for node in fleet[0].nodes}
@@ -270,7 +270,7 @@
 
 
 @contextlib.asynccontextmanager
-async def stand_ins(nodes: list[RoughNode], fleet: list[StoryHead]) -> AsyncIterator[None]:
+async def stand_ins(nodes: list[FaultyNode], fleet: list[ScenarioHead]) -> AsyncIterator[None]:
     """Serve all nodes, and the agent of each head."""
     async with contextlib.AsyncExitStack() as stack:
         for node in nodes:
@@ -284,7 +284,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(clients: list[Client], fleet: list[StoryHead]) -> AsyncIterator[None]:
+async def running(clients: list[Client], fleet: list[ScenarioHead]) -> AsyncIterator[None]:
     """Run clients; at the end they finish their requests, and then the heads are killed."""
     over = asyncio.Event()
     tasks = [asyncio.create_task(client.run(over)) for client in clients]
@@ -300,7 +300,7 @@
 
 
 async def faults(
-    fleet: list[StoryHead], nodes: list[RoughNode], draws: random.Random, turns: int, history: History
+    fleet: list[ScenarioHead], nodes: list[FaultyNode], draws: random.Random, turns: int, history: History
 ) -> None:
     """Drains, silent watches, restarts with requests in flight, kills, one after another and at once."""
     for turn in range(turns):
--- a/tests/http_client.py
+++ b/tests/http_client.py
@@ -54,7 +54,7 @@
         )
 
 
-def two(*script):
+def two_nodes(*script):
     return WebNode("a", 0, *script), WebNode("b", 1, *script)
 
 
@@ -100,7 +100,7 @@
         yield Client(session, head)
 
 
-def settled(head, client):
+def check_settled(head, client):
     """Each request had exactly one final answer, and nothing of it is left in the head."""
     assert set(client.answers.values()) <= {1}
     assert not head.engine.waiters and not head.engine.attempts
--- a/tests/matching_tables.py
+++ b/tests/matching_tables.py
@@ -7,7 +7,7 @@
 from stoatrouter.matching.inputs import read_input
 from stoatrouter.matching.records import Otherwise, Rule, Rules, Scope
 from stoatrouter.matching.table_compiler import TableCompiler
-from tests.rules import APP, FEED, WORDS
+from tests.rules import APP, FEED, VOCABULARY
 
 DETERMINED = settings(
     max_examples=300, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
@@ -28,7 +28,7 @@
 
 def table(*rules, scope=EVERYTHING):
     settings_record = Rules({"all": scope}, Otherwise(404, "no rule matches"))
-    return TableCompiler(WORDS).load(settings_record, {"all": rules}, "epoch")
+    return TableCompiler(VOCABULARY).load(settings_record, {"all": rules}, "epoch")
 
 
 def rule(name, when, **more):
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -6,7 +6,7 @@
 
 from stoatrouter.matching.vocabulary import KnownClass, Vocabulary
 
-WORDS = Vocabulary(
+VOCABULARY = Vocabulary(
     (
         KnownClass("score-read", True, timedelta(seconds=2)),
         KnownClass("event-write", False, timedelta(seconds=3)),
--- a/tests/soak/ends.py
+++ b/tests/soak/ends.py
@@ -13,7 +13,7 @@
 
 from tests.addresses import free_port
 from tests.fleet_stand_ins import History
-from tests.fleet_story import DEADLINE, StoryHead
+from tests.fleet_story import DEADLINE, ScenarioHead
 from tests.process_signals import kill, send_signal
 from tests.soak.node_questions import NodeQuestions
 from tests.soak.plan import TERM, Way, draw_series
@@ -29,7 +29,7 @@
 NEVER_READY = "not ready within 30 s"
 
 
-class SoakHead(StoryHead):
+class SoakHead(ScenarioHead):
     """A head of the soak: at an address of its own, or on a socket that its processes inherit."""
 
     def __init__(
--- a/tests/soak/stand_ins.py
+++ b/tests/soak/stand_ins.py
@@ -8,7 +8,7 @@
 import time
 from dataclasses import dataclass
 
-from tests.fleet_stand_ins import History, RoughNode
+from tests.fleet_stand_ins import FaultyNode, History
 from tests.fleet_story import DEADLINE, Answer, Client, read_answer
 from tests.soak.node_questions import NodeQuestions
 
@@ -27,7 +27,7 @@
     port: int
 
 
-class SoakNode(RoughNode):
+class SoakNode(FaultyNode):
     """A rough node whose answers name their requests; some it writes a second time, 0 to 50 ms later."""
 
     def __init__(self, name: str, cell: int, seed: int, history: History) -> None:
--- a/tests/stall_story.py
+++ b/tests/stall_story.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from stoatrouter.lab.histories.requests import Terms
-from tests.fleet_stand_ins import History, RoughNode
-from tests.fleet_story import CLASSES_BY_NAME, GRACE, Client, StoryHead, read_answer, recorded, stand_ins
+from tests.fleet_stand_ins import FaultyNode, History
+from tests.fleet_story import CLASSES_BY_NAME, GRACE, Client, ScenarioHead, read_answer, recorded, stand_ins
 from tests.process_signals import kill
 
 REQUESTS = 4
@@ -47,7 +47,7 @@
 PRELUDES = {Held.HEAD_BEFORE_DECISION: HOLD_DECISION, Held.HEAD_BEFORE_WRITING: HOLD_WRITING}
 
 
-class StallingNode(RoughNode):
+class StallingNode(FaultyNode):
     """A node that resets the first attempt of a request, and may then be held up with its whole loop."""
 
     stall = 0.0  # seconds
@@ -77,7 +77,7 @@
     for node in nodes:
         node.stall = seconds if held is Held.NODE else 0.0
     prelude = PRELUDES.get(held, "").format(seconds=seconds) + prelude
-    head = StoryHead("h0", folder, list(nodes), history, prelude)
+    head = ScenarioHead("h0", folder, list(nodes), history, prelude)
     stall = seconds if held is Held.CLIENT else 0.0
     async with stand_ins(list(nodes), [head]):
         await head.start(1)
--- a/tests/test_endpoint_list_and_descriptors.py
+++ b/tests/test_endpoint_list_and_descriptors.py
@@ -41,7 +41,7 @@
 from tests.platform_client import HEADERS, PATH
 from tests.process_signals import kill
 from tests.program_process import end_with_parent, program_environ, start_program
-from tests.test_program import ready
+from tests.test_program import wait_until_ready
 
 SHORT_TIMES = replace(
     list_times(True, 2000 * MS),
@@ -202,7 +202,7 @@
             clients = []
             try:
                 async with aiohttp.ClientSession() as session:
-                    await ready(session, f"http://{host}:{port}")
+                    await wait_until_ready(session, f"http://{host}:{port}")
                     for _ in range(2 * max_descriptors):  # more than the limit, as fast as they are accepted
                         clients.append(await asyncio.open_connection(host, port))
                     open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
--- a/tests/test_front_crossings.py
+++ b/tests/test_front_crossings.py
@@ -21,7 +21,7 @@
 from stoatrouter.head import Head
 from stoatrouter.net.client_table import State
 from stoatrouter.net.listener import Listener
-from tests.http_client import gateway, two
+from tests.http_client import gateway, two_nodes
 from tests.peers import HOST, Node, run, until
 from tests.platform_client import HEADERS, PATH, WRITE, started
 
@@ -59,7 +59,7 @@
         async with started(node) as (head, _):
             yield Front(head, head.platform, (node,), True)
         return
-    nodes = two()
+    nodes = two_nodes()
     async with gateway(folder, *nodes) as head:
         yield Front(head, head.http, nodes, False)
 
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -7,13 +7,13 @@
 import pytest
 
 from stoatrouter.config import ConfigError
-from tests.http_client import client_of, gateway, settled, two
+from tests.http_client import check_settled, client_of, gateway, two_nodes
 from tests.peers import HOST, run, until
 
 
 def test_answers_pass_with_status_fields_and_bodies_of_any_size(tmp_path):
     async def scenario():
-        nodes = two()
+        nodes = two_nodes()
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
             status, fields, data = await client.ask(
                 "GET", "/feed/x?y=%2F1", X_Client="c", Connection="x-gone", X_Gone="1"
@@ -37,7 +37,7 @@
             last_requests = [node.asked[-1] for node in nodes if node.asked]
             puts = [request for request in last_requests if request[0] == "PUT"]
             assert [request[2]["Content-Type"] for request in puts] == ["a/b"]
-            settled(head, client)
+            check_settled(head, client)
 
     run(scenario())
 
@@ -60,18 +60,18 @@
 )
 def test_what_no_rule_lets_through_never_reaches_a_node(tmp_path, method, target, fields, status):
     async def scenario():
-        nodes = two()
+        nodes = two_nodes()
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
             assert (await client.ask(method, target, **fields))[0] == status
             assert not nodes[0].asked and not nodes[1].asked
-            settled(head, client)
+            check_settled(head, client)
 
     run(scenario())
 
 
 def test_repeats_only_as_the_class_allows(tmp_path):
     async def scenario():
-        reads, writes = two("reset"), two("reset")
+        reads, writes = two_nodes("reset"), two_nodes("reset")
         async with gateway(tmp_path, *reads) as head, client_of(head) as client:
             assert (await client.ask("GET", "/feed/x"))[0] == 200  # safe: sent again after a reset
             assert sum(len(node.asked) for node in reads) == 2
@@ -84,14 +84,14 @@
             await client.ask("PUT", "/feed/x", b"2")
             requests = [request for node in writes for request in node.asked]
             assert len({request[2]["Idempotency-Key"] for request in requests}) == 2  # one key per request
-            settled(head, client)
+            check_settled(head, client)
 
     run(scenario())
 
 
 def test_a_client_that_leaves_and_a_head_that_drains(tmp_path):
     async def scenario():
-        nodes = two()
+        nodes = two_nodes()
         released = asyncio.Event()
 
         async def gate(request):
@@ -111,7 +111,7 @@
             assert status == 200 and fields["Connection"] == "close"
             assert (await client.ask("GET", "/healthz"))[0] == 503
             client.answers.pop(0)
-            settled(head, client)
+            check_settled(head, client)
 
     run(scenario())
 
--- a/tests/test_http_tables.py
+++ b/tests/test_http_tables.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from stoatrouter.matching.samples import read_samples
-from tests.http_client import client_of, gateway, settled, two
+from tests.http_client import check_settled, client_of, gateway, two_nodes
 from tests.peers import SETTINGS, run
 from tests.rules import APP, ARCHIVE, FEED, READS, WRITES, write_rules
 
@@ -35,7 +35,7 @@
     print("seed", seed)
 
     async def scenario():
-        nodes = two()
+        nodes = two_nodes()
         rng = random.Random(seed)
         decisions = []
         async with gateway(tmp_path, *nodes, app=rules_with_units(2)) as head, client_of(head) as client:
@@ -93,7 +93,7 @@
             await asyncio.sleep(0.25)
             done = True
             await asyncio.gather(*clients)
-            settled(head, client)
+            check_settled(head, client)
             # each request of the core has the volume and units of one table's decision
             units_by_epoch = {epochs[0]: 2, epochs[1]: 4, epochs[4]: 1}
             for epoch, path, decision in decisions:
@@ -136,7 +136,7 @@
         return f"rules: [{rules}]"
 
     async def scenario():
-        nodes = two()
+        nodes = two_nodes()
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
             service = head.tables[0]
             epoch = service.matcher.table.epoch
@@ -154,7 +154,7 @@
             assert service.matcher.table.size == 10_005
             assert (await client.ask("GET", "/feed/9999"))[0] == 200
             assert (await client.ask("GET", "/feed/x"))[0] == 404
-            settled(head, client)
+            check_settled(head, client)
 
     run(scenario(), 90)
 
@@ -163,7 +163,7 @@
     may_load = threading.Event()
 
     async def scenario():
-        async with gateway(tmp_path, *two()) as head:
+        async with gateway(tmp_path, *two_nodes()) as head:
             service = head.tables[0]
             load = service.load
             service.load = lambda: may_load.wait() and load()
@@ -177,7 +177,7 @@
 
 def test_a_repeat_across_a_reload_goes_where_the_first_went(tmp_path):
     async def scenario():
-        nodes = two()
+        nodes = two_nodes()
         async with gateway(tmp_path, *nodes) as head, client_of(head) as client:
             assert (await client.ask("PUT", "/feed/x", b"1", Idempotency_Key="k1"))[0] == 200
             first = next(n for n in nodes if n.asked)
@@ -204,7 +204,7 @@
             f'scopes: feed: {{hosts: ["*"], paths: ["/feed/"], classes: ["event-write"], plans: ["premium"], '
             f'volumes: ["{FEED}"], rules: [{WRITES}]}}\notherwise: reason: "not yet"\n'
         )
-        async with gateway(tmp_path, *two(), settings=settings) as head, client_of(head) as client:
+        async with gateway(tmp_path, *two_nodes(), settings=settings) as head, client_of(head) as client:
             for i in range(30):
                 await client.ask("GET", f"/feed/{i}", X_Secret="s3cret")
             await client.ask("PUT", "/feed/x", b"1")
--- a/tests/test_matching.py
+++ b/tests/test_matching.py
@@ -18,7 +18,7 @@
 from stoatrouter.matching.records import Scope
 from stoatrouter.settings import SettingsError
 from tests.matching_tables import DETERMINED, computed, request_input, rule, table
-from tests.rules import FEED, OPERATOR, READS, WORDS, write_rules
+from tests.rules import FEED, OPERATOR, READS, VOCABULARY, write_rules
 
 # Hypothesis seeds a derandomized test (`DETERMINED`) with a digest of its source: editing such a test changes
 # its examples.
@@ -197,7 +197,7 @@
         app=f'rules: [\n{READS},\n{{name: "x", when: "1", class: "score-read"}}]\nscopes: {{}}',
     )
     with pytest.raises(SettingsError) as refusal:
-        TableLoader(path, WORDS).load()
+        TableLoader(path, VOCABULARY).load()
     assert "app.cue:4: scopes: there is no such field" in str(
         refusal.value
     )  # a team's file may not set scopes
@@ -207,7 +207,7 @@
         app=f'rules: [\n{READS},\n{{name: "x", when: "1", class: "score-read"}}]',
     )
     with pytest.raises(SettingsError) as refusal:
-        TableLoader(path, WORDS).load()
+        TableLoader(path, VOCABULARY).load()
     text = str(refusal.value)
     assert "rules.cue:5: scopes.app" in text and "claimed by 'feed' as well" in text
     assert "app.cue:3: scopes.app.rules[1].when: 1:1: this yields int, but bool is wanted here" in text
@@ -215,7 +215,7 @@
 
 def test_a_bad_table_changes_nothing_and_a_good_one_all(tmp_path):
     path = write_rules(tmp_path)
-    tables = TableLoader(path, WORDS)
+    tables = TableLoader(path, VOCABULARY)
     first, _ = tables.load()
     write_rules(tmp_path, feed="rules: [")  # a half-written file
     with pytest.raises(SettingsError, match="ends too early"):
@@ -244,5 +244,5 @@
     page = Path(__file__).parents[1] / "docs" / "rules.md"
     blocks = page.read_text().split("```cue\n")[1:]
     operator, team = (block.partition("```")[0] for block in blocks[:2])
-    loaded, _ = TableLoader(write_rules(tmp_path, operator, feed=team), WORDS).load()
+    loaded, _ = TableLoader(write_rules(tmp_path, operator, feed=team), VOCABULARY).load()
     assert loaded.size >= 4 and not loaded.warnings
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -43,7 +43,7 @@
         try:
             async with aiohttp.ClientSession() as session:
                 base = f"http://{HOST}:{port}"
-                await ready(session, base)
+                await wait_until_ready(session, base)
                 yield process, session, base, f"http://{HOST}:{object_port}"
         finally:
             if process.returncode is None:
@@ -51,7 +51,7 @@
             await process.communicate()
 
 
-async def ready(session: aiohttp.ClientSession, base: str) -> None:
+async def wait_until_ready(session: aiohttp.ClientSession, base: str) -> None:
     while True:
         with contextlib.suppress(aiohttp.ClientConnectionError):
             async with session.get(base + "/healthz") as response:
