--- a/tests/stall_story.py
+++ b/tests/stall_story.py
@@ -86,7 +86,7 @@
                 for number in range(REQUESTS):
                     client = Client(number, head, 0, history)
                     # an event loop of its own, so that a node that stalls does not stall the client
-                    await asyncio.to_thread(asyncio.run, ask(client, f"s{number}", stall))
+                    await asyncio.to_thread(asyncio.run, send_request(client, f"s{number}", stall))
         finally:
             assert head.process is not None
             kill(head.process)
@@ -95,7 +95,7 @@
     return lines, Terms(CLASSES_BY_NAME, {node.name: node.cell for node in nodes}, GRACE, slack=slack)
 
 
-async def ask(client: Client, name: str, stall: float) -> None:
+async def send_request(client: Client, name: str, stall: float) -> None:
     """Send one request that may be retried within its window, and wait for its answer."""
     reader, writer = await asyncio.open_connection(client.head.host, client.head.port)
     client.history.write("sent", request=name, head=client.head.name, kind="note")
--- a/tests/test_matching.py
+++ b/tests/test_matching.py
@@ -182,9 +182,8 @@
 def test_a_budget_is_of_what_one_request_may_meet():
     spread = [rule(f"r{i}", f'request.path.startsWith("/{i}/") && request.size > {i}') for i in range(100)]
     scope = Scope(("*",), ("/",), ("event-write",), ("basic",), (FEED,), 100)
-    assert (
-        table(*spread, scope=scope).scopes["all"].max_steps <= 100
-    )  # each request is tested against few of them
+    # each request is tested against few of the rules
+    assert table(*spread, scope=scope).scopes["all"].max_steps <= 100
     with pytest.raises(TableError, match="keep rules apart"):
         table(*(rule(f"r{i}", f"request.size > {i}") for i in range(100)), scope=scope)
 
@@ -198,9 +197,8 @@
     )
     with pytest.raises(SettingsError) as refusal:
         TableLoader(path, VOCABULARY).load()
-    assert "app.cue:4: scopes: there is no such field" in str(
-        refusal.value
-    )  # a team's file may not set scopes
+    # a team's file may not set scopes
+    assert "app.cue:4: scopes: there is no such field" in str(refusal.value)
     write_rules(
         tmp_path,
         operator=OPERATOR.replace('paths: ["/app/"]', 'paths: ["/app/", "/feed/"]'),
--- a/tests/test_paced_nodes.py
+++ b/tests/test_paced_nodes.py
@@ -85,10 +85,8 @@
     node = driver.scheduler.nodes["n1"]
     node.window = 0.25
     node.latency = 150.0 * MS
-    driver.request(
-        "export", 2
-    )  # 200 ms: over a quarter of the 250 ms threshold, within half of its objective
-    driver.wait(200 * MS)
+    driver.request("export", 2)
+    driver.wait(200 * MS)  # over a quarter of the 250 ms threshold, within half of its own objective
     driver.end("export")
     assert node.window == 0.5
 
--- a/tests/test_rule_enforcement.py
+++ b/tests/test_rule_enforcement.py
@@ -111,20 +111,10 @@
 
 
 def test_keyed_by_zone_does_not_leave_its_zone():
-    driver = SchedulerDriver(
-        classes=(
-            api.RequestClass(
-                "k",
-                3,
-                400 * MS,
-                5 * SECOND,
-                0.2,
-                api.Effect.IDEMPOTENT,
-                api.Group.ZONE,
-                repeat_window=4 * SECOND,
-            ),
-        )
+    keyed_by_zone = api.RequestClass(
+        "k", 3, 400 * MS, 5 * SECOND, 0.2, api.Effect.IDEMPOTENT, api.Group.ZONE, repeat_window=4 * SECOND
     )
+    driver = SchedulerDriver(classes=(keyed_by_zone,))
     driver.request("r", left=3 * SECOND)
     driver.end("r", Outcome.ERROR)
     driver.listed(api.NodeEntry("n1", 0, phase=Phase.GONE), api.NodeEntry("n2", 0, zone=1))
