--- a/benchmarks/capacity/mixed.py
+++ b/benchmarks/capacity/capacity_fleet.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from benchmarks.capacity.harness import TooLarge, require
+from benchmarks.capacity.harness import CapacityExceeded, require_capacity
 from benchmarks.capacity.realheads import RealHeads
 from stoatrouter.lab.hollow.launcher import FleetSpec, HollowFleet
 from stoatrouter.lab.hollow.places import Place, spread, spread_voters
@@ -32,7 +32,7 @@
 STEADY_FOR = 3  # looks in a row
 SEES_SHARE = 0.98  # of the heads that run: what each has to see as alive before the fleet counts as steady
 STEADY_WITHIN = 180.0  # seconds
-MORE = (
+CREDIT_AND_RULES_SETTINGS = (
     'credit: {prices: {"score-read": 1000, "event-write": 4000}, lease: "5s"}\n'
     'rules: {check_within: "10s", versions: 5000}\n'
 )
@@ -60,17 +60,19 @@
         return self.hollow + self.real
 
     def check(self) -> None:
-        """Refuse what this machine cannot hold before anything is started; raises TooLarge."""
+        """Refuse what this machine cannot hold before anything is started; raises CapacityExceeded."""
         if self.heads > MOST_HEADS:
-            raise TooLarge(
+            raise CapacityExceeded(
                 f"{self.heads:,} heads are asked for, a detector holds {MOST_HEADS:,}: a smaller size"
             )
         processes = self.real + self.workers + 2
         if processes > MOST_PROCESSES:
-            raise TooLarge(f"{processes:,} processes are needed, {MOST_PROCESSES} may be used: fewer workers")
+            raise CapacityExceeded(
+                f"{processes:,} processes are needed, {MOST_PROCESSES} may be used: fewer workers"
+            )
         in_worker = -(-self.hollow // self.workers) * HOLLOW_DESCRIPTORS + WORKER_DESCRIPTORS
         in_relay = self.real * (self.real - 1) * RELAY_DESCRIPTORS
-        require(
+        require_capacity(
             descriptors=max(in_worker, in_relay, self.hollow * 2, self.nodes * 2),
             memory_mb=int(self.hollow * HOLLOW_MB + self.workers * WORKER_MB + self.real * REAL_MB),
             ports=self.hollow * PORTS_A_HEAD,
@@ -122,7 +124,7 @@
         )
         show(census.summary())
 
-    async def steady(self, within: float = STEADY_WITHIN, quiet: bool = False) -> float:
+    async def wait_steady(self, within: float = STEADY_WITHIN, quiet: bool = False) -> float:
         """Wait until all heads that run are in touch and each sees nearly all others; seconds it took.
 
         Raises TimeoutError with what is missing."""
@@ -187,7 +189,7 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet_up(folder: Path, size: Size, seed: int) -> AsyncIterator[CapacityFleet]:
+async def running_fleet(folder: Path, size: Size, seed: int) -> AsyncIterator[CapacityFleet]:
     """A fleet that has begun; all of it is ended at the end, also when it is interrupted."""
     size.check()
     async with contextlib.AsyncExitStack() as stack:
@@ -195,7 +197,17 @@
         names = [f"h{number}" for number in range(size.heads)]
         real_names, hollow_names = names[: size.real], tuple(names[size.real :])
         places = spread(hollow_names) | spread(real_names) | spread_voters(real_names[: size.voters])
-        real = RealHeads(folder, size.real, size.voters, size.spares, seed, MORE, RULES, places, discovery)
+        real = RealHeads(
+            folder,
+            size.real,
+            size.voters,
+            size.spares,
+            seed,
+            CREDIT_AND_RULES_SETTINGS,
+            RULES,
+            places,
+            discovery,
+        )
         await real.open()
         stack.push_async_callback(real.close)
         config_file, heads_file, http_file = real.write_hollow(folder / "hollow")
@@ -215,7 +227,7 @@
         yield fleet
 
 
-def cpu_of(fleet: CapacityFleet) -> dict[str, float]:
+def cpu_seconds_by_process(fleet: CapacityFleet) -> dict[str, float]:
     """Processor seconds of each worker and each real head; one that has just ended is left out."""
     used = {f"worker {number}": answer.cpu_seconds for number, answer in fleet.hollow.replies.items()}
     for head in fleet.real.up:
--- a/benchmarks/capacity/children.py
+++ b/benchmarks/capacity/children.py
@@ -79,7 +79,7 @@
         self.process.stdin.write(json.dumps(message) + "\n")
         self.process.stdin.flush()
 
-    def hear(self, within: float = ANSWER_WITHIN) -> Message:
+    def receive(self, within: float = ANSWER_WITHIN) -> Message:
         """The next line that it says."""
         assert self.process.stdout is not None
         # no thread watches: an exception between its start and its end would have the command wait for it
@@ -93,7 +93,7 @@
     def ask(self, message: Message) -> Message:
         """Send a line and wait for its answer."""
         self.tell(message)
-        return self.hear()
+        return self.receive()
 
     def end(self) -> None:
         """End it by the end of its input; kill it where that does not help."""
@@ -131,7 +131,7 @@
     """Have all children do the same at once; their answers in order."""
     for child in asked:
         child.tell(message)
-    return [child.hear() for child in asked]
+    return [child.receive() for child in asked]
 
 
 def say(message: Message) -> None:
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -139,7 +139,7 @@
     would have, and the base has none of it.
     """
     whole = given.study == "whole"
-    harness.require(descriptors=sum(given.sizes) + 500, ports=sum(given.sizes) + 500)
+    harness.require_capacity(descriptors=sum(given.sizes) + 500, ports=sum(given.sizes) + 500)
     crowds = [SimulatedPeers(size - 1, read_key(), FLEET) for size in given.sizes]
     http = text_of(RULES, "own")
     more = CREDIT_ON + RULES_ON
--- a/benchmarks/capacity/decision.py
+++ b/benchmarks/capacity/decision.py
@@ -132,7 +132,7 @@
     """The command."""
     arguments = arguments_parser().parse_args()
     end_on_signals()
-    harness.require(memory_mb=500)
+    harness.require_capacity(memory_mb=500)
     with harness.recording("decision", arguments.out, arguments.at) as run:
         for case in cases(arguments):
             before = harness.reference_ms()
--- a/benchmarks/capacity/faults.py
+++ b/benchmarks/capacity/faults.py
@@ -7,8 +7,8 @@
 import time
 from collections.abc import Collection, Iterable, Iterator
 
-from benchmarks.capacity.mixed import CapacityFleet
-from benchmarks.capacity.story import Story
+from benchmarks.capacity.capacity_fleet import CapacityFleet
+from benchmarks.capacity.scene_clients import SceneClients
 from stoatrouter.lab.hollow.places import Place
 from tests.heads.history_clients import VOLUMES
 
@@ -18,7 +18,7 @@
 class Faults:
     """What a scene breaks; each fault that the judges have to know of is written into the history."""
 
-    def __init__(self, fleet: CapacityFleet, story: Story) -> None:
+    def __init__(self, fleet: CapacityFleet, story: SceneClients) -> None:
         self.fleet, self.story = fleet, story
 
     @contextlib.contextmanager
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -19,20 +19,34 @@
 from collections.abc import Coroutine
 from pathlib import Path
 
-from benchmarks.capacity.harness import Measurement, Run, TooLarge, parser, process_memory_mb, recording
-from benchmarks.capacity.mixed import CapacityFleet, Size, count_of, cpu_of, fleet_up, show
+from benchmarks.capacity.capacity_fleet import (
+    CapacityFleet,
+    Size,
+    count_of,
+    cpu_seconds_by_process,
+    running_fleet,
+    show,
+)
+from benchmarks.capacity.harness import (
+    CapacityExceeded,
+    Measurement,
+    Run,
+    parser,
+    process_memory_mb,
+    recording,
+)
 from stoatrouter.lab.hollow.census import Census, Incomplete, differences
 
 
 async def measure(run: Run, fleet: CapacityFleet, seconds: float, seed: int) -> None:
     """A calm while: rates of hollow heads and of real ones, processor time and memory."""
     hollow, real = fleet.hollow, fleet.real
-    before, cpu_before = await hollow.report(), cpu_of(fleet)
+    before, cpu_before = await hollow.report(), cpu_seconds_by_process(fleet)
     real_before = {head.name: await head.status() for head in real.up}
     began = time.monotonic()
     await asyncio.sleep(seconds)
     span = time.monotonic() - began
-    after, cpu_after = await hollow.report(), cpu_of(fleet)
+    after, cpu_after = await hollow.report(), cpu_seconds_by_process(fleet)
     real_after = {head.name: await head.status() for head in real.up}
     show(after.summary())
     lag = max(answer.longest_lag for answer in hollow.replies.values())
@@ -139,11 +153,11 @@
 async def play(run: Run, size: Size, seed: int, seconds: float, steady_within: float) -> None:
     """One size: start, become steady where that comes in time, measure."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
-        async with fleet_up(Path(folder), size, seed) as fleet:
+        async with running_fleet(Path(folder), size, seed) as fleet:
             took = await fleet.in_touch()
             run.add(Measurement("start to in touch", size.heads, took, "s", seed))
             try:
-                took += await fleet.steady(steady_within)
+                took += await fleet.wait_steady(steady_within)
             except TimeoutError as error:
                 show(str(error))
                 took = float("inf")
@@ -166,7 +180,9 @@
     """The size that arguments name."""
     real = given.voters + given.spares + given.followers
     if heads <= real:
-        raise TooLarge(f"{heads} heads are asked for, {real} are real: fewer --followers, or a larger size")
+        raise CapacityExceeded(
+            f"{heads} heads are asked for, {real} are real: fewer --followers, or a larger size"
+        )
     return Size(
         heads - real,
         given.voters,
@@ -200,7 +216,7 @@
         sizes = [size_of(given, heads) for heads in given.sizes]
         for size in sizes:
             size.check()
-    except TooLarge as error:
+    except CapacityExceeded as error:
         print(f"refused: {error}", file=sys.stderr)
         return 2
     try:
--- a/benchmarks/capacity/guests.py
+++ b/benchmarks/capacity/guests.py
@@ -16,7 +16,7 @@
 from benchmarks.capacity import harness
 from benchmarks.capacity.children import end_on_signals
 from benchmarks.capacity.decision import HEADS, demo_settings
-from benchmarks.capacity.request import Setting, bench, measured
+from benchmarks.capacity.request import Setting, measure_phase, running_bench
 from benchmarks.capacity.virtual import SECOND, Load, VirtualHead, node_entries
 from tests.test_fleet import OVERLOAD_WINDOW, WARM_UP_FROM, WARM_UP_TIME, sends_to_restarted_nodes
 
@@ -38,8 +38,8 @@
 def measure_connections(run: harness.Run, nodes: int, rate_per_node: float, seconds: float) -> None:
     """One real head before some nodes, until connections that are idle have ended and come anew."""
     rate = nodes * rate_per_node
-    with bench(Setting(nodes=nodes, connections=CLIENTS)) as made:
-        phase = measured(made, rate, seconds, warm_up=IDLE_EXPIRY_S + 3)
+    with running_bench(Setting(nodes=nodes, connections=CLIENTS)) as made:
+        phase = measure_phase(made, rate, seconds, warm_up=IDLE_EXPIRY_S + 3)
         most = sum(node.ask({})["most_open"] for node in made.nodes)
     served = phase.counts["ok"]
     requests = {"nodes": nodes, "served": served}
@@ -79,14 +79,14 @@
     add(run, "sends to a full node by one head", rate_per_node, sends, "a second", seed)
 
 
-def bears(end: int, units: float) -> float:
+def window_capacity(end: int, units: float) -> float:
     """How many requests the slowest cold node bears in a window that ends so long after its start."""
     return (
         units / MEAN_UNITS * (1 + (1 / WARM_UP_FROM - 1) * max(0, end - OVERLOAD_WINDOW / 2) / WARM_UP_TIME)
     )
 
 
-def fullest(sent: list[tuple[int, float]], units: float) -> tuple[float, float]:
+def fullest_window(sent: list[tuple[int, float]], units: float) -> tuple[float, float]:
     """Of a node's windows: the most requests over what it bears and chance allow, and over what it bears."""
     ordered, first, held = sorted(sent), 0, 0.0
     over_bound, over = -math.inf, -math.inf
@@ -95,7 +95,7 @@
         while ordered[first][0] <= end - OVERLOAD_WINDOW:
             held -= ordered[first][1] / MEAN_UNITS
             first += 1
-        most = bears(end, units)
+        most = window_capacity(end, units)
         over_bound = max(over_bound, held / (most + 2 * math.sqrt(most) + 2))
         over = max(over, held / most)
     return over_bound, over
@@ -105,7 +105,7 @@
     """All heads and their nodes: the fullest windows, how many nodes are over the bound, and all sends."""
     seed, heads, units, restarts = case
     nodes = [sent for sent in sends_to_restarted_nodes(seed, heads, units, restarts) if sent]
-    found = [fullest(sent, units) for sent in nodes]
+    found = [fullest_window(sent, units) for sent in nodes]
     return (
         max(bound for bound, _ in found),
         max(over for _, over in found),
@@ -145,7 +145,7 @@
     """The command."""
     arguments = arguments_parser().parse_args()
     end_on_signals()
-    harness.require(memory_mb=2_000)
+    harness.require_capacity(memory_mb=2_000)
     with harness.recording("guests", arguments.out, arguments.at) as run:
         parts = arguments.series.split(",")
         if "connections" in parts:
--- a/benchmarks/capacity/harness.py
+++ b/benchmarks/capacity/harness.py
@@ -155,12 +155,12 @@
     return [int(part) for part in text.split(",") if part]
 
 
-class TooLarge(Exception):
+class CapacityExceeded(Exception):
     """The machine cannot hold a size; says what is there and what would do."""
 
 
-def require(descriptors: int = 0, memory_mb: int = 0, ports: int = 0) -> None:
-    """Refuse a size that this machine cannot hold before anything is started; raises TooLarge.
+def require_capacity(descriptors: int = 0, memory_mb: int = 0, ports: int = 0) -> None:
+    """Refuse a size that this machine cannot hold before anything is started; raises CapacityExceeded.
 
     Descriptors are those of one process, memory is that of all of them together, ports are connections to one
     address of loopback from one other.
@@ -172,7 +172,7 @@
     ]
     found = [lack for lack in lacks if lack]
     if found:
-        raise TooLarge("; ".join(found))
+        raise CapacityExceeded("; ".join(found))
 
 
 def _lack(what: str, wanted: int, there: int, remedy: str) -> str:
--- a/benchmarks/capacity/head_process.py
+++ b/benchmarks/capacity/head_process.py
@@ -134,7 +134,7 @@
         (folder / "entries.json").write_text(json.dumps(entries))
         specification = {"entries": str(folder / "entries.json")}
         with children("benchmarks.capacity.discovery_server", [specification]) as (discovery,):
-            listen, watched = free_port(), discovery.hear()["port"]
+            listen, watched = free_port(), discovery.receive()["port"]
             made = configuration(entries, listen, watched, sockets)
             (folder / "config.json").write_text(json.dumps(made))
             with started(folder, program) as process:
--- a/benchmarks/capacity/likeness.py
+++ b/benchmarks/capacity/likeness.py
@@ -18,9 +18,16 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
+from benchmarks.capacity.capacity_fleet import (
+    CREDIT_AND_RULES_SETTINGS,
+    RULES,
+    Size,
+    count_of,
+    nodes_process,
+    show,
+)
 from benchmarks.capacity.fleet import interruptible
-from benchmarks.capacity.harness import Measurement, Run, TooLarge, parser, recording
-from benchmarks.capacity.mixed import MORE, RULES, Size, count_of, nodes_process, show
+from benchmarks.capacity.harness import CapacityExceeded, Measurement, Run, parser, recording
 from benchmarks.capacity.realheads import RealHeads
 from stoatrouter.lab.hollow.census import Census
 from stoatrouter.lab.hollow.launcher import FleetSpec, HollowFleet
@@ -71,7 +78,7 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet_up(
+async def running_fleet(
     folder: Path, size: int, hollow: bool, seed: int, heads_on: bool = True, watches: bool = True
 ) -> AsyncIterator[Fleet]:
     """A fleet of this size: voters of the program, followers hollow or not."""
@@ -79,7 +86,9 @@
         discovery = await stack.enter_async_context(nodes_process(NODES, seed))
         names = tuple(f"h{number}" for number in range(size))
         count = VOTERS if hollow else size
-        real = RealHeads(folder, count, VOTERS, 0, seed, MORE, RULES, {}, discovery, heads_on)
+        real = RealHeads(
+            folder, count, VOTERS, 0, seed, CREDIT_AND_RULES_SETTINGS, RULES, {}, discovery, heads_on
+        )
         await real.open()
         stack.push_async_callback(real.close)
         made = None
@@ -133,7 +142,7 @@
         ("hollow, no list watch", True, True, False),
     ):
         with tempfile.TemporaryDirectory(prefix="likeness-") as folder:
-            async with fleet_up(Path(folder), size, hollow, seed, heads_on, watches) as fleet:
+            async with running_fleet(Path(folder), size, hollow, seed, heads_on, watches) as fleet:
                 show(f"{size} heads: {what}")
                 await measure(run, fleet, what, size, seed, seconds, edits=False)
                 if heads_on and watches:
@@ -148,7 +157,7 @@
     try:
         for size in given.sizes:
             Size(0, VOTERS, 0, size - VOTERS, 1, NODES).check()
-    except TooLarge as error:
+    except CapacityExceeded as error:
         print(f"refused: {error}", file=sys.stderr)
         return 2
     try:
--- a/benchmarks/capacity/nodelist.py
+++ b/benchmarks/capacity/nodelist.py
@@ -37,7 +37,7 @@
 ZONES = tuple(f"zone-{i}" for i in range(12))
 
 
-class ListedHead:
+class HeadWithList:
     """A head's way from discovery's bytes to the decision module, without a network."""
 
     def __init__(self) -> None:
@@ -93,11 +93,11 @@
     add("entries", mean_cpu(lambda: lambda: read_list(data, zones=ZONES)), "us a list")
 
     def prepare_first() -> Callable[[], object]:
-        head = ListedHead()
+        head = HeadWithList()
         return lambda: head.watch.apply(data)
 
     def prepare_again() -> Callable[[], object]:
-        head = ListedHead()
+        head = HeadWithList()
         head.watch.apply(data)
         return lambda: head.watch.apply(data)
 
@@ -112,7 +112,7 @@
     raw = message([entry | {"weight": 2.0} for entry in entries[:changed]], whole=False, generation=2)
 
     def prepare() -> Callable[[], object]:
-        head = ListedHead()
+        head = HeadWithList()
         head.watch.apply(whole)
         head.hold_requests(waiting)
         return lambda: head.watch.apply(json.loads(raw))
@@ -148,15 +148,15 @@
         return
     after = [call for call in calls if call.asked >= INCIDENT_AT]
     for window in WINDOWS:
-        add(f"most calls in {window:g} s", most_in(after, window), "calls")
+        add(f"most calls in {window:g} s", max_calls_in(after, window), "calls")
     # what is told of the incident itself lies in calls that were held since before it
     told = [call for call in calls if call.answered >= INCIDENT_AT]
-    add("bytes in 1 s, most", most_bytes(told, 1.0), "bytes")
+    add("bytes in 1 s, most", max_bytes_in(told, 1.0), "bytes")
     add("whole lists", sum(call.whole for call in told), "lists")
     add("calls in 5 s", sum(call.asked < INCIDENT_AT + 5.0 for call in after), "calls")
 
 
-def most_in(calls: list[Call], window: float) -> int:
+def max_calls_in(calls: list[Call], window: float) -> int:
     """The most calls that came within a window."""
     most = first = 0
     for last, call in enumerate(calls):
@@ -166,7 +166,7 @@
     return most
 
 
-def most_bytes(calls: list[Call], window: float) -> int:
+def max_bytes_in(calls: list[Call], window: float) -> int:
     """The most bytes that were told within a window."""
     ordered = sorted(calls, key=lambda call: call.answered)
     most = first = held = 0
@@ -183,7 +183,7 @@
     """The command."""
     arguments = arguments_parser().parse_args()
     end_on_signals()
-    harness.require(memory_mb=2_000)
+    harness.require_capacity(memory_mb=2_000)
     logger.remove()
     with harness.recording("nodelist", arguments.out, arguments.at) as run:
         for nodes in arguments.sizes:
--- a/benchmarks/capacity/request.py
+++ b/benchmarks/capacity/request.py
@@ -106,9 +106,9 @@
 
 
 @contextlib.contextmanager
-def bench(setting: Setting) -> Iterator[Bench]:
+def running_bench(setting: Setting) -> Iterator[Bench]:
     """Nodes, a head and clients; all are ended, whatever happens meanwhile."""
-    harness.require(
+    harness.require_capacity(
         descriptors=setting.connections + 3 * setting.nodes + 200,
         memory_mb=500 + round(setting.connections * CONNECTIONS_MEMORY_MB),
         ports=setting.connections + 3 * setting.nodes,
@@ -118,12 +118,12 @@
         for i, count in enumerate(parts(setting.nodes, NODE_PROCESSES))
     ]
     with children("benchmarks.capacity.node_servers", node_specifications) as nodes:
-        ports = [port for node in nodes for port in node.hear()["ports"]]
+        ports = [port for node in nodes for port in node.receive()["ports"]]
         with running_head(ports, setting.program) as head:
             specifications = client_specifications(setting, head.port)
             with children("benchmarks.capacity.load_clients", specifications) as clients:
                 for client in clients:
-                    client.hear()
+                    client.receive()
                 yield Bench(head, nodes, clients)
 
 
@@ -148,7 +148,7 @@
     ]
 
 
-def measured(made: Bench, rate: float, seconds: float = MEASURE_S, warm_up: float = WARM_UP_S) -> Phase:
+def measure_phase(made: Bench, rate: float, seconds: float = MEASURE_S, warm_up: float = WARM_UP_S) -> Phase:
     """One phase after a warm-up that does not count."""
     if warm_up:
         made.ask(rate, warm_up)
@@ -204,7 +204,7 @@
     """Heads without clients."""
     for nodes in arguments.sizes:
         setting = Setting(nodes=nodes, connections=1)
-        with bench(setting) as made:
+        with running_bench(setting) as made:
             time.sleep(WARM_UP_S)
             before = made.head.usage()
             time.sleep(arguments.seconds)
@@ -221,8 +221,8 @@
     for seed in arguments.seeds:
         for nodes in arguments.sizes:
             setting = Setting(nodes=nodes, connections=arguments.rate, seed=seed)
-            with bench(setting) as made:
-                phase = measured(made, arguments.rate, arguments.seconds)
+            with running_bench(setting) as made:
+                phase = measure_phase(made, arguments.rate, arguments.seconds)
             report(run, "by nodes", nodes, phase, setting, arguments.rate)
 
 
@@ -231,8 +231,8 @@
     for seed in arguments.seeds:
         for connections in arguments.connections:
             setting = Setting(arguments.nodes, connections, choice="random", seed=seed)
-            with bench(setting) as made:
-                phase = measured(made, arguments.rate, arguments.seconds)
+            with running_bench(setting) as made:
+                phase = measure_phase(made, arguments.rate, arguments.seconds)
             report(run, "by clients", connections, phase, setting, arguments.rate)
 
 
@@ -240,10 +240,10 @@
     """Clients that have all asked and stay."""
     for connections in arguments.connections:
         setting = Setting(arguments.nodes, connections, program=Program.LONG_IDLE)
-        with bench(setting) as made:
+        with running_bench(setting) as made:
             empty = made.head.usage()
             made.ask(FILL_RATE, 1.1 * connections / FILL_RATE)
-            phase = measured(made, arguments.rate, arguments.seconds, warm_up=0)
+            phase = measure_phase(made, arguments.rate, arguments.seconds, warm_up=0)
             report(run, "by held clients", connections, phase, setting, arguments.rate)
             added = (phase.after.memory_mb - empty.memory_mb) * 1000 / connections
             run.add(harness.Measurement("memory for a client, held", connections, round(added, 2), "kB"))
@@ -253,9 +253,9 @@
     """A head that has met so many volumes."""
     for volumes in arguments.volumes:
         setting = Setting(arguments.nodes, CONNECTIONS, volumes)
-        with bench(setting) as made:
+        with running_bench(setting) as made:
             made.ask(FILL_RATE, max(2.0, min(1.5 * volumes / FILL_RATE, arguments.longest_fill)))
-            phase = measured(made, arguments.rate, arguments.seconds, warm_up=0)
+            phase = measure_phase(made, arguments.rate, arguments.seconds, warm_up=0)
         report(run, "by volumes", volumes, phase, setting, arguments.rate)
 
 
@@ -264,9 +264,9 @@
     for seed in arguments.seeds:
         carried = 0
         setting = Setting(arguments.nodes, MOST_CLIENTS, choice="newest", seed=seed)
-        with bench(setting) as made:
+        with running_bench(setting) as made:
             for rate in arguments.rates:
-                phase = measured(made, rate, arguments.seconds)
+                phase = measure_phase(made, rate, arguments.seconds)
                 report(run, f"by rate before {arguments.nodes} nodes", rate, phase, setting, rate)
                 if phase.in_time < IN_TIME_PART:
                     break
@@ -278,7 +278,7 @@
     """Where the processor time of a request goes."""
     for nodes in arguments.sizes:
         setting = Setting(nodes=nodes, connections=arguments.rate, program=Program.SPLIT)
-        with bench(setting) as made:
+        with running_bench(setting) as made:
             made.ask(arguments.rate, WARM_UP_S)
             before = made.head.snapshot()
             counts = made.ask(arguments.rate, arguments.seconds)
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from benchmarks.capacity.mixed import CapacityFleet, cpu_of
+from benchmarks.capacity.capacity_fleet import CapacityFleet, cpu_seconds_by_process
 from stoatrouter.lab.hollow.census import Census
 
 EVERY = 1.0  # seconds
@@ -82,7 +82,7 @@
             census = await self.fleet.hollow.report()
             answers = self.fleet.hollow.replies.values()
             lag = max((answer.longest_lag for answer in answers), default=0.0)
-            self.samples.append(Sample(began, census, cpu_of(self.fleet), lag))
+            self.samples.append(Sample(began, census, cpu_seconds_by_process(self.fleet), lag))
             await asyncio.sleep(max(0.0, EVERY - (time.monotonic() - began)))
 
     def window(self, since: float) -> Window:
--- a/benchmarks/capacity/story.py
+++ b/benchmarks/capacity/scene_clients.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.capacity.mixed import CapacityFleet
+from benchmarks.capacity.capacity_fleet import CapacityFleet
 from benchmarks.capacity.spans import ScenePart
 from stoatrouter.credit.records import charge_of
 from stoatrouter.lab.histories.history import History, read_history
@@ -31,7 +31,7 @@
 SETTLES_WITHIN = 90.0  # seconds
 
 
-class Story(HistoryClients):
+class SceneClients(HistoryClients):
     """The clients of one run. Times between acts are drawn from the seed."""
 
     def __init__(self, fleet: CapacityFleet, seed: int, file: Path, edit_every: float) -> None:
@@ -63,7 +63,7 @@
         up = [head for head in self.fleet.up if not names or head.name in names]
         return self.draws.choice(up) if up else None
 
-    async def begin(self, spend: float) -> None:
+    async def start(self, spend: float) -> None:
         """Make the customers and begin to ask."""
         head = self.fleet.up[0]
         for name, volume in VOLUMES.items():
@@ -122,7 +122,7 @@
             await self.settle(healed, healed)
         self.out.close()
 
-    def judged(self) -> tuple[History, list[str]]:
+    def check_history(self) -> tuple[History, list[str]]:
         """The whole history and what of its promises is broken."""
         logs = {head.name: head.logs for head in self.fleet if head.logs.exists()}
         history = read_history(self.file, logs | self.gone)
--- a/benchmarks/capacity/scenes.py
+++ b/benchmarks/capacity/scenes.py
@@ -22,13 +22,13 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
+from benchmarks.capacity.capacity_fleet import CapacityFleet, Size, running_fleet, show
 from benchmarks.capacity.faults import Faults
 from benchmarks.capacity.fleet import add_sizes, interruptible, size_of
-from benchmarks.capacity.harness import Measurement, Run, TooLarge, parser, recording
-from benchmarks.capacity.mixed import CapacityFleet, Size, fleet_up, show
+from benchmarks.capacity.harness import CapacityExceeded, Measurement, Run, parser, recording
 from benchmarks.capacity.samples import Sampler
+from benchmarks.capacity.scene_clients import SceneClients
 from benchmarks.capacity.spans import ScenePart, in_force_spans, seen_failed, worst
-from benchmarks.capacity.story import Story
 
 EDITS_A_DAY, PRESSED = 1_200, 20  # an ordinary day's edits, and by how much its pace is raised
 EDIT_EVERY = 86_400 / EDITS_A_DAY / PRESSED  # seconds: 3.6
@@ -47,7 +47,7 @@
     """What a scene plays on."""
 
     fleet: CapacityFleet
-    story: Story
+    story: SceneClients
     sampler: Sampler
     faults: Faults
     draws: random.Random
@@ -231,17 +231,17 @@
     """All scenes on one fleet, and the verdict on their history."""
     with tempfile.TemporaryDirectory(prefix="scenes-") as made:
         folder = Path(made)
-        async with fleet_up(folder, size, seed) as fleet:
+        async with running_fleet(folder, size, seed) as fleet:
             took = await fleet.in_touch()
             run.add(Measurement("start to in touch", size.heads, took, "s", seed))
-            took += await span_or_never(fleet.steady(FIRST_STEADY_WITHIN))
+            took += await span_or_never(fleet.wait_steady(FIRST_STEADY_WITHIN))
             run.add(Measurement("start to all seeing 98%", size.heads, took, "s", seed))
-            story = Story(fleet, seed, folder / "history.jsonl", EDIT_EVERY)
+            story = SceneClients(fleet, seed, folder / "history.jsonl", EDIT_EVERY)
             sampler = Sampler(fleet)
             stage = Stage(
                 fleet, story, sampler, Faults(fleet, story), random.Random(f"scenes/{seed}"), seconds
             )
-            await story.begin(spend)
+            await story.start(spend)
             sampler.begin()
             for name in names:
                 await play_one(run, stage, name, seed)
@@ -262,7 +262,7 @@
     over = time.monotonic()
     fleet, figures = stage.fleet, stage.figures
     figures["from its end to all in touch, s"] = await span_or_never(fleet.in_touch(IN_TOUCH_WITHIN))
-    figures["from then to all seeing 98%, s"] = await span_or_never(fleet.steady(STEADY_WITHIN))
+    figures["from then to all seeing 98%, s"] = await span_or_never(fleet.wait_steady(STEADY_WITHIN))
     window = stage.sampler.window(began)
     versions = stage.sampler.samples[-1].versions
     details = {key: str(value) for key, value in asdict(window).items() if isinstance(value, dict)}
@@ -302,7 +302,7 @@
 
 def add_verdict(run: Run, stage: Stage, names: Iterable[str], seed: int) -> None:
     """What the judges found broken over the whole run, and spans that only logs can tell."""
-    history, wrong = stage.story.judged()
+    history, wrong = stage.story.check_history()
     heads = stage.fleet.size.heads
     label = "+".join(names)
     for text in wrong[:20]:
@@ -329,11 +329,11 @@
     names = given.scenes.split(",")
     try:
         if unknown := [name for name in names if name not in SCENES]:
-            raise TooLarge(f"no scenes: {', '.join(unknown)} (there are {', '.join(SCENES)})")
+            raise CapacityExceeded(f"no scenes: {', '.join(unknown)} (there are {', '.join(SCENES)})")
         sizes = [size_of(given, heads) for heads in given.sizes]
         for size in sizes:
             size.check()
-    except TooLarge as error:
+    except CapacityExceeded as error:
         print(f"refused: {error}", file=sys.stderr)
         return 2
     with contextlib.suppress(KeyboardInterrupt):
--- a/benchmarks/capacity/voters.py
+++ b/benchmarks/capacity/voters.py
@@ -129,7 +129,7 @@
 async def by_followers(run: Run, given: argparse.Namespace) -> None:
     """Grow the crowd of followers; with voters gone, they end before the first is there."""
     sizes = sorted(given.sizes)
-    harness.require(
+    harness.require_capacity(
         descriptors=2 * max(sizes) + 500,
         memory_mb=int(given.voters * MB_OF_VOTER + MB_OF_FOLLOWER * max(sizes)),
     )
--- a/tests/heads/test_capacity_samples.py
+++ b/tests/heads/test_capacity_samples.py
@@ -4,7 +4,7 @@
 
 from types import SimpleNamespace
 
-from benchmarks.capacity.mixed import cpu_of
+from benchmarks.capacity.capacity_fleet import cpu_seconds_by_process
 
 
 class Ended:
@@ -25,4 +25,6 @@
 
 def test_a_head_that_has_just_ended_is_left_out_of_a_sample_and_ends_no_run():
     real = SimpleNamespace(up=[Running(), Ended()])
-    assert cpu_of(SimpleNamespace(hollow=SimpleNamespace(replies={}), real=real)) == {"h0": 1.5}
+    assert cpu_seconds_by_process(SimpleNamespace(hollow=SimpleNamespace(replies={}), real=real)) == {
+        "h0": 1.5
+    }
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -20,10 +20,10 @@
 
 import pytest
 
-from benchmarks.capacity.harness import TooLarge
-from benchmarks.capacity.mixed import MORE, CapacityFleet, Size, fleet_up
+from benchmarks.capacity.capacity_fleet import CREDIT_AND_RULES_SETTINGS, CapacityFleet, Size, running_fleet
+from benchmarks.capacity.harness import CapacityExceeded
 from benchmarks.capacity.realheads import FLEET
-from benchmarks.capacity.story import Story
+from benchmarks.capacity.scene_clients import SceneClients
 from stoatrouter import config
 from stoatrouter.agreement.records import Voter
 from stoatrouter.fronts.http.settings import load_http
@@ -76,7 +76,7 @@
     (folder / "config.json").write_text(json.dumps(config_data(node_list(1))))
     (folder / "heads.cue").write_text(
         f'fleet: "{FLEET}"\nsecret_file: "secret"\nfolder: "disk"\n'
-        f"streams: {json.dumps(streams)}\nvoters: {json.dumps(names[:voters])}\n{MORE}"
+        f"streams: {json.dumps(streams)}\nvoters: {json.dumps(names[:voters])}\n{CREDIT_AND_RULES_SETTINGS}"
     )
     files = {"NODE_CONFIG": str(folder / "config.json"), "STOATROUTER_HTTP": str(folder / "http.cue")}
     conf = config.read(files, {})
@@ -249,8 +249,8 @@
 
 def test_a_hollow_head_counts_what_a_real_one_does(tmp_path):
     async def story():
-        async with fleet_up(tmp_path, SMALL, seed=1) as fleet:
-            await fleet.steady(quiet=True)
+        async with running_fleet(tmp_path, SMALL, seed=1) as fleet:
+            await fleet.wait_steady(quiet=True)
             real_before, hollow_before = await counts_of(fleet)
             await asyncio.sleep(10)
             real_after, hollow_after = await counts_of(fleet)
@@ -273,13 +273,13 @@
     """The leader is killed, hollow heads crash, two regions are apart; the judges read the logs of all."""
 
     async def story():
-        async with fleet_up(tmp_path, SMALL, seed=2) as fleet:
+        async with running_fleet(tmp_path, SMALL, seed=2) as fleet:
             from benchmarks.capacity.faults import Faults
 
-            await fleet.steady(quiet=True)
-            asking = Story(fleet, 2, tmp_path / "history.jsonl", edit_every=2.0)
+            await fleet.wait_steady(quiet=True)
+            asking = SceneClients(fleet, 2, tmp_path / "history.jsonl", edit_every=2.0)
             faults = Faults(fleet, asking)
-            await asking.begin(spend=0.5)
+            await asking.start(spend=0.5)
             leader = await fleet.real.leader()
             await leader.kill()
             await fleet.hollow.crash(fleet.hollow.names[:2])
@@ -288,12 +288,12 @@
             await faults.part_regions(0, 1)
             await asyncio.sleep(3)
             await faults.heal()
-            await fleet.steady(quiet=True)
+            await fleet.wait_steady(quiet=True)
             async with asyncio.timeout(LIMIT / 3):  # whatever the faults were, each draws credit again
                 while not all(report.served for report in (await fleet.hollow.report()).running):
                     await asyncio.sleep(0.2)
             await asking.finish()
-            history, broken = asking.judged()
+            history, broken = asking.check_history()
             assert broken == []
             assert asking.accepted > 0
             for name in fleet.hollow.names:
@@ -311,7 +311,7 @@
 
 def test_the_heads_of_a_worker_that_dies_are_named_and_in_no_mean(tmp_path):
     async def story():
-        async with fleet_up(tmp_path, SMALL, seed=3) as fleet:
+        async with running_fleet(tmp_path, SMALL, seed=3) as fleet:
             before = await fleet.hollow.report()
             worker = fleet.hollow.workers[0]
             kill(worker.process)
@@ -342,7 +342,7 @@
     ],
 )
 def test_sizes_that_this_machine_cannot_hold_are_refused_with_what_would_do(size, says):
-    with pytest.raises(TooLarge, match=says):
+    with pytest.raises(CapacityExceeded, match=says):
         size.check()
 
 
--- a/tests/test_capacity_request.py
+++ b/tests/test_capacity_request.py
@@ -52,9 +52,9 @@
 
 
 def test_a_size_that_the_machine_cannot_hold_is_refused_with_what_is_there_and_what_would_do():
-    harness.require(descriptors=1, memory_mb=1, ports=1)
-    with pytest.raises(harness.TooLarge) as refused:
-        harness.require(descriptors=10**9, memory_mb=1, ports=10**6)
+    harness.require_capacity(descriptors=1, memory_mb=1, ports=1)
+    with pytest.raises(harness.CapacityExceeded) as refused:
+        harness.require_capacity(descriptors=10**9, memory_mb=1, ports=10**6)
     descriptors, ports = str(refused.value).split("; ")
     first, last = map(int, Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split())
     assert descriptors.startswith("1,000,000,000 descriptors") and "ulimit -n" in descriptors
@@ -66,8 +66,8 @@
     started = []
     monkeypatch.setattr(request, "children", lambda *arguments: started.append(arguments))
     with (
-        pytest.raises(harness.TooLarge, match="ports"),
-        request.bench(request.Setting(nodes=1, connections=10**6)),
+        pytest.raises(harness.CapacityExceeded, match="ports"),
+        request.running_bench(request.Setting(nodes=1, connections=10**6)),
     ):
         pass
     assert not started
@@ -175,13 +175,13 @@
 def test_the_fullest_window_counts_calls_and_bytes():
     call = nodelist.Call
     calls = [call(t, t + 1, 10, False) for t in (0.0, 0.05, 0.5, 0.95, 1.04, 2.5)]
-    assert nodelist.most_in(calls, 0.1) == 2
-    assert nodelist.most_in(calls, 1.0) == 4
-    assert nodelist.most_bytes(calls, 1.0) == 40
+    assert nodelist.max_calls_in(calls, 0.1) == 2
+    assert nodelist.max_calls_in(calls, 1.0) == 4
+    assert nodelist.max_bytes_in(calls, 1.0) == 40
 
 
 def test_a_change_reaches_the_decision_module_with_requests_waiting():
-    head = nodelist.ListedHead()
+    head = nodelist.HeadWithList()
     entries = node_entries(list(range(NODES)))
     head.watch.apply(json.loads(nodelist.message(entries, whole=True)))
     head.hold_requests(4)
@@ -197,8 +197,8 @@
 def test_the_fullest_cold_window_is_held_against_what_the_node_bears_and_chance():
     units = 4.0  # capacity at the start: two requests of two units in three seconds
     sent = [(0, 2.0), (SECOND, 2.0), (2 * SECOND, 2.0), (5 * SECOND, 2.0)]
-    bound, over = guests.fullest(sent, units)
-    capacity = guests.bears(2 * SECOND, units)  # requests
+    bound, over = guests.fullest_window(sent, units)
+    capacity = guests.window_capacity(2 * SECOND, units)  # requests
     assert 2 < capacity < 2.5
     assert over == pytest.approx(3 / capacity)
     assert bound == pytest.approx(3 / (capacity + 2 * math.sqrt(capacity) + 2))
@@ -229,8 +229,8 @@
 
 
 def test_every_request_to_a_real_head_is_answered_and_counted_at_the_nodes():
-    with request.bench(TINY) as bench:
-        phase = request.measured(bench, rate=60, seconds=1.0, warm_up=0)
+    with request.running_bench(TINY) as bench:
+        phase = request.measure_phase(bench, rate=60, seconds=1.0, warm_up=0)
         pids = [bench.head.pid, *(child.process.pid for child in (*bench.nodes, *bench.clients))]
         answered = sum(node.ask({})["answered"] for node in bench.nodes)
     counts = phase.counts
@@ -243,7 +243,7 @@
 
 def test_an_instrumented_head_counts_one_attempt_for_each_request_by_place():
     setting = request.Setting(nodes=4, connections=6, volumes=5, program=Program.SPLIT)
-    with request.bench(setting) as bench:
+    with request.running_bench(setting) as bench:
         before = bench.head.snapshot()
         counts = bench.ask(60, 1.0)
         after = bench.head.snapshot()
@@ -263,7 +263,7 @@
         children("benchmarks.capacity.node_servers", [specification] * 2) as nodes,
     ):
         started += [node.process.pid for node in nodes]
-        assert all(len(node.hear()["ports"]) == 1 for node in nodes)
+        assert all(len(node.receive()["ports"]) == 1 for node in nodes)
         raise ZeroDivisionError
     assert len(started) == 2 and not any(is_running(pid) for pid in started)
 
