--- a/benchmarks/capacity/capacity_fleet.py
+++ b/benchmarks/capacity/capacity_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet on one machine, put together: hollow heads, real voters and followers, stand-in nodes.
+"""A fleet on one machine: hollow heads, real voters and followers, and stand-in nodes.
 
-All of it is ended with the context that opened it. A size that the machine cannot hold is refused before
-anything starts.
+Leaving the context manager that started the fleet ends all of its processes. A size that exceeds the
+machine's capacity is refused before anything starts.
 """
 
 from __future__ import annotations
@@ -23,15 +23,19 @@
 from tests.process_signals import kill
 from tests.program_process import ROOT
 
-MOST_PROCESSES = 200
-MOST_HEADS = 1024  # that a detector holds (membership/detector.py)
-HOLLOW_MB, WORKER_MB, REAL_MB = 6.0, 90.0, 110.0  # of memory, with room; docs/measurements/capacity.md
-HOLLOW_DESCRIPTORS, WORKER_DESCRIPTORS = 12, 64
-RELAY_DESCRIPTORS = 12  # of this process for each ordered pair of real heads
-PORTS_A_HEAD = 8  # connections to one voter: 8 at most (peering/streams.py)
-STEADY_FOR = 3  # looks in a row
-SEES_SHARE = 0.98  # of the heads that run: what each has to see as alive before the fleet counts as steady
-STEADY_WITHIN = 180.0  # seconds
+MAX_PROCESSES = 200
+MAX_HEADS = 1024  # the capacity of a detector (membership/detector.py)
+# Memory estimates include headroom (docs/measurements/capacity.md).
+MB_PER_HOLLOW_HEAD = 6.0
+MB_PER_WORKER = 90.0
+MB_PER_REAL_HEAD = 110.0
+DESCRIPTORS_PER_HOLLOW_HEAD = 12
+DESCRIPTORS_PER_WORKER = 64
+DESCRIPTORS_PER_PAIR = 12  # held by this process's relay for each ordered pair of real heads
+PORTS_PER_HEAD = 8  # a head opens at most 8 connections to one voter (peering/streams.py)
+CONSECUTIVE_POLLS = 3  # polls in a row at which a condition must hold
+MIN_ALIVE_SHARE = 0.98  # share of the running heads that each head must see alive in a steady fleet
+STEADY_TIMEOUT = 180.0  # seconds
 CREDIT_AND_RULES_SETTINGS = (
     'credit: {prices: {"score-read": 1000, "event-write": 4000}, lease: "5s"}\n'
     'rules: {check_within: "10s", versions: 5000}\n'
@@ -40,133 +44,152 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How large a fleet is."""
+    """Number of heads, processes and nodes in a fleet."""
 
     hollow: int
     voters: int = 5
-    spares: int = 2  # real heads that may come to vote
-    followers: int = 8  # real heads that only follow
+    spares: int = 2  # real heads that may become voters
+    followers: int = 8  # real heads that never vote
     workers: int = 8
     nodes: int = 60
 
     @property
     def real(self) -> int:
-        """Processes of the program."""
+        """Return the number of real heads, each a process of the program."""
         return self.voters + self.spares + self.followers
 
     @property
     def heads(self) -> int:
-        """All heads."""
+        """Return the total number of heads, real and hollow."""
         return self.hollow + self.real
 
     def check(self) -> None:
-        """Refuse what this machine cannot hold before anything is started; raises CapacityExceeded."""
-        if self.heads > MOST_HEADS:
+        """Raise CapacityExceeded for a size that this machine or a detector cannot support."""
+        if self.heads > MAX_HEADS:
             raise CapacityExceeded(
-                f"{self.heads:,} heads are asked for, a detector holds {MOST_HEADS:,}: a smaller size"
+                f"{self.heads:,} heads are asked for, a detector holds {MAX_HEADS:,}: a smaller size"
             )
         processes = self.real + self.workers + 2
-        if processes > MOST_PROCESSES:
+        if processes > MAX_PROCESSES:
             raise CapacityExceeded(
-                f"{processes:,} processes are needed, {MOST_PROCESSES} may be used: fewer workers"
+                f"{processes:,} processes are needed, {MAX_PROCESSES} may be used: fewer workers"
             )
-        in_worker = -(-self.hollow // self.workers) * HOLLOW_DESCRIPTORS + WORKER_DESCRIPTORS
-        in_relay = self.real * (self.real - 1) * RELAY_DESCRIPTORS
+        worker_descriptors = (
+            -(-self.hollow // self.workers) * DESCRIPTORS_PER_HOLLOW_HEAD + DESCRIPTORS_PER_WORKER
+        )
+        relay_descriptors = self.real * (self.real - 1) * DESCRIPTORS_PER_PAIR
         require_capacity(
-            descriptors=max(in_worker, in_relay, self.hollow * 2, self.nodes * 2),
-            memory_mb=int(self.hollow * HOLLOW_MB + self.workers * WORKER_MB + self.real * REAL_MB),
-            ports=self.hollow * PORTS_A_HEAD,
+            descriptors=max(worker_descriptors, relay_descriptors, self.hollow * 2, self.nodes * 2),
+            memory_mb=int(
+                self.hollow * MB_PER_HOLLOW_HEAD + self.workers * MB_PER_WORKER + self.real * MB_PER_REAL_HEAD
+            ),
+            ports=self.hollow * PORTS_PER_HEAD,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """One look at all heads that run, real and hollow."""
+class FleetState:
+    """State of all running heads, real and hollow, at one poll."""
 
-    up: int
-    touched: int
-    least_seen: int  # as alive, itself with them, by the head that sees the fewest
-    most_seen: int
-    full: int  # heads that see all that run
+    running: int
+    connected: int  # heads in touch with a majority of the voters
+    min_alive: int  # heads that the head with the smallest view sees alive, including itself
+    max_alive: int
+    complete_views: int  # heads that see all running heads alive
 
     @property
     def in_touch(self) -> bool:
-        """Whether all are in touch with a majority."""
-        return self.touched == self.up
+        """Return whether all running heads are in touch with a majority."""
+        return self.connected == self.running
 
     @property
     def steady(self) -> bool:
-        """Whether all are in touch and each sees nearly all that run, and none that does not."""
-        return self.in_touch and SEES_SHARE * self.up <= self.least_seen and self.most_seen <= self.up
+        """Return whether all are in touch and each sees nearly all running heads alive, and no dead one."""
+        return (
+            self.in_touch
+            and MIN_ALIVE_SHARE * self.running <= self.min_alive
+            and self.max_alive <= self.running
+        )
 
     def __str__(self) -> str:
         return (
-            f"{self.up} run, {self.touched} in touch; they see {self.least_seen} to {self.most_seen} alive, "
-            f"{self.full} see all"
+            f"{self.running} heads running, {self.connected} in touch; each sees {self.min_alive} to "
+            f"{self.max_alive} heads alive; {self.complete_views} see all"
         )
 
 
 class CapacityFleet:
-    """A whole fleet: real heads, hollow ones, and where they stand."""
+    """A whole fleet: real heads, hollow heads, and the place of each."""
 
     def __init__(self, size: Size, real: RealHeads, hollow: HollowFleet, places: dict[str, Place]) -> None:
-        self.size, self.real, self.hollow, self.places = size, real, hollow, places
+        self.size = size
+        self.real = real
+        self.hollow = hollow
+        self.places = places
 
-    async def begin(self) -> None:
-        """Start the voters, found the fleet, and then start all others at once."""
+    async def start(self) -> None:
+        """Start the voters, wait for a leader, then start all other heads at once."""
         real = self.real
         await asyncio.gather(*(real[name].start(ready=False) for name in real.voters))
         await real.leader()
-        show(f"{real.voters} have founded the fleet")
+        log_progress(f"voters {real.voters} have elected a leader")
         others = [name for name in real.names if name not in real.voters]
         census, *_ = await asyncio.gather(
             self.hollow.start(self.hollow.names), *(real[name].start(ready=False) for name in others)
         )
-        show(census.summary())
-
-    async def wait_steady(self, within: float = STEADY_WITHIN, quiet: bool = False) -> float:
-        """Wait until all heads that run are in touch and each sees nearly all others; seconds it took.
-
-        Raises TimeoutError with what is missing."""
-        return await self.until(lambda look: look.steady, within, quiet)
-
-    async def in_touch(self, within: float = STEADY_WITHIN, quiet: bool = False) -> float:
-        """Wait until all heads that run are in touch with a majority; seconds it took."""
-        return await self.until(lambda look: look.in_touch, within, quiet)
-
-    async def until(self, holds: Callable[[Look], bool], within: float, quiet: bool) -> float:
-        """Wait until something holds at a few looks in a row; seconds until the first of them."""
-        began, first, calm, look = time.monotonic(), 0.0, 0, Look(0, 0, 0, 0, 0)
-        while time.monotonic() < began + within:
-            look = await self.look()
-            calm = calm + 1 if holds(look) else 0
-            first = time.monotonic() if calm == 1 else first
-            if calm >= STEADY_FOR:
-                return first - began
-            if not calm and not quiet:
-                show(str(look))
-            await asyncio.sleep(0.5 if calm else 1.0)
-        raise TimeoutError(f"not steady after {within:.0f} s: {look}")
-
-    async def look(self) -> Look:
-        """How all heads that run stand now, and how many others each sees."""
+        log_progress(census.summary())
+
+    async def wait_steady(self, timeout: float = STEADY_TIMEOUT, quiet: bool = False) -> float:
+        """Wait until the fleet is steady; return the seconds it took.
+
+        Raises TimeoutError, with the last state, if it is not steady in time.
+        """
+        return await self.wait_until(lambda state: state.steady, timeout, quiet)
+
+    async def wait_in_touch(self, timeout: float = STEADY_TIMEOUT, quiet: bool = False) -> float:
+        """Wait until all running heads are in touch with a majority; return the seconds it took."""
+        return await self.wait_until(lambda state: state.in_touch, timeout, quiet)
+
+    async def wait_until(self, holds: Callable[[FleetState], bool], timeout: float, quiet: bool) -> float:
+        """Wait until a condition holds at several polls in a row; return the seconds until the first one."""
+        started_at = time.monotonic()
+        first_held_at = 0.0
+        consecutive = 0
+        state = FleetState(0, 0, 0, 0, 0)
+        while time.monotonic() < started_at + timeout:
+            state = await self.state()
+            consecutive = consecutive + 1 if holds(state) else 0
+            first_held_at = time.monotonic() if consecutive == 1 else first_held_at
+            if consecutive >= CONSECUTIVE_POLLS:
+                return first_held_at - started_at
+            if not consecutive and not quiet:
+                log_progress(str(state))
+            await asyncio.sleep(0.5 if consecutive else 1.0)
+        raise TimeoutError(f"fleet not steady after {timeout:.0f} s: {state}")
+
+    async def state(self) -> FleetState:
+        """Poll all running heads for their availability and the heads that they see alive."""
         census = await self.hollow.report()
-        told = await asyncio.gather(*(head.status() for head in self.real.up))
-        states = [report.availability for report in census.running] + [each.get("state", "") for each in told]
+        statuses = await asyncio.gather(*(head.status() for head in self.real.up))
+        states = [report.availability for report in census.running] + [
+            status.get("state", "") for status in statuses
+        ]
         seen = [report.seen.get("alive", 0) for report in census.running]
-        seen += [list(each.get("seen", {}).values()).count("alive") for each in told]
-        up = len(states)
-        return Look(up, states.count("in touch"), min(seen, default=0), max(seen, default=0), seen.count(up))
+        seen += [list(status.get("seen", {}).values()).count("alive") for status in statuses]
+        running = len(states)
+        return FleetState(
+            running, states.count("in touch"), min(seen, default=0), max(seen, default=0), seen.count(running)
+        )
 
 
-def show(text: str) -> None:
-    """Show progress."""
+def log_progress(text: str) -> None:
+    """Print a progress message with the time."""
     print(f"{time.strftime('%H:%M:%S')} {text}", file=sys.stderr, flush=True)
 
 
 @contextlib.asynccontextmanager
 async def nodes_process(count: int, seed: int) -> AsyncIterator[int]:
-    """Stand-in nodes and discovery in a process of their own; gives discovery's port."""
+    """Run stand-in nodes and discovery in a process of their own; yields the port of discovery."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-B",
@@ -190,7 +213,7 @@
 
 @contextlib.asynccontextmanager
 async def running_fleet(folder: Path, size: Size, seed: int) -> AsyncIterator[CapacityFleet]:
-    """A fleet that has begun; all of it is ended at the end, also when it is interrupted."""
+    """Run a fleet, and end all of it on exit, including when interrupted."""
     size.check()
     async with contextlib.AsyncExitStack() as stack:
         discovery = await stack.enter_async_context(nodes_process(size.nodes, seed))
@@ -223,12 +246,15 @@
         real.hollow_addresses = hollow.hollow_addresses
         await stack.enter_async_context(hollow)
         fleet = CapacityFleet(size, real, hollow, places)
-        await fleet.begin()
+        await fleet.start()
         yield fleet
 
 
 def cpu_seconds_by_process(fleet: CapacityFleet) -> dict[str, float]:
-    """Processor seconds of each worker and each real head; one that has just ended is left out."""
+    """Return the processor seconds of each worker and each real head.
+
+    A head whose process has just ended is left out.
+    """
     used = {f"worker {number}": answer.cpu_seconds for number, answer in fleet.hollow.replies.items()}
     for head in fleet.real.up:
         with contextlib.suppress(FileNotFoundError):
@@ -236,7 +262,7 @@
     return used
 
 
-def count_of(told: dict[str, object], kind: str) -> int:
-    """A count of a real head's report."""
-    counts = told.get("counts")
+def message_count(status: dict[str, object], kind: str) -> int:
+    """Return one message counter from the status of a real head."""
+    counts = status.get("counts")
     return counts.get(kind, 0) if isinstance(counts, dict) else 0
--- a/benchmarks/capacity/children.py
+++ b/benchmarks/capacity/children.py
@@ -1,7 +1,7 @@
-"""Child processes of a measurement: started with a specification, asked by lines of JSON, always ended.
+"""Child processes of a measurement, controlled by lines of JSON and always ended with it.
 
-A child of this family is a module whose `serve` answers one line of JSON for each line that it is sent, and
-which ends with its standard input, so that it never outlives the command.
+A child runs a module that calls `serve`: it answers each line of JSON with another, and exits at the end of
+its standard input, so that it never outlives the command.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from typing import Any
 
 ROOT = Path(__file__).parents[2]
-ANSWER_WITHIN = 120.0  # seconds; a child that takes longer is killed, and the command fails
-END_WITHIN = 3.0  # seconds after which a child that was asked to end is killed
+ANSWER_TIMEOUT = 120.0  # seconds; if a child takes longer, the command fails and ends it
+EXIT_TIMEOUT = 3.0  # seconds to exit before a child is killed
 PARENT_DEATH_SIGNAL = 1  # PR_SET_PDEATHSIG of prctl(2)
 ENDING_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 Message = dict[str, Any]
 
 
 class ChildFailed(Exception):
-    """A child ended or did not answer in time."""
+    """A child exited or did not answer in time."""
 
 
 @contextlib.contextmanager
-def signals_held() -> Iterator[None]:
-    """Have signals wait, so that none comes between the start of a process and the note that it runs."""
+def blocked_signals() -> Iterator[None]:
+    """Block signals, so that none arrives between the start of a process and its registration."""
     before = signal.pthread_sigmask(signal.SIG_BLOCK, ENDING_SIGNALS)
     try:
         yield
@@ -43,13 +43,16 @@
 
 
 def die_with_parent() -> None:
-    """Run in a child before its program: the system kills it once the command is gone, however that ended."""
+    """Have the kernel kill this child when its parent exits for any reason; runs before exec."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, ENDING_SIGNALS)
     ctypes.CDLL(None).prctl(PARENT_DEATH_SIGNAL, signal.SIGKILL)
 
 
 def end_on_signals() -> None:
-    """Turn signals into an exception, so that what was started is ended, also where Ctrl-C is ignored."""
+    """Raise KeyboardInterrupt on SIGINT and SIGTERM, so that children are ended.
+
+    Handlers are set explicitly because shells start background commands with SIGINT ignored.
+    """
 
     def interrupt(number: int, frame: FrameType | None) -> None:
         raise KeyboardInterrupt
@@ -59,7 +62,7 @@
 
 
 class Child:
-    """One process that answers a line of JSON for each that it is sent."""
+    """One child process that answers each line of JSON with another."""
 
     def __init__(self, module: str, specification: Message) -> None:
         self.module = module
@@ -73,30 +76,30 @@
             preexec_fn=die_with_parent,
         )
 
-    def tell(self, message: Message) -> None:
-        """Send a line without waiting for its answer."""
+    def send(self, message: Message) -> None:
+        """Send a message without waiting for its answer."""
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps(message) + "\n")
         self.process.stdin.flush()
 
-    def receive(self, within: float = ANSWER_WITHIN) -> Message:
-        """The next line that it says."""
+    def receive(self, timeout: float = ANSWER_TIMEOUT) -> Message:
+        """Return the next message of the child."""
         assert self.process.stdout is not None
-        # no thread watches: an exception between its start and its end would have the command wait for it
-        said, _, _ = select.select([self.process.stdout], [], [], within)
-        line = self.process.stdout.readline() if said else ""
+        # select needs no reader thread, for which the command would have to wait after an exception
+        readable, _, _ = select.select([self.process.stdout], [], [], timeout)
+        line = self.process.stdout.readline() if readable else ""
         if not line:
-            raise ChildFailed(f"{self.module} ended, or said nothing within {within:g} s")
-        heard: Message = json.loads(line)
-        return heard
+            raise ChildFailed(f"{self.module} exited or sent no answer within {timeout:g} s")
+        message: Message = json.loads(line)
+        return message
 
     def ask(self, message: Message) -> Message:
-        """Send a line and wait for its answer."""
-        self.tell(message)
+        """Send a message and return its answer."""
+        self.send(message)
         return self.receive()
 
     def end(self) -> None:
-        """End it by the end of its input; kill it where that does not help."""
+        """Close its input so that it exits, and kill it if it does not."""
         assert self.process.stdin is not None and self.process.stdout is not None
         with contextlib.suppress(OSError):
             self.process.stdin.close()
@@ -105,9 +108,9 @@
 
 
 def end_process(process: subprocess.Popen[Any]) -> None:
-    """Wait for a process that was asked to end, then kill it."""
+    """Wait for a process to exit, and kill it after a timeout."""
     try:
-        process.wait(END_WITHIN)
+        process.wait(EXIT_TIMEOUT)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
@@ -115,11 +118,11 @@
 
 @contextlib.contextmanager
 def children(module: str, specifications: Sequence[Message]) -> Iterator[list[Child]]:
-    """So many processes of a module; all of them are ended, whatever happens meanwhile."""
+    """Run one process of a module per specification; all are ended on exit, also after an exception."""
     started: list[Child] = []
     try:
         for specification in specifications:
-            with signals_held():
+            with blocked_signals():
                 started.append(Child(module, specification))
         yield started
     finally:
@@ -127,28 +130,28 @@
             child.end()
 
 
-def ask_all(asked: Sequence[Child], message: Message) -> list[Message]:
-    """Have all children do the same at once; their answers in order."""
-    for child in asked:
-        child.tell(message)
-    return [child.receive() for child in asked]
+def ask_all(targets: Sequence[Child], message: Message) -> list[Message]:
+    """Send a message to all children at once; return their answers in order."""
+    for child in targets:
+        child.send(message)
+    return [child.receive() for child in targets]
 
 
-def say(message: Message) -> None:
-    """In a child: one line to the command."""
+def send_line(message: Message) -> None:
+    """Send one message from a child to the command."""
     print(json.dumps(message), flush=True)
 
 
 def specification() -> Message:
-    """In a child: what it was started with."""
-    told: Message = json.loads(sys.argv[1])
-    return told
+    """Return the specification with which this child was started."""
+    parsed: Message = json.loads(sys.argv[1])
+    return parsed
 
 
 async def serve(answer: Callable[[Message], Awaitable[Message]]) -> None:
-    """In a child: answer each line until the input ends."""
+    """Answer each message to this child until its input ends."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        say(await answer(json.loads(line)))
+        send_line(await answer(json.loads(line)))
--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -1,4 +1,4 @@
-"""Parts of control that are measured in this process: readings, the ledger's words, the words of one head."""
+"""Control parts measured in this process: scheduler readings, ledger, credit reports and rule sets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from benchmarks.capacity import harness
 from benchmarks.capacity.harness import Measurement, Run
 from benchmarks.capacity.list_service import entry
-from benchmarks.heads_rules import text_of
+from benchmarks.heads_rules import rules_text
 from stoatrouter.core import model
 from stoatrouter.core.reducer import Reducer
 from stoatrouter.credit.escrow import HeadEscrow
@@ -34,31 +34,33 @@
 HEADS = (20, 60, 185, 370, 740)
 CUSTOMERS = (1, 10, 50, 100)
 RULES = (10, 100, 1000, 10000)
-READ_EVERY = timedelta(milliseconds=100)
-READINGS = 300  # half a minute of a head's readings
-LEASE, STEP, SECOND = timedelta(seconds=5), timedelta(milliseconds=50), timedelta(seconds=1)
-TURNS_SPAN = timedelta(seconds=60)
-LOOKS = 400
-REQUESTS_A_SECOND = 2.0  # of each customer at a head
+READING_INTERVAL = timedelta(milliseconds=100)
+READINGS = 300  # those of a head in 30 s
+LEASE = timedelta(seconds=5)
+EXPIRY_INTERVAL = timedelta(milliseconds=50)
+SECOND = timedelta(seconds=1)
+REPORTS_SPAN = timedelta(seconds=60)
+EXPIRY_CHECKS = 400
+REQUESTS_PER_SECOND = 2.0  # per customer at a head
 
 
 def measure(run: Run) -> None:
-    """All of it; nothing here waits."""
+    """Run all measurements; none of them waits."""
     for nodes in NODES:
-        add_readings(run, nodes)
+        measure_readings(run, nodes)
     for heads in HEADS:
-        add_ledger(run, heads)
+        measure_ledger(run, heads)
     for heads in HEADS:
-        add_expiry(run, heads)
+        measure_expiry(run, heads)
     for customers in CUSTOMERS:
-        add_words(run, customers)
+        measure_reports(run, customers)
     for rules in RULES:
-        add_set(run, rules)
+        measure_rule_set(run, rules)
 
 
-# -- the decision module's reading, each 100 ms --------------------------------------------------------------
-def add_readings(run: Run, nodes: int) -> None:
-    """Readings of a head at rest, by nodes of the list."""
+# -- readings of the decision module, one each 100 ms -------------------------------------------------------
+def measure_readings(run: Run, nodes: int) -> None:
+    """Measure the readings of a head at rest, by the number of nodes in its list."""
     conf = head_config()
     reducer = Reducer(conf.settings, 1)
     listed = tuple(read_node(entry(index)) for index in range(nodes))
@@ -67,51 +69,51 @@
 
     def read() -> None:
         for number in range(1, READINGS + 1):
-            effects = reducer.reduce(model.TimerDue(number * READ_EVERY, timer.token))
+            effects = reducer.reduce(model.TimerDue(number * READING_INTERVAL, timer.token))
             assert any(isinstance(effect, model.SetTimer) for effect in effects)
 
-    took = harness.processor_seconds(read)
-    share = took / (READINGS * READ_EVERY.total_seconds())
+    elapsed = harness.processor_seconds(read)
+    share = elapsed / (READINGS * READING_INTERVAL.total_seconds())
     run.add(Measurement("cpu of readings, by nodes", nodes, round(100 * share, 4), "% of a core"))
-    run.add(Measurement("cpu of one reading, by nodes", nodes, round(1e6 * took / READINGS, 2), "us"))
+    run.add(Measurement("cpu of one reading, by nodes", nodes, round(1e6 * elapsed / READINGS, 2), "us"))
 
 
-# -- the account, which each head applies --------------------------------------------------------------------
-def rich_ledger(customers: int) -> Ledger:
-    """Customers that have more than is ever drawn."""
+# -- ledger, which each head applies ------------------------------------------------------------------------
+def funded_ledger(customers: int) -> Ledger:
+    """Return a ledger of customers with more credit than is ever drawn."""
     ledger = Ledger()
     for number in range(customers):
         name = f"c{number}"
         ledger.apply(0, msgspec.msgpack.encode(PutCustomer(name, (f"volume-{number}",))))
-        booked = BookEntry(f"top-up-{number}", name, 10**15, "top-up", "bench", "", "")
-        ledger.apply(0, msgspec.msgpack.encode(booked))
+        top_up = BookEntry(f"top-up-{number}", name, 10**15, "top-up", "bench", "", "")
+        ledger.apply(0, msgspec.msgpack.encode(top_up))
     return ledger
 
 
-def draw(ledger: Ledger, head: int, number: int, customer: str, holds: tuple[str, ...] = ()) -> Grants:
-    """One head's word: it wants more of one customer."""
-    turn = CustomerReport(customer, holds, (), 1000, 1)
-    body = msgspec.msgpack.encode(CreditReport(f"h{head}", f"i{head}", number, (turn,)))
+def apply_report(ledger: Ledger, head: int, number: int, customer: str, held: tuple[str, ...] = ()) -> Grants:
+    """Apply the report of a head that asks for more credit of one customer."""
+    customer_report = CustomerReport(customer, held, (), 1000, 1)
+    body = msgspec.msgpack.encode(CreditReport(f"h{head}", f"i{head}", number, (customer_report,)))
     return msgspec.msgpack.decode(ledger.apply(number * 100_000 + head, body), type=Grants)
 
 
-def add_ledger(run: Run, heads: int) -> None:
-    """One word of a head about a customer that all heads serve: each head of the fleet applies it."""
-    ledger = rich_ledger(1)
-    holds = {head: draw(ledger, head, 1, "c0").grants[0].allotment for head in range(heads)}
-    words = 100
+def measure_ledger(run: Run, heads: int) -> None:
+    """Measure applying one report on a customer that all heads serve, which each head of the fleet does."""
+    ledger = funded_ledger(1)
+    held = {head: apply_report(ledger, head, 1, "c0").grants[0].allotment for head in range(heads)}
+    reports = 100
 
-    def say() -> None:
-        for number in range(words):
+    def apply_reports() -> None:
+        for number in range(reports):
             head = number % heads
-            draw(ledger, head, 2 + number, "c0", (holds[head],))
+            apply_report(ledger, head, 2 + number, "c0", (held[head],))
 
-    took = harness.processor_seconds(say)
+    elapsed = harness.processor_seconds(apply_reports)
     run.add(
         Measurement(
             "cpu of one word about a customer, by heads that serve it",
             heads,
-            round(1e6 * took / words, 2),
+            round(1e6 * elapsed / reports, 2),
             "us",
         )
     )
@@ -125,29 +127,29 @@
     )
 
 
-def add_expiry(run: Run, heads: int, customers: int = 10) -> None:
-    """What each head does every 50 ms to know how old allotments are: 10 customers that all heads serve."""
-    ledger = rich_ledger(customers)
+def measure_expiry(run: Run, heads: int, customers: int = 10) -> None:
+    """Measure the expiry check of allotments that each head makes every 50 ms; all heads serve all customers."""
+    ledger = funded_ledger(customers)
     for head in range(heads):
         for customer in range(customers):
-            draw(ledger, head, 1 + customer, f"c{customer}")
+            apply_report(ledger, head, 1 + customer, f"c{customer}")
     with tempfile.TemporaryDirectory() as folder:
         service = idle_service(ledger, Path(folder))
-        asyncio.run(service.expire())  # the first look learns of all of them
+        asyncio.run(service.expire())  # the first check registers all allotments
 
-        async def look() -> None:
-            for _ in range(LOOKS):
+        async def expire_repeatedly() -> None:
+            for _ in range(EXPIRY_CHECKS):
                 await service.expire()
 
-        took = harness.processor_seconds(lambda: asyncio.run(look()))
+        elapsed = harness.processor_seconds(lambda: asyncio.run(expire_repeatedly()))
         service.journal.close()
-    share = took / (LOOKS * STEP.total_seconds())
+    share = elapsed / (EXPIRY_CHECKS * EXPIRY_INTERVAL.total_seconds())
     name = "cpu of the looks at allotments, 10 customers, by heads that serve them"
     run.add(Measurement(name, heads, round(100 * share, 4), "% of a core"))
 
 
 def idle_service(ledger: Ledger, folder: Path) -> CreditService:
-    """The credit of a head that does not lead, without a fleet around it."""
+    """Return the credit service of a head that is not the leader, with a stub in place of its fleet."""
     fleet: Any = SimpleNamespace(
         settings=SimpleNamespace(folder=folder),
         stored=SimpleNamespace(writable=True, start_count=1),
@@ -159,43 +161,49 @@
     return CreditService(settings, cast(Any, fleet), ledger, (), set(), lambda: SECOND)
 
 
-# -- how many words a head has for the account --------------------------------------------------------------
-def add_words(run: Run, customers: int) -> None:
-    """Words that one head puts to the log, its customers asking twice a second each; virtual time."""
-    ledger = rich_ledger(customers)
+# -- credit reports of one head -----------------------------------------------------------------------------
+def measure_reports(run: Run, customers: int) -> None:
+    """Count the reports of one head in virtual time, at 2 requests a second per customer."""
+    ledger = funded_ledger(customers)
     with tempfile.TemporaryDirectory() as folder:
-        holder = HeadEscrow(LEASE, SpentJournal(Path(folder) / "book"))
-        draws = random.Random(f"words/{customers}")
-        words = turns_said = number = step = 0
-        while (now := SECOND + step * STEP) < SECOND + TURNS_SPAN:
+        escrow = HeadEscrow(LEASE, SpentJournal(Path(folder) / "book"))
+        rng = random.Random(f"words/{customers}")
+        reports = customer_report_count = number = step = 0
+        while (now := SECOND + step * EXPIRY_INTERVAL) < SECOND + REPORTS_SPAN:
             for customer in range(customers):
-                if draws.random() < REQUESTS_A_SECOND * STEP.total_seconds():
+                if rng.random() < REQUESTS_PER_SECOND * EXPIRY_INTERVAL.total_seconds():
                     request = f"r{step}.{customer}"
-                    holder.reserve(request, f"c{customer}", 1000, 2, now)
-                    holder.settle(request, True)
-            turns = holder.due_reports(now)
-            if turns:
+                    escrow.reserve(request, f"c{customer}", 1000, 2, now)
+                    escrow.settle(request, True)
+            customer_reports = escrow.due_reports(now)
+            if customer_reports:
                 number += 1
-                words, turns_said = words + 1, turns_said + len(turns)
-                body = msgspec.msgpack.encode(CreditReport("h0", "i0", number, tuple(turns)))
+                reports, customer_report_count = reports + 1, customer_report_count + len(customer_reports)
+                body = msgspec.msgpack.encode(CreditReport("h0", "i0", number, tuple(customer_reports)))
                 grants = msgspec.msgpack.decode(ledger.apply(number, body), type=Grants)
-                for turn, grant in zip(turns, grants.grants, strict=True):
-                    holder.apply_grant(turn, grant, now, now)
+                for customer_report, grant in zip(customer_reports, grants.grants, strict=True):
+                    escrow.apply_grant(customer_report, grant, now, now)
             step += 1
-    seconds = TURNS_SPAN.total_seconds()
-    run.add(Measurement("commands of a head, by customers that it serves", customers, words / seconds, "1/s"))
-    run.add(Measurement("turns in them, by customers that it serves", customers, turns_said / seconds, "1/s"))
+    seconds = REPORTS_SPAN.total_seconds()
+    run.add(
+        Measurement("commands of a head, by customers that it serves", customers, reports / seconds, "1/s")
+    )
+    run.add(
+        Measurement(
+            "turns in them, by customers that it serves", customers, customer_report_count / seconds, "1/s"
+        )
+    )
 
 
-# -- what an edit carries ------------------------------------------------------------------------------------
-def add_set(run: Run, rules: int) -> None:
-    """Bytes of a set as each head is told it: once with rules that differ by a number, once by a random path.
+# -- size of an edit ----------------------------------------------------------------------------------------
+def measure_rule_set(run: Run, rules: int) -> None:
+    """Measure the bytes of a rule set as sent to each head, with numbered and with random paths.
 
-    The whole set travels with each edit, however little of it has changed.
+    Each edit sends the whole set, however little of it has changed.
     """
-    draws = random.Random(f"set/{rules}")
-    regular = text_of(rules, "mark")
-    irregular = re.sub(r"/p[0-9]+", lambda _: f"/{draws.getrandbits(64):016x}", regular)
+    rng = random.Random(f"set/{rules}")
+    regular = rules_text(rules, "mark")
+    irregular = re.sub(r"/p[0-9]+", lambda _: f"/{rng.getrandbits(64):016x}", regular)
     for label, text in (("numbered paths", regular), ("random paths", irregular)):
         packed = len(pack_rule_set(RuleSet("rules.cue", {"rules.cue": text})))
         run.add(Measurement(f"bytes of a set to a head, {label}, by rules", rules, packed, "bytes"))
--- a/benchmarks/capacity/decision.py
+++ b/benchmarks/capacity/decision.py
@@ -1,8 +1,9 @@
-"""What the decision module costs one head: processor time of a request and of a reading, without sockets.
+"""Cost of the decision module on one head: processor time per request and per reading, without sockets.
 
-Four series, each in virtual time with answers after 5 to 50 ms: by number of nodes, by request rate at the
-fleet's nodes, by the part of requests that any node takes, and by the part of nodes that have just started.
-The functions called are counted too, as a machine's load alters processor time and not these counts.
+Four series, each in virtual time with answers after 5 to 50 ms: by number of nodes, by request rate with the
+fleet's number of nodes, by the share of requests that any node can serve, and by the share of nodes that have
+just started. Function calls are counted as well, because other load on the machine alters processor time but
+not these counts.
 """
 
 from __future__ import annotations
@@ -20,17 +21,21 @@
 from stoatrouter.policy import interface as api
 from stoatrouter.policy.simhost import read_settings
 
-HEADS, NODES, RATE = 740, 1_700, 1_757
-WARM_UP = 3 * SECOND  # in which windows, averages and the requests' timers form; not counted
+HEADS = 740
+NODES = 1_700
+RATE = 1_757  # requests a second
+WARM_UP = 3 * SECOND  # of virtual time, not measured: windows, averages and request timers build up
 READINGS_A_SECOND = 10
 MICROSECONDS = 1_000_000
-ANY_PERCENT = 5
-COUNTED_WARM_UP, COUNTED = SECOND // 4, SECOND // 2  # of virtual time, with function calls counted
+ANY_PERCENT = 5  # of requests, those that any node can serve
+# Virtual time with function calls counted, which is slow.
+COUNT_WARM_UP = SECOND // 4
+COUNT_SPAN = SECOND // 2
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One measurement: its series, the size on that series' axis, and all that it is made of."""
+    """Parameters of one measurement: its series, the size on the axis of that series, and all others."""
 
     series: str
     size: float
@@ -42,13 +47,13 @@
 
 
 def demo_settings(hosts: int = HEADS) -> api.Settings:
-    """The settings of the demo deployment, as one of many heads has them."""
+    """Return the settings of the demo deployment for one head of several."""
     text = (resources.files("stoatrouter.lab") / "demo_files" / "settings.json").read_text()
     return replace(read_settings(json.loads(text)), hosts=hosts)
 
 
 def cases(arguments: argparse.Namespace) -> list[Case]:
-    """All that is to be measured, in order."""
+    """Return all measurements to make, in order."""
     made = []
     for seed in arguments.seeds:
         for nodes in arguments.sizes:
@@ -66,8 +71,8 @@
     return made
 
 
-def measure(case: Case, seconds: float) -> Costs:
-    """Run one case in virtual time."""
+def measure_cpu(case: Case, seconds: float) -> Costs:
+    """Run one case in virtual time and measure processor time."""
     cold = case.nodes * case.cold_percent // 100
     load = Load(rate=case.rate, any_part=case.any_percent / 100)
     head = VirtualHead(demo_settings(), node_entries(case.nodes, cold), load, case.seed)
@@ -76,18 +81,18 @@
     return head.run(round(seconds * SECOND))
 
 
-def count(case: Case) -> Costs:
-    """The same in short, counting function calls in place of processor time."""
+def measure_function_calls(case: Case) -> Costs:
+    """Run one case for a short time, counting function calls in place of processor time."""
     cold = case.nodes * case.cold_percent // 100
     load = Load(rate=case.rate, any_part=case.any_percent / 100)
     entries = node_entries(case.nodes, cold)
     head = VirtualHead(demo_settings(), entries, load, case.seed, count_functions=True)
-    head.run(COUNTED_WARM_UP)
-    return head.run(COUNTED)
+    head.run(COUNT_WARM_UP)
+    return head.run(COUNT_SPAN)
 
 
-def report_count(run: harness.Run, case: Case, costs: Costs) -> None:
-    """Write down a case's function calls."""
+def record_function_calls(run: harness.Run, case: Case, costs: Costs) -> None:
+    """Record the function calls of a case."""
     requests = costs.by_kind[Kind.ARRIVED].calls
     of_requests = (Kind.ARRIVED, Kind.ENDED, Kind.REQUEST_TIMER)
     found = {
@@ -99,8 +104,8 @@
         run.add(harness.Measurement(name, case.size, round(value, 2), "calls", case.seed, dict(details)))
 
 
-def report(run: harness.Run, case: Case, costs: Costs, reference_ms: float) -> None:
-    """Write down what a case has cost, and the reference work meanwhile."""
+def record_cpu(run: harness.Run, case: Case, costs: Costs, reference_ms: float) -> None:
+    """Record the processor time of a case, with that of the reference work measured around it."""
     outcomes, reading = costs.outcomes, costs.by_kind[Kind.READING]
     details: dict[str, float | int | str] = {
         "nodes": case.nodes,
@@ -118,40 +123,42 @@
         name = f"{what}, {case.series}"
         run.add(harness.Measurement(name, case.size, round(value, 4), unit, case.seed, details))
 
-    each = max(1, outcomes.arrived)
+    requests = max(1, outcomes.arrived)
     add("request", costs.request_seconds * MICROSECONDS, "us a request")
     for kind in (Kind.ARRIVED, Kind.ENDED, Kind.REQUEST_TIMER):
-        add(kind.value, costs.by_kind[kind].seconds / each * MICROSECONDS, "us a request")
-    add("reading", reading.each * MICROSECONDS, "us a reading")
-    add("readings", reading.each * READINGS_A_SECOND * 100, "% of a core")
-    share = costs.request_seconds * case.rate + reading.each * READINGS_A_SECOND
+        add(kind.value, costs.by_kind[kind].seconds / requests * MICROSECONDS, "us a request")
+    add("reading", reading.mean_seconds * MICROSECONDS, "us a reading")
+    add("readings", reading.mean_seconds * READINGS_A_SECOND * 100, "% of a core")
+    share = costs.request_seconds * case.rate + reading.mean_seconds * READINGS_A_SECOND
     add("all decisions", share * 100, "% of a core")
 
 
 def main() -> int:
-    """The command."""
+    """Run the command."""
     arguments = arguments_parser().parse_args()
     end_on_signals()
     harness.require_capacity(memory_mb=500)
     with harness.recording("decision", arguments.out, arguments.at) as run:
         for case in cases(arguments):
             before = harness.reference_ms()
-            costs = measure(case, arguments.seconds)
-            report(run, case, costs, (before + harness.reference_ms()) / 2)
-            report_count(run, case, count(case))
+            costs = measure_cpu(case, arguments.seconds)
+            record_cpu(run, case, costs, (before + harness.reference_ms()) / 2)
+            record_function_calls(run, case, measure_function_calls(case))
     return 0
 
 
 def arguments_parser() -> argparse.ArgumentParser:
-    """The family's arguments and this command's own."""
-    made = harness.parser(__doc__ or "", sizes="12,120,400,850,1700,3400", seeds="1")
-    made.add_argument("--rate", type=int, default=RATE, help=f"requests a second, default {RATE}")
-    made.add_argument("--nodes", type=int, default=NODES, help=f"of the other series, default {NODES}")
-    made.add_argument("--rates", type=harness.numbers, default=[200, 440, 880, RATE])
-    made.add_argument("--any-percents", type=harness.numbers, default=[0, 25, 50, 100])
-    made.add_argument("--cold-percents", type=harness.numbers, default=[0, 1, 10, 50])
-    made.add_argument("--seconds", type=float, default=2.0, help="of virtual time for each case")
-    return made
+    """Return a parser of the common arguments and those of this command."""
+    command = harness.parser(__doc__ or "", sizes="12,120,400,850,1700,3400", seeds="1")
+    command.add_argument("--rate", type=int, default=RATE, help=f"requests a second, default {RATE}")
+    command.add_argument(
+        "--nodes", type=int, default=NODES, help=f"nodes of the other series, default {NODES}"
+    )
+    command.add_argument("--rates", type=harness.parse_ints, default=[200, 440, 880, RATE])
+    command.add_argument("--any-percents", type=harness.parse_ints, default=[0, 25, 50, 100])
+    command.add_argument("--cold-percents", type=harness.parse_ints, default=[0, 1, 10, 50])
+    command.add_argument("--seconds", type=float, default=2.0, help="virtual time of each case")
+    return command
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/discovery_server.py
+++ b/benchmarks/capacity/discovery_server.py
@@ -1,4 +1,7 @@
-"""A child process: discovery, which lists the entries of a file and holds watches. Says its `port` first."""
+"""A child process: a discovery server that lists the entries of a file and holds watches.
+
+Its first message is its `port`.
+"""
 
 from __future__ import annotations
 
@@ -8,26 +11,27 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.capacity.children import Message, say, serve, specification
+from benchmarks.capacity.children import Message, send_line, serve, specification
 from stoatrouter.lab.standins import StandInDiscovery, StandInServers
 
 
 @dataclass(slots=True)
 class ListedNode:
-    """A node that another process serves."""
+    """A node that another process serves, as a line of the list."""
 
     line: dict[str, Any]
 
     def entry(self) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Return its entry in the list."""
         return self.line
 
 
-async def main(told: Message) -> None:
-    """Serve until the command ends."""
-    entries = json.loads(Path(told["entries"]).read_text())
+async def main(spec: Message) -> None:
+    """Serve until the input ends."""
+    entries = json.loads(Path(spec["entries"]).read_text())
     discovery = StandInDiscovery([ListedNode(entry) for entry in entries])  # type: ignore[misc]
-    listening, calls = StandInServers(), 0
+    servers = StandInServers()
+    calls = 0
 
     async def handle(request: Any) -> Any:
         nonlocal calls
@@ -37,11 +41,11 @@
     async def answer(message: Message) -> Message:
         return {"calls": calls}
 
-    say({"port": await listening.serve(handle)})
+    send_line({"port": await servers.serve(handle)})
     try:
         await serve(answer)
     finally:
-        await listening.close()
+        await servers.close()
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -1,10 +1,10 @@
-"""The fleet on one machine: hollow heads with real voters and some real heads among them, on loopback.
+"""Resource use of a fleet on one machine: hollow heads, real voters and some other real heads, on loopback.
 
     PYTHONPATH=. python -m benchmarks.capacity.fleet --sizes 20,60,185 [--workers 8] [--seconds 20] [--out F]
 
-For each size the fleet is started at once, left to become steady, and measured for some seconds without any
-fault. Rates are of all hollow heads; one that died is named and the figure is not given. Sizes that this
-machine cannot hold are refused before anything starts.
+For each size the whole fleet is started at once, given time to become steady, and measured for some seconds
+without faults. Rates are means over all hollow heads; if a hollow head died, it is named and no figures are
+recorded. Sizes that exceed the machine's capacity are refused before anything starts.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from benchmarks.capacity.capacity_fleet import (
     CapacityFleet,
     Size,
-    count_of,
     cpu_seconds_by_process,
+    log_progress,
+    message_count,
     running_fleet,
-    show,
 )
 from benchmarks.capacity.harness import (
     CapacityExceeded,
@@ -39,16 +39,16 @@
 
 
 async def measure(run: Run, fleet: CapacityFleet, seconds: float, seed: int) -> None:
-    """A calm while: rates of hollow heads and of real ones, processor time and memory."""
+    """Measure message rates, processor time and memory of hollow and real heads while nothing fails."""
     hollow, real = fleet.hollow, fleet.real
     before, cpu_before = await hollow.report(), cpu_seconds_by_process(fleet)
     real_before = {head.name: await head.status() for head in real.up}
-    began = time.monotonic()
+    started_at = time.monotonic()
     await asyncio.sleep(seconds)
-    span = time.monotonic() - began
+    span = time.monotonic() - started_at
     after, cpu_after = await hollow.report(), cpu_seconds_by_process(fleet)
     real_after = {head.name: await head.status() for head in real.up}
-    show(after.summary())
+    log_progress(after.summary())
     lag = max(answer.longest_lag for answer in hollow.replies.values())
     late = max(answer.late_fraction for answer in hollow.replies.values())
     details: dict[str, float | int | str] = {
@@ -62,19 +62,21 @@
     try:
         means = after.mean_rates(before, span)
     except Incomplete as error:
-        show(f"no figures: {error}")
+        log_progress(f"no figures recorded: {error}")
         return
     for kind in ("datagrams.sent", "datagrams.received", "datagrams.bytes", "streams.sent", "streams.bytes"):
         run.add(
             Measurement(f"hollow {kind}", heads, means.get(kind, 0.0), "a head and second", seed, details)
         )
-    add_fetches(run, fleet, before, after, seed)
-    add_used(run, fleet, cpu_before, cpu_after, span, seed)
-    add_voters(run, fleet, real_before, real_after, span, seed)
+    record_unanswered_fetches(run, fleet, before, after, seed)
+    record_cpu_and_memory(run, fleet, cpu_before, cpu_after, span, seed)
+    record_messages(run, fleet, real_before, real_after, span, seed)
 
 
-def add_fetches(run: Run, fleet: CapacityFleet, before: Census, after: Census, seed: int) -> None:
-    """How many fetches of hollow heads got no answer, by reason, and how many were answered without news."""
+def record_unanswered_fetches(
+    run: Run, fleet: CapacityFleet, before: Census, after: Census, seed: int
+) -> None:
+    """Record the share of fetches of hollow heads that got no answer, with the counts by reason."""
     total: Counter[str] = Counter()
     for report in after.running:
         total.update(differences(report.counts, before.reports[report.name].counts))
@@ -86,7 +88,7 @@
     run.add(Measurement("fetches without an answer", fleet.size.heads, share, "%", seed, details))
 
 
-def add_used(
+def record_cpu_and_memory(
     run: Run,
     fleet: CapacityFleet,
     before: dict[str, float],
@@ -94,29 +96,33 @@
     span: float,
     seed: int,
 ) -> None:
-    """Processor time of hollow heads, of real followers and of voters."""
+    """Record processor time and memory of hollow heads, real followers and voters."""
     heads, real = fleet.size.heads, fleet.real
     workers = [name for name in after if name.startswith("worker")]
-    used = {name: (after[name] - before.get(name, 0.0)) / span * 100 for name in after}
-    per_head = sum(used[name] for name in workers) / len(fleet.hollow.names)
+    cpu_percent = {name: (after[name] - before.get(name, 0.0)) / span * 100 for name in after}
+    per_head = sum(cpu_percent[name] for name in workers) / len(fleet.hollow.names)
     run.add(Measurement("hollow processor", heads, per_head, "% of a core a head", seed))
     memory = sum(process_memory_mb(worker.process.pid) for worker in fleet.hollow.workers)
     hollow = len(fleet.hollow.names)
     run.add(Measurement("workers' memory for each hollow head", heads, memory / hollow, "MB", seed))
-    run.add(Measurement("busiest worker", heads, max(used[name] for name in workers), "% of a core", seed))
+    run.add(
+        Measurement("busiest worker", heads, max(cpu_percent[name] for name in workers), "% of a core", seed)
+    )
     followers = [head.name for head in real.up if head.name not in real.voters]
     for what, names in (("real follower", followers), ("voter", real.voters)):
-        shares = [used[name] for name in names if name in used]
-        if shares:
-            mean, most = sum(shares) / len(shares), max(shares)
+        percents = [cpu_percent[name] for name in names if name in cpu_percent]
+        if percents:
+            mean, highest = sum(percents) / len(percents), max(percents)
             run.add(
-                Measurement(f"{what} processor", heads, mean, "% of a core", seed, {"most": round(most, 2)})
+                Measurement(
+                    f"{what} processor", heads, mean, "% of a core", seed, {"most": round(highest, 2)}
+                )
             )
             memory = max(real[name].memory_mb for name in names)
             run.add(Measurement(f"{what} memory, most", heads, memory, "MB", seed))
 
 
-def add_voters(
+def record_messages(
     run: Run,
     fleet: CapacityFleet,
     before: dict[str, dict[str, object]],
@@ -124,7 +130,7 @@
     span: float,
     seed: int,
 ) -> None:
-    """Messages of voters and of real followers."""
+    """Record the message rates of voters and real followers."""
     groups = {
         "voter": fleet.real.voters,
         "real follower": [name for name in fleet.real.names if name not in fleet.real.voters],
@@ -137,66 +143,74 @@
             "streams.sent",
             "streams.received",
         ):
-            counted = [
-                (count_of(after[name], kind) - count_of(before[name], kind)) / span
+            rates = [
+                (message_count(after[name], kind) - message_count(before[name], kind)) / span
                 for name in names
                 if name in after and name in before
             ]
-            if counted:
-                mean, most = sum(counted) / len(counted), max(counted)
-                details = {"most": round(most, 2)}
+            if rates:
+                mean, highest = sum(rates) / len(rates), max(rates)
+                details = {"most": round(highest, 2)}
                 run.add(
                     Measurement(f"{what} {kind}", fleet.size.heads, mean, "a head and second", seed, details)
                 )
 
 
-async def play(run: Run, size: Size, seed: int, seconds: float, steady_within: float) -> None:
-    """One size: start, become steady where that comes in time, measure."""
+async def run_size(run: Run, size: Size, seed: int, seconds: float, steady_within: float) -> None:
+    """Start a fleet, wait until it is steady or the time is up, and measure it."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
         async with running_fleet(Path(folder), size, seed) as fleet:
-            took = await fleet.in_touch()
-            run.add(Measurement("start to in touch", size.heads, took, "s", seed))
+            elapsed = await fleet.wait_in_touch()
+            run.add(Measurement("start to in touch", size.heads, elapsed, "s", seed))
             try:
-                took += await fleet.wait_steady(steady_within)
+                elapsed += await fleet.wait_steady(steady_within)
             except TimeoutError as error:
-                show(str(error))
-                took = float("inf")
-            run.add(Measurement("start to all seeing 98%", size.heads, took, "s", seed))
+                log_progress(str(error))
+                elapsed = float("inf")
+            run.add(Measurement("start to all seeing 98%", size.heads, elapsed, "s", seed))
             await measure(run, fleet, seconds, seed)
-            look = await fleet.look()
-            run.add(Measurement("fewest heads seen alive", size.heads, look.least_seen, "heads", seed))
+            state = await fleet.state()
+            run.add(Measurement("fewest heads seen alive", size.heads, state.min_alive, "heads", seed))
 
 
-def add_sizes(made: ArgumentParser) -> None:
-    """The arguments of a fleet's size beside `--sizes`, which counts all heads."""
-    made.add_argument("--workers", type=int, default=8, help="processes of hollow heads, default 8")
-    made.add_argument("--nodes", type=int, default=60, help="stand-in nodes that listen, default 60")
-    made.add_argument("--followers", type=int, default=8, help="real heads that only follow, default 8")
-    made.add_argument("--voters", type=int, default=5, help="default 5")
-    made.add_argument("--spares", type=int, default=2, help="real heads that may come to vote, default 2")
+def add_sizes(arguments_parser: ArgumentParser) -> None:
+    """Add the arguments that, with `--sizes` (the count of all heads), define a fleet."""
+    arguments_parser.add_argument(
+        "--workers", type=int, default=8, help="processes of hollow heads, default 8"
+    )
+    arguments_parser.add_argument(
+        "--nodes", type=int, default=60, help="stand-in nodes that listen, default 60"
+    )
+    arguments_parser.add_argument(
+        "--followers", type=int, default=8, help="real heads that never vote, default 8"
+    )
+    arguments_parser.add_argument("--voters", type=int, default=5, help="default 5")
+    arguments_parser.add_argument(
+        "--spares", type=int, default=2, help="real heads that may become voters, default 2"
+    )
 
 
-def size_of(given: Namespace, heads: int) -> Size:
-    """The size that arguments name."""
-    real = given.voters + given.spares + given.followers
+def size_of(arguments: Namespace, heads: int) -> Size:
+    """Return the fleet size that the arguments ask for."""
+    real = arguments.voters + arguments.spares + arguments.followers
     if heads <= real:
         raise CapacityExceeded(
-            f"{heads} heads are asked for, {real} are real: fewer --followers, or a larger size"
+            f"{heads} heads requested, but {real} are real: use fewer --followers or a larger size"
         )
     return Size(
         heads - real,
-        given.voters,
-        given.spares,
-        given.followers,
-        given.workers,
-        given.nodes,
+        arguments.voters,
+        arguments.spares,
+        arguments.followers,
+        arguments.workers,
+        arguments.nodes,
     )
 
 
 def interruptible(work: Coroutine[None, None, None]) -> None:
-    """Run to the end, or to the first signal: what was started is ended then, too.
+    """Run a coroutine to its end or to the first SIGINT or SIGTERM, which cancels it so that it cleans up.
 
-    Also where whoever started this ignores interrupts, as shells do for what they run in the background.
+    Handlers are set explicitly because shells start background commands with SIGINT ignored.
     """
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.default_int_handler)
@@ -204,26 +218,29 @@
 
 
 def main() -> int:
-    """The command."""
-    made = parser(__doc__ or "", "20,60,185")
-    add_sizes(made)
-    made.add_argument("--seconds", type=float, default=20.0, help="of the calm while that is measured")
-    made.add_argument(
-        "--steady-within", type=float, default=90.0, help="seconds; then it is measured as it is"
+    """Run the command."""
+    arguments_parser = parser(__doc__ or "", "20,60,185")
+    add_sizes(arguments_parser)
+    arguments_parser.add_argument("--seconds", type=float, default=20.0, help="duration of the measurement")
+    arguments_parser.add_argument(
+        "--steady-within",
+        type=float,
+        default=90.0,
+        help="seconds to wait for a steady fleet before measuring anyway",
     )
-    given = made.parse_args()
+    arguments = arguments_parser.parse_args()
     try:
-        sizes = [size_of(given, heads) for heads in given.sizes]
+        sizes = [size_of(arguments, heads) for heads in arguments.sizes]
         for size in sizes:
             size.check()
     except CapacityExceeded as error:
         print(f"refused: {error}", file=sys.stderr)
         return 2
     try:
-        with recording("fleet", given.out) as run:
+        with recording("fleet", arguments.out) as run:
             for size in sizes:
-                for seed in given.seeds:
-                    interruptible(play(run, size, seed, given.seconds, given.steady_within))
+                for seed in arguments.seeds:
+                    interruptible(run_size(run, size, seed, arguments.seconds, arguments.steady_within))
     except KeyboardInterrupt:
         return 130
     return 0
--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -1,11 +1,11 @@
-"""Light followers: many of them in one process, which ask voters as heads without a vote do.
+"""Simulated followers: many in one process, which fetch from voters as heads without a vote do.
 
-They speak the program's own wire (`Streams`, `Fetch`) in the cadence of `peering/fleet.py`: an answer is
-followed by the next question at once, a refusal by a pause that doubles from 50 ms to 1 s with jitter and by
-another voter. They hold no state, no detector and no rules.
+They use the program's own protocol (`Streams`, `Fetch`) with the timing of `peering/fleet.py`: after an
+answer the next fetch follows at once; after a refusal a follower tries another voter, following a delay with
+jitter that doubles from 50 ms to 1 s. Followers hold no state and run no detector and no rules.
 
-Run as a program, this module is one such process: it reads its task as a JSON line, answers each further line
-with its totals, and ends with its input.
+Run as a program, this module is one such process. It reads its task as a JSON line, answers each further line
+with its totals, and exits at the end of its input.
 """
 
 from __future__ import annotations
@@ -34,51 +34,53 @@
 from tests.process_signals import kill
 
 ROOT = Path(__file__).parent.parent.parent
-MOST_IN_PROCESS = 93  # followers; more of them would make the measuring process the bottleneck
-CUT_OFF_AFTER_S = 3.0  # the default of the heads' settings
-REFUSED_ENDING = "answered 503"
-KEPT_COMMITS = 4096  # times at which a follower learnt of an index, the newest
+MAX_FOLLOWERS_PER_PROCESS = 93  # more would make the follower process the bottleneck
+CUT_OFF_TIMEOUT_S = 3.0  # default in the settings of heads
+REFUSAL_SUFFIX = "answered 503"
+MAX_COMMITS = 4096  # newest times, kept per process, at which a follower learned of an index
 
 
 class Task(msgspec.Struct, frozen=True):
-    """What one process of followers is to do."""
+    """Task of one follower process."""
 
     names: list[str]
     voters: dict[str, str]  # addresses by name
     secret: bytes
     fleet: str
-    report_every: float = 0.0  # seconds; how often each says to the leader which rules it has; 0: never
+    report_every: float = 0.0  # seconds between reports of the version in force to the leader; 0: none
 
 
 class Totals(msgspec.Struct):
-    """What the followers of one process have done and seen so far."""
+    """Counts of all followers of one process since its start."""
 
     asked: int = 0
     served: int = 0
-    empty: int = 0  # of those served: nothing new
-    refused: int = 0  # told 503
-    failed: int = 0  # no answer, or one from a voter that hears no majority
+    empty: int = 0  # of those served, without a new entry or snapshot
+    refused: int = 0  # answered 503
+    failed: int = 0  # no answer, or one from a voter without contact to a majority
     body_bytes_out: int = 0
     body_bytes_in: int = 0
     reports: int = 0
     reports_refused: int = 0
     longest_gap_s: float = 0.0  # between two answers to one follower
-    behind_s: float = 0.0  # since the last answer to the follower that waits for the longest
-    cut_off: int = 0  # followers that had no answer for longer than a head takes to count as cut off
+    behind_s: float = 0.0  # time since the last answer to the follower that has waited longest
+    cut_off: int = 0  # followers without an answer for longer than CUT_OFF_TIMEOUT_S
     leaders: dict[str, tuple[str, float]] = msgspec.field(
         default_factory=dict
-    )  # by follower: who, since when
-    commits: list[tuple[int, float]] = msgspec.field(default_factory=list)  # index and time, of all followers
+    )  # by follower: name of the leader, time learned
+    commits: list[tuple[int, float]] = msgspec.field(
+        default_factory=list
+    )  # index and time learned, for all followers
 
 
 @dataclass
 class CountingSealer(EnvelopeSealer):
-    """Counts the bytes of the answers that are unsealed."""
+    """Counts the bytes of the messages that it unseals."""
 
-    opened: int = 0
+    unsealed_bytes: int = 0
 
     def unseal(self, data: bytes) -> Envelope:
-        self.opened += len(data)
+        self.unsealed_bytes += len(data)
         return super().unseal(data)
 
 
@@ -96,25 +98,27 @@
     served_at: float = field(default_factory=time.monotonic)
 
     def __post_init__(self) -> None:
-        self.draws = random.Random(f"follower/{self.name}")
+        self.rng = random.Random(f"follower/{self.name}")
         self.counters = MessageCounters()
-        self.seal = CountingSealer(self.task.secret, self.task.fleet, self.name)
+        self.sealer = CountingSealer(self.task.secret, self.task.fleet, self.name)
         me = Voter(self.name, f"{voter_offset(self.name):032x}")
         process = time.time_ns() // 1_000_000
-        self.streams = Streams(self.seal, me, process, self.task.voters, self.counters, self.take, lambda: "")
+        self.streams = Streams(
+            self.sealer, me, process, self.task.voters, self.counters, self.reject_message, lambda: ""
+        )
 
-    async def take(self, envelope: Envelope) -> bytes | None:
-        raise MessageRejected("a follower answers nothing")
+    async def reject_message(self, envelope: Envelope) -> bytes | None:
+        raise MessageRejected("simulated followers accept no requests")
 
     async def follow(self) -> None:
-        """Ask for ever, in the cadence of a head."""
+        """Fetch until cancelled, with the timing of a head."""
         wait = FIRST_BACKOFF
-        await asyncio.sleep(self.draws.random() / 2)  # heads do not start in the same moment
+        await asyncio.sleep(self.rng.random() / 2)  # heads do not all start at once
         while True:
             if await self.fetch(self.next_voter()):
                 wait = FIRST_BACKOFF
             else:
-                await asyncio.sleep(wait.total_seconds() * (0.5 + self.draws.random()))
+                await asyncio.sleep(wait.total_seconds() * (0.5 + self.rng.random()))
                 wait = min(2 * wait, MAX_BACKOFF)
 
     def next_voter(self) -> str:
@@ -123,52 +127,52 @@
         return names[(self.turn + voter_offset(self.name)) % len(names)]
 
     async def fetch(self, voter: str) -> bool:
-        totals, opened = self.totals, self.seal.opened
+        totals, unsealed_bytes = self.totals, self.sealer.unsealed_bytes
         body = msgspec.msgpack.encode(calls.Fetch(self.after, self.after_term))
         totals.asked += 1
         sent = self.counters.by_name["streams.bytes"]
         try:
             _, answer = await self.streams.request(voter, calls.FETCH, body)
-            told = msgspec.msgpack.decode(answer, type=calls.Fetched)
+            fetched = msgspec.msgpack.decode(answer, type=calls.Fetched)
         except (PeerUnreachable, msgspec.MsgspecError) as error:
-            refused = str(error).endswith(REFUSED_ENDING)
+            refused = str(error).endswith(REFUSAL_SUFFIX)
             totals.refused += refused
             totals.failed += not refused
             return False
         finally:
             totals.body_bytes_out += self.counters.by_name["streams.bytes"] - sent
-            totals.body_bytes_in += self.seal.opened - opened
-        self.learn(told)
-        if not told.majority_connected:
+            totals.body_bytes_in += self.sealer.unsealed_bytes - unsealed_bytes
+        self.apply_fetched(fetched)
+        if not fetched.majority_connected:
             totals.failed += 1
             return False
-        self.turn -= 1  # stay with a voter that serves
-        self.answered(told)
+        self.turn -= 1  # keep a voter that serves
+        self.record_served(fetched)
         return True
 
-    def learn(self, told: calls.Fetched) -> None:
+    def apply_fetched(self, fetched: calls.Fetched) -> None:
         now = time.monotonic()
-        self.totals.empty += told.majority_connected and told.snapshot is None and not told.entries
-        if told.snapshot is not None:
-            self.after, self.after_term = told.snapshot.index, told.snapshot.term
-        if told.entries:
-            self.after, self.after_term = told.entries[-1].index, told.entries[-1].term
+        self.totals.empty += fetched.majority_connected and fetched.snapshot is None and not fetched.entries
+        if fetched.snapshot is not None:
+            self.after, self.after_term = fetched.snapshot.index, fetched.snapshot.term
+        if fetched.entries:
+            self.after, self.after_term = fetched.entries[-1].index, fetched.entries[-1].term
             self.totals.commits.append((self.after, now))
-            del self.totals.commits[:-KEPT_COMMITS]
+            del self.totals.commits[:-MAX_COMMITS]
 
-    def answered(self, told: calls.Fetched) -> None:
+    def record_served(self, fetched: calls.Fetched) -> None:
         now, totals = time.monotonic(), self.totals
         totals.served += 1
         totals.longest_gap_s = max(totals.longest_gap_s, now - self.served_at)
         self.served_at = now
-        if told.leader != self.leader and told.leader is not None:
-            self.leader = told.leader
-            totals.leaders[self.name] = (told.leader, now)
+        if fetched.leader != self.leader and fetched.leader is not None:
+            self.leader = fetched.leader
+            totals.leaders[self.name] = (fetched.leader, now)
 
     async def report(self) -> None:
-        """Say to the leader which version is in force, as heads with a history of rules do."""
+        """Report the version in force to the leader, as heads with a rule history do."""
         body, every = msgspec.msgpack.encode(HeadReport(0)), self.task.report_every
-        await asyncio.sleep(self.draws.random() * every)
+        await asyncio.sleep(self.rng.random() * every)
         while True:
             if self.leader is not None:
                 self.totals.reports += 1
@@ -180,7 +184,7 @@
 
 
 async def run_process(task: Task, lines: asyncio.StreamReader) -> None:
-    """Follow until the input ends; each line of it is answered with the totals."""
+    """Run followers until the input ends, and answer each of its lines with the totals."""
     totals = Totals()
     followers = [Follower(name, task, totals) for name in task.names]
     tasks: list[asyncio.Task[None]] = []
@@ -192,7 +196,7 @@
     while await lines.readline():
         now = time.monotonic()
         totals.behind_s = now - min(follower.served_at for follower in followers)
-        totals.cut_off = sum(now - follower.served_at > CUT_OFF_AFTER_S for follower in followers)
+        totals.cut_off = sum(now - follower.served_at > CUT_OFF_TIMEOUT_S for follower in followers)
         sys.stdout.buffer.write(msgspec.json.encode(totals) + b"\n")
         sys.stdout.buffer.flush()
         totals.longest_gap_s = 0.0
@@ -204,20 +208,21 @@
 
 
 class FollowerProcess:
-    """One started process of followers."""
+    """One running follower process."""
 
     def __init__(self, process: asyncio.subprocess.Process, task: Task) -> None:
-        self.process, self.task = process, task
+        self.process = process
+        self.task = task
 
     async def totals(self) -> Totals:
-        """Ask for its totals."""
+        """Request its totals."""
         assert self.process.stdin is not None and self.process.stdout is not None
         self.process.stdin.write(b"\n")
         await self.process.stdin.drain()
         return msgspec.json.decode(await self.process.stdout.readline(), type=Totals)
 
     async def end(self) -> None:
-        """Close its input, which ends it; kill it if that does not."""
+        """Close its input, which ends it; kill it after 5 s."""
         assert self.process.stdin is not None
         self.process.stdin.close()
         try:
@@ -228,8 +233,8 @@
 
 
 @dataclass
-class Crowd:
-    """All followers of a measurement."""
+class FollowerGroup:
+    """All followers of a measurement, in one or more processes."""
 
     voters: dict[str, str]
     secret: bytes
@@ -242,10 +247,10 @@
         return sum(len(each.task.names) for each in self.processes)
 
     async def grow(self, count: int) -> None:
-        """Start followers until there are so many."""
+        """Start followers until there are `count`."""
         while (missing := count - self.count) > 0:
             first = self.count
-            names = [f"f{i}" for i in range(first, first + min(missing, MOST_IN_PROCESS))]
+            names = [f"f{i}" for i in range(first, first + min(missing, MAX_FOLLOWERS_PER_PROCESS))]
             await self.start(Task(names, self.voters, self.secret, self.fleet, self.report_every))
 
     async def start(self, task: Task) -> None:
@@ -263,19 +268,19 @@
         self.processes.append(FollowerProcess(process, task))
 
     async def totals(self) -> Totals:
-        """The totals of all processes together."""
+        """Return the totals of all processes together."""
         whole = Totals()
-        for told in await asyncio.gather(*(each.totals() for each in self.processes)):
-            for name in SUMMED:
-                setattr(whole, name, getattr(whole, name) + getattr(told, name))
-            whole.longest_gap_s = max(whole.longest_gap_s, told.longest_gap_s)
-            whole.behind_s = max(whole.behind_s, told.behind_s)
-            whole.leaders |= told.leaders
-            whole.commits += told.commits
+        for totals in await asyncio.gather(*(each.totals() for each in self.processes)):
+            for name in SUMMED_TOTALS:
+                setattr(whole, name, getattr(whole, name) + getattr(totals, name))
+            whole.longest_gap_s = max(whole.longest_gap_s, totals.longest_gap_s)
+            whole.behind_s = max(whole.behind_s, totals.behind_s)
+            whole.leaders |= totals.leaders
+            whole.commits += totals.commits
         return whole
 
 
-SUMMED = (
+SUMMED_TOTALS = (
     "asked",
     "served",
     "empty",
@@ -290,15 +295,15 @@
 
 
 @contextlib.asynccontextmanager
-async def crowd(
+async def running_followers(
     voters: dict[str, str], secret: bytes, fleet: str, report_every: float = 0.0
-) -> AsyncIterator[Crowd]:
-    """Followers that are all ended at the end."""
-    made = Crowd(voters, secret, fleet, report_every)
+) -> AsyncIterator[FollowerGroup]:
+    """Run a group of followers; all of its processes are ended on exit."""
+    group = FollowerGroup(voters, secret, fleet, report_every)
     try:
-        yield made
+        yield group
     finally:
-        await asyncio.gather(*(each.end() for each in made.processes))
+        await asyncio.gather(*(each.end() for each in group.processes))
 
 
 async def main() -> None:
--- a/benchmarks/capacity/harness.py
+++ b/benchmarks/capacity/harness.py
@@ -1,8 +1,8 @@
-"""What all commands of this family share: arguments, measurements, fits, tables and refusals.
+"""Code shared by all capacity benchmarks: arguments, measurements, fits, tables and capacity checks.
 
-A command names its sizes and seeds in one way (`--sizes 12,120 --seeds 1,2 --out FILE`), writes one JSON line
-for each measurement as soon as it is there, and closes with a table and the fits. A run that was interrupted
-says so and fits nothing. What the machine cannot hold is refused before anything starts.
+All commands take sizes and seeds in the same form (`--sizes 12,120 --seeds 1,2 --out FILE`), write each
+measurement as a JSON line as soon as it is made, and end with a table and the fits. An interrupted run is
+marked as such and has no fits. Sizes that exceed the machine's capacity are refused before anything starts.
 """
 
 from __future__ import annotations
@@ -18,16 +18,18 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-MOST_EXTRAPOLATED = 4.0  # times the largest size measured; beyond, a figure is marked as extrapolated
-MEMORY_SHARE = 0.5  # of the machine's memory, at most
-REFERENCE_SIZE = 200_000  # calls of a function
+MAX_EXTRAPOLATION = (
+    4.0  # multiple of the largest measured size, beyond which figures are marked as extrapolated
+)
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory that a run may use
+REFERENCE_SIZE = 200_000  # function calls of the reference work
 EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 MEMORY_INFO = Path("/proc/meminfo")
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One figure: what was measured, at which size and seed, its unit, and what else was so."""
+    """One figure: its name, size, value, unit, seed and further details."""
 
     name: str
     size: float
@@ -39,27 +41,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A straight line through measurements by least squares, and where it was measured."""
+    """A least-squares line through measurements, and the range of their sizes."""
 
     name: str
     unit: str
     base: float
     slope: float
-    residual: float  # root of the mean square of what the line leaves, in the unit
+    residual: float  # root mean square of the residuals, in the unit
     smallest: float
     largest: float
 
     def at(self, size: float) -> float:
-        """The line's value at a size, in the unit."""
+        """Return the value of the line at a size, in the unit."""
         return self.base + self.slope * size
 
     def extrapolates(self, size: float) -> bool:
-        """Whether a size lies so far beyond those measured that its figure has to be marked."""
-        return size > MOST_EXTRAPOLATED * self.largest
+        """Return whether a size is so far beyond those measured that its figure must be marked."""
+        return size > MAX_EXTRAPOLATION * self.largest
 
 
 def fit_line(name: str, unit: str, points: Sequence[tuple[float, float]]) -> Fit:
-    """Fit a line; needs two different sizes, else raises ValueError."""
+    """Fit a line; raises ValueError unless there are two different sizes."""
     sizes = [size for size, _ in points]
     if len(set(sizes)) < 2:
         raise ValueError(f"{name}: a fit needs two different sizes, found {sorted(set(sizes))}")
@@ -73,13 +75,13 @@
 
 
 def prediction(fit: Fit, size: float) -> str:
-    """A fit's value at a size, marked where nothing near it was measured."""
+    """Return the value of a fit at a size as text, marked if it is extrapolated."""
     mark = "extrapolated" if fit.extrapolates(size) else "within the range or near it"
     return f"at {size:g}: {fit.at(size):.4g} {fit.unit} ({mark})"
 
 
 class Run:
-    """The measurements of one command: written line by line, shown as a table at the end."""
+    """Measurements of one command, written line by line and printed as a table at the end."""
 
     def __init__(self, command: str, out: Path | None, at: Sequence[float] = ()) -> None:
         self.command, self.out, self.at = command, out, at
@@ -90,7 +92,7 @@
             out.write_text("")
 
     def add(self, measurement: Measurement) -> None:
-        """Keep a measurement and write it down at once."""
+        """Add a measurement and write its JSON line at once."""
         self.measurements.append(measurement)
         line = json.dumps({"command": self.command, "at": round(time.time()), **asdict(measurement)})
         if self.out is not None:
@@ -99,7 +101,7 @@
         print(line, file=sys.stderr, flush=True)
 
     def fits(self) -> list[Fit]:
-        """A line for each name that was measured at two sizes or more."""
+        """Return a fit for each name that was measured at two sizes or more."""
         found: dict[tuple[str, str], list[tuple[float, float]]] = {}
         for measurement in self.measurements:
             points = found.setdefault((measurement.name, measurement.unit), [])
@@ -111,7 +113,7 @@
         ]
 
     def print_table(self) -> None:
-        """The measurements and, of a whole run, the fits."""
+        """Print the measurements and, unless the run was interrupted, the fits."""
         for m in self.measurements:
             details = ", ".join(f"{key} {value}" for key, value in m.details.items())
             print(f"{m.name:40} {m.size:>8g} {m.value:>12.4g} {m.unit:20} seed {m.seed}  {details}")
@@ -129,7 +131,7 @@
 
 @contextmanager
 def recording(command: str, out: Path | None, at: Sequence[float] = ()) -> Iterator[Run]:
-    """A run whose table is printed at its end, also when it was interrupted; fits are told at these sizes."""
+    """Record a run and print its table at the end, also after an interrupt, with fits at the given sizes."""
     run = Run(command, out, at)
     try:
         yield run
@@ -141,44 +143,48 @@
 
 
 def parser(description: str, sizes: str, seeds: str = "1") -> argparse.ArgumentParser:
-    """The arguments that all commands of the family take."""
-    made = argparse.ArgumentParser(description=description)
-    made.add_argument("--sizes", type=numbers, default=numbers(sizes), help=f"default {sizes}")
-    made.add_argument("--seeds", type=numbers, default=numbers(seeds), help=f"default {seeds}")
-    made.add_argument("--out", type=Path, help="write JSON lines here too")
-    made.add_argument("--at", type=numbers, default=[], help="tell the fits at these sizes")
-    return made
-
-
-def numbers(text: str) -> list[int]:
-    """Whole numbers between commas; none of an empty text."""
+    """Return a parser of the arguments that all capacity benchmarks take."""
+    arguments_parser = argparse.ArgumentParser(description=description)
+    arguments_parser.add_argument(
+        "--sizes", type=parse_ints, default=parse_ints(sizes), help=f"default {sizes}"
+    )
+    arguments_parser.add_argument(
+        "--seeds", type=parse_ints, default=parse_ints(seeds), help=f"default {seeds}"
+    )
+    arguments_parser.add_argument("--out", type=Path, help="also write the JSON lines to this file")
+    arguments_parser.add_argument("--at", type=parse_ints, default=[], help="print the fits at these sizes")
+    return arguments_parser
+
+
+def parse_ints(text: str) -> list[int]:
+    """Parse integers separated by commas; an empty text has none."""
     return [int(part) for part in text.split(",") if part]
 
 
 class CapacityExceeded(Exception):
-    """The machine cannot hold a size; says what is there and what would do."""
+    """A size exceeds the capacity of the machine; the message gives the limit and a remedy."""
 
 
 def require_capacity(descriptors: int = 0, memory_mb: int = 0, ports: int = 0) -> None:
-    """Refuse a size that this machine cannot hold before anything is started; raises CapacityExceeded.
+    """Raise CapacityExceeded if this machine lacks the given resources; called before anything is started.
 
-    Descriptors are those of one process, memory is that of all of them together, ports are connections to one
-    address of loopback from one other.
+    Descriptors are those of one process, memory is that of all processes together, ports are connections from
+    one loopback address to one other.
     """
-    lacks = [
-        _lack("descriptors of one process", descriptors, _descriptors(), "raise `ulimit -n`"),
-        _lack("MB of memory", memory_mb, _memory_mb(), "a smaller size, or a larger machine"),
-        _lack("ports", ports, _ports(), "more addresses of 127.0.0.0/8, or a smaller size"),
+    shortages = [
+        _shortage("descriptors of one process", descriptors, _descriptors(), "raise `ulimit -n`"),
+        _shortage("MB of memory", memory_mb, _memory_mb(), "a smaller size, or a larger machine"),
+        _shortage("ports", ports, _ports(), "more addresses of 127.0.0.0/8, or a smaller size"),
     ]
-    found = [lack for lack in lacks if lack]
-    if found:
-        raise CapacityExceeded("; ".join(found))
+    messages = [shortage for shortage in shortages if shortage]
+    if messages:
+        raise CapacityExceeded("; ".join(messages))
 
 
-def _lack(what: str, wanted: int, there: int, remedy: str) -> str:
-    if wanted <= there:
+def _shortage(what: str, needed: int, available: int, remedy: str) -> str:
+    if needed <= available:
         return ""
-    return f"{wanted:,} {what} are needed, {there:,} may be used: {remedy}"
+    return f"{needed:,} {what} are needed, {available:,} may be used: {remedy}"
 
 
 def _descriptors() -> int:
@@ -190,7 +196,7 @@
 
 def _memory_mb() -> int:
     total_kb = int(MEMORY_INFO.read_text().split()[1])
-    return int(total_kb / 1024 * MEMORY_SHARE)
+    return int(total_kb / 1024 * MAX_MEMORY_SHARE)
 
 
 def _ports() -> int:
@@ -199,34 +205,33 @@
 
 
 def processor_seconds(work: Callable[[], object]) -> float:
-    """The processor time of this process that a piece of work takes, in seconds."""
+    """Return the processor time of this process that a function takes, in seconds."""
     before = time.process_time()
     work()
     return time.process_time() - before
 
 
 def reference_ms() -> float:
-    """The processor time of a fixed piece of work, in ms.
+    """Return the processor time of a fixed piece of work, in ms.
 
-    Where others use the machine all work takes longer: figures of different runs are held against each other
-    by this.
+    All work takes longer on a busy machine; figures of different runs are compared relative to this one.
     """
-    took = processor_seconds(lambda: min(range(REFERENCE_SIZE), key=lambda number: number % 1_000))
-    return took * 1_000
+    seconds = processor_seconds(lambda: min(range(REFERENCE_SIZE), key=lambda number: number % 1_000))
+    return seconds * 1_000
 
 
 def process_cpu(pid: int) -> float:
-    """The processor time that another process has used since its start, user and system, in seconds."""
+    """Return the user and system processor time of another process since its start, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def process_memory_mb(pid: int) -> float:
-    """What another process holds of memory now (resident), in MB."""
+    """Return the resident memory of another process, in MB."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / 1_000_000
 
 
 def process_descriptors(pid: int) -> int:
-    """How many descriptors another process has open."""
+    """Return the number of open descriptors of another process."""
     return len(os.listdir(f"/proc/{pid}/fd"))
--- a/benchmarks/capacity/head_process.py
+++ b/benchmarks/capacity/head_process.py
@@ -1,4 +1,4 @@
-"""A head as a process of its own, as `run` in deploy/balancer.toml starts it, with its limits raised."""
+"""A head as a separate process, started as by `run` in deploy/balancer.toml, with raised limits."""
 
 from __future__ import annotations
 
@@ -22,39 +22,40 @@
 from benchmarks.capacity.children import (
     ROOT,
     ChildFailed,
+    blocked_signals,
     children,
     die_with_parent,
     end_process,
-    signals_held,
 )
 from tests.addresses import free_port
 
 HOST = "127.0.0.1"
 HEADS = 740
-# Raised, as the platform's 1,024 descriptors and 192 MB hold 580 clients: the head deals out 58% of `sockets`
-# to clients and 30% to nodes, lets an eighth of it rest, and takes a quarter of it with a request open.
-SOCKETS, MEMORY_MB = 80_000, 2_000
-LONG_IDLE = 600.0  # seconds, where the program would end idle clients after 2
-READY_WITHIN = 60.0
-SNAPSHOT_WITHIN = 5.0
+# Raised, because the platform's 1,024 descriptors and 192 MB allow only 580 clients. A head assigns 58% of
+# `sockets` to clients and 30% to nodes; an eighth of it may be idle, and a quarter may have a request open.
+SOCKETS = 80_000
+MEMORY_MB = 2_000
+LONG_IDLE = 600.0  # seconds; the program closes idle clients after 2
+READY_TIMEOUT = 60.0  # seconds
+SNAPSHOT_TIMEOUT = 5.0  # seconds
 
 
 class Program(Enum):
-    """What is run as the head."""
+    """Variants of the program to run as the head."""
 
     SHIPPED = "shipped"
-    SPLIT = "split"  # with its processor time split by place
-    LONG_IDLE = "long idle"  # keeps idle clients, so that what they take can be measured
+    SPLIT = "split"  # with processor time split by place
+    LONG_IDLE = "long idle"  # keeps idle clients, so that their memory can be measured
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process holds now, and has used since its start."""
+    """Resources that a process holds now, and processor time since its start."""
 
     cpu_s: float
     memory_mb: float
     descriptors: int
-    at: float
+    at: float  # seconds of the monotonic clock
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +67,7 @@
     snapshot_path: Path
 
     def usage(self) -> Usage:
-        """What it has used so far."""
+        """Return its resource usage so far."""
         return Usage(
             harness.process_cpu(self.pid),
             harness.process_memory_mb(self.pid),
@@ -75,11 +76,11 @@
         )
 
     def snapshot(self) -> dict[str, Any]:
-        """What an instrumented head (instrumented_head.py) has counted so far."""
+        """Return the snapshot of an instrumented head (instrumented_head.py)."""
         self.snapshot_path.unlink(missing_ok=True)
         os.kill(self.pid, signal.SIGUSR1)
-        until = time.monotonic() + SNAPSHOT_WITHIN
-        while time.monotonic() < until:
+        deadline = time.monotonic() + SNAPSHOT_TIMEOUT
+        while time.monotonic() < deadline:
             if self.snapshot_path.exists():
                 found: dict[str, Any] = json.loads(self.snapshot_path.read_text())
                 return found
@@ -88,7 +89,7 @@
 
 
 def node_entries(ports: list[int]) -> list[dict[str, Any]]:
-    """Nodes as discovery lists them, one shard each, in 12 zones."""
+    """Return list entries of nodes, one shard each, in 12 zones."""
     return [
         {
             "instanceId": f"node-{i:04}",
@@ -105,7 +106,7 @@
 
 
 def configuration(entries: list[dict[str, Any]], port: int, discovery: int, sockets: int) -> dict[str, Any]:
-    """The demo deployment's settings for one of many heads, with raised limits."""
+    """Return the configuration of the demo deployment for one of many heads, with raised limits."""
     files = resources.files("stoatrouter.lab") / "demo_files"
     settings = json.loads((files / "settings.json").read_text())
     settings["Balancers"] = HEADS
@@ -128,23 +129,23 @@
     program: Program = Program.SHIPPED,
     sockets: int = SOCKETS,
 ) -> Iterator[HeadProcess]:
-    """A head before nodes at these ports, following discovery."""
+    """Run a head that follows a discovery which lists nodes at these ports."""
     with tempfile.TemporaryDirectory() as name:
         folder, entries = Path(name), node_entries(ports)
         (folder / "entries.json").write_text(json.dumps(entries))
         specification = {"entries": str(folder / "entries.json")}
         with children("benchmarks.capacity.discovery_server", [specification]) as (discovery,):
-            listen, watched = free_port(), discovery.receive()["port"]
-            made = configuration(entries, listen, watched, sockets)
-            (folder / "config.json").write_text(json.dumps(made))
-            with started(folder, program) as process:
+            listen, discovery_port = free_port(), discovery.receive()["port"]
+            config = configuration(entries, listen, discovery_port, sockets)
+            (folder / "config.json").write_text(json.dumps(config))
+            with head_subprocess(folder, program) as process:
                 wait_ready(listen, process)
                 yield HeadProcess(process.pid, listen, folder / "snapshot.json")
 
 
 @contextlib.contextmanager
-def started(folder: Path, program: Program) -> Iterator[subprocess.Popen[bytes]]:
-    """The process alone; it is ended whatever happens meanwhile."""
+def head_subprocess(folder: Path, program: Program) -> Iterator[subprocess.Popen[bytes]]:
+    """Run the head process alone; it is killed on exit, also after an exception."""
     module = "stoatrouter" if program is Program.SHIPPED else "benchmarks.capacity.instrumented_head"
     environ = {
         "PATH": os.environ["PATH"],
@@ -161,7 +162,7 @@
         environ["CAPACITY_IDLE_SECONDS"] = str(LONG_IDLE)
     process: subprocess.Popen[bytes] | None = None
     try:
-        with signals_held(), (folder / "head.log").open("wb") as log:
+        with blocked_signals(), (folder / "head.log").open("wb") as log:
             process = subprocess.Popen(
                 [interpreter(), "-O", "-B", "-m", module],
                 cwd=ROOT,
@@ -178,17 +179,17 @@
 
 
 def interpreter() -> str:
-    """The Python of this tree's build, which a deployment runs, or else this one."""
-    built = ROOT / ".venv" / "bin" / "python"
-    return str(built) if built.exists() else sys.executable
+    """Return the Python of the build in this tree, as a deployment uses, or else the current one."""
+    built_python = ROOT / ".venv" / "bin" / "python"
+    return str(built_python) if built_python.exists() else sys.executable
 
 
 def wait_ready(port: int, process: subprocess.Popen[bytes]) -> None:
-    """Wait until a head says that it serves."""
-    until = time.monotonic() + READY_WITHIN
-    while time.monotonic() < until:
+    """Wait until a head reports that it is healthy."""
+    deadline = time.monotonic() + READY_TIMEOUT
+    while time.monotonic() < deadline:
         if process.poll() is not None:
-            raise ChildFailed(f"the head ended with {process.returncode}")
+            raise ChildFailed(f"the head exited with status {process.returncode}")
         with contextlib.suppress(OSError, http.client.HTTPException):
             connection = http.client.HTTPConnection(HOST, port, timeout=1.0)
             connection.request("GET", "/healthz", headers={"Connection": "close"})
@@ -197,4 +198,4 @@
             if healthy:
                 return
         time.sleep(0.02)
-    raise ChildFailed("the head does not come up")
+    raise ChildFailed(f"the head was not ready within {READY_TIMEOUT:g} s")
--- a/benchmarks/capacity/head_processes.py
+++ b/benchmarks/capacity/head_processes.py
@@ -1,4 +1,4 @@
-"""Real heads for the control benchmarks: started on loopback, connected directly, and what each has used."""
+"""Real heads for the control benchmarks, connected directly on loopback, and their resource usage."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from tests.heads.processes import HeadProcess, Processes, heads_up
 from tests.peers import Node
 
-FLEET = "test"  # the name that tests/heads/processes.py gives
-MARK = struct.Struct(">QQ")  # of peering/write_mark.py: the number of the last write, twice
+FLEET = "test"  # name of the fleet in tests/heads/processes.py
+MARK = struct.Struct(">QQ")  # format of peering/write_mark.py: the number of the last write, twice
 SS_FIELDS = ("bytes_sent:", "bytes_received:")
 
 
-class DirectWays:
-    """Stands in for the tests' relay: heads reach each other without anything between them."""
+class DirectRelay:
+    """Replaces the relay of the tests, so that heads connect to each other directly."""
 
     def __init__(self, fleet: Processes) -> None:
         self.heads, self.relay = fleet.heads, fleet.relay
@@ -49,68 +49,68 @@
     nodes: tuple[Node, ...] = (),
     discovery: int | None = None,
 ) -> AsyncIterator[Processes]:
-    """Heads of the real program that reach each other directly, in touch; all are ended at the end."""
+    """Run heads of the real program, connected directly, once all are in touch; all are ended on exit."""
     with tempfile.TemporaryDirectory() as folder:
         async with heads_up(
             Path(folder), count, voters, more=more, http=http, nodes=nodes, start=False
         ) as fleet:
             if discovery is not None:
                 fleet.discovery = discovery
-            fleet.relay = DirectWays(fleet)  # type: ignore[assignment]
+            fleet.relay = DirectRelay(fleet)  # type: ignore[assignment]
             await asyncio.gather(*(head.start(ready=False) for head in fleet))
             await asyncio.gather(*(head.until_ready() for head in fleet))
             await fleet.all_in_touch()
             yield fleet
 
 
-def secret_of(fleet: Processes) -> bytes:
-    """The key that the fleet's heads use."""
+def fleet_key(fleet: Processes) -> bytes:
+    """Return the key that the heads of a fleet use."""
     return read_secret(next(iter(fleet)).folder / "secret")
 
 
 def voter_addresses(fleet: Processes) -> dict[str, str]:
-    """Where voters are reached by streams."""
+    """Return the stream addresses of the voters."""
     return {name: f"{fleet[name].host}:{fleet[name].streams}" for name in fleet.voters}
 
 
 @dataclass(slots=True)
 class Usage:
-    """What one head has used up to a moment."""
+    """Resource usage of one head up to a time."""
 
     at: float
     cpu_s: float
     memory_mb: float
     descriptors: int
-    writes: int  # transactions put to its disk
-    bytes_in: int  # over the streams that others have open to it
+    writes: int  # transactions written to its disk
+    bytes_in: int  # over the streams that are open to it
     bytes_out: int
     counts: dict[str, int]
 
     def cores(self, before: Usage) -> float:
-        """Share of a core since an earlier moment."""
+        """Return the share of a core used since an earlier time."""
         return (self.cpu_s - before.cpu_s) / (self.at - before.at)
 
     def rate(self, field: str, before: Usage) -> float:
-        """One field's growth a second since an earlier moment."""
+        """Return the increase per second of one field since an earlier time."""
         return (getattr(self, field) - getattr(before, field)) / (self.at - before.at)
 
     def counted(self, name: str, before: Usage) -> int:
-        """How far one of the head's own counts has grown since an earlier moment."""
+        """Return the increase of one of the head's own counters since an earlier time."""
         return self.counts.get(name, 0) - before.counts.get(name, 0)
 
 
 async def usage(head: HeadProcess) -> Usage:
-    """Read what a head has used."""
+    """Return the usage of a head."""
     assert head.process is not None
     bytes_out, bytes_in = address_bytes(head.host, head.streams)
-    told: dict[str, Any] = await head.status()
-    return usage_of(head.process.pid, told.get("counts", {}), writes_of(head), bytes_in, bytes_out)
+    status: dict[str, Any] = await head.status()
+    return process_usage(head.process.pid, status.get("counts", {}), write_count(head), bytes_in, bytes_out)
 
 
-def usage_of(
+def process_usage(
     pid: int, counts: dict[str, int], writes: int = 0, bytes_in: int = 0, bytes_out: int = 0
 ) -> Usage:
-    """The same of any process."""
+    """Return the usage of any process."""
     return Usage(
         time.monotonic(),
         harness.process_cpu(pid),
@@ -123,26 +123,28 @@
     )
 
 
-def writes_of(head: HeadProcess) -> int:
-    """How many transactions a head has put to its disk: the number in its mark."""
+def write_count(head: HeadProcess) -> int:
+    """Return the number of transactions that a head has written, from its mark on disk."""
     return MARK.unpack((head.disk / "heads.mark").read_bytes()[: MARK.size])[0]
 
 
 def address_bytes(host: str, port: int) -> tuple[int, int]:
-    """Bytes sent and received by whoever listens there on the connections that are open now, as TCP counts
-    them (payload, HTTP headers with it)."""
+    """Return the bytes sent and received by the listener at an address on its open connections.
+
+    These are the counts of TCP: payload including HTTP headers.
+    """
     return counted_bytes(["ss", "-tinHO", "src", f"{host}:{port}"])
 
 
 def process_bytes(pid: int, host: str, port: int) -> tuple[int, int]:
-    """Bytes that a process has sent and received on its open connections to an address."""
+    """Return the bytes that a process has sent and received on its open connections to an address."""
     return counted_bytes(["ss", "-tinHpO", "dst", f"{host}:{port}"], f"pid={pid},")
 
 
 def counted_bytes(command: list[str], only: str = "") -> tuple[int, int]:
-    """Bytes sent and received of the sockets that `ss` lists, one a line."""
-    said = subprocess.run(command, capture_output=True, text=True, check=True).stdout
-    words = [word for line in said.splitlines() if only in line for word in line.split()]
+    """Return the total bytes sent and received of the sockets that an `ss` command lists, one a line."""
+    output = subprocess.run(command, capture_output=True, text=True, check=True).stdout
+    words = [word for line in output.splitlines() if only in line for word in line.split()]
     sent, received = (
         sum(int(word.removeprefix(name)) for word in words if word.startswith(name)) for name in SS_FIELDS
     )
@@ -150,11 +152,11 @@
 
 
 def open_streams(head: HeadProcess) -> int:
-    """How many connections to a head's stream address are established."""
-    said = subprocess.run(
+    """Return the number of established connections to the stream address of a head."""
+    output = subprocess.run(
         ["ss", "-tnH", "state", "established", "src", f"{head.host}:{head.streams}"],
         capture_output=True,
         text=True,
         check=True,
     ).stdout
-    return len(said.splitlines())
+    return len(output.splitlines())
--- a/benchmarks/capacity/instrumented_head.py
+++ b/benchmarks/capacity/instrumented_head.py
@@ -1,10 +1,10 @@
-"""A head whose processor time is split by place: run in place of `stoatrouter`, with the same configuration.
+"""Instrumented head that splits its processor time by place; takes the configuration of `stoatrouter`.
 
-With CAPACITY_SPLIT set, each callback of the event loop is timed by the thread's clock and counted for the
-place that it belongs to; calls of the reducer and of the decision module inside it count for theirs and not
-for it. What the process uses beyond the sum is the loop's own (select, scheduling) and the timing itself. On
-SIGUSR1 the sums are written as JSON to the file that CAPACITY_SNAPSHOT names. CAPACITY_IDLE_SECONDS keeps
-idle clients longer than the program does, so that their memory can be measured.
+With CAPACITY_SPLIT set, the thread time of each callback of the event loop is added to the place to which it
+belongs; nested calls of the reducer and the decision module are added to their own places instead. Time of
+the process beyond the sum is that of the loop itself (select, scheduling) and of the timing. On SIGUSR1 the
+sums are written as JSON to the file named by CAPACITY_SNAPSHOT. CAPACITY_IDLE_SECONDS keeps idle clients
+longer than the program does, so that their memory can be measured.
 """
 
 from __future__ import annotations
@@ -35,28 +35,28 @@
 TIMERS, ACCEPT, OTHER = "timers", "accept", "other"
 
 
-class Split:
-    """Processor time by place; what is timed inside another timed call is taken off that one."""
+class PlaceTimes:
+    """Processor time by place; the time of a nested call is subtracted from its caller."""
 
     def __init__(self) -> None:
         self.seconds: dict[str, float] = {}
         self.calls: dict[str, int] = {}
-        self.inner = [0.0]  # of the calls now running, outermost first: the time of those inside each
+        self.nested_seconds = [0.0]  # time of the calls nested in each running call, outermost first
 
     def run(self, place: str, function: Callable[..., Any], *arguments: Any, **named: Any) -> Any:
-        """Call a function and count its time for a place."""
-        began = time.thread_time()
-        self.inner.append(0.0)
+        """Call a function and add its time to a place."""
+        started_at = time.thread_time()
+        self.nested_seconds.append(0.0)
         try:
             return function(*arguments, **named)
         finally:
-            took = time.thread_time() - began
-            self.seconds[place] = self.seconds.get(place, 0.0) + took - self.inner.pop()
+            elapsed = time.thread_time() - started_at
+            self.seconds[place] = self.seconds.get(place, 0.0) + elapsed - self.nested_seconds.pop()
             self.calls[place] = self.calls.get(place, 0) + 1
-            self.inner[-1] += took
+            self.nested_seconds[-1] += elapsed
 
     def wrap(self, owner: Any, name: str, place: Callable[..., str]) -> None:
-        """Time all calls of a method; the place may follow from its arguments."""
+        """Time all calls of a method; the place may depend on its arguments."""
         function = getattr(owner, name)
 
         @functools.wraps(function)
@@ -66,7 +66,7 @@
         setattr(owner, name, timed)
 
 
-SPLIT = Split()
+PLACE_TIMES = PlaceTimes()
 PLACES_BY_PROTOCOL = {clients.ClientConnection: FRONT, NodeConnection: NODE_CLIENT}
 PLACES_BY_COROUTINE = {
     "RequestHandler.start": FRONT,
@@ -91,16 +91,16 @@
 
 
 def place_of(callback: Any) -> str:
-    """To which place a callback of the loop belongs; those of no place are counted by name."""
+    """Return the place of a callback, and count callbacks without a known place by name."""
     place = known_place(callback)
     if place == OTHER:
         name = f"unplaced {describe(callback)}"
-        SPLIT.calls[name] = SPLIT.calls.get(name, 0) + 1
+        PLACE_TIMES.calls[name] = PLACE_TIMES.calls.get(name, 0) + 1
     return place
 
 
 def describe(callback: Any) -> str:
-    """What a callback is called."""
+    """Return the name of a callback."""
     function = getattr(callback, "func", callback)
     owner = getattr(function, "__self__", None)
     if isinstance(owner, asyncio.Task):
@@ -109,7 +109,7 @@
 
 
 def known_place(callback: Any) -> str:
-    """The place of a callback, or OTHER."""
+    """Return the place of a callback, or OTHER."""
     function = getattr(callback, "func", callback)  # of a functools.partial
     owner = getattr(function, "__self__", None)
     if isinstance(owner, asyncio.Task):
@@ -125,7 +125,7 @@
 
 
 def decision_place(scheduler: Scheduler, now: int, event: Any) -> str:
-    """Readings and lists are counted apart from what requests cost."""
+    """Return the place of a scheduler call, with readings and lists separate from requests."""
     name = type(event).__name__
     if name == "EndpointList":
         return LIST
@@ -133,49 +133,49 @@
 
 
 def instrument() -> None:
-    """Time the loop's callbacks and the calls between the head's parts."""
+    """Time the callbacks of the event loop, and the calls of the reducer and the decision module."""
     run = asyncio.events.Handle._run
 
     def timed(handle: asyncio.Handle) -> Any:
-        return SPLIT.run(place_of(handle._callback), run, handle)  # type: ignore[attr-defined]
+        return PLACE_TIMES.run(place_of(handle._callback), run, handle)  # type: ignore[attr-defined]
 
     asyncio.events.Handle._run = timed  # type: ignore[method-assign]
-    SPLIT.wrap(Reducer, "reduce", lambda *_: REDUCER)
-    SPLIT.wrap(Scheduler, "handle", decision_place)
+    PLACE_TIMES.wrap(Reducer, "reduce", lambda *_: REDUCER)
+    PLACE_TIMES.wrap(Scheduler, "handle", decision_place)
     count_calls(NodeClient, "attempt", "attempts")
     count_calls(NodePool, "_create_connection", "connections dialled")
 
 
 def count_calls(owner: Any, name: str, what: str) -> None:
-    """Count a coroutine function's calls."""
+    """Count the calls of a coroutine function."""
     function = getattr(owner, name)
 
     @functools.wraps(function)
     async def counted(*arguments: Any, **named: Any) -> Any:
-        SPLIT.calls[what] = SPLIT.calls.get(what, 0) + 1
+        PLACE_TIMES.calls[what] = PLACE_TIMES.calls.get(what, 0) + 1
         return await function(*arguments, **named)
 
     setattr(owner, name, counted)
 
 
 def write_snapshot() -> None:
-    """Write the sums so far."""
-    used = resource.getrusage(resource.RUSAGE_SELF)
-    found = {
-        "seconds": SPLIT.seconds,
-        "calls": SPLIT.calls,
-        "user_s": used.ru_utime,
-        "system_s": used.ru_stime,
-        "peak_mb": used.ru_maxrss / 1000,
+    """Write the sums so far to the snapshot file."""
+    usage = resource.getrusage(resource.RUSAGE_SELF)
+    snapshot = {
+        "seconds": PLACE_TIMES.seconds,
+        "calls": PLACE_TIMES.calls,
+        "user_s": usage.ru_utime,
+        "system_s": usage.ru_stime,
+        "peak_mb": usage.ru_maxrss / 1000,
     }
     path = Path(os.environ["CAPACITY_SNAPSHOT"])
-    aside = path.with_suffix(".new")
-    aside.write_text(json.dumps(found))
-    aside.replace(path)
+    temporary = path.with_suffix(".new")
+    temporary.write_text(json.dumps(snapshot))
+    temporary.replace(path)
 
 
 def main() -> int:
-    """Run the program with its parts timed."""
+    """Run the program with instrumentation."""
     if os.environ.get("CAPACITY_SPLIT"):
         instrument()
     if idle := os.environ.get("CAPACITY_IDLE_SECONDS"):
--- a/benchmarks/capacity/likeness.py
+++ b/benchmarks/capacity/likeness.py
@@ -1,10 +1,10 @@
-"""Hollow heads beside real ones at sizes that both can reach: messages, bytes and processor time.
+"""Comparison of hollow heads with real ones at sizes that both can reach: messages, bytes, processor time.
 
     PYTHONPATH=. python -m benchmarks.capacity.likeness --sizes 5,12,20 [--seconds 15] [--out FILE]
 
-Each size is run with real followers alone and with hollow followers alone, before the same three real voters,
-without delays. Real heads without `STOATROUTER_HEADS` are run as well: what a real follower uses beyond them
-is its control part. Each is measured while calm, and again while edits come in force.
+Each size is run with real followers only and with hollow followers only, each time with three real voters and
+without network delays. Real heads without `STOATROUTER_HEADS` are run as well, as the difference to them is
+the cost of control. Each fleet is measured at rest, and again while edits come into force.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
     CREDIT_AND_RULES_SETTINGS,
     RULES,
     Size,
-    count_of,
+    log_progress,
+    message_count,
     nodes_process,
-    show,
 )
 from benchmarks.capacity.fleet import interruptible
 from benchmarks.capacity.harness import CapacityExceeded, Measurement, Run, parser, recording
@@ -34,14 +34,14 @@
 from tests.heads.rules_clients import edit, rules
 
 VOTERS = 3
-SETTLE = 6.0  # seconds after the start: first news of heads has gone round
-EDIT_EVERY = 3.0  # seconds
+SETTLE_TIME = 6.0  # seconds after the start, for the first membership updates to spread
+EDIT_INTERVAL = 3.0  # seconds
 NODES = 12
 KINDS = ("datagrams.sent", "datagrams.received", "datagrams.bytes", "streams.sent", "streams.bytes")
 
 
-class Fleet:
-    """Real voters, and followers of one kind."""
+class ComparedFleet:
+    """Real voters, and followers that are all real or all hollow."""
 
     def __init__(self, real: RealHeads, hollow: HollowFleet | None) -> None:
         self.real, self.hollow = real, hollow
@@ -49,39 +49,44 @@
         self.version = 0
 
     async def counts(self) -> dict[str, dict[str, int]]:
-        """What each follower has counted."""
+        """Return the counters of each follower."""
         if self.hollow is None:
-            told = {name: await self.real[name].status() for name in self.followers}
-            return {name: {kind: count_of(each, kind) for kind in KINDS} for name, each in told.items()}
+            statuses = {name: await self.real[name].status() for name in self.followers}
+            return {
+                name: {kind: message_count(status, kind) for kind in KINDS}
+                for name, status in statuses.items()
+            }
         census: Census = await self.hollow.report()
         assert not census.died, census.summary()
         return {report.name: report.counts for report in census.running}
 
     async def cpu(self) -> float:
-        """Processor seconds of all followers."""
+        """Return the processor seconds of all followers."""
         if self.hollow is None:
             return sum(self.real[name].cpu for name in self.followers)  # type: ignore[attr-defined]
         await self.hollow.report()
         return sum(answer.cpu_seconds for answer in self.hollow.replies.values())
 
     async def edit_for(self, seconds: float) -> int:
-        """Edits in force one after the other; how many."""
-        until, count = time.monotonic() + seconds, 0
-        while time.monotonic() < until:
-            began = time.monotonic()
+        """Make edits one after the other; return how many were accepted."""
+        ends_at = time.monotonic() + seconds
+        count = 0
+        while time.monotonic() < ends_at:
+            started_at = time.monotonic()
             head = self.real[self.real.voters[0]]
-            status, told = await edit(head, f"edit-{self.version}", self.version, rules(f"v{self.version}"))
+            status, answer = await edit(head, f"edit-{self.version}", self.version, rules(f"v{self.version}"))
             if status == 202:
-                self.version, count = told["number"], count + 1
-            await asyncio.sleep(max(0.0, EDIT_EVERY - (time.monotonic() - began)))
+                self.version = answer["number"]
+                count += 1
+            await asyncio.sleep(max(0.0, EDIT_INTERVAL - (time.monotonic() - started_at)))
         return count
 
 
 @contextlib.asynccontextmanager
 async def running_fleet(
     folder: Path, size: int, hollow: bool, seed: int, heads_on: bool = True, watches: bool = True
-) -> AsyncIterator[Fleet]:
-    """A fleet of this size: voters of the program, followers hollow or not."""
+) -> AsyncIterator[ComparedFleet]:
+    """Run a fleet with real voters and with hollow or real followers."""
     async with contextlib.AsyncExitStack() as stack:
         discovery = await stack.enter_async_context(nodes_process(NODES, seed))
         names = tuple(f"h{number}" for number in range(size))
@@ -91,28 +96,28 @@
         )
         await real.open()
         stack.push_async_callback(real.close)
-        made = None
+        hollow_fleet = None
         if hollow:
             config_file, heads_file, http_file = real.write_hollow(folder / "hollow")
             addresses = {head.name: f"{head.host}:{head.datagrams}" for head in real}
             spec = FleetSpec(heads_file, config_file, http_file, names[count:], addresses, {}, watches)
-            made = HollowFleet(folder / "hollow", spec, 1)
-            real.hollow_addresses = made.hollow_addresses
-            await stack.enter_async_context(made)
+            hollow_fleet = HollowFleet(folder / "hollow", spec, 1)
+            real.hollow_addresses = hollow_fleet.hollow_addresses
+            await stack.enter_async_context(hollow_fleet)
         await asyncio.gather(*(head.start(ready=False) for head in real))
-        if made is not None:
-            await made.start(made.names)
+        if hollow_fleet is not None:
+            await hollow_fleet.start(hollow_fleet.names)
         await asyncio.gather(*(head.until_ready() for head in real))
         if heads_on:
             await real.all_in_touch()
-        await asyncio.sleep(SETTLE)
-        yield Fleet(real, made)
+        await asyncio.sleep(SETTLE_TIME)
+        yield ComparedFleet(real, hollow_fleet)
 
 
 async def measure(
-    run: Run, fleet: Fleet, what: str, size: int, seed: int, seconds: float, edits: bool
+    run: Run, fleet: ComparedFleet, what: str, size: int, seed: int, seconds: float, edits: bool
 ) -> None:
-    """One window: rates of the followers, and what of them differs most."""
+    """Measure the rates of the followers over one window, with the lowest and the highest."""
     before, cpu = await fleet.counts(), await fleet.cpu()
     began = time.monotonic()
     count = await fleet.edit_for(seconds) if edits else await asyncio.sleep(seconds, 0)
@@ -133,8 +138,8 @@
     run.add(Measurement(f"{name}: processor", size, share, "% of a core a head", seed))
 
 
-async def play(run: Run, size: int, seed: int, seconds: float) -> None:
-    """One size: real followers, hollow ones, hollow ones without discovery, and heads that know no others."""
+async def compare_size(run: Run, size: int, seed: int, seconds: float) -> None:
+    """Measure one size: real followers, hollow ones, hollow ones without discovery, heads without peering."""
     for what, hollow, heads_on, watches in (
         ("real", False, True, True),
         ("real, heads off", False, False, True),
@@ -143,28 +148,28 @@
     ):
         with tempfile.TemporaryDirectory(prefix="likeness-") as folder:
             async with running_fleet(Path(folder), size, hollow, seed, heads_on, watches) as fleet:
-                show(f"{size} heads: {what}")
+                log_progress(f"{size} heads: {what}")
                 await measure(run, fleet, what, size, seed, seconds, edits=False)
                 if heads_on and watches:
                     await measure(run, fleet, what, size, seed, seconds, edits=True)
 
 
 def main() -> int:
-    """The command."""
-    made = parser(__doc__ or "", "5,12,20")
-    made.add_argument("--seconds", type=float, default=15.0, help="of each window")
-    given = made.parse_args()
+    """Run the command."""
+    arguments_parser = parser(__doc__ or "", "5,12,20")
+    arguments_parser.add_argument("--seconds", type=float, default=15.0, help="length of each window")
+    arguments = arguments_parser.parse_args()
     try:
-        for size in given.sizes:
+        for size in arguments.sizes:
             Size(0, VOTERS, 0, size - VOTERS, 1, NODES).check()
     except CapacityExceeded as error:
         print(f"refused: {error}", file=sys.stderr)
         return 2
     try:
-        with recording("likeness", given.out) as run:
-            for size in given.sizes:
-                for seed in given.seeds:
-                    interruptible(play(run, size, seed, given.seconds))
+        with recording("likeness", arguments.out) as run:
+            for size in arguments.sizes:
+                for seed in arguments.seeds:
+                    interruptible(compare_size(run, size, seed, arguments.seconds))
     except KeyboardInterrupt:
         return 130
     return 0
--- a/benchmarks/capacity/load_clients.py
+++ b/benchmarks/capacity/load_clients.py
@@ -1,10 +1,10 @@
-"""A child process: clients of one head, whose requests come at a stated rate whatever becomes of them.
+"""A child process: clients of one head that send requests at a fixed rate, independent of the answers.
 
-Specification: `port`, `connections`, `source` (the address that they come from), `name`, `seed`, `shards`,
-`volumes` (asked for in turn), `process` of `processes`, `any_percent`, `choice` (which free connection asks
-next: `oldest`, `newest` or `random`). Says `open` once all are connected. Each line is one phase, {"rate",
-"seconds"}, answered with what became of its requests. A request's time counts from the moment in which it was
-due, not from that in which it could be written.
+Specification: `port`, `connections`, `source` (their local address), `name`, `seed`, `shards`, `volumes`
+(requested in turn), `process` of `processes`, `any_percent`, `choice` (which free connection is used next:
+`oldest`, `newest` or `random`). The first message is `open`, once all are connected. Each message to the
+child is one phase, {"rate", "seconds"}, answered with the outcomes of its requests. The latency of a request
+counts from the time at which it was due, not from that at which it was sent.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from benchmarks.capacity.children import Message, say, serve, specification
+from benchmarks.capacity.children import Message, send_line, serve, specification
 
 HOST = "127.0.0.1"
 HEAD_END = b"\r\n\r\n"
 WRITE_PERCENT = 15
 BODY = b"y" * 200
 DEADLINE_MS = {"score-read": 2000, "event-write": 3000}
-AIM_S = {"score-read": 0.4, "event-write": 0.6}  # within which an answer comes in time
-SETTLE_S = 4.0  # for what is still open at a phase's end: more than the longest deadline
-DIAL_AT_ONCE = 50
+LATENCY_TARGET_S = {"score-read": 0.4, "event-write": 0.6}  # latency up to which an answer counts as in time
+SETTLE_S = 4.0  # to wait for open requests at the end of a phase; more than the longest deadline
+MAX_CONCURRENT_DIALS = 50
 
 
 @dataclass(slots=True)
 class Phase:
-    """What became of the requests of one phase."""
+    """Outcomes of the requests of one phase."""
 
     due: int = 0
     ok: int = 0
@@ -37,14 +37,14 @@
     refused: int = 0
     failed: int = 0
     broken: int = 0
-    waited: int = 0  # requests that found no free connection when they were due
+    waited: int = 0  # requests without a free connection when they were due
     dialled: int = 0
     took_ms: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Ask:
-    """One request on its way."""
+class OpenRequest:
+    """One request that is due or open."""
 
     due: float
     kind: str
@@ -52,12 +52,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client: at most one request at a time."""
+    """One client connection, with at most one request at a time."""
 
     def __init__(self, clients: Clients) -> None:
         self.clients = clients
         self.transport: asyncio.Transport | None = None
-        self.asked: Ask | None = None
+        self.request: OpenRequest | None = None
         self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -66,9 +66,9 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        asked, self.asked = self.asked, None
-        if asked is not None:
-            asked.phase.broken += 1
+        request, self.request = self.request, None
+        if request is not None:
+            request.phase.broken += 1
             self.clients.free.append(self)
 
     def data_received(self, data: bytes) -> None:
@@ -77,26 +77,26 @@
         if not end or len(body) < content_length(head):
             return
         self.buffer = b""
-        asked, self.asked = self.asked, None
-        if asked is None:
+        request, self.request = self.request, None
+        if request is None:
             return
-        count(asked, head[9:12])
+        count(request, head[9:12])
         self.clients.free.append(self)
 
-    def write(self, asked: Ask, text: bytes) -> None:
-        """Put a request."""
+    def write(self, request: OpenRequest, text: bytes) -> None:
+        """Send a request."""
         assert self.transport is not None
-        self.asked = asked
+        self.request = request
         self.transport.write(text)
 
 
-def count(asked: Ask, status: bytes) -> None:
+def count(request: OpenRequest, status: bytes) -> None:
     """Count an answer."""
-    phase, took = asked.phase, time.monotonic() - asked.due
+    phase, latency = request.phase, time.monotonic() - request.due
     if status == b"200":
         phase.ok += 1
-        phase.in_time += took <= AIM_S[asked.kind]
-        phase.took_ms.append(round(took * 1000, 2))
+        phase.in_time += latency <= LATENCY_TARGET_S[request.kind]
+        phase.took_ms.append(round(latency * 1000, 2))
     elif status == b"503":
         phase.refused += 1
     else:
@@ -104,7 +104,7 @@
 
 
 def content_length(head: bytes) -> int:
-    """How many bytes of body a head announces."""
+    """Return the body length that a response header announces."""
     at = head.lower().find(b"content-length:")
     return int(head[at + 15 :].split(b"\r\n", 1)[0]) if at >= 0 else 0
 
@@ -112,97 +112,99 @@
 class Clients:
     """All clients of this process."""
 
-    def __init__(self, told: Message) -> None:
-        self.told, self.chance = told, random.Random(told["seed"])
+    def __init__(self, spec: Message) -> None:
+        self.spec, self.rng = spec, random.Random(spec["seed"])
         self.free: deque[ClientConnection] = deque()
         self.count = 0
         self.dialling: set[asyncio.Task[None]] = set()
 
     async def open_all(self) -> None:
-        """Open every connection, a few at once."""
-        made = [ClientConnection(self) for _ in range(self.told["connections"])]
-        for first in range(0, len(made), DIAL_AT_ONCE):
-            await asyncio.gather(*(self.dial(each) for each in made[first : first + DIAL_AT_ONCE]))
-        self.free.extend(made)
+        """Open all connections, 50 at once."""
+        connections = [ClientConnection(self) for _ in range(self.spec["connections"])]
+        for first in range(0, len(connections), MAX_CONCURRENT_DIALS):
+            await asyncio.gather(
+                *(self.dial(each) for each in connections[first : first + MAX_CONCURRENT_DIALS])
+            )
+        self.free.extend(connections)
 
     async def dial(self, connection: ClientConnection) -> None:
         """Connect one client."""
         await asyncio.get_running_loop().create_connection(
-            lambda: connection, HOST, self.told["port"], local_addr=(self.told["source"], 0)
+            lambda: connection, HOST, self.spec["port"], local_addr=(self.spec["source"], 0)
         )
 
     async def phase(self, rate: float, seconds: float) -> Phase:
-        """Requests at exponential gaps for so long, then wait for the answers that are still due."""
+        """Send requests at exponential intervals for a time, then wait for open answers."""
         phase, due = Phase(), time.monotonic()
-        until, waiting = due + seconds, deque[Ask]()
-        while due < until:
-            due += self.chance.expovariate(rate)
+        ends_at, waiting = due + seconds, deque[OpenRequest]()
+        while due < ends_at:
+            due += self.rng.expovariate(rate)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             phase.due += 1
-            writes = self.chance.randrange(100) < WRITE_PERCENT
-            waiting.append(Ask(due, "event-write" if writes else "score-read", phase))
+            is_write = self.rng.randrange(100) < WRITE_PERCENT
+            waiting.append(OpenRequest(due, "event-write" if is_write else "score-read", phase))
             phase.waited += not self.free
-            self.put(waiting)
-        settled = time.monotonic() + SETTLE_S
-        while time.monotonic() < settled and (waiting or done(phase) < phase.due):
+            self.send_waiting(waiting)
+        deadline = time.monotonic() + SETTLE_S
+        while time.monotonic() < deadline and (waiting or finished_count(phase) < phase.due):
             await asyncio.sleep(0.01)
-            self.put(waiting)
-        phase.broken += phase.due - done(phase)  # no answer at all
+            self.send_waiting(waiting)
+        phase.broken += phase.due - finished_count(phase)  # no answer at all
         return phase
 
-    def put(self, waiting: deque[Ask]) -> None:
-        """Write what waits, as far as there are free connections."""
+    def send_waiting(self, waiting: deque[OpenRequest]) -> None:
+        """Send waiting requests while there are free connections."""
         while waiting and self.free:
-            if self.told["choice"] == "random":
-                self.free.rotate(self.chance.randrange(len(self.free)))
-            newest = self.told["choice"] == "newest"
+            if self.spec["choice"] == "random":
+                self.free.rotate(self.rng.randrange(len(self.free)))
+            newest = self.spec["choice"] == "newest"
             connection = self.free.pop() if newest else self.free.popleft()
-            asked = waiting.popleft()
+            request = waiting.popleft()
             if connection.transport is not None and not connection.transport.is_closing():
-                connection.write(asked, self.text(asked.kind))
+                connection.write(request, self.text(request.kind))
                 continue
-            asked.phase.dialled += 1
-            task = asyncio.get_running_loop().create_task(self.put_anew(connection, asked))
+            request.phase.dialled += 1
+            task = asyncio.get_running_loop().create_task(self.reconnect_and_send(connection, request))
             self.dialling.add(task)
             task.add_done_callback(self.dialling.discard)
 
-    async def put_anew(self, connection: ClientConnection, asked: Ask) -> None:
-        """Connect again, as the head ended the connection meanwhile, then write."""
+    async def reconnect_and_send(self, connection: ClientConnection, request: OpenRequest) -> None:
+        """Reconnect, because the head has closed the connection, then send the request."""
         try:
             await self.dial(connection)
         except OSError:
-            asked.phase.broken += 1
+            request.phase.broken += 1
             self.free.append(connection)
             return
-        connection.write(asked, self.text(asked.kind))
+        connection.write(request, self.text(request.kind))
 
     def text(self, kind: str) -> bytes:
-        """One request of the platform's protocol."""
+        """Return one request of the platform's protocol."""
         self.count += 1
-        told, key = self.told, self.chance.randrange(1 << 60)
-        volume = (self.count * told["processes"] + told["process"]) % told["volumes"] + 1
-        shard = self.chance.randrange(told["shards"])
-        if kind == "event-write" and self.chance.randrange(WRITE_PERCENT) < told["any_percent"]:
+        spec, key = self.spec, self.rng.randrange(1 << 60)
+        volume = (self.count * spec["processes"] + spec["process"]) % spec["volumes"] + 1
+        shard = self.rng.randrange(spec["shards"])
+        if kind == "event-write" and self.rng.randrange(WRITE_PERCENT) < spec["any_percent"]:
             shard = -1
         method, body = ("PUT", BODY) if kind == "event-write" else ("GET", b"")
         length = f"Content-Length: {len(body)}\r\nIdempotency-Key: {key}\r\n" if body else ""
         return (
             f"{method} /{kind}/{volume:016x}/{key:016x} HTTP/1.1\r\nHost: h\r\n"
-            f"Req-Id: {told['name']}-{self.count}\r\nX-Plan: premium\r\n"
+            f"Req-Id: {spec['name']}-{self.count}\r\nX-Plan: premium\r\n"
             f"Req-Deadline-Ms: {DEADLINE_MS[kind]}\r\nX-IO: units=1,shard={shard},hosts=2\r\n{length}\r\n"
         ).encode() + body
 
 
-def done(phase: Phase) -> int:
-    """How many requests of a phase have come to an end."""
+def finished_count(phase: Phase) -> int:
+    """Return the number of finished requests of a phase."""
     return phase.ok + phase.refused + phase.failed + phase.broken
 
 
-async def main(told: Message) -> None:
-    """Ask until the command ends."""
-    clients = Clients(told)
+async def main(spec: Message) -> None:
+    """Serve phases until the input ends."""
+    clients = Clients(spec)
     await clients.open_all()
-    say({"open": len(clients.free)})
+    send_line({"open": len(clients.free)})
 
     async def answer(message: Message) -> Message:
         before = time.process_time()
--- a/benchmarks/capacity/node_servers.py
+++ b/benchmarks/capacity/node_servers.py
@@ -1,7 +1,8 @@
-"""A child process: storage nodes as listening sockets, each answering after a drawn time.
+"""A child process: storage nodes as listening sockets that answer after a random delay.
 
-Specification: `count`, `seed`, `fastest_ms`, `slowest_ms`. Says `ports` first; then, for each line, how many
-connections were accepted and are open, how many requests were answered, and its processor time.
+Specification: `count`, `seed`, `fastest_ms`, `slowest_ms`. The first message is `ports`; then, for each
+message to the child, the numbers of accepted and open connections and answered requests, and its processor
+time.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import random
 import time
 
-from benchmarks.capacity.children import Message, say, serve, specification
+from benchmarks.capacity.children import Message, send_line, serve, specification
 
 HOST = "127.0.0.1"
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + b"x" * 200
@@ -19,14 +20,14 @@
 
 
 class Counts:
-    """What all nodes of this process have seen."""
+    """Counts of all nodes of this process."""
 
     def __init__(self) -> None:
         self.accepted = self.open = self.answered = self.most_open = 0
 
 
 class NodeConnection(asyncio.Protocol):
-    """One connection of a head; its requests come one after the other."""
+    """One connection from a head, with one request at a time."""
 
     def __init__(self, counts: Counts, latency: random.Random, fastest: float, slowest: float) -> None:
         self.counts, self.latency = counts, latency
@@ -55,27 +56,27 @@
         asyncio.get_running_loop().call_later(delay, self.answer)
 
     def answer(self) -> None:
-        """Answer the request that has come whole."""
+        """Answer a complete request."""
         if self.transport is not None:
             self.counts.answered += 1
             self.transport.write(ANSWER)
 
 
 def content_length(head: bytes) -> int:
-    """How many bytes of body a head announces."""
+    """Return the body length that a request header announces."""
     at = head.lower().find(LENGTH)
     return int(head[at + len(LENGTH) :].split(b"\r\n", 1)[0]) if at >= 0 else 0
 
 
-async def main(told: Message) -> None:
-    """Listen and answer until the command ends."""
-    counts, latency = Counts(), random.Random(told["seed"])
-    fastest, slowest = told["fastest_ms"] / 1000, told["slowest_ms"] / 1000
+async def main(spec: Message) -> None:
+    """Listen and answer until the input ends."""
+    counts, latency = Counts(), random.Random(spec["seed"])
+    fastest, slowest = spec["fastest_ms"] / 1000, spec["slowest_ms"] / 1000
     loop, ports = asyncio.get_running_loop(), []
-    for _ in range(told["count"]):
+    for _ in range(spec["count"]):
         server = await loop.create_server(lambda: NodeConnection(counts, latency, fastest, slowest), HOST, 0)
         ports.append(server.sockets[0].getsockname()[1])
-    say({"ports": ports})
+    send_line({"ports": ports})
 
     async def answer(message: Message) -> Message:
         return {
--- a/benchmarks/capacity/nodelist.py
+++ b/benchmarks/capacity/nodelist.py
@@ -1,8 +1,8 @@
-"""What the node list costs: bytes and processor time at one head, and the calls of a fleet at one discovery.
+"""Cost of the node list: bytes and processor time at one head, and the calls of a fleet to one discovery.
 
-At one head: the whole list and changes to it, in discovery's form, through parsing, the watch, the reducer
-and the decision module, with and without requests that wait. Of the fleet: the program's own watches in
-virtual time, quiet and after one incident; bytes are those of the answers' bodies.
+At one head: the whole list and changes to it, as discovery sends them, through parsing, the watch, the
+reducer and the decision module, with and without waiting requests. For a fleet: the watches of the program in
+virtual time, without and with an incident; bytes are those of the answers' bodies.
 """
 
 from __future__ import annotations
@@ -31,28 +31,28 @@
 NODES = 1_700
 MICROSECONDS = 1_000_000
 NOW = timedelta(seconds=1_700_000_000)
-CHANGED_ENTRIES = 12
-QUIET_FROM = 10.0  # seconds, in virtual time: all heads have started
-WINDOWS = (0.1, 1.0)  # seconds, of which the fullest after an incident is told
+CHANGED_ENTRIES = 12  # in the larger change
+QUIET_FROM = 10.0  # seconds of virtual time; all heads have started by then
+WINDOWS = (0.1, 1.0)  # seconds; the busiest of each length after an incident is recorded
 ZONES = tuple(f"zone-{i}" for i in range(12))
 
 
 class HeadWithList:
-    """A head's way from discovery's bytes to the decision module, without a network."""
+    """The path of a node list in a head, from discovery's bytes to the decision module, without network."""
 
     def __init__(self) -> None:
         self.reducer = Reducer(demo_settings(), seed=1)
-        self.watch = Watch("discovery:1", {}, self.told, zones=ZONES)
+        self.watch = Watch("discovery:1", {}, self.list_received, zones=ZONES)
         self.now = NOW
 
-    def told(
+    def list_received(
         self, kind: api.ListKind, nodes: tuple[model.NodeInfo, ...], age: timedelta | None = None
     ) -> None:
-        """As the engine passes a list on."""
+        """Pass a list on to the reducer, as the engine does."""
         self.reducer.reduce(model.EndpointListReceived(self.now, kind, nodes))
 
     def hold_requests(self, count: int) -> None:
-        """Requests of one shard: one is sent, all others wait for its answer."""
+        """Add requests of one shard: one is sent, all others wait for its answer."""
         for i in range(count + 1 if count else 0):
             request = model.Request(
                 id=f"r{i}",
@@ -70,18 +70,18 @@
 
 
 def message(entries: list[dict[str, Any]], whole: bool, generation: int = 1) -> bytes:
-    """A message of discovery."""
+    """Return a message of discovery."""
     return json.dumps({"generation": generation, "reset": whole, "instances": entries}).encode()
 
 
 def mean_cpu(prepare: Callable[[], Callable[[], object]]) -> float:
-    """The mean processor time of what is prepared anew each time, in us."""
+    """Return the mean processor time of a function that is prepared anew for each repeat, in us."""
     total = sum(harness.processor_seconds(prepare()) for _ in range(REPEATS))
     return total / REPEATS * MICROSECONDS
 
 
 def measure_whole(run: harness.Run, nodes: int) -> None:
-    """Whole lists: bytes, and each step's processor time."""
+    """Measure a whole list: bytes, and processor time of each step."""
     raw = message(node_entries(list(range(10_000, 10_000 + nodes))), whole=True)
     data = json.loads(raw)
 
@@ -106,7 +106,7 @@
 
 
 def measure_changes(run: harness.Run, nodes: int, changed: int, waiting: int) -> None:
-    """Changes of some entries, told while some requests wait."""
+    """Measure a change of some entries while some requests wait."""
     entries = node_entries(list(range(10_000, 10_000 + nodes)))
     whole = json.loads(message(entries, whole=True))
     raw = message([entry | {"weight": 2.0} for entry in entries[:changed]], whole=False, generation=2)
@@ -122,16 +122,16 @@
     def add(what: str, size: float, value: float, unit: str) -> None:
         run.add(harness.Measurement(what, size, round(value, 2), unit, 0, details))
 
-    took = mean_cpu(prepare)
+    elapsed = mean_cpu(prepare)
     if waiting:
-        add(f"change by waiting requests, {nodes} nodes", waiting, took, "us a change")
+        add(f"change by waiting requests, {nodes} nodes", waiting, elapsed, "us a change")
     else:
-        add(f"change of {changed} by nodes", nodes, took, "us a change")
+        add(f"change of {changed} by nodes", nodes, elapsed, "us a change")
         add(f"bytes, change of {changed}", nodes, len(raw), "bytes")
 
 
 def measure_fleet(run: harness.Run, heads: int, nodes: int, incident: Incident, seed: int) -> None:
-    """A fleet's calls in virtual time where discovery is asked."""
+    """Measure the calls of a fleet to a discovery that is polled, in virtual time."""
     entries = node_entries(list(range(10_000, 10_000 + nodes)))
     calls = calls_of_fleet(heads, entries, pushed=False, incident=incident, seed=seed)
     details: dict[str, float | int | str] = {"heads": heads, "nodes": nodes, "time": "virtual"}
@@ -149,38 +149,38 @@
     after = [call for call in calls if call.asked >= INCIDENT_AT]
     for window in WINDOWS:
         add(f"most calls in {window:g} s", max_calls_in(after, window), "calls")
-    # what is told of the incident itself lies in calls that were held since before it
-    told = [call for call in calls if call.answered >= INCIDENT_AT]
-    add("bytes in 1 s, most", max_bytes_in(told, 1.0), "bytes")
-    add("whole lists", sum(call.whole for call in told), "lists")
+    # calls that were held when the incident came are answered with its change, so they count too
+    answered = [call for call in calls if call.answered >= INCIDENT_AT]
+    add("bytes in 1 s, most", max_bytes_in(answered, 1.0), "bytes")
+    add("whole lists", sum(call.whole for call in answered), "lists")
     add("calls in 5 s", sum(call.asked < INCIDENT_AT + 5.0 for call in after), "calls")
 
 
 def max_calls_in(calls: list[Call], window: float) -> int:
-    """The most calls that came within a window."""
-    most = first = 0
+    """Return the highest number of calls that came within any window."""
+    highest = first = 0
     for last, call in enumerate(calls):
         while calls[first].asked <= call.asked - window:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        highest = max(highest, last - first + 1)
+    return highest
 
 
 def max_bytes_in(calls: list[Call], window: float) -> int:
-    """The most bytes that were told within a window."""
+    """Return the highest number of bytes sent in answers within any window."""
     ordered = sorted(calls, key=lambda call: call.answered)
-    most = first = held = 0
+    highest = first = window_bytes = 0
     for call in ordered:
-        held += call.size
+        window_bytes += call.size
         while ordered[first].answered <= call.answered - window:
-            held -= ordered[first].size
+            window_bytes -= ordered[first].size
             first += 1
-        most = max(most, held)
-    return most
+        highest = max(highest, window_bytes)
+    return highest
 
 
 def main() -> int:
-    """The command."""
+    """Run the command."""
     arguments = arguments_parser().parse_args()
     end_on_signals()
     harness.require_capacity(memory_mb=2_000)
@@ -200,11 +200,11 @@
 
 
 def arguments_parser() -> argparse.ArgumentParser:
-    """The family's arguments and this command's own."""
-    made = harness.parser(__doc__ or "", sizes="12,120,400,850,1700", seeds="1,2")
-    made.add_argument("--heads", type=harness.numbers, default=[12, 120, 370, 740])
-    made.add_argument("--waiting", type=harness.numbers, default=[10, 100, 400, 1_000])
-    return made
+    """Return a parser of the common arguments and those of this command."""
+    command = harness.parser(__doc__ or "", sizes="12,120,400,850,1700", seeds="1,2")
+    command.add_argument("--heads", type=harness.parse_ints, default=[12, 120, 370, 740])
+    command.add_argument("--waiting", type=harness.parse_ints, default=[10, 100, 400, 1_000])
+    return command
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/one_head.py
+++ b/benchmarks/capacity/one_head.py
@@ -1,4 +1,4 @@
-"""One head of the real program as the platform starts it, with a chosen part on: what it uses by itself."""
+"""One head of the real program, started as by the platform, with selected parts on, to measure its usage."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 import aiohttp
 
-from benchmarks.capacity.head_processes import FLEET, Usage, usage_of
+from benchmarks.capacity.head_processes import FLEET, Usage, process_usage
 from tests.addresses import free_ports, own_host
 from tests.peers import config_data, node_list
 from tests.process_signals import kill
 from tests.program_process import program_environ, start_program
 
 SECRET = "s" * 40  # as tests/heads/processes.py writes it
-START_WITHIN_S = 30.0
+START_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True)
-class Plan:
-    """What a head is to run with."""
+class HeadPlan:
+    """Configuration of one head."""
 
     name: str
     nodes: tuple[dict[str, Any], ...] = ()
-    discovery: int = 9  # port; nobody listens at 9
-    streams: dict[str, str] | None = None  # voters by name; None: heads do not know each other
-    peers: tuple[str, ...] = ()  # where datagrams reach others; empty: no detector
-    more: str = ""  # further lines of the heads' settings
-    rules: str = ""  # of the HTTP front; empty: none
+    discovery: int = 9  # port; nothing listens at 9
+    streams: dict[str, str] | None = None  # addresses of voters by name; None: no peering
+    peers: tuple[str, ...] = ()  # datagram addresses of peers; empty: no detector
+    more: str = ""  # additional lines of the peering settings
+    rules: str = ""  # of the HTTP front; empty: no HTTP front
 
 
 class OneHead:
-    """Its files, its process and calls to it."""
+    """The files and process of a head, and calls to it."""
 
-    def __init__(self, folder: Path, plan: Plan, session: aiohttp.ClientSession) -> None:
+    def __init__(self, folder: Path, plan: HeadPlan, session: aiohttp.ClientSession) -> None:
         self.folder, self.plan, self.session = folder / plan.name, plan, session
         self.host = own_host()
         self.port, self.management, self.datagrams, self.http = free_ports(self.host, 4)
@@ -48,16 +48,16 @@
 
     @property
     def pid(self) -> int:
-        assert self.process is not None, "it was not started"
+        assert self.process is not None, "the head was not started"
         return self.process.pid
 
     @property
     def peer_address(self) -> tuple[str, int]:
-        """Where datagrams reach it."""
+        """Return its datagram address."""
         return self.host, self.datagrams
 
     def write(self) -> None:
-        """Its configuration and settings."""
+        """Write its configuration and settings."""
         plan = self.plan
         self.folder.mkdir(parents=True)
         (self.folder / "tmp").mkdir()
@@ -79,7 +79,7 @@
             (self.folder / "rules.cue").write_text(plan.rules)
 
     async def start(self) -> None:
-        """Start it and wait until it is ready."""
+        """Start the head and wait until it is ready."""
         self.write()
         environ = program_environ(
             self.folder / "config.json",
@@ -89,33 +89,33 @@
         )
         with (self.folder / "log").open("ab") as logs:
             self.process = await start_program(self.folder, environ, optimized=True, stdout=logs, stderr=logs)
-        async with asyncio.timeout(START_WITHIN_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while (await self.call("/control/ready"))[0] != 200:
                 assert self.process.returncode is None, (self.folder / "log").read_text()[-2000:]
                 await asyncio.sleep(0.05)
 
     async def call(self, path: str) -> tuple[int, Any]:
-        """A management call: status and what was said; 0 where no answer came."""
+        """Make a management call; return status and body, with status 0 if no answer came."""
         try:
             async with (
                 asyncio.timeout(5),
                 self.session.get(f"http://{self.host}:{self.management}{path}") as response,
             ):
                 text = await response.text()
-                kind = response.headers.get("Content-Type", "")
-                return response.status, json.loads(text) if "json" in kind else text
+                content_type = response.headers.get("Content-Type", "")
+                return response.status, json.loads(text) if "json" in content_type else text
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0, None
 
     async def usage(self) -> Usage:
-        """What it has used so far. It listens for no streams."""
+        """Return its usage so far; it listens for no streams, so stream bytes are 0."""
         counts: dict[str, int] = {}
         if self.plan.streams is not None:
             counts = (await self.call("/control/heads"))[1]["counts"]
-        return usage_of(self.pid, counts)
+        return process_usage(self.pid, counts)
 
     async def end(self) -> None:
-        """Kill it: what it would say at its end is not measured."""
+        """Kill the head; its shutdown is not measured."""
         if self.process is not None and self.process.returncode is None:
             kill(self.process)
         if self.process is not None:
--- a/benchmarks/capacity/realheads.py
+++ b/benchmarks/capacity/realheads.py
@@ -1,7 +1,7 @@
-"""Real heads of a capacity run: voters and followers as processes of the program, beside hollow ones.
+"""Real heads of a capacity run: voters and followers as processes of the program, together with hollow heads.
 
-They are the processes of the tests (tests/heads/processes.py), with the addresses of all hollow heads among
-their peers and a relay among themselves, which delays by region as the hollow heads' own network does.
+They use the process classes of the tests (tests/heads/processes.py). All hollow heads are among their peers,
+and a relay between the real heads delays traffic by region, as the network of the hollow heads does.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 
 class RealHead(HeadProcess):
-    """One process of the program, with optimisation as it is shipped."""
+    """One process of the program, optimized as in a deployment."""
 
     fleet: RealHeads
     optimized = True
 
     def write(self) -> None:
-        """Write its configuration and settings, and the rules that it starts with."""
+        """Write its configuration and settings, and its initial rules."""
         super().write()
         (self.folder / "rules.cue").write_text(self.fleet.http)
 
     def configuration(self) -> dict[str, Any]:
-        """Its configuration: hollow heads are among its peers."""
+        """Return its configuration, with hollow heads among its peers."""
         fleet, relay = self.fleet, self.fleet.relay
         others = [name for name in fleet.names if name != self.name]
         peers = [relay.datagram_address(self.name, other) for other in others]
@@ -47,7 +47,7 @@
         }
 
     def heads_settings(self) -> str:
-        """Its settings of the heads; only voters and spares have an address for streams."""
+        """Return its peering settings; only voters and spares have stream addresses."""
         relay = self.fleet.relay
         own = f"{self.host}:{self.streams}"
         streams = {
@@ -57,7 +57,7 @@
         return self.fleet.heads_file(streams)
 
     def settings_environ(self) -> dict[str, str]:
-        """Name the files of the parts that are switched on."""
+        """Return environment variables that name the settings files of enabled parts."""
         environ = {"STOATROUTER_HTTP": str(self.folder / "http.cue")}
         if self.fleet.heads_on:
             environ["STOATROUTER_HEADS"] = str(self.folder / "heads.cue")
@@ -65,19 +65,19 @@
 
     @property
     def cpu(self) -> float:
-        """Processor seconds since its start."""
+        """Return its processor seconds since its start."""
         assert self.process is not None
         return process_cpu(self.process.pid)
 
     @property
     def memory_mb(self) -> float:
-        """What it holds now."""
+        """Return its resident memory, in MB."""
         assert self.process is not None
         return process_memory_mb(self.process.pid)
 
 
 class RealHeads(Processes):
-    """All real heads of a run: the first are voters, the next may come to vote, the others only follow."""
+    """All real heads of a run: first the voters, then the spares that may become voters, then followers."""
 
     def __init__(
         self,
@@ -94,44 +94,50 @@
     ) -> None:
         super().__init__(folder, count, voters, seed, more, rules, {})
         self.streams = self.names[: voters + spares]
-        self.places, self.discovery, self.heads_on = places, discovery, heads_on
+        self.places = places
+        self.discovery = discovery
+        self.heads_on = heads_on
         self.hollow_addresses: Mapping[str, str] = {}
 
     def config_data(self) -> dict[str, object]:
-        """The configuration of all heads, hollow ones too: one discovery serves all in turn."""
+        """Return the configuration common to all heads, real and hollow, which use one discovery."""
         data = config_data({}, self.discovery)
         data["settings"] = data["settings"] | {"RegistryMode": "subscribe", "Areas": ZONES}
         return data
 
     def heads_file(self, streams: Mapping[str, str]) -> str:
-        """The file of heads that know each other, with streams as one head reaches them."""
+        """Return the peering settings, with the stream addresses that one head uses."""
         return (
             f'fleet: "{FLEET}"\nsecret_file: "secret"\nfolder: "disk"\n'
             f"streams: {json.dumps(streams)}\nvoters: {json.dumps(self.voters)}\n{self.more}"
         )
 
     async def open(self) -> None:
-        """Open the relay and make the heads' folders; no head is started yet."""
+        """Start the relay and create the heads, without starting them."""
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0, force_close=True))
         await self.relay.start()
         self.heads = {name: RealHead(self, name) for name in self.names}
         self.delay()
 
     def delay(self) -> None:
-        """Delay what passes the relay as the places say; to be called again after `relay.heal`."""
-        for (sender, receiver), way in self.relay.ways.items():
-            # the relay draws a delay from nothing up to what it is given: twice the mean
-            here, there = self.places.get(sender), self.places.get(receiver)
-            way.delay = 0.0 if here is None or there is None else 2 * one_way_seconds(here, there)
+        """Set the delays of the relay according to the places; must be called again after `relay.heal`."""
+        for (sender, receiver), link in self.relay.ways.items():
+            # the relay draws a delay between 0 and the given value, which is thus twice the mean
+            sender_place, receiver_place = self.places.get(sender), self.places.get(receiver)
+            link.delay = (
+                0.0
+                if sender_place is None or receiver_place is None
+                else 2 * one_way_seconds(sender_place, receiver_place)
+            )
 
     async def close(self) -> None:
-        """End all heads."""
+        """End all heads and the relay."""
         await self.kill_all()
         await self.relay.close()
         await self.session.close()
 
     def write_hollow(self, folder: Path) -> tuple[Path, Path, Path]:
-        """The files of hollow heads: configuration, heads, HTTP front. Their streams need no relay."""
+        """Write the files of hollow heads: configuration, peering, HTTP front. Their streams use no relay."""
         folder.mkdir(parents=True, exist_ok=True)
         first = self.heads[self.names[0]]
         streams = {name: f"{self[name].host}:{self[name].streams}" for name in self.streams}
--- a/benchmarks/capacity/scene_clients.py
+++ b/benchmarks/capacity/scene_clients.py
@@ -1,7 +1,7 @@
-"""Those who ask while a scene plays: editors, payers, readers; what was asked and answered is a history.
+"""Clients of a scene: editors, payers and readers, whose calls and answers are written to a history.
 
-It is judged after the fact by stoatrouter/lab/histories, from that history and the logs of all heads, hollow
-ones with them. The heads' own opinion of themselves is never read.
+Afterwards stoatrouter/lab/histories checks the history against the logs of all heads, real and hollow. What
+heads report about their own state is not used for the check.
 """
 
 from __future__ import annotations
@@ -24,108 +24,115 @@
 from tests.heads.processes import HeadProcess
 from tests.story_tasks import set_within
 
-PRICE = 1_000  # of a unit of the first class, as the fleet's file has it (fleet.py)
-FUNDS = 2_000_000_000  # paid in at the start: no scene is about an empty account
-READ_EVERY, PAY_EVERY = 4.0, 4.0  # seconds
-CALLS_END_WITHIN = 30.0  # seconds: an error beyond
-SETTLES_WITHIN = 90.0  # seconds
+PRICE = 1_000  # of one unit of the first class, as in the fleet's settings (capacity_fleet.py)
+INITIAL_FUNDS = 2_000_000_000  # paid in at the start, so that no account runs empty
+READ_INTERVAL = 4.0  # mean, seconds
+PAY_INTERVAL = 4.0  # mean, seconds
+CALLS_TIMEOUT = 30.0  # seconds; open calls that take longer fail the run
+SETTLE_TIMEOUT = 90.0  # seconds for accounts to settle and versions to spread
 
 
 class SceneClients(HistoryClients):
-    """The clients of one run. Times between acts are drawn from the seed."""
+    """All clients of one run; the intervals between their calls are drawn from the seed."""
 
     def __init__(self, fleet: CapacityFleet, seed: int, file: Path, edit_every: float) -> None:
         super().__init__(fleet.real, seed, file)
-        self.capacity, self.edit_every = fleet, edit_every
-        self.editors: dict[str, list[str]] = {"ann": [], "bob": []}  # who asks which heads; none: any
+        self.capacity = fleet
+        self.edit_every = edit_every
+        self.editors: dict[str, list[str]] = {
+            "ann": [],
+            "bob": [],
+        }  # heads that each editor calls; empty: any head
         self.tasks: list[asyncio.Task[None]] = []
-        self.ends = asyncio.Event()
-        self.accepted = 0  # edits
-        self.lost: Counter[str] = Counter()  # by customer, what a machine that is lost for good held
-        self.gone: dict[str, Path] = {}  # logs of heads that never come back
-        self.parts: list[ScenePart] = []
+        self.stopping = asyncio.Event()
+        self.accepted = 0  # number of accepted edits
+        self.lost: Counter[str] = Counter()  # credit that permanently lost machines held, by customer
+        self.logs_of_lost_heads: dict[str, Path] = {}  # by head, of those that are lost for good
+        self.scene_parts: list[ScenePart] = []
 
     def write(self, what: str, at: float, **more: Any) -> None:
-        """One line of the history."""
+        """Write a line of the history."""
         if what == "register" and more["answer"] is not None and more["answer"][0] == "ok":
             self.accepted += 1
         if what == "settled":
             more["lost"] = self.lost[more["customer"]]
         super().write(what, at, **more)
 
-    def interrupt(self, names: Iterable[str]) -> None:
-        """These heads go down in the scene that plays: they are no witnesses of it."""
-        if self.parts:
-            self.parts[-1].interrupted.update(names)
+    def mark_interrupted(self, names: Iterable[str]) -> None:
+        """Record that heads go down in the current scene, so that they do not count as its witnesses."""
+        if self.scene_parts:
+            self.scene_parts[-1].interrupted.update(names)
 
     def at(self, names: list[str]) -> HeadProcess | None:
-        """A real head that runs, among these where any are named."""
+        """Return a random running real head, one of those named if any are."""
         up = [head for head in self.fleet.up if not names or head.name in names]
         return self.draws.choice(up) if up else None
 
     async def start(self, spend: float) -> None:
-        """Make the customers and begin to ask."""
+        """Create the customers and start all clients."""
         head = self.fleet.up[0]
         for name, volume in VOLUMES.items():
             path = f"/control/credit/customers/{name}"
-            made = {"volumes": [volume], "by": "scenes", "why": "run"}
-            status, told = await head.call("PUT", path, made)
-            assert status == 200, told
-            await self.pay(head, name, FUNDS)
-        work = [self.edit_now_and_then("ann"), self.edit_now_and_then("bob"), self.pay_now_and_then()]
-        work += [self.read_now_and_then()]
-        self.tasks = [asyncio.create_task(each) for each in work]
+            body = {"volumes": [volume], "by": "scenes", "why": "run"}
+            status, answer = await head.call("PUT", path, body)
+            assert status == 200, answer
+            await self.pay(head, name, INITIAL_FUNDS)
+        loops = [self.edit_repeatedly("ann"), self.edit_repeatedly("bob"), self.pay_repeatedly()]
+        loops += [self.read_repeatedly()]
+        self.tasks = [asyncio.create_task(each) for each in loops]
         await self.capacity.hollow.spend((VOLUMES["acme"], VOLUMES["other"]), spend, self.seed)
 
     async def pay(self, head: HeadProcess, customer: str, amount: int) -> int:
-        """One top-up; its status."""
+        """Top up an account; return the status of the answer."""
         id, at = self.name("t"), time.time()
         entry = {"id": id, "amount": amount, "by": "scenes", "why": "run"}
         status, _ = await head.call("POST", f"/control/credit/customers/{customer}/entries", entry)
         self.write("pay", at, until=time.time(), id=id, customer=customer, amount=amount, status=status)
         return status
 
-    async def pay_now_and_then(self) -> None:
-        """Top-ups at any head."""
-        ends = False
-        while not ends:
+    async def pay_repeatedly(self) -> None:
+        """Top up accounts at random heads until the clients stop."""
+        stopped = False
+        while not stopped:
             if (head := self.some()) is not None:
                 await self.pay(head, self.draws.choice(["acme", "other"]), 5 * PRICE)
-            ends = await set_within(self.ends, self.draws.expovariate(1 / PAY_EVERY))
+            stopped = await set_within(self.stopping, self.draws.expovariate(1 / PAY_INTERVAL))
 
-    async def read_now_and_then(self) -> None:
-        """Reads of the newest version at any head."""
-        ends = False
-        while not ends:
+    async def read_repeatedly(self) -> None:
+        """Read the newest version at random heads until the clients stop."""
+        stopped = False
+        while not stopped:
             if (head := self.some()) is not None:
                 await self.read_newest(head)
-            ends = await set_within(self.ends, self.draws.expovariate(1 / READ_EVERY))
+            stopped = await set_within(self.stopping, self.draws.expovariate(1 / READ_INTERVAL))
 
-    async def edit_now_and_then(self, who: str) -> None:
-        """Edits of one editor, at the heads that it asks."""
+    async def edit_repeatedly(self, who: str) -> None:
+        """Make the edits of one editor, at the heads that it calls, until the clients stop."""
         draws = random.Random(f"editor/{self.seed}/{who}")
-        while not await set_within(self.ends, draws.expovariate(1 / (self.edit_every * len(self.editors)))):
+        while not await set_within(
+            self.stopping, draws.expovariate(1 / (self.edit_every * len(self.editors)))
+        ):
             head = self.at(self.editors[who])
             if head is not None:
                 await self.change(head, "edit", who)
 
-    # -- the end ------------------------------------------------------------------------------------------
+    # -- end of a run -----------------------------------------------------------------------------------
     async def finish(self) -> None:
-        """End all who ask, let accounts settle and versions spread, and close the history."""
+        """Stop all clients, wait until accounts settle and versions spread, and close the history."""
         healed = time.time()
         await self.capacity.hollow.spend((), 0.0, self.seed)
         self.over = True
-        self.ends.set()
-        async with asyncio.timeout(CALLS_END_WITHIN):  # the history has to have the answer of each call
+        self.stopping.set()
+        async with asyncio.timeout(CALLS_TIMEOUT):  # the history needs the answer to each call
             await asyncio.gather(*self.tasks)
-        async with asyncio.timeout(SETTLES_WITHIN):
+        async with asyncio.timeout(SETTLE_TIMEOUT):
             await self.settle(healed, healed)
         self.out.close()
 
     def check_history(self) -> tuple[History, list[str]]:
-        """The whole history and what of its promises is broken."""
+        """Return the whole history and the violations found in it."""
         logs = {head.name: head.logs for head in self.fleet if head.logs.exists()}
-        history = read_history(self.file, logs | self.gone)
+        history = read_history(self.file, logs | self.logs_of_lost_heads)
         hollow = read_events(path for path in self.capacity.hollow.logs if path.exists())
         for name in self.capacity.places:
             history.logs.setdefault(name, [])
@@ -138,7 +145,7 @@
 
 
 def request_line(head: str, event: dict[str, Any], customers: dict[str, str]) -> dict[str, Any]:
-    """A hollow head's request as the judge reads it."""
+    """Return the history line for a request logged by a hollow head."""
     return {
         "what": "request",
         "at": event["asked_at"],
--- a/benchmarks/capacity/simulated_peers.py
+++ b/benchmarks/capacity/simulated_peers.py
@@ -1,7 +1,8 @@
-"""Peers of one real head, simulated at the wire: they answer its datagrams, probe it and pass news on.
+"""Simulated peers of one real head: they answer its datagrams, probe it and gossip membership updates.
 
-In a fleet each head probes one other a period, so each is probed once a period on average, however many there
-are. The simulated peers probe the head at that rate together, and answer for each other at once.
+In a fleet each head probes one other per period, so each is probed once per period on average, whatever the
+size of the fleet. The simulated peers together probe the head at that rate, and answer indirect probes for
+each other at once.
 """
 
 from __future__ import annotations
@@ -16,18 +17,19 @@
 
 HOST = "127.0.0.1"
 PERIOD_S = Timing().period.total_seconds()
-ACQUAINT_RATE, ACQUAINT_ROUNDS = 400, 2  # probes a second at the start: the head learns the addresses by them
+INTRODUCTION_RATE = 400  # probes a second at the start, from which the head learns the addresses
+INTRODUCTION_ROUNDS = 2
 
 
 @dataclass
 class SimulatedPeers:
-    """All other heads of a fleet, as one head hears them."""
+    """All peers of one head, as it sees them over the network."""
 
     count: int
     secret: bytes
     fleet: str
     seed: int = 1
-    news_rate: float = 0.0  # news a second of heads that started anew
+    restart_rate: float = 0.0  # simulated restarts of peers a second
     received: int = 0
     received_bytes: int = 0
     sent: int = 0
@@ -35,50 +37,50 @@
     number: int = 0
     sockets: list[PeerSocket] = field(default_factory=list)
     incarnations: list[int] = field(default_factory=list)
-    news: list[MemberUpdate] = field(default_factory=list)  # still to be told
-    head: tuple[str, int] | None = None  # where it was last heard from
+    news: list[MemberUpdate] = field(default_factory=list)  # updates still to be sent
+    head: tuple[str, int] | None = None  # address from which the head last sent a datagram
 
     def __post_init__(self) -> None:
-        self.draws = random.Random(f"peers/{self.seed}/{self.count}")
+        self.rng = random.Random(f"peers/{self.seed}/{self.count}")
         self.incarnations = [1] * self.count
 
     async def start(self) -> tuple[str, ...]:
-        """Open a socket for each; their addresses."""
+        """Open a socket for each peer; return their addresses."""
         loop = asyncio.get_running_loop()
         for index in range(self.count):
-            _, made = await loop.create_datagram_endpoint(
+            _, protocol = await loop.create_datagram_endpoint(
                 lambda index=index: PeerSocket(self, index), local_addr=(HOST, 0)
             )
-            self.sockets.append(made)
+            self.sockets.append(protocol)
         return tuple(f"{HOST}:{each.port}" for each in self.sockets)
 
     def name(self, index: int) -> str:
         return f"p{index:04d}"
 
-    async def acquaint(self) -> None:
-        """Let each probe the head a few times, fast: what a fleet's start takes minutes for."""
-        for _ in range(ACQUAINT_ROUNDS):
+    async def introduce(self) -> None:
+        """Let each peer probe the head at a high rate; in a fleet this introduction takes minutes."""
+        for _ in range(INTRODUCTION_ROUNDS):
             for index in range(self.count):
                 self.probe(index)
-                await asyncio.sleep(1 / ACQUAINT_RATE)
+                await asyncio.sleep(1 / INTRODUCTION_RATE)
 
-    async def quiet(self, rounds: int) -> None:
-        """Probe on, fast, until the head has passed on the news of the start."""
+    async def drain_news(self, rounds: int) -> None:
+        """Keep probing at a high rate so that the head passes on the updates of the start."""
         for _ in range(rounds):
-            self.probe(self.draws.randrange(self.count))
-            await asyncio.sleep(1 / ACQUAINT_RATE)
+            self.probe(self.rng.randrange(self.count))
+            await asyncio.sleep(1 / INTRODUCTION_RATE)
 
-    async def live(self) -> None:
-        """Probe the head once a period, for ever."""
+    async def probe_periodically(self) -> None:
+        """Probe the head once per period until cancelled."""
         while True:
             await asyncio.sleep(PERIOD_S)
-            self.probe(self.draws.randrange(self.count))
+            self.probe(self.rng.randrange(self.count))
 
-    async def restart_some(self) -> None:
-        """Make news of heads that started anew, for ever."""
-        while self.news_rate:
-            await asyncio.sleep(1 / self.news_rate)
-            index = self.draws.randrange(self.count)
+    async def restart_periodically(self) -> None:
+        """Announce restarts of random peers until cancelled."""
+        while self.restart_rate:
+            await asyncio.sleep(1 / self.restart_rate)
+            index = self.rng.randrange(self.count)
             self.incarnations[index] += 1
             self.news.append(MemberUpdate(self.name(index), self.incarnations[index], Status.ALIVE))
 
@@ -95,8 +97,8 @@
         self.sent_bytes += len(data)
         self.sockets[index].transport.sendto(data, self.head)
 
-    def heard(self, index: int, data: bytes) -> None:
-        """Answer as a head does; a probe in another's place is answered as if that one had."""
+    def handle_datagram(self, index: int, data: bytes) -> None:
+        """Answer as a head does; an indirect probe is answered as if its target had answered."""
         self.received += 1
         self.received_bytes += len(data)
         message = decode(data, self.secret, self.fleet)
@@ -111,7 +113,7 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """Where one peer is reached."""
+    """Datagram socket of one peer."""
 
     def __init__(self, peers: SimulatedPeers, index: int) -> None:
         self.peers, self.index = peers, index
@@ -125,4 +127,4 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self.peers.head = addr
-        self.peers.heard(self.index, data)
+        self.peers.handle_datagram(self.index, data)
--- a/benchmarks/capacity/spans.py
+++ b/benchmarks/capacity/spans.py
@@ -1,4 +1,7 @@
-"""Spans that only logs can tell: when an edit was in force everywhere, who saw a dead head last. No I/O."""
+"""Durations computed from logs: when an edit was in force on all heads, when all saw a killed head as failed.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 @dataclass(slots=True)
 class ScenePart:
-    """One scene's part of a history: its times, and the heads that were down or began anew meanwhile."""
+    """Part of a history that belongs to one scene, and the heads that were down or restarted in it."""
 
     name: str
     since: float
@@ -23,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SeenFailed:
-    """When a dead head was first and last seen as failed, in seconds since its death, and by how many."""
+    """When the witnesses of a killed head first and last saw it as failed, in seconds since its death."""
 
     head: str
     first: float
@@ -32,7 +35,7 @@
 
 
 def accepted_edits(history: History, part: ScenePart) -> list[tuple[int, float]]:
-    """The edits asked for within a scene that came in force: number, and when they were asked for."""
+    """Return the accepted edits of a scene: version number and time of the request."""
     return [
         (line.answer.number, line.at)
         for line in history.of(RegisterLine)
@@ -41,8 +44,11 @@
 
 
 def in_force_spans(history: History, part: ScenePart) -> list[float]:
-    """For each edit of a scene, seconds from the asking until the last head that was up all the while decides
-    by it; infinite where one never does. Nothing where no head was up all the while."""
+    """Return, for each edit of a scene, the seconds from its request until it is in force on all heads.
+
+    Only heads that stayed up count; the span is infinite if one of them never applies the edit. Returns an
+    empty list if no head stayed up.
+    """
     heads = [name for name in history.logs if name not in part.interrupted]
     if not heads:
         return []
@@ -53,7 +59,7 @@
 
 
 def in_force_at(log: Iterable[dict[str, Any]], number: int, asked_at: float) -> float:
-    """When a head decided by a version or a later one."""
+    """Return when a version or a later one came into force on a head."""
     return min(
         (
             event["at"]
@@ -65,22 +71,22 @@
 
 
 def seen_failed(history: History, part: ScenePart) -> list[SeenFailed]:
-    """For each head that was down within a scene, what its witnesses saw."""
+    """Return, for each head that was down in a scene, when its witnesses saw it as failed."""
     found = []
     for line in history.of(Down):
         if not part.since <= line.at <= part.until or not line.witnesses:
             continue
-        moments = [
+        detection_times = [
             first_seen_failed(history.logs[name], line.head, line.at, line.until) for name in line.witnesses
         ]
-        seen = [moment - line.at for moment in moments if moment != NEVER]
-        if seen:
-            found.append(SeenFailed(line.head, min(seen), max(seen), len(seen)))
+        delays = [detected_at - line.at for detected_at in detection_times if detected_at != NEVER]
+        if delays:
+            found.append(SeenFailed(line.head, min(delays), max(delays), len(delays)))
     return found
 
 
 def first_seen_failed(log: Iterable[dict[str, Any]], head: str, since: float, until: float) -> float:
-    """When a witness took a head for failed."""
+    """Return when a witness first saw a head as failed."""
     return min(
         (
             event["at"]
@@ -94,7 +100,7 @@
     )
 
 
-def worst(spans: Collection[float]) -> str:
-    """Median and slowest of some spans, in words."""
+def describe_spans(spans: Collection[float]) -> str:
+    """Return the number of edits and their median time in force, as text."""
     ordered = sorted(spans)
     return f"{len(ordered)} edits, median {ordered[len(ordered) // 2]:.2f} s" if ordered else "no edits"
--- a/benchmarks/capacity/spread.py
+++ b/benchmarks/capacity/spread.py
@@ -1,4 +1,4 @@
-"""Times written down as p50, p99 and slowest."""
+"""Durations recorded as p50, p99 and slowest."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 from benchmarks.capacity.harness import Measurement, Run
 
 
-def add_times(run: Run, name: str, size: int, times: list[float], unit: str = "s", seed: int = 0) -> None:
-    """p50, p99 and the slowest of some times."""
-    ordered = sorted(times)
+def record_times(
+    run: Run, name: str, size: int, durations: list[float], unit: str = "s", seed: int = 0
+) -> None:
+    """Record the p50, the p99 and the slowest of durations."""
+    ordered = sorted(durations)
     for label, share in (("p50", 0.50), ("p99", 0.99), ("slowest", 1.0)):
         index = min(len(ordered) - 1, math.ceil(share * len(ordered)) - 1)
         details: dict[str, float | int | str] = {"times": len(ordered)}
--- a/benchmarks/capacity/table.py
+++ b/benchmarks/capacity/table.py
@@ -1,4 +1,4 @@
-"""JSON lines of the family's commands as a table: values by size, the fitted line and its value at a size.
+"""Print JSON lines of the capacity benchmarks as a table: values by size, the fit and its value at a size.
 
 python -m benchmarks.capacity.table --at 740 docs/measurements/data/capacity-voters-3.jsonl
 """
@@ -16,7 +16,7 @@
 
 
 def read_points(files: Iterable[Path]) -> Points:
-    """Sizes and values by name and unit, in the order in which they were measured."""
+    """Read sizes and values by name and unit, in the order of measurement."""
     points: Points = {}
     for file in files:
         for line in file.read_text().splitlines():
@@ -27,15 +27,15 @@
 
 
 def means(points: list[tuple[float, float]]) -> dict[float, float]:
-    """The mean value at each size; several seeds may have been measured."""
-    found: dict[float, list[float]] = {}
+    """Return the mean value at each size, over all seeds."""
+    values_by_size: dict[float, list[float]] = {}
     for size, value in points:
-        found.setdefault(size, []).append(value)
-    return {size: sum(values) / len(values) for size, values in sorted(found.items())}
+        values_by_size.setdefault(size, []).append(value)
+    return {size: sum(values) / len(values) for size, values in sorted(values_by_size.items())}
 
 
 def extrapolated(fit: Fit, at: float) -> str:
-    """The line's value at a size; marked where it lies far beyond what was measured."""
+    """Return the value of a fit at a size as text, marked if it is beyond the measured sizes."""
     value = f"{fit.at(at):.4g}"
     if fit.extrapolates(at):
         return f"{value} (extrapolated over {at / fit.largest:.1f} times)"
@@ -43,15 +43,15 @@
 
 
 def row(name: str, unit: str, points: list[tuple[float, float]], at: float | None) -> str:
-    """One line of the table."""
+    """Return one row of the table."""
     values = ", ".join(f"{size:g}: {value:.4g}" for size, value in means(points).items())
     if len({size for size, _ in points}) < 2:
         return f"| {name} | {unit} | {values} | | | | |"
     fit = fit_line(name, unit, points)
     line = f"{fit.base:.4g} + {fit.slope:.4g} x size"
-    there = "" if at is None else extrapolated(fit, at)
+    value_at = "" if at is None else extrapolated(fit, at)
     span = f"{fit.smallest:g} to {fit.largest:g}"
-    return f"| {name} | {unit} | {values} | {line} | {fit.residual:.3g} | {span} | {there} |"
+    return f"| {name} | {unit} | {values} | {line} | {fit.residual:.3g} | {span} | {value_at} |"
 
 
 def main() -> None:
@@ -59,13 +59,13 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("files", nargs="+", type=Path)
-    parser.add_argument("--at", type=float, help="a size at which the lines are read")
-    given = parser.parse_args()
-    there = "" if given.at is None else f"at {given.at:g}"
-    print(f"| figure | unit | values by size | line | residual | range | {there} |")
+    parser.add_argument("--at", type=float, help="size at which to evaluate the fits")
+    arguments = parser.parse_args()
+    at_heading = "" if arguments.at is None else f"at {arguments.at:g}"
+    print(f"| figure | unit | values by size | line | residual | range | {at_heading} |")
     print("| --- " * 7 + "|")
-    for (name, unit), points in read_points(given.files).items():
-        print(row(name, unit, points, given.at))
+    for (name, unit), points in read_points(arguments.files).items():
+        print(row(name, unit, points, arguments.at))
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/virtual_watches.py
+++ b/benchmarks/capacity/virtual_watches.py
@@ -1,7 +1,7 @@
-"""Many heads' watches of one discovery service, in virtual time: the program's own code decides when to ask.
+"""Watches of one discovery service by many heads, in virtual time, with the program's own timing of calls.
 
 Only the HTTP client and the clock are replaced: `stoatrouter.net.discovery.Watch` runs as in a head, and
-`VirtualDiscovery` answers, holds, spoils or withholds its calls.
+`VirtualDiscovery` answers its calls, holds them, gives malformed answers or none.
 """
 
 from __future__ import annotations
@@ -25,17 +25,16 @@
 from stoatrouter.net import discovery
 
 DRAIN_GRACE = timedelta(seconds=2)
-INCIDENT_AT, LASTS, WATCHED = (
-    20.0,
-    3.0,
-    30.0,
-)  # seconds: when it comes, how long discovery is out, and the end
+# Times in seconds.
+INCIDENT_AT = 20.0
+INCIDENT_LENGTH = 3.0  # for which discovery is late or silent
+RUN_LENGTH = 30.0
 MALFORMED = b'{"generation": 1, "reset": fal'
-LATE_BY = 0.5  # seconds past a call's hold; watches wait 0.4
+ANSWER_DELAY = 0.5  # seconds after the hold of a call; watches wait for 0.4
 
 
 class Incident(Enum):
-    """What happens to discovery, once."""
+    """Kinds of incident at discovery, one per run."""
 
     NONE = "quiet"
     CHANGE = "one entry changes"
@@ -47,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of a head: when it came and was answered, and the answer's bytes."""
+    """One call of a head: times of call and answer, and the bytes of the answer."""
 
     asked: float
     answered: float
@@ -56,20 +55,20 @@
 
 
 class VirtualTimeSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
-    """Does not wait: the loop's time moves on instead."""
+    """A selector that advances the virtual time of its loop instead of waiting."""
 
     loop: VirtualTimeLoop
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Nothing is ever ready."""
+        """Advance virtual time by the timeout, without waiting."""
         if timeout is None:
-            raise RuntimeError("virtual time stands still: nothing is due")
+            raise RuntimeError("virtual time cannot advance: no timer is due")
         self.loop.virtual_now += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes as fast as its work is done."""
+    """An event loop whose virtual time advances without waiting."""
 
     def __init__(self) -> None:
         self.virtual_now = 0.0
@@ -78,68 +77,68 @@
         super().__init__(selector)
 
     def time(self) -> float:
-        """Virtual seconds since the loop was made."""
+        """Return the virtual seconds since the loop was created."""
         return self.virtual_now
 
 
 class VirtualDiscovery:
-    """One service: a list, calls that are held until it changes, and one incident."""
+    """A discovery service with a list, calls that are held until it changes, and one incident."""
 
     def __init__(self, entries: list[dict[str, Any]], incident: Incident) -> None:
         self.entries, self.incident = entries, incident
-        self.generation, self.past = 1_000, False
-        self.happened = asyncio.Event()
+        self.generation, self.incident_started = 1_000, False
+        self.incident_event = asyncio.Event()
         self.calls: list[Call] = []
         self.whole = json.dumps({"generation": 0, "reset": True, "instances": entries}).encode()
 
-    async def play(self) -> None:
-        """Let the incident happen at its time."""
+    async def run_incident(self) -> None:
+        """Trigger the incident at its time."""
         await asyncio.sleep(INCIDENT_AT)
         if self.incident is Incident.CHANGE:
             self.generation += 1
         elif self.incident is Incident.RESTARTED:
             self.generation = 1
-        self.past = True
-        self.happened.set()
+        self.incident_started = True
+        self.incident_event.set()
 
     async def answer(self, url: URL) -> bytes:
-        """The answer to one call, in its time."""
+        """Return the answer to one call, when it is due, and record the call."""
         loop, body = asyncio.get_running_loop(), b""
         asked = loop.time()
         try:
             body = await self.body(url, asked)
-        finally:  # of a call that was given up too
+        finally:  # also records cancelled calls
             self.calls.append(Call(asked, loop.time(), len(body), b'"reset": true' in body[:60]))
         return body
 
     async def body(self, url: URL, asked: float) -> bytes:
-        """What a call is told, after its hold."""
-        out = INCIDENT_AT <= asked < INCIDENT_AT + LASTS
-        if out and self.incident is Incident.SILENT:
+        """Return the body of an answer, after holding the call."""
+        unavailable = INCIDENT_AT <= asked < INCIDENT_AT + INCIDENT_LENGTH
+        if unavailable and self.incident is Incident.SILENT:
             await asyncio.Event().wait()
-        held = int(url.query.get("from", -1))
-        if held == self.generation:
-            before = self.past
+        known_generation = int(url.query.get("from", -1))
+        if known_generation == self.generation:
+            had_started = self.incident_started
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.until_news(), int(url.query["hold_ms"]) / 1000)
-            if self.past and not before and self.incident is Incident.MALFORMED:
+                await asyncio.wait_for(self.wait_for_incident(), int(url.query["hold_ms"]) / 1000)
+            if self.incident_started and not had_started and self.incident is Incident.MALFORMED:
                 return MALFORMED
-        if out and self.incident is Incident.LATE:
-            await asyncio.sleep(LATE_BY)
-        if held < 0:
+        if unavailable and self.incident is Incident.LATE:
+            await asyncio.sleep(ANSWER_DELAY)
+        if known_generation < 0:
             return self.whole.replace(b'"generation": 0', b'"generation": %d' % self.generation, 1)
-        entries = self.entries[:1] if held < self.generation else []
+        entries = self.entries[:1] if known_generation < self.generation else []
         return json.dumps({"generation": self.generation, "reset": False, "instances": entries}).encode()
 
-    async def until_news(self) -> None:
-        """Wait for the incident, if it is still to come."""
-        if self.past or self.incident in (Incident.NONE, Incident.LATE, Incident.SILENT):
+    async def wait_for_incident(self) -> None:
+        """Wait for an incident that changes the answers, or forever if there is none to come."""
+        if self.incident_started or self.incident in (Incident.NONE, Incident.LATE, Incident.SILENT):
             await asyncio.Event().wait()
-        await self.happened.wait()
+        await self.incident_event.wait()
 
 
 class VirtualSession:
-    """In the place of aiohttp's client session."""
+    """Replaces the client session of aiohttp."""
 
     service: VirtualDiscovery
 
@@ -154,28 +153,28 @@
 
     @contextlib.asynccontextmanager
     async def get(self, url: URL, **_: Any) -> AsyncIterator[VirtualResponse]:
-        """One call."""
+        """Make one call."""
         yield VirtualResponse(await self.service.answer(url))
 
 
 class VirtualResponse:
-    """In the place of aiohttp's response."""
+    """Replaces the response of aiohttp."""
 
     status = 200
 
     def __init__(self, body: bytes) -> None:
-        self.left = body
+        self.remaining = body
         self.content = self
 
     async def read(self, most: int) -> bytes:
-        """The body, then nothing."""
-        body, self.left = self.left, b""
+        """Return the body, and then nothing."""
+        body, self.remaining = self.remaining, b""
         return body
 
 
 @contextlib.contextmanager
 def without_network(service: VirtualDiscovery) -> Iterator[None]:
-    """Have watches call this service; their log is not written."""
+    """Direct watches to a service, with their log disabled."""
     session = type("Session", (VirtualSession,), {"service": service})
     logger.disable("stoatrouter")
     with mock.patch.multiple(discovery.aiohttp, ClientSession=session, TCPConnector=mock.Mock()):
@@ -188,17 +187,17 @@
 async def watch_all(
     heads: int, entries: list[dict[str, Any]], pushed: bool, incident: Incident
 ) -> list[Call]:
-    """All calls of so many heads that start within the first seconds and know the list."""
+    """Return all calls of heads that know the list and start within the first 5 seconds."""
     service = VirtualDiscovery(entries, incident)
     known = json.loads(service.whole) | {"generation": service.generation}
     times = list_times(pushed, DRAIN_GRACE)
     with without_network(service):
-        tasks = [asyncio.create_task(service.play())]
+        tasks = [asyncio.create_task(service.run_incident())]
         for _ in range(heads):
             watch = discovery.Watch("discovery:1", known, lambda *_: None, pushed=pushed, times=times)
             watch.generation = service.generation
             tasks.append(asyncio.create_task(start_later(watch, random.uniform(0.0, 5.0))))
-        await asyncio.sleep(WATCHED)
+        await asyncio.sleep(RUN_LENGTH)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -206,7 +205,7 @@
 
 
 async def start_later(watch: discovery.Watch, after: float) -> None:
-    """Heads do not start in the same moment."""
+    """Start a watch after a delay, as heads do not all start at once."""
     await asyncio.sleep(after)
     await watch.follow()
 
@@ -214,7 +213,7 @@
 def calls_of_fleet(
     heads: int, entries: list[dict[str, Any]], pushed: bool, incident: Incident, seed: int
 ) -> list[Call]:
-    """The calls of a fleet in virtual time, in the order in which they came."""
+    """Return the calls of a fleet in virtual time, in order."""
     random.seed(f"watches/{seed}")
     loop = VirtualTimeLoop()
     try:
--- a/benchmarks/heads_rules.py
+++ b/benchmarks/heads_rules.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 
-def text_of(count: int, mark: str) -> str:
+def rules_text(count: int, mark: str) -> str:
     from tests.heads.rules_clients import rules
 
     lines = "".join(
@@ -58,11 +58,11 @@
 
     more = 'rules: {check_within: "120s", largest: 16Mi}\n'
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(Path(folder), count=heads, more=more, http=text_of(1, "own")) as fleet:
+        async with heads_up(Path(folder), count=heads, more=more, http=rules_text(1, "own")) as fleet:
             head, spans = fleet["h0"], []
             newest = 0
             for n in range(2):
-                status, told = await edit(head, f"e{n}", newest, text_of(count, f"v{n}"))
+                status, told = await edit(head, f"e{n}", newest, rules_text(count, f"v{n}"))
                 assert status == 202, told
                 newest = told["number"]
                 await last_in_force(fleet, newest, 0)
@@ -86,9 +86,9 @@
     from tests.heads.rules_clients import mark
 
     folder.mkdir()
-    async with heads_up(folder, count=1, voters=1, http=text_of(count, "one")) as fleet:
+    async with heads_up(folder, count=1, voters=1, http=rules_text(count, "one")) as fleet:
         head = fleet["h0"]
-        (head.folder / "rules.cue").write_text(text_of(count, "two"))
+        (head.folder / "rules.cue").write_text(rules_text(count, "two"))
         began = time.monotonic()
         head.signal(signal.SIGHUP)
         while await mark(head) != "two":
