--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -22,10 +22,10 @@
 from tests.soak.story import CLIENTS
 
 FINDINGS_SHOWN = 5
-FOUND, NOT_ALL_JUDGED = 1, 3  # exit statuses; 2 is that of a wrong argument
+EXIT_FINDINGS, EXIT_UNJUDGED = 1, 3  # exit statuses; 2 is that of a wrong argument
 
 
-def play_all(
+def run_seeds(
     folder: Path, first: int, seeds: int, seconds: float, clients: int = CLIENTS
 ) -> list[SeedReport]:
     """Play the seeds, and print each as it ends."""
@@ -59,7 +59,7 @@
     parser.add_argument("--keep", type=Path, help="where the folders of findings stay")
     given = parser.parse_args()
     folder = given.keep or Path(tempfile.mkdtemp(prefix="soak-"))
-    reports = play_all(folder, given.seed, given.seeds, given.seconds, given.clients)
+    reports = run_seeds(folder, given.seed, given.seeds, given.seconds, given.clients)
     print(summary(reports))
     return exit_status(reports)
 
@@ -67,8 +67,8 @@
 def exit_status(reports: list[SeedReport]) -> int:
     """0 only where every seed was judged and nothing was found."""
     if any(report.findings for report in reports):
-        return FOUND
-    return 0 if all(report.was_judged for report in reports) else NOT_ALL_JUDGED
+        return EXIT_FINDINGS
+    return 0 if all(report.was_judged for report in reports) else EXIT_UNJUDGED
 
 
 if __name__ == "__main__":
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from benchmarks.soak import FOUND, NOT_ALL_JUDGED, exit_status, play_all
+from benchmarks.soak import EXIT_FINDINGS, EXIT_UNJUDGED, exit_status, run_seeds
 from stoatrouter.lab.histories.requests import Verdict
 from tests.heads.ledger_chaos import LEDGER_MORE
 from tests.soak import ends, story
@@ -67,7 +67,7 @@
             raise ProcessLookupError("gone")
 
     monkeypatch.setattr(Soak, "play", fail)
-    first, second = play_all(tmp_path, 2, 2, 1.0)
+    first, second = run_seeds(tmp_path, 2, 2, 1.0)
     assert [found for found, _ in first.findings] == [Finding.STORY_FAILED] and not second.findings
     assert not second.was_judged  # nothing measured its loop
     assert "the story failed: Traceback" in capsys.readouterr().out and "in fail\n" in first.findings[0][1]
@@ -99,14 +99,14 @@
     monkeypatch.setattr(Soak, "play_before", stall)
     lagged = play_seed(tmp_path, 2, 1.0)
     assert not lagged.findings and "NOT JUDGED" in lagged.line() and "nothing found" not in lagged.line()
-    assert exit_status([lagged]) == NOT_ALL_JUDGED and "judged: 0, NOT JUDGED: 1" in summary([lagged])
+    assert exit_status([lagged]) == EXIT_UNJUDGED and "judged: 0, NOT JUDGED: 1" in summary([lagged])
     monkeypatch.setattr(story, "examine", judge_something)
     folder = tmp_path / "found"
     folder.mkdir()
     found = play_seed(folder, 2, 1.0)
     assert found.findings == [(Finding.LOST, "c1-3: lost by h1"), (Finding.RUN_TWICE, wrote_late)]
     assert found.withheld == [late]
-    assert exit_status([lagged, found]) == FOUND
+    assert exit_status([lagged, found]) == EXIT_FINDINGS
 
 
 @pytest.mark.parametrize("process", ["nodes", "clients 1"])
