--- a/benchmarks/capacity/control_inside.py
+++ b/benchmarks/capacity/control_inside.py
@@ -128,7 +128,7 @@
 
 
 def measure_expiry(run: Run, heads: int, customers: int = 10) -> None:
-    """Measure the expiry check of allotments that each head makes every 50 ms; all heads serve all customers."""
+    """Measure the expiry check of allotments, which each head makes every 50 ms."""
     ledger = funded_ledger(customers)
     for head in range(heads):
         for customer in range(customers):
--- a/benchmarks/closures.py
+++ b/benchmarks/closures.py
@@ -1,4 +1,4 @@
-"""The other way weighed for compiling: a tree of Python closures. Kept to be measured against."""
+"""Compilation of expressions to a tree of Python closures, a baseline for benchmarks of the compiler."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from stoatrouter.expressions.functions import Target
 from stoatrouter.expressions.typed import Checked, Typed
 
-Run = Callable[[Any], Any]
-COMPARE = {
+Evaluator = Callable[[Any], Any]
+COMPARISONS = {
     "==": operator.eq,
     "!=": operator.ne,
     "<": operator.lt,
@@ -20,7 +20,7 @@
     ">": operator.gt,
     ">=": operator.ge,
 }
-PLAIN: dict[str, Callable[..., Any]] = {
+PLAIN_FUNCTIONS: dict[str, Callable[..., Any]] = {
     "str": str,
     "float": float,
     "contains": operator.contains,
@@ -28,16 +28,16 @@
 }
 
 
-def closures(checked: Checked) -> Run | None:
-    """The expression as closures; None where it has macros, which would need an environment of their own."""
+def compile_closures(checked: Checked) -> Evaluator | None:
+    """Compile an expression; return None if it has macros, which would need a scope for their variables."""
     try:
-        return closed(checked.root)
+        return compile_node(checked.root)
     except NotImplementedError:
         return None
 
 
-def closed(typed: Typed) -> Run:
-    parts = [closed(part) for part in typed.parts]
+def compile_node(typed: Typed) -> Evaluator:
+    parts = [compile_node(part) for part in typed.parts]
     detail = typed.detail
     match typed.op, parts:
         case "literal", _:
@@ -55,17 +55,17 @@
         case "try", (a,):
             return lambda r: runtime.attempt(lambda: a(r))
         case "logic", _:
-            parted = tuple(parts)
+            operands = tuple(parts)
             if detail == "&&":
-                return lambda r: all(part(r) for part in parted)
-            return lambda r: any(part(r) for part in parted)
+                return lambda r: all(part(r) for part in operands)
+            return lambda r: any(part(r) for part in operands)
         case "not", (a,):
             return lambda r: not a(r)
         case "conditional", (a, b, c):
             return lambda r: b(r) if a(r) else c(r)
         case "compare", (a, b):
-            by = COMPARE[detail]
-            return lambda r: by(a(r), b(r))
+            operation = COMPARISONS[detail]
+            return lambda r: operation(a(r), b(r))
         case "in map", (a, b):
             return lambda r: a(r) in b(r)
         case "in list", (a, b):
@@ -77,26 +77,28 @@
         case "add", (a, b):
             return lambda r: a(r) + b(r)
         case "arithmetic", (a, b):
-            by = {"+": operator.add, "-": operator.sub, "*": operator.mul, "%": operator.mod}[detail[0]]
-            return lambda r: by(a(r), b(r))
+            operation = {"+": operator.add, "-": operator.sub, "*": operator.mul, "%": operator.mod}[
+                detail[0]
+            ]
+            return lambda r: operation(a(r), b(r))
         case "size", (a,):
             return lambda r: len(a(r))
         case "call", _:
-            return called(typed, parts)
+            return compile_call(typed, parts)
     raise NotImplementedError(typed.op)
 
 
-def called(typed: Typed, parts: list[Run]) -> Run:
-    function, ready = typed.detail
+def compile_call(typed: Typed, parts: list[Evaluator]) -> Evaluator:
+    function, prepared = typed.detail
     name = function.emission.name
     if name == "matches":
-        return lambda r: ready(parts[0](r))
+        return lambda r: prepared(parts[0](r))
     if name == "cidr":
-        return lambda r: ready
+        return lambda r: prepared
     if function.emission.target is Target.METHOD:
         work: Callable[..., Any] = getattr(str, name)
     else:
-        work = PLAIN.get(name) or find_function(name)
+        work = PLAIN_FUNCTIONS.get(name) or find_function(name)
     if len(parts) == 1:
         first = parts[0]
         return lambda r: work(first(r))
--- a/benchmarks/expressions.py
+++ b/benchmarks/expressions.py
@@ -1,10 +1,10 @@
-"""Time of an expression: compiled, as closures, by the tree-walking reference, and by cel-python.
+"""Evaluation time of expressions: compiled, as closures, by the tree-walking reference, and by cel-python.
 
     python -m benchmarks.expressions [--runs 5] [--json FILE]
 
-30 realistic expressions over one request. Each figure is the median and 99th percentile over batches,
-and its spread over runs. cel-python comes with `pip install -r requirements-bench.txt`; without
-it it is left out.
+Evaluates 30 realistic expressions for one request. Figures are the median and the 99th percentile over
+batches, and the spread over runs. cel-python is installed by `pip install -r requirements-bench.txt`, and
+skipped if it is missing.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from benchmarks.closures import closures
+from benchmarks.closures import compile_closures
 from stoatrouter import expressions as ex
 from stoatrouter.matching.inputs import HTTP_ENVIRONMENT, read_input
 from tests.reference import Reference
@@ -75,23 +75,24 @@
     'request.headers[?"accept"].orValue("*/*").lowerAscii().contains("json")',
     'request.segments.filter(s, s.startsWith("liga")).join("+")',
 )
-BATCH, BATCHES = 20, 300  # evaluations timed together, and how often: the clock itself takes some 50 ns
+BATCH = 20  # evaluations timed together, as reading the clock takes some 50 ns
+BATCHES = 300
 
 
-def timed(work: Callable[[], Any], batch: int, batches: int) -> tuple[float, float]:
-    """Median and 99th percentile in microseconds for one evaluation."""
+def measure(work: Callable[[], Any], batch: int, batches: int) -> tuple[float, float]:
+    """Return the median and 99th percentile of one evaluation, in microseconds."""
     figures = []
     for _ in range(batches):
-        began = time.perf_counter_ns()
+        started_at = time.perf_counter_ns()
         for _ in range(batch):
             work()
-        figures.append((time.perf_counter_ns() - began) / batch / 1000)
+        figures.append((time.perf_counter_ns() - started_at) / batch / 1000)
     figures.sort()
     return statistics.median(figures), figures[int(len(figures) * 0.99) - 1]
 
 
-def celpy_programs(given: Any) -> list[Callable[[], Any] | None] | None:
-    """The same expressions by cel-python; None for one that it has no function for."""
+def celpy_programs(request_input: Any) -> list[Callable[[], Any] | None] | None:
+    """Return the expressions compiled by cel-python, with None for each that it does not support."""
     try:
         import celpy
         from celpy import celtypes
@@ -101,49 +102,52 @@
     activation = {
         "request": celpy.json_to_cel(
             {
-                "method": given.method,
-                "path": given.path,
-                "host": given.host,
-                "headers": dict(given.headers),
-                "segments": given.segments,
-                "query": dict(given.query),
-                "cookies": dict(given.cookies),
+                "method": request_input.method,
+                "path": request_input.path,
+                "host": request_input.host,
+                "headers": dict(request_input.headers),
+                "segments": request_input.segments,
+                "query": dict(request_input.query),
+                "cookies": dict(request_input.cookies),
             }
         )
     }
-    activation["request"]["size"] = celtypes.IntType(given.size)
+    activation["request"]["size"] = celtypes.IntType(request_input.size)
     programs: list[Callable[[], Any] | None] = []
     for source in REALISTIC:
         try:
             program = env.program(env.compile(source))
             program.evaluate(activation)
             programs.append(lambda program=program: program.evaluate(activation))
-        except Exception:  # noqa: BLE001 - whatever it has no word for
+        except Exception:  # noqa: BLE001 - any error means not supported
             programs.append(None)
     return programs
 
 
-def one_run(given: Any) -> dict[str, list[tuple[float, float] | None]]:
+def run_once(request_input: Any) -> dict[str, list[tuple[float, float] | None]]:
     compiled = [ex.load(source, HTTP_ENVIRONMENT) for source in REALISTIC]
     variables = {
-        name: getattr(given, variable.attribute) for name, variable in HTTP_ENVIRONMENT.variables.items()
+        name: getattr(request_input, variable.attribute)
+        for name, variable in HTTP_ENVIRONMENT.variables.items()
     }
     reference = Reference(variables, ("request.headers",))
     trees = [ex.parse(source) for source in REALISTIC]
-    closed = [closures(program.checked) for program in compiled]
+    closed = [compile_closures(program.checked) for program in compiled]
     result: dict[str, list[tuple[float, float] | None]] = {
-        "compiled": [timed(lambda run=p.run: run(given), BATCH, BATCHES) for p in compiled],
-        "closures": [timed(lambda run=run: run(given), BATCH, BATCHES) if run else None for run in closed],
-        "reference": [timed(lambda tree=tree: reference.of(tree), 5, 100) for tree in trees],
+        "compiled": [measure(lambda run=p.run: run(request_input), BATCH, BATCHES) for p in compiled],
+        "closures": [
+            measure(lambda run=run: run(request_input), BATCH, BATCHES) if run else None for run in closed
+        ],
+        "reference": [measure(lambda tree=tree: reference.of(tree), 5, 100) for tree in trees],
     }
-    others = celpy_programs(given)
+    others = celpy_programs(request_input)
     if others is not None:
-        result["cel-python"] = [timed(work, 1, 30) if work else None for work in others]
+        result["cel-python"] = [measure(work, 1, 30) if work else None for work in others]
     return result
 
 
 def cold_start(module: str) -> tuple[float, float]:
-    """Milliseconds and megabytes of importing a module in a fresh process, over those of an empty one."""
+    """Return the milliseconds and megabytes that importing a module takes in a new process."""
     code = (
         "import time;m=lambda:int(open('/proc/self/statm').read().split()[1])/256;"
         "b=m();t=time.perf_counter();"
@@ -152,35 +156,35 @@
     )
     runs = []
     for _ in range(5):
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=False)
-        if done.returncode:
+        process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=False)
+        if process.returncode:
             return float("nan"), float("nan")
-        runs.append(tuple(map(float, done.stdout.split())))
+        runs.append(tuple(map(float, process.stdout.split())))
     return statistics.median(r[0] for r in runs), statistics.median(r[1] for r in runs)
 
 
 def main() -> None:
-    options = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    options.add_argument("--runs", type=int, default=5)
-    options.add_argument("--json")
-    chosen = options.parse_args()
-    given = read_input(*REQUEST)
-    runs = [one_run(given) for _ in range(chosen.runs)]
-    print(f"machine: {os.cpu_count()} cores, Python {platform.python_version()}, {chosen.runs} runs\n")
+    parser.add_argument("--runs", type=int, default=5)
+    parser.add_argument("--json")
+    arguments = parser.parse_args()
+    request_input = read_input(*REQUEST)
+    runs = [run_once(request_input) for _ in range(arguments.runs)]
+    print(f"machine: {os.cpu_count()} cores, Python {platform.python_version()}, {arguments.runs} runs\n")
     report: dict[str, Any] = {}
-    for way in runs[0]:
+    for backend in runs[0]:
         medians, tails, missing = [], [], 0
         for i in range(len(REALISTIC)):
-            figures = [run[way][i] for run in runs]
+            figures = [run[backend][i] for run in runs]
             if figures[0] is None:
                 missing += 1
                 continue
             medians.append(statistics.median(f[0] for f in figures if f))
             tails.append(statistics.median(f[1] for f in figures if f))
-        spread = [statistics.median([f[0] for f in run[way] if f]) for run in runs]
-        report[way] = {
+        spread = [statistics.median([f[0] for f in run[backend] if f]) for run in runs]
+        report[backend] = {
             "median_us": statistics.median(medians),
             "slowest_median_us": max(medians),
             "p99_over_set_us": max(tails),
@@ -190,29 +194,30 @@
             "each": medians,
         }
         print(
-            f"{way:>10}: median {statistics.median(medians):8.2f} us, slowest {max(medians):8.2f} us, "
+            f"{backend:>10}: median {statistics.median(medians):8.2f} us, slowest {max(medians):8.2f} us, "
             f"99th percentile of the slowest {max(tails):8.2f} us, "
             f"medians over runs {min(spread):.2f} to {max(spread):.2f} us"
             + (f"; {missing} of {len(REALISTIC)} not expressible" if missing else "")
         )
-    for way in ("reference", "cel-python"):
-        if way in report:
+    for backend in ("reference", "cel-python"):
+        if backend in report:
             ratios = [
                 b / a
                 for a, b in zip(
                     [
                         statistics.median(r["compiled"][i][0] for r in runs)
                         for i in range(len(REALISTIC))
-                        if runs[0][way][i]
+                        if runs[0][backend][i]
                     ],
-                    report[way]["each"],
+                    report[backend]["each"],
                     strict=True,
                 )
             ]
-            report[way]["times_compiled"] = statistics.median(ratios)
-            print(f"{way}: {statistics.median(ratios):.0f} times the compiled form (least {min(ratios):.0f})")
+            median_ratio = statistics.median(ratios)
+            report[backend]["times_compiled"] = median_ratio
+            print(f"{backend}: {median_ratio:.0f} times the compiled form (least {min(ratios):.0f})")
     loads = sorted(
-        timed(lambda source=source: ex.load(source, HTTP_ENVIRONMENT), 1, 5)[0] for source in REALISTIC
+        measure(lambda source=source: ex.load(source, HTTP_ENVIRONMENT), 1, 5)[0] for source in REALISTIC
     )
     print(f"load of one: median {statistics.median(loads):.0f} us, slowest {loads[-1]:.0f} us")
     for module in ("stoatrouter.expressions", "celpy"):
@@ -220,8 +225,8 @@
         report[f"import {module}"] = {"ms": took, "mb": memory}
         print(f"import {module}: {took:.0f} ms, {memory:.1f} MB")
     print(f"peak memory of this process: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MB")
-    if chosen.json:
-        with open(chosen.json, "w") as file:
+    if arguments.json:
+        with open(arguments.json, "w") as file:
             json.dump(report, file, indent=1)
 
 
--- a/benchmarks/follower_search.py
+++ b/benchmarks/follower_search.py
@@ -1,4 +1,4 @@
-"""The search of tests/test_follower.py, deeper: all orders of faults up to a depth, and the states visited.
+"""Deeper run of the search in tests/test_follower.py: all orders of faults up to a depth.
 
 python -m benchmarks.follower_search [--depth 11]
 """
@@ -13,13 +13,13 @@
 
 
 def main() -> None:
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--depth", type=int, default=11)
-    chosen = options.parse_args()
-    for depth in range(4, chosen.depth + 1):
-        began = time.perf_counter()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--depth", type=int, default=11)
+    arguments = parser.parse_args()
+    for depth in range(4, arguments.depth + 1):
+        started_at = time.perf_counter()
         states = search(Follower, depth)
-        print(f"depth {depth}: {states} states, no rule broken, {time.perf_counter() - began:.1f} s")
+        print(f"depth {depth}: {states} states, no violation, {time.perf_counter() - started_at:.1f} s")
 
 
 if __name__ == "__main__":
--- a/benchmarks/heads.py
+++ b/benchmarks/heads.py
@@ -1,4 +1,4 @@
-"""Heads as processes of their own, for measurements: started, asked, and what they used."""
+"""Heads as separate processes, for measurements: start, readiness and resource usage."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
 
 from tests.peers import HOST, config_data, listening, node_list
 
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")  # per second
 
 
 @dataclass(slots=True)
-class Used:
-    """What a process has used so far."""
+class ProcessUsage:
+    """Resource usage of a process so far."""
 
     cpu_s: float
     rss_mb: float
     descriptors: int
 
 
-def used(pid: int) -> Used:
+def process_usage(pid: int) -> ProcessUsage:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-    return Used(
-        (int(fields[11]) + int(fields[12])) / TICKS,
+    return ProcessUsage(
+        (int(fields[11]) + int(fields[12])) / CLOCK_TICKS,
         pages * os.sysconf("SC_PAGE_SIZE") / 1e6,
         len(os.listdir(f"/proc/{pid}/fd")),
     )
 
 
-async def plain_node(request: web.BaseRequest) -> web.StreamResponse:
-    """A node that answers at once."""
+async def immediate_node(request: web.BaseRequest) -> web.StreamResponse:
+    """Answer as a node, without delay."""
     await request.read()
     return web.Response(body=b"x" * 200)
 
 
 @contextlib.asynccontextmanager
-async def nodes(count: int) -> AsyncIterator[list[dict[str, object]]]:
-    """Plain nodes, as discovery lists them."""
+async def running_nodes(count: int) -> AsyncIterator[list[dict[str, object]]]:
+    """Run nodes that answer at once; yields their list entries."""
     async with contextlib.AsyncExitStack() as stack:
-        ports = [await stack.enter_async_context(listening(plain_node)) for _ in range(count)]
+        ports = [await stack.enter_async_context(listening(immediate_node)) for _ in range(count)]
         yield [
             {
                 "instanceId": f"n{i}",
@@ -70,28 +70,28 @@
 def free_ports(count: int) -> list[int]:
     import socket
 
-    held = [socket.socket() for _ in range(count)]
-    for each in held:
+    sockets = [socket.socket() for _ in range(count)]
+    for each in sockets:
         each.bind((HOST, 0))
-    ports = [each.getsockname()[1] for each in held]
-    for each in held:
+    ports = [each.getsockname()[1] for each in sockets]
+    for each in sockets:
         each.close()
     return ports
 
 
 @contextlib.contextmanager
-def head(
+def running_head(
     tree: Path,
     python: str,
-    known: list[dict[str, object]],
+    node_entries: list[dict[str, object]],
     listen: int,
     environ: dict[str, str] | None = None,
 ) -> Iterator[subprocess.Popen[bytes]]:
-    """A head of the program in a folder, as the platform starts it."""
+    """Run a head of the source tree `tree`, started as by the platform."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(config_data(node_list(1, *known), listen=listen)))
-        made = {
+        path.write_text(json.dumps(config_data(node_list(1, *node_entries), listen=listen)))
+        environment = {
             "PATH": os.environ["PATH"],
             "NODE_CONFIG": str(path),
             "TMPDIR": folder,
@@ -102,7 +102,7 @@
         process = subprocess.Popen(
             [python, "-O", "-B", "-m", "stoatrouter"],
             cwd=tree,
-            env=made,
+            env=environment,
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
         )
@@ -113,10 +113,10 @@
             process.wait()
 
 
-async def ready(port: int, limit: float = 30) -> None:
-    """Wait until a head says that it serves."""
-    until = time.monotonic() + limit
-    while time.monotonic() < until:
+async def wait_ready(port: int, timeout: float = 30) -> None:
+    """Wait until a head reports that it is healthy."""
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
@@ -125,10 +125,10 @@
             if b" 200 " in line:
                 return
         await asyncio.sleep(0.002)
-    raise TimeoutError("the head does not come up")
+    raise TimeoutError(f"the head was not ready within {timeout:g} s")
 
 
 def interpreter(tree: Path) -> str:
-    """The Python of a folder's own build, or this one."""
-    own = tree / ".venv" / "bin" / "python"
-    return str(own) if own.exists() else sys.executable
+    """Return the Python of the build in a source tree, or the current one."""
+    own_python = tree / ".venv" / "bin" / "python"
+    return str(own_python) if own_python.exists() else sys.executable
--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -1,5 +1,6 @@
-"""Prepaid credit measured: the decision's cost, CPU a request with it on and off, and what is overspent or
-refused against three baselines under the same faults.
+"""Cost of prepaid credit: time of a decision, CPU per request with credit on and off, time of agreement.
+
+Overspending and refusals are compared with three baselines under the same faults.
 
     python -m benchmarks.heads_credit [--seeds 40] [--requests 3000]
 """
@@ -26,26 +27,27 @@
 from stoatrouter.peering.spent_journal import SpentJournal
 
 SECOND = timedelta(seconds=1)
-ANSWER_BY = timedelta(milliseconds=400)
+ANSWER_TIMEOUT = timedelta(milliseconds=400)
 
 
-def decision(customers: int, rounds: int = 200_000) -> str:
-    """One take and one end, with the spent figure written to the mapped file."""
+def measure_decision(customers: int, rounds: int = 200_000) -> str:
+    """Measure one reservation and its settlement, including the write to the mapped spent journal."""
     with tempfile.TemporaryDirectory() as folder:
-        holder, times = HeadEscrow(5 * SECOND, SpentJournal(Path(folder) / "book")), []
+        escrow = HeadEscrow(5 * SECOND, SpentJournal(Path(folder) / "book"))
+        times = []
         for i in range(customers):
-            holder.request_allotment(f"c{i}", 1, SECOND)
-        for turn in holder.due_reports(SECOND, customers):
-            holder.apply_grant(
-                turn, Grant(turn.customer, f"{turn.customer}.0", 10**12, 10**12, 0), SECOND, SECOND
+            escrow.request_allotment(f"c{i}", 1, SECOND)
+        for report in escrow.due_reports(SECOND, customers):
+            escrow.apply_grant(
+                report, Grant(report.customer, f"{report.customer}.0", 10**12, 10**12, 0), SECOND, SECOND
             )
         for i in range(rounds):
             customer, now = f"c{i % customers}", SECOND + timedelta(microseconds=i)
-            began = time.perf_counter_ns()
-            turned = holder.reserve("r", customer, 2000, 2, now)
-            holder.settle("r", True)
-            times.append(time.perf_counter_ns() - began)
-            assert turned is None
+            started_at = time.perf_counter_ns()
+            rejection = escrow.reserve("r", customer, 2000, 2, now)
+            escrow.settle("r", True)
+            times.append(time.perf_counter_ns() - started_at)
+            assert rejection is None
         times.sort()
         return (
             f"{customers} customers: p50 {times[len(times) // 2] / 1000:.2f} us, p99 "
@@ -55,7 +57,7 @@
 
 # -- baselines, over the same world, load and faults -----------------------------------------------------
 class EvenSplit(CreditFleet):
-    """Each head may spend its even part of what was paid in, and no more."""
+    """Each head may spend an equal part of the paid amount."""
 
     def __post_init__(self) -> None:
         super().__post_init__()
@@ -75,46 +77,46 @@
 
 
 class NoSharing(EvenSplit):
-    """Each head believes that it alone spends."""
+    """Each head may spend the whole paid amount."""
 
     def request(self, name: str, customer: str, charge: int, rank: int) -> None:
-        held = self.paid
-        self.paid = {c: amount * len(self.names) for c, amount in held.items()}
+        paid = self.paid
+        self.paid = {c: amount * len(self.names) for c, amount in paid.items()}
         try:
             super().request(name, customer, charge, rank)
         finally:
-            self.paid = held
+            self.paid = paid
 
 
-class AsksEachTime(CreditFleet):
-    """Each request waits for the account's word; one that does not come in time is refused, booked or not."""
+class CentralAccount(CreditFleet):
+    """Each request waits for an answer of the account; it is refused after a timeout, even if charged."""
 
     def request(self, name: str, customer: str, charge: int, rank: int) -> None:
         if not self.world.is_running(name):
             return
         answered: list[bool] = []
 
-        def arrive() -> None:
+        def handle_request() -> None:
             account = self.account.ledger.accounts[customer]
             ok = account.balance >= charge
             if ok:
                 account.charged += charge
-            self.world.send(ACCOUNT, name, lambda: back(ok))
+            self.world.send(ACCOUNT, name, lambda: receive_answer(ok))
 
-        def back(ok: bool) -> None:
+        def receive_answer(ok: bool) -> None:
             if not answered:
                 answered.append(ok)
-                self.done(customer, charge, ok)
+                self.record_answer(customer, charge, ok)
 
-        def late() -> None:
+        def expire() -> None:
             if not answered:
                 answered.append(False)
                 self.rejected += 1
 
-        self.world.send(name, ACCOUNT, arrive)
-        self.world.schedule_on(name, ANSWER_BY, late)
+        self.world.send(name, ACCOUNT, handle_request)
+        self.world.schedule_on(name, ANSWER_TIMEOUT, expire)
 
-    def done(self, customer: str, charge: int, ok: bool) -> None:
+    def record_answer(self, customer: str, charge: int, ok: bool) -> None:
         if not ok:
             self.rejected += 1
             return
@@ -123,26 +125,26 @@
         self.check_not_overspent(customer)
 
 
-def compared(kind: type[CreditFleet], seed: int, uneven: bool) -> tuple[float, float, float]:
-    """Served of what was paid in, overspent of what was paid in, requests refused; under one seed's
-    faults."""
+def run_seed(fleet_class: type[CreditFleet], seed: int, uneven: bool) -> tuple[float, float, float]:
+    """Run one seed; return the served and the overspent share of the paid amount, and the refused share."""
     names = [*(f"h{i}" for i in range(5)), ACCOUNT]
     world = World(seed, names)
-    fleet = kind(world, returned=True)  # no overspending ends the run: it is what is measured
-    fleet.sent_fraction, fleet.uneven = 1.0, uneven
+    fleet = fleet_class(world, returned=True)  # overspending is measured here, so it does not end the run
+    fleet.sent_fraction = 1.0
+    fleet.uneven = uneven
     span = 20 * SECOND
     schedule_credit_run(fleet, seed, span, wipes=False)
     for account in fleet.account.ledger.accounts.values():
-        account.low_water = 0  # none of the baselines narrows
-        account.refund_expired = kind is not CreditFleet
+        account.low_water = 0  # the baselines do not reduce allotments, so no fleet here does
+        account.refund_expired = fleet_class is not CreditFleet
     world.run(span)
     paid, charged = sum(fleet.paid.values()), fleet.charged
-    over = sum(max(0, charged[c] - fleet.paid[c]) for c in charged)
-    asked = max(1, fleet.admitted + fleet.rejected)
-    return (sum(charged.values()) - over) / paid, over / paid, fleet.rejected / asked
+    overspent = sum(max(0, charged[c] - fleet.paid[c]) for c in charged)
+    total = max(1, fleet.admitted + fleet.rejected)
+    return (sum(charged.values()) - overspent) / paid, overspent / paid, fleet.rejected / total
 
 
-def against_baselines(seeds: int, uneven: bool) -> None:
+def compare_baselines(seeds: int, uneven: bool) -> None:
     print(
         "\ncustomers come through one head above all, which changes"
         if uneven
@@ -151,18 +153,18 @@
     print(
         "\n| way | served of what was paid in | overspent, worst seed | refused |\n| --- | --- | --- | --- |"
     )
-    for kind, title in (
+    for fleet_class, title in (
         (CreditFleet, "allotments, as shipped"),
         (EvenSplit, "even split"),
-        (AsksEachTime, "a call for each request"),
+        (CentralAccount, "a call for each request"),
         (NoSharing, "no sharing"),
     ):
         rows = []
         for seed in range(seeds):
             try:
-                rows.append(compared(kind, seed, uneven))
-            except InvariantViolated as broken:
-                print(f"seed {seed}: {broken}")
+                rows.append(run_seed(fleet_class, seed, uneven))
+            except InvariantViolated as violation:
+                print(f"seed {seed}: {violation}")
         print(
             f"| {title} | {statistics.mean(r[0] for r in rows):.1%} | {max(r[1] for r in rows):.1%} | "
             f"{statistics.mean(r[2] for r in rows):.1%} |",
@@ -171,9 +173,11 @@
 
 
 # -- CPU of a head ---------------------------------------------------------------------------------------
-async def cpu_a_request(more: str, requests: int, prepare: Callable | None = None) -> tuple[float, float]:
-    """Milliseconds of CPU for each request, and memory in MB, of one head of the real program."""
-    from benchmarks.heads import used
+async def measure_request_cpu(
+    more: str, requests: int, prepare: Callable | None = None
+) -> tuple[float, float]:
+    """Return the CPU milliseconds per request and the memory in MB of one head of the real program."""
+    from benchmarks.heads import process_usage
     from tests.heads.processes import heads_up
 
     with tempfile.TemporaryDirectory() as folder:
@@ -184,24 +188,24 @@
             for i in range(200):
                 await head.read(f"w{i}")
             assert head.process is not None
-            before = used(head.process.pid)
+            before = process_usage(head.process.pid)
             served = 0
             for i in range(requests):
                 served += (await head.read(f"r{i}"))[0] == 200
-            after = used(head.process.pid)
+            after = process_usage(head.process.pid)
             assert served == requests, f"{served} of {requests} served"
             return (after.cpu_s - before.cpu_s) / requests * 1000, after.rss_mb
 
 
-async def on_and_off(requests: int) -> None:
+async def measure_credit_cpu(requests: int) -> None:
     from tests.heads.credit_clients import CREDIT, VOLUME, customer
 
     async def prepare(head: object) -> None:
         await customer(head, "acme", VOLUME, paid=10**12)
 
     for _ in range(3):
-        off = await cpu_a_request("", requests)
-        on = await cpu_a_request(CREDIT, requests, prepare)
+        off = await measure_request_cpu("", requests)
+        on = await measure_request_cpu(CREDIT, requests, prepare)
         print(
             f"CPU a request: off {off[0]:.3f} ms, on {on[0]:.3f} ms ({on[0] / off[0] - 1:+.1%}); "
             f"memory {off[1]:.1f} and {on[1]:.1f} MB",
@@ -209,9 +213,9 @@
         )
 
 
-async def agreement_time(commands: int) -> str:
-    """How long a top-up takes at the leader and at a head without a vote, and all heads' CPU for one."""
-    from benchmarks.heads import used
+async def measure_agreement(commands: int) -> str:
+    """Measure the time of a top-up at the leader and at a follower, and the CPU of all heads for one."""
+    from benchmarks.heads import process_usage
     from tests.heads.credit_clients import CREDIT, VOLUME, customer, pay
     from tests.heads.processes import heads_up
 
@@ -220,14 +224,16 @@
             await customer(fleet["h0"], "acme", VOLUME)
             leader, lines = await fleet.leader(), []
             for head in (leader, fleet["h4"]):
-                before = sum(used(h.process.pid).cpu_s for h in fleet if h.process)
+                before = sum(process_usage(h.process.pid).cpu_s for h in fleet if h.process)
                 times = []
                 for i in range(commands):
-                    began = time.perf_counter()
+                    started_at = time.perf_counter()
                     assert (await pay(head, "acme", 1, f"{head.name}-{i}"))[0] == 200
-                    times.append((time.perf_counter() - began) * 1000)
+                    times.append((time.perf_counter() - started_at) * 1000)
                 times.sort()
-                cpu = (sum(used(h.process.pid).cpu_s for h in fleet if h.process) - before) / commands
+                cpu = (
+                    sum(process_usage(h.process.pid).cpu_s for h in fleet if h.process) - before
+                ) / commands
                 where = "the leader" if head is leader else "a follower"
                 lines.append(
                     f"at {where}: p50 {times[commands // 2]:.1f} ms, "
@@ -242,15 +248,15 @@
     parser.add_argument("--seeds", type=int, default=40)
     parser.add_argument("--requests", type=int, default=3000)
     parser.add_argument("--commands", type=int, default=300)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     for customers in (1, 1000):
-        print(decision(customers), flush=True)
+        print(measure_decision(customers), flush=True)
     for uneven in (False, True):
-        against_baselines(given.seeds, uneven)
-    if given.commands:
-        print(asyncio.run(agreement_time(given.commands)), flush=True)
-    if given.requests:
-        asyncio.run(on_and_off(given.requests))
+        compare_baselines(arguments.seeds, uneven)
+    if arguments.commands:
+        print(asyncio.run(measure_agreement(arguments.commands)), flush=True)
+    if arguments.requests:
+        asyncio.run(measure_credit_cpu(arguments.requests))
 
 
 if __name__ == "__main__":
--- a/benchmarks/heads_history.py
+++ b/benchmarks/heads_history.py
@@ -1,9 +1,9 @@
-"""Ten minutes of random faults on heads of the real program, and the verdict on what clients and heads wrote.
+"""Ten minutes of random faults on heads of the real program, and a check of the recorded history.
 
 python -m benchmarks.heads_history --seconds 600 --heads 5 --seed 1 [--ledger] [--keep FOLDER]
 
-With --ledger customers are made and a volume moves during the faults, and heads start cut off or lose their
-folders; the detector is not judged then.
+With --ledger, customers are created and a volume moves during the faults, and heads start cut off or lose
+their folders; the detector is not checked then.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from stoatrouter.lab.histories.judge import describe, judge
 
 
-async def play(folder: Path, heads: int, seed: int, seconds: float, ledger: bool) -> int:
+async def run_history(folder: Path, heads: int, seed: int, seconds: float, ledger: bool) -> int:
     from tests.heads.chaos import MORE, Chaos
     from tests.heads.ledger_chaos import LEDGER_MORE, LedgerChaos
     from tests.heads.processes import heads_up
@@ -28,7 +28,7 @@
     async with heads_up(folder, count=heads, seed=seed, more=more, http=rules("own")) as fleet:
         chaos = kind(fleet, seed, folder / "history.jsonl")
         history = await chaos.run(seconds, detect=not ledger)
-    wrong = judge(history)
+    violations = judge(history)
     statuses = Counter(request.status for request in history.of(Request))
     print(
         f"seed {seed}, {heads} heads, {seconds:.0f} s, {len(chaos.faults)} faults: "
@@ -41,8 +41,8 @@
     for line in history.lines:
         if line["what"] in ("settled", "equal"):
             print({key: value for key, value in line.items() if key not in ("what", "at")})
-    print(describe(wrong))
-    return 1 if wrong else 0
+    print(describe(violations))
+    return 1 if violations else 0
 
 
 def main() -> int:
@@ -52,12 +52,16 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--ledger", action="store_true")
     parser.add_argument("--keep", type=Path)
-    given = parser.parse_args()
-    if given.keep is not None:
-        given.keep.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(play(given.keep, given.heads, given.seed, given.seconds, given.ledger))
+    arguments = parser.parse_args()
+    if arguments.keep is not None:
+        arguments.keep.mkdir(parents=True, exist_ok=True)
+        return asyncio.run(
+            run_history(arguments.keep, arguments.heads, arguments.seed, arguments.seconds, arguments.ledger)
+        )
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(play(Path(folder), given.heads, given.seed, given.seconds, given.ledger))
+        return asyncio.run(
+            run_history(Path(folder), arguments.heads, arguments.seed, arguments.seconds, arguments.ledger)
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/heads_rules.py
+++ b/benchmarks/heads_rules.py
@@ -1,8 +1,8 @@
-"""From an undo's acceptance to its being in force on every head, by the number of rules.
+"""Time from acceptance of an undo until it is in force on every head, by the number of rules.
 
     python -m benchmarks.heads_rules [--rules 10,100,1000,10000] [--times 12] [--heads 5]
 
-The baseline in the same run is what one head needs to load the same files by itself after SIGHUP.
+The baseline in the same run is the time that a single head takes to load the same files after SIGHUP.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
     return rules(mark).replace('\t\t{name: "reads"', lines + '\t\t{name: "reads"')
 
 
-async def last_in_force(fleet: Any, number: int, since: float) -> float:
-    """When the last head put a version in force, in seconds since, by the heads' logs."""
+async def wait_in_force(fleet: Any, number: int, since: float) -> float:
+    """Wait until a version is in force on all heads; return the seconds since a time, from their logs."""
 
     async def look() -> float | None:
         at = []
         for head in fleet:
-            found = [time_of(head, e) for e in head.events("rules.version") if e["number"] == number]
-            if not found:
+            in_force_at = [event_time(head, e) for e in head.events("rules.version") if e["number"] == number]
+            if not in_force_at:
                 return None
-            at.append(found[0])
+            at.append(in_force_at[0])
         return max(at)
 
     return await fleet.until(look, f"version {number} on all heads", timeout=200) - since
 
 
-def time_of(head: Any, event: dict[str, Any]) -> float:
+def event_time(head: Any, event: dict[str, Any]) -> float:
     import json
 
     for line in head.logs.read_text().splitlines():
@@ -49,37 +49,39 @@
         extra = record["extra"]
         if extra.get("event") == event["event"] and extra.get("number") == event["number"]:
             return record["time"]["timestamp"]
-    raise AssertionError("the event has no line")
+    raise AssertionError("the log has no line for the event")
 
 
-async def play(count: int, times: int, heads: int) -> str:
+async def measure_undos(count: int, times: int, heads: int) -> str:
     from tests.heads.processes import heads_up
     from tests.heads.rules_clients import edit, undo
 
     more = 'rules: {check_within: "120s", largest: 16Mi}\n'
     with tempfile.TemporaryDirectory() as folder:
         async with heads_up(Path(folder), count=heads, more=more, http=rules_text(1, "own")) as fleet:
-            head, spans = fleet["h0"], []
+            head, delays = fleet["h0"], []
             newest = 0
             for n in range(2):
-                status, told = await edit(head, f"e{n}", newest, rules_text(count, f"v{n}"))
-                assert status == 202, told
-                newest = told["number"]
-                await last_in_force(fleet, newest, 0)
+                status, answer = await edit(head, f"e{n}", newest, rules_text(count, f"v{n}"))
+                assert status == 202, answer
+                newest = answer["number"]
+                await wait_in_force(fleet, newest, 0)
             for n in range(times):
-                status, told = await undo(head, f"u{n}", newest)
+                status, answer = await undo(head, f"u{n}", newest)
                 accepted = time.time()
-                assert status == 202, told
-                newest = told["number"]
-                spans.append(await last_in_force(fleet, newest, accepted))
-        spans.sort()
-        alone = await alone_after_hangup(Path(folder) / "alone", count)
-        slowest = spans[min(len(spans) - 1, len(spans) * 99 // 100)]
-        return f"| {count} | {statistics.median(spans):.2f} | {slowest:.2f} | {times} | {alone:.2f} |"
+                assert status == 202, answer
+                newest = answer["number"]
+                delays.append(await wait_in_force(fleet, newest, accepted))
+        delays.sort()
+        single_head_s = await measure_single_head(Path(folder) / "alone", count)
+        slowest = delays[min(len(delays) - 1, len(delays) * 99 // 100)]
+        return (
+            f"| {count} | {statistics.median(delays):.2f} | {slowest:.2f} | {times} | {single_head_s:.2f} |"
+        )
 
 
-async def alone_after_hangup(folder: Path, count: int) -> float:
-    """Seconds from SIGHUP until one head without others decides by new files of this size."""
+async def measure_single_head(folder: Path, count: int) -> float:
+    """Return the seconds from SIGHUP until a single head has new files of this size in force."""
     import signal
 
     from tests.heads.processes import heads_up
@@ -89,11 +91,11 @@
     async with heads_up(folder, count=1, voters=1, http=rules_text(count, "one")) as fleet:
         head = fleet["h0"]
         (head.folder / "rules.cue").write_text(rules_text(count, "two"))
-        began = time.monotonic()
+        started_at = time.monotonic()
         head.signal(signal.SIGHUP)
         while await mark(head) != "two":
             await asyncio.sleep(0.01)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
 
 def main() -> None:
@@ -101,16 +103,20 @@
     parser.add_argument("--rules", default="10,100,1000,10000")
     parser.add_argument("--times", type=int, default=12)
     parser.add_argument("--heads", type=int, default=5)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     print(
-        f"{given.heads} heads\n\n| rules | p50, s | slowest, s | undos | one head by itself, s |\n"
+        f"{arguments.heads} heads\n\n| rules | p50, s | slowest, s | undos | one head by itself, s |\n"
         "| --- | --- | --- | --- | --- |",
         flush=True,
     )
-    for count in [int(c) for c in given.rules.split(",")]:
+    for count in [int(c) for c in arguments.rules.split(",")]:
         print(
             asyncio.run(
-                play(count, given.times if count < 10_000 else max(3, given.times // 4), given.heads)
+                measure_undos(
+                    count,
+                    arguments.times if count < 10_000 else max(3, arguments.times // 4),
+                    arguments.heads,
+                )
             ),
             flush=True,
         )
--- a/benchmarks/readability.py
+++ b/benchmarks/readability.py
@@ -1,19 +1,18 @@
-"""Count what makes the code hard to read, per package: identifiers with the project's old plain words.
+"""Count readability problems per package: vague words in identifiers, missing docs, long functions and files.
 
-The plain words are those that issue 33 lists (``told``, ``news``, ``held`` ...): an identifier such as
-``told_at`` or ``ToldList`` counts once for ``told``. Identifiers are taken from Python's tokenizer, so
-strings and comments do not count. Public items without a doc comment are counted by ruff's D1 rules,
-which this command runs with every D1 rule selected and no per-file exemption; the column "D, Google"
-counts all of pydocstyle's rules under the Google convention, as CI will hold finished packages to.
-"over 30" counts functions of more than 30 lines, "over 400" files of more than 400 lines.
+The vague ("plain") words are those listed in issue 33 (``told``, ``news``, ``held`` ...): an identifier such
+as ``told_at`` or ``ToldList`` counts once for ``told``. Identifiers come from Python's tokenizer, so strings
+and comments do not count. Public items without a doc comment are counted by ruff with all D1 rules and no
+per-file exemptions. The column "D, Google" counts all pydocstyle rules under the Google convention, as CI
+checks finished packages. "over 30" counts functions of more than 30 lines, "over 400" files of more than 400
+lines.
 
 Run from the repository's root::
 
     python -m benchmarks.readability            # a table, one row per package
     python -m benchmarks.readability --json     # the same as JSON, for docs/measurements/
 
-Needs ruff (``.ci-venv/bin/ruff`` after ``make lint``) for the doc comment figures; without it they
-are left out.
+The doc comment figures need ruff (``.ci-venv/bin/ruff`` after ``make lint``) and are left out without it.
 """
 
 from __future__ import annotations
@@ -46,7 +45,7 @@
     "in_touch",
     "keyed",
 )
-ROOTS = ("stoatrouter", "cypressworks")  # the second is the package of policy before it was moved
+ROOTS = ("stoatrouter", "cypressworks")  # the second held the policy package before it was moved
 MAX_LINES = 400
 MAX_FUNCTION_LINES = 30
 COLUMNS = ("plain_words", "no_doc_comment", "docstyle", "long_functions", "over_400")
@@ -90,12 +89,12 @@
 
 
 def empty_row() -> dict[str, int]:
-    """A package's row before anything was counted."""
+    """Return a row of zero counts for a package."""
     return {"plain_words": 0, "over_400": 0, "long_functions": 0, "files": 0}
 
 
 def package_of(path: Path) -> str:
-    """The package a file is counted under: its first two parts (``stoatrouter/core``), or its root."""
+    """Return the package of a file: the first two parts of its path (``stoatrouter/core``), or its root."""
     parts = path.parts
     if len(parts) > 2:
         return "/".join(parts[:2])
@@ -103,7 +102,7 @@
 
 
 def docstring_findings(root: Path, rules: str) -> Counter[str] | None:
-    """Count, per package, what ruff's pydocstyle ``rules`` find (Google convention); None without ruff."""
+    """Count findings of ruff's pydocstyle ``rules`` per package (Google convention); None without ruff."""
     ruff = root / ".ci-venv" / "bin" / "ruff"
     command = str(ruff) if ruff.exists() else shutil.which("ruff")
     if command is None:
@@ -126,7 +125,7 @@
 
 
 def measure(root: Path) -> dict[str, dict[str, int]]:
-    """Per package: plain words in identifiers, files over the line limit, and public items without docs."""
+    """Count plain words, long functions and files, and missing doc comments for each package."""
     table: dict[str, dict[str, int]] = {}
     for top in ROOTS:
         for path in sorted((root / top).rglob("*.py")):
@@ -145,7 +144,7 @@
 
 
 def words_by_name(root: Path) -> Counter[str]:
-    """The plain words over both roots, word by word, as the issue lists them."""
+    """Count each plain word over both roots."""
     total: Counter[str] = Counter()
     for top in ROOTS:
         for path in (root / top).rglob("*.py"):
@@ -154,7 +153,7 @@
 
 
 def table_line(cells: tuple[str | int, ...], widths: tuple[int, ...]) -> str:
-    """One line of the table: the package to the left of its column, figures to the right of theirs."""
+    """Format one line of the table, with the package aligned left and figures aligned right."""
     first, *figures = (str(cell) for cell in cells)
     aligned = (figure.rjust(width) for figure, width in zip(figures, widths[1:], strict=True))
     return " ".join((first.ljust(widths[0]), *aligned))
