--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -45,7 +45,7 @@
 
 SETTLE_S = 4.0  # between the start of heads and a measurement
 RESTART_RATE = 1.0  # restarts of heads a second, in the second span of the detector study
-START_NEWS_PROBES = 1500  # enough for a head to pass on the start of 740 heads by gossip
+START_UPDATE_PROBES = 1500  # enough for a head to pass on the start of 740 heads by gossip
 FEW_NODES = 12
 DESIGN_HEADS = 740
 DESIGN_NODES = 1700
@@ -178,7 +178,7 @@
     for peer_fleet, head in zip(peer_fleets, heads[1:], strict=True):
         peer_fleet.head = head.peer_address
     await asyncio.gather(*(peer_fleet.introduce() for peer_fleet in peer_fleets))
-    await asyncio.gather(*(peer_fleet.drain_news(START_NEWS_PROBES) for peer_fleet in peer_fleets))
+    await asyncio.gather(*(peer_fleet.drain_updates(START_UPDATE_PROBES) for peer_fleet in peer_fleets))
     peer_tasks = [asyncio.create_task(peer_fleet.probe_periodically()) for peer_fleet in peer_fleets]
     await asyncio.sleep(SETTLE_S)
     await measure_detector_span(run, "at rest", heads, peer_fleets, arguments)
--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -269,15 +269,15 @@
 
     async def totals(self) -> Totals:
         """Return the totals of all processes together."""
-        whole = Totals()
+        combined = Totals()
         for totals in await asyncio.gather(*(each.totals() for each in self.processes)):
             for name in SUMMED_TOTALS:
-                setattr(whole, name, getattr(whole, name) + getattr(totals, name))
-            whole.longest_gap_s = max(whole.longest_gap_s, totals.longest_gap_s)
-            whole.behind_s = max(whole.behind_s, totals.behind_s)
-            whole.leaders |= totals.leaders
-            whole.commits += totals.commits
-        return whole
+                setattr(combined, name, getattr(combined, name) + getattr(totals, name))
+            combined.longest_gap_s = max(combined.longest_gap_s, totals.longest_gap_s)
+            combined.behind_s = max(combined.behind_s, totals.behind_s)
+            combined.leaders |= totals.leaders
+            combined.commits += totals.commits
+        return combined
 
 
 SUMMED_TOTALS = (
--- a/benchmarks/capacity/request.py
+++ b/benchmarks/capacity/request.py
@@ -108,7 +108,7 @@
         return float(times[min(len(times) - 1, int(part * len(times)))]) if times else 0.0
 
 
-def parts(whole: int, count: int) -> list[int]:
+def split_evenly(whole: int, count: int) -> list[int]:
     """Split a number into nearly equal parts."""
     return [whole // count + (i < whole % count) for i in range(count)]
 
@@ -123,7 +123,7 @@
     )
     node_specifications = [
         {"count": count, "seed": i, "fastest_ms": FASTEST_MS, "slowest_ms": SLOWEST_MS}
-        for i, count in enumerate(parts(setting.nodes, NODE_PROCESSES))
+        for i, count in enumerate(split_evenly(setting.nodes, NODE_PROCESSES))
     ]
     with children("benchmarks.capacity.node_servers", node_specifications) as nodes:
         ports = [port for node in nodes for port in node.receive()["ports"]]
@@ -137,7 +137,7 @@
 
 def client_specifications(setting: Setting, port: int) -> list[Message]:
     """Return the specification of each client process."""
-    shares = [share for share in parts(setting.connections, CLIENT_PROCESSES) if share]
+    shares = [share for share in split_evenly(setting.connections, CLIENT_PROCESSES) if share]
     return [
         {
             "port": port,
--- a/benchmarks/capacity/simulated_peers.py
+++ b/benchmarks/capacity/simulated_peers.py
@@ -37,7 +37,7 @@
     number: int = 0
     sockets: list[PeerSocket] = field(default_factory=list)
     incarnations: list[int] = field(default_factory=list)
-    news: list[MemberUpdate] = field(default_factory=list)  # updates still to be sent
+    updates: list[MemberUpdate] = field(default_factory=list)  # still to be sent
     head: tuple[str, int] | None = None  # address from which the head last sent a datagram
 
     def __post_init__(self) -> None:
@@ -64,7 +64,7 @@
                 self.probe(index)
                 await asyncio.sleep(1 / INTRODUCTION_RATE)
 
-    async def drain_news(self, rounds: int) -> None:
+    async def drain_updates(self, rounds: int) -> None:
         """Keep probing at a high rate so that the head passes on the updates of the start."""
         for _ in range(rounds):
             self.probe(self.rng.randrange(self.count))
@@ -82,7 +82,7 @@
             await asyncio.sleep(1 / self.restart_rate)
             index = self.rng.randrange(self.count)
             self.incarnations[index] += 1
-            self.news.append(MemberUpdate(self.name(index), self.incarnations[index], Status.ALIVE))
+            self.updates.append(MemberUpdate(self.name(index), self.incarnations[index], Status.ALIVE))
 
     def probe(self, index: int) -> None:
         self.number += 1
@@ -90,8 +90,8 @@
 
     def send(self, index: int, kind: Kind, number: int, about: str = "") -> None:
         assert self.head is not None
-        news, self.news = tuple(self.news[:8]), self.news[8:]
-        message = Datagram(kind, number, self.name(index), self.incarnations[index], about, news)
+        updates, self.updates = tuple(self.updates[:8]), self.updates[8:]
+        message = Datagram(kind, number, self.name(index), self.incarnations[index], about, updates)
         data = encode(message, self.secret, self.fleet)
         self.sent += 1
         self.sent_bytes += len(data)
--- a/benchmarks/heads_rules.py
+++ b/benchmarks/heads_rules.py
@@ -29,7 +29,7 @@
 async def wait_in_force(fleet: Any, number: int, since: float) -> float:
     """Wait until a version is in force on all heads; return the seconds since a time, from their logs."""
 
-    async def look() -> float | None:
+    async def latest_in_force() -> float | None:
         at = []
         for head in fleet:
             in_force_at = [event_time(head, e) for e in head.events("rules.version") if e["number"] == number]
@@ -38,7 +38,7 @@
             at.append(in_force_at[0])
         return max(at)
 
-    return await fleet.until(look, f"version {number} on all heads", timeout=200) - since
+    return await fleet.until(latest_in_force, f"version {number} on all heads", timeout=200) - since
 
 
 def event_time(head: Any, event: dict[str, Any]) -> float:
