--- a/benchmarks/capacity/faults.py
+++ b/benchmarks/capacity/faults.py
@@ -78,7 +78,7 @@
         places, real = self.fleet.places, self.fleet.real
         sides = {name: place.region for name, place in places.items()}
         await self.fleet.hollow.partition(sides, ((first, second),))
-        for sender, receiver in real.relay.ways:
+        for sender, receiver in real.relay.links:
             if {places[sender].region, places[receiver].region} == {first, second}:
                 real.relay.cut(sender, receiver, both=False)
 
@@ -94,12 +94,12 @@
         del self.fleet.real.heads[name]
         lost: dict[str, int] = {}
         for customer in VOLUMES:
-            head = self.story.some()
+            head = self.story.random_head()
             assert head is not None
             status, told = await head.call("GET", f"/control/credit/customers/{customer}")
             if status == 200:
                 lost[customer] = sum(held["amount"] for held in told["out"].values() if held["head"] == name)
-        head = self.story.some()
+        head = self.story.random_head()
         assert head is not None
         await head.call("POST", f"/control/credit/heads/{name}/write-off")
         for customer, amount in lost.items():
--- a/benchmarks/capacity/head_processes.py
+++ b/benchmarks/capacity/head_processes.py
@@ -15,7 +15,7 @@
 
 from benchmarks.capacity import harness
 from stoatrouter.peering.envelope import read_secret
-from tests.heads.processes import HeadProcess, Processes, heads_up
+from tests.heads.processes import HeadProcess, ProcessFleet, running_heads
 from tests.peers import Node
 
 FLEET = "test"  # the name that tests/heads/processes.py gives
@@ -26,15 +26,15 @@
 class DirectWays:
     """Stands in for the tests' relay: heads reach each other without anything between them."""
 
-    def __init__(self, fleet: Processes) -> None:
+    def __init__(self, fleet: ProcessFleet) -> None:
         self.heads, self.relay = fleet.heads, fleet.relay
-        self.where: dict[str, tuple[str, int, int]] = {}
+        self.addresses: dict[str, tuple[str, int, int]] = {}
 
     def datagram_address(self, a: str, b: str) -> str:
-        return f"{self.heads[b].host}:{self.heads[b].datagrams}"
+        return f"{self.heads[b].host}:{self.heads[b].datagram_port}"
 
     def stream_address(self, a: str, b: str) -> str:
-        return f"{self.heads[b].host}:{self.heads[b].streams}"
+        return f"{self.heads[b].host}:{self.heads[b].stream_port}"
 
     async def close(self) -> None:
         await self.relay.close()
@@ -48,29 +48,29 @@
     http: str = "",
     nodes: tuple[Node, ...] = (),
     discovery: int | None = None,
-) -> AsyncIterator[Processes]:
+) -> AsyncIterator[ProcessFleet]:
     """Heads of the real program that reach each other directly, in touch; all are ended at the end."""
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(
-            Path(folder), count, voters, more=more, http=http, nodes=nodes, start=False
+        async with running_heads(
+            Path(folder), count, voters, extra_settings=more, http=http, nodes=nodes, start=False
         ) as fleet:
             if discovery is not None:
                 fleet.discovery = discovery
             fleet.relay = DirectWays(fleet)  # type: ignore[assignment]
             await asyncio.gather(*(head.start(ready=False) for head in fleet))
             await asyncio.gather(*(head.until_ready() for head in fleet))
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             yield fleet
 
 
-def secret_of(fleet: Processes) -> bytes:
+def secret_of(fleet: ProcessFleet) -> bytes:
     """The key that the fleet's heads use."""
     return read_secret(next(iter(fleet)).folder / "secret")
 
 
-def voter_addresses(fleet: Processes) -> dict[str, str]:
+def voter_addresses(fleet: ProcessFleet) -> dict[str, str]:
     """Where voters are reached by streams."""
-    return {name: f"{fleet[name].host}:{fleet[name].streams}" for name in fleet.voters}
+    return {name: f"{fleet[name].host}:{fleet[name].stream_port}" for name in fleet.voters}
 
 
 @dataclass(slots=True)
@@ -102,7 +102,7 @@
 async def usage(head: HeadProcess) -> Usage:
     """Read what a head has used."""
     assert head.process is not None
-    bytes_out, bytes_in = address_bytes(head.host, head.streams)
+    bytes_out, bytes_in = address_bytes(head.host, head.stream_port)
     told: dict[str, Any] = await head.status()
     return usage_of(head.process.pid, told.get("counts", {}), writes_of(head), bytes_in, bytes_out)
 
@@ -152,7 +152,7 @@
 def open_streams(head: HeadProcess) -> int:
     """How many connections to a head's stream address are established."""
     said = subprocess.run(
-        ["ss", "-tnH", "state", "established", "src", f"{head.host}:{head.streams}"],
+        ["ss", "-tnH", "state", "established", "src", f"{head.host}:{head.stream_port}"],
         capture_output=True,
         text=True,
         check=True,
--- a/benchmarks/capacity/likeness.py
+++ b/benchmarks/capacity/likeness.py
@@ -85,7 +85,7 @@
         made = None
         if hollow:
             config_file, heads_file, http_file = real.write_hollow(folder / "hollow")
-            addresses = {head.name: f"{head.host}:{head.datagrams}" for head in real}
+            addresses = {head.name: f"{head.host}:{head.datagram_port}" for head in real}
             spec = FleetSpec(heads_file, config_file, http_file, names[count:], addresses, {}, watches)
             made = HollowFleet(folder / "hollow", spec, 1)
             real.hollow_addresses = made.hollow_addresses
@@ -95,7 +95,7 @@
             await made.start(made.names)
         await asyncio.gather(*(head.until_ready() for head in real))
         if heads_on:
-            await real.all_in_touch()
+            await real.until_all_connected()
         await asyncio.sleep(SETTLE)
         yield Fleet(real, made)
 
--- a/benchmarks/capacity/mixed.py
+++ b/benchmarks/capacity/mixed.py
@@ -204,7 +204,7 @@
             config_file,
             http_file,
             hollow_names,
-            {head.name: f"{head.host}:{head.datagrams}" for head in real},
+            {head.name: f"{head.host}:{head.datagram_port}" for head in real},
             {name: (place.region, place.zone, place.rack) for name, place in places.items()},
         )
         hollow = HollowFleet(folder / "hollow", spec, size.workers)
--- a/benchmarks/capacity/realheads.py
+++ b/benchmarks/capacity/realheads.py
@@ -15,7 +15,7 @@
 
 from benchmarks.capacity.harness import process_cpu, process_memory_mb
 from stoatrouter.lab.hollow.places import Place, one_way_seconds
-from tests.heads.processes import SECRET, HeadProcess, Processes
+from tests.heads.processes import SECRET, HeadProcess, ProcessFleet
 from tests.peers import config_data
 
 FLEET = "capacity"
@@ -31,7 +31,7 @@
     def write(self) -> None:
         """Write its configuration and settings, and the rules that it starts with."""
         super().write()
-        (self.folder / "rules.cue").write_text(self.fleet.http)
+        (self.folder / "rules.cue").write_text(self.fleet.http_rules)
 
     def configuration(self) -> dict[str, Any]:
         """Its configuration: hollow heads are among its peers."""
@@ -41,15 +41,15 @@
         return fleet.config_data() | {
             "name": self.name,
             "listen": f"{self.host}:{self.port}",
-            "management": f"{self.host}:{self.management}",
-            "peer_listen": f"{self.host}:{self.datagrams}",
+            "management": f"{self.host}:{self.management_port}",
+            "peer_listen": f"{self.host}:{self.datagram_port}",
             "peers": [*peers, *fleet.hollow_addresses.values()],
         }
 
     def heads_settings(self) -> str:
         """Its settings of the heads; only voters and spares have an address for streams."""
         relay = self.fleet.relay
-        own = f"{self.host}:{self.streams}"
+        own = f"{self.host}:{self.stream_port}"
         streams = {
             name: own if name == self.name else relay.stream_address(self.name, name)
             for name in self.fleet.streams
@@ -76,7 +76,7 @@
         return process_memory_mb(self.process.pid)
 
 
-class RealHeads(Processes):
+class RealHeads(ProcessFleet):
     """All real heads of a run: the first are voters, the next may come to vote, the others only follow."""
 
     def __init__(
@@ -107,7 +107,7 @@
         """The file of heads that know each other, with streams as one head reaches them."""
         return (
             f'fleet: "{FLEET}"\nsecret_file: "secret"\nfolder: "disk"\n'
-            f"streams: {json.dumps(streams)}\nvoters: {json.dumps(self.voters)}\n{self.more}"
+            f"streams: {json.dumps(streams)}\nvoters: {json.dumps(self.voters)}\n{self.extra_settings}"
         )
 
     async def open(self) -> None:
@@ -119,7 +119,7 @@
 
     def delay(self) -> None:
         """Delay what passes the relay as the places say; to be called again after `relay.heal`."""
-        for (sender, receiver), way in self.relay.ways.items():
+        for (sender, receiver), way in self.relay.links.items():
             # the relay draws a delay from nothing up to what it is given: twice the mean
             here, there = self.places.get(sender), self.places.get(receiver)
             way.delay = 0.0 if here is None or there is None else 2 * one_way_seconds(here, there)
@@ -134,12 +134,12 @@
         """The files of hollow heads: configuration, heads, HTTP front. Their streams need no relay."""
         folder.mkdir(parents=True, exist_ok=True)
         first = self.heads[self.names[0]]
-        streams = {name: f"{self[name].host}:{self[name].streams}" for name in self.streams}
+        streams = {name: f"{self[name].host}:{self[name].stream_port}" for name in self.streams}
         data = self.config_data() | {"listen": f"{first.host}:0"}
         files = folder / "config.json", folder / "heads.cue", folder / "http.cue"
         files[0].write_text(json.dumps(data))
         files[1].write_text(self.heads_file(streams))
         files[2].write_text('listen: "127.0.0.1:0"\nrules: "rules.cue"\n')
         (folder / "secret").write_text(SECRET)
-        (folder / "rules.cue").write_text(self.http)
+        (folder / "rules.cue").write_text(self.http_rules)
         return files
--- a/benchmarks/capacity/story.py
+++ b/benchmarks/capacity/story.py
@@ -79,7 +79,7 @@
 
     async def pay(self, head: HeadProcess, customer: str, amount: int) -> int:
         """One top-up; its status."""
-        id, at = self.name("t"), time.time()
+        id, at = self.new_id("t"), time.time()
         entry = {"id": id, "amount": amount, "by": "scenes", "why": "run"}
         status, _ = await head.call("POST", f"/control/credit/customers/{customer}/entries", entry)
         self.write("pay", at, until=time.time(), id=id, customer=customer, amount=amount, status=status)
@@ -89,7 +89,7 @@
         """Top-ups at any head."""
         ends = False
         while not ends:
-            if (head := self.some()) is not None:
+            if (head := self.random_head()) is not None:
                 await self.pay(head, self.draws.choice(["acme", "other"]), 5 * PRICE)
             ends = await set_within(self.ends, self.draws.expovariate(1 / PAY_EVERY))
 
@@ -97,7 +97,7 @@
         """Reads of the newest version at any head."""
         ends = False
         while not ends:
-            if (head := self.some()) is not None:
+            if (head := self.random_head()) is not None:
                 await self.read_newest(head)
             ends = await set_within(self.ends, self.draws.expovariate(1 / READ_EVERY))
 
@@ -114,13 +114,13 @@
         """End all who ask, let accounts settle and versions spread, and close the history."""
         healed = time.time()
         await self.capacity.hollow.spend((), 0.0, self.seed)
-        self.over = True
+        self.stopping = True
         self.ends.set()
         async with asyncio.timeout(CALLS_END_WITHIN):  # the history has to have the answer of each call
             await asyncio.gather(*self.tasks)
         async with asyncio.timeout(SETTLES_WITHIN):
             await self.settle(healed, healed)
-        self.out.close()
+        self.history_file.close()
 
     def judged(self) -> tuple[History, list[str]]:
         """The whole history and what of its promises is broken."""
--- a/benchmarks/capacity/times.py
+++ b/benchmarks/capacity/times.py
@@ -25,7 +25,7 @@
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.roster import GossipQueue, MemberUpdate, Status
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.peers import Node, listening
 
 SECOND = timedelta(seconds=1)
@@ -104,7 +104,7 @@
         add_times(run, "a node's successor told to a head", size, heard)
 
 
-async def succeed(fleet: Processes, service: ListService, before: Node, after: Node) -> list[float]:
+async def succeed(fleet: ProcessFleet, service: ListService, before: Node, after: Node) -> list[float]:
     """One succession; when each head was told, by its log. A request to each head must reach the new node."""
     counts = [len(head.events("discovery.told")) for head in fleet]
     changed = time.time()
@@ -116,7 +116,7 @@
     await fleet.until(all_told, "the successor told to all heads")
     for head in fleet:
         request = f"{after.name}-{head.name}"
-        status, _ = await head.read(request)
+        status, _ = await head.send_request(request)
         assert status == 200 and after.ran[request] == 1, f"{head.name} does not use {after.name}: {status}"
     return [told_at(head, n) - changed for head, n in zip(fleet, counts, strict=True)]
 
--- a/benchmarks/capacity/times_processes.py
+++ b/benchmarks/capacity/times_processes.py
@@ -24,7 +24,7 @@
 from benchmarks.capacity.voter_load import CREDIT_ON, RULES_ON, Sender, sender_to
 from benchmarks.heads_rules import text_of
 from stoatrouter.credit.records import BookEntry
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.heads.rules_clients import edit
 from tests.process_signals import send_signal
 
@@ -73,7 +73,7 @@
 
 
 async def replace_leader(
-    fleet: Processes, followers: Crowd, sender: Sender, how: str
+    fleet: ProcessFleet, followers: Crowd, sender: Sender, how: str
 ) -> tuple[float, list[float]]:
     """One round: the leader goes and comes back. Seconds to a command's answer, and to each follower."""
     old = await fleet.leader()
@@ -93,12 +93,12 @@
     assert old.process is not None
     await old.process.wait()
     await old.start()
-    await fleet.all_in_touch()
+    await fleet.until_all_connected()
     await asyncio.sleep(SETTLE_S)
     return took, heard
 
 
-async def acknowledged_again(fleet: Processes, sender: Sender, old: HeadProcess, began: float) -> float:
+async def acknowledged_again(fleet: ProcessFleet, sender: Sender, old: HeadProcess, began: float) -> float:
     """Try a command at each other voter until one answers that it was agreed on."""
     others = [name for name in fleet.voters if name != old.name]
     number = 0
@@ -137,7 +137,7 @@
         run.add(Measurement("bytes of the set as text", rules, size, "bytes"))
 
 
-async def one_edit(fleet: Processes, base: int, rules: int, mark: str) -> tuple[int, list[float], float]:
+async def one_edit(fleet: ProcessFleet, base: int, rules: int, mark: str) -> tuple[int, list[float], float]:
     """Its number, when each head had it in force since its acceptance, and how long all of it took."""
     began = time.monotonic()
     head = next(iter(fleet))
@@ -161,17 +161,17 @@
     return dict(zip(numbers, event_times(head, "rules.version"), strict=False))
 
 
-def bytes_of(fleet: Processes, heads: Iterable[HeadProcess]) -> int:
+def bytes_of(fleet: ProcessFleet, heads: Iterable[HeadProcess]) -> int:
     """Bytes that heads have sent to the voters' streams and received over them, both ways together."""
     count = 0
     for head in heads:
         assert head.process is not None
         for name in fleet.voters:
-            count += sum(process_bytes(head.process.pid, fleet[name].host, fleet[name].streams))
+            count += sum(process_bytes(head.process.pid, fleet[name].host, fleet[name].stream_port))
     return count
 
 
-async def bytes_at_rest(fleet: Processes, heads: list[HeadProcess]) -> float:
+async def bytes_at_rest(fleet: ProcessFleet, heads: list[HeadProcess]) -> float:
     """Bytes a second of one head at rest."""
     early, began = bytes_of(fleet, heads), time.monotonic()
     await asyncio.sleep(REST_S)
--- a/benchmarks/capacity/voter_load.py
+++ b/benchmarks/capacity/voter_load.py
@@ -32,7 +32,7 @@
 from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
 from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.streams import Streams
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.heads.rules_clients import edit
 
 CREDIT_ON = 'credit: prices: "score-read": 1000\n'
@@ -94,7 +94,7 @@
 
 
 @asynccontextmanager
-async def sender_to(fleet: Processes, leader: HeadProcess) -> AsyncIterator[Sender]:
+async def sender_to(fleet: ProcessFleet, leader: HeadProcess) -> AsyncIterator[Sender]:
     """A sender of commands that knows the fleet's secret."""
 
     async def take(envelope: Envelope) -> bytes | None:
@@ -118,7 +118,7 @@
     totals: Totals
 
 
-async def before_of(fleet: Processes, followers: Crowd) -> Before:
+async def before_of(fleet: ProcessFleet, followers: Crowd) -> Before:
     return Before({head.name: await usage(head) for head in fleet.up}, await followers.totals())
 
 
@@ -201,7 +201,7 @@
             write_edits(run, label, rules, leader.name, before, after, given.followers)
 
 
-async def put_in_force(fleet: Processes, leader: HeadProcess, base: int, rules: int, mark: str) -> int:
+async def put_in_force(fleet: ProcessFleet, leader: HeadProcess, base: int, rules: int, mark: str) -> int:
     """An edit, until each voter decides by it; its number."""
     status, told = await edit(leader, f"edit-{mark}", base, text_of(rules, mark))
     assert status == 202, told
--- a/benchmarks/capacity/voters.py
+++ b/benchmarks/capacity/voters.py
@@ -31,7 +31,7 @@
 )
 from benchmarks.heads_rules import text_of
 from stoatrouter.peering.streams import MAX_IN_FLIGHT
-from tests.heads.processes import Processes
+from tests.heads.processes import ProcessFleet
 
 SETTLE_S = 5.0  # for new followers to spread over the voters
 MB_OF_VOTER, MB_OF_FOLLOWER = 120, 0.4  # upper figures, for the check of the machine's memory
@@ -66,7 +66,7 @@
         return sum(a.counted(name, b) for b, a in zip(self.before, self.after, strict=True))
 
 
-async def watch(fleet: Processes, followers: Crowd, seconds: float) -> Window:
+async def watch(fleet: ProcessFleet, followers: Crowd, seconds: float) -> Window:
     """Look at the voters that are up for a while."""
     voters = [head for head in fleet.up if head.name in fleet.voters]
     term = await newest_term(fleet)
@@ -80,7 +80,7 @@
     return Window(seconds, before, after, totals_before, totals, terms, streams)
 
 
-async def newest_term(fleet: Processes) -> int:
+async def newest_term(fleet: ProcessFleet) -> int:
     told: list[dict[str, Any]] = [await head.status() for head in fleet.up]
     return max((each.get("term", 0) for each in told), default=0)
 
--- a/benchmarks/heads_credit.py
+++ b/benchmarks/heads_credit.py
@@ -174,34 +174,34 @@
 async def cpu_a_request(more: str, requests: int, prepare: Callable | None = None) -> tuple[float, float]:
     """Milliseconds of CPU for each request, and memory in MB, of one head of the real program."""
     from benchmarks.heads import used
-    from tests.heads.processes import heads_up
+    from tests.heads.processes import running_heads
 
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(Path(folder), count=1, voters=1, more=more) as fleet:
+        async with running_heads(Path(folder), count=1, voters=1, extra_settings=more) as fleet:
             head = fleet["h0"]
             if prepare is not None:
                 await prepare(head)
             for i in range(200):
-                await head.read(f"w{i}")
+                await head.send_request(f"w{i}")
             assert head.process is not None
             before = used(head.process.pid)
             served = 0
             for i in range(requests):
-                served += (await head.read(f"r{i}"))[0] == 200
+                served += (await head.send_request(f"r{i}"))[0] == 200
             after = used(head.process.pid)
             assert served == requests, f"{served} of {requests} served"
             return (after.cpu_s - before.cpu_s) / requests * 1000, after.rss_mb
 
 
 async def on_and_off(requests: int) -> None:
-    from tests.heads.credit_clients import CREDIT, VOLUME, customer
+    from tests.heads.credit_clients import CREDIT_SETTINGS, VOLUME, put_customer
 
     async def prepare(head: object) -> None:
-        await customer(head, "acme", VOLUME, paid=10**12)
+        await put_customer(head, "acme", VOLUME, paid=10**12)
 
     for _ in range(3):
         off = await cpu_a_request("", requests)
-        on = await cpu_a_request(CREDIT, requests, prepare)
+        on = await cpu_a_request(CREDIT_SETTINGS, requests, prepare)
         print(
             f"CPU a request: off {off[0]:.3f} ms, on {on[0]:.3f} ms ({on[0] / off[0] - 1:+.1%}); "
             f"memory {off[1]:.1f} and {on[1]:.1f} MB",
@@ -212,12 +212,12 @@
 async def agreement_time(commands: int) -> str:
     """How long a top-up takes at the leader and at a head without a vote, and all heads' CPU for one."""
     from benchmarks.heads import used
-    from tests.heads.credit_clients import CREDIT, VOLUME, customer, pay
-    from tests.heads.processes import heads_up
+    from tests.heads.credit_clients import CREDIT_SETTINGS, VOLUME, pay, put_customer
+    from tests.heads.processes import running_heads
 
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(Path(folder), more=CREDIT) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME)
+        async with running_heads(Path(folder), extra_settings=CREDIT_SETTINGS) as fleet:
+            await put_customer(fleet["h0"], "acme", VOLUME)
             leader, lines = await fleet.leader(), []
             for head in (leader, fleet["h4"]):
                 before = sum(used(h.process.pid).cpu_s for h in fleet if h.process)
--- a/benchmarks/heads_detector.py
+++ b/benchmarks/heads_detector.py
@@ -71,10 +71,10 @@
 
 async def processes(size: int) -> str:
     """Heads of the real program: one is killed."""
-    from tests.heads.processes import heads_up
+    from tests.heads.processes import running_heads
 
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(Path(folder), count=size, seed=size) as fleet:
+        async with running_heads(Path(folder), count=size, seed=size) as fleet:
             await asyncio.sleep(5)
             before = [await h.status() for h in fleet]
             cpu = [cpu_of(h.process.pid) for h in fleet if h.process]
--- a/benchmarks/heads_history.py
+++ b/benchmarks/heads_history.py
@@ -19,13 +19,13 @@
 
 
 async def play(folder: Path, heads: int, seed: int, seconds: float, ledger: bool) -> int:
-    from tests.heads.chaos import MORE, Chaos
-    from tests.heads.ledger_chaos import LEDGER_MORE, LedgerChaos
-    from tests.heads.processes import heads_up
+    from tests.heads.chaos import CHAOS_SETTINGS, Chaos
+    from tests.heads.ledger_chaos import LEDGER_CHAOS_SETTINGS, LedgerChaos
+    from tests.heads.processes import running_heads
     from tests.heads.rules_clients import rules
 
-    kind, more = (LedgerChaos, LEDGER_MORE) if ledger else (Chaos, MORE)
-    async with heads_up(folder, count=heads, seed=seed, more=more, http=rules("own")) as fleet:
+    kind, more = (LedgerChaos, LEDGER_CHAOS_SETTINGS) if ledger else (Chaos, CHAOS_SETTINGS)
+    async with running_heads(folder, count=heads, seed=seed, extra_settings=more, http=rules("own")) as fleet:
         chaos = kind(fleet, seed, folder / "history.jsonl")
         history = await chaos.run(seconds, detect=not ledger)
     wrong = judge(history)
--- a/benchmarks/heads_rules.py
+++ b/benchmarks/heads_rules.py
@@ -53,12 +53,14 @@
 
 
 async def play(count: int, times: int, heads: int) -> str:
-    from tests.heads.processes import heads_up
+    from tests.heads.processes import running_heads
     from tests.heads.rules_clients import edit, undo
 
     more = 'rules: {check_within: "120s", largest: 16Mi}\n'
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(Path(folder), count=heads, more=more, http=text_of(1, "own")) as fleet:
+        async with running_heads(
+            Path(folder), count=heads, extra_settings=more, http=text_of(1, "own")
+        ) as fleet:
             head, spans = fleet["h0"], []
             newest = 0
             for n in range(2):
@@ -82,16 +84,16 @@
     """Seconds from SIGHUP until one head without others decides by new files of this size."""
     import signal
 
-    from tests.heads.processes import heads_up
-    from tests.heads.rules_clients import mark
+    from tests.heads.processes import running_heads
+    from tests.heads.rules_clients import active_mark
 
     folder.mkdir()
-    async with heads_up(folder, count=1, voters=1, http=text_of(count, "one")) as fleet:
+    async with running_heads(folder, count=1, voters=1, http=text_of(count, "one")) as fleet:
         head = fleet["h0"]
         (head.folder / "rules.cue").write_text(text_of(count, "two"))
         began = time.monotonic()
         head.signal(signal.SIGHUP)
-        while await mark(head) != "two":
+        while await active_mark(head) != "two":
             await asyncio.sleep(0.01)
         return time.monotonic() - began
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -19,14 +19,14 @@
 
 from tests.soak.report import SeedReport, summary
 from tests.soak.seed import play_seed
-from tests.soak.story import CLIENTS
+from tests.soak.story import CLIENTS_PER_HEAD
 
 FINDINGS_SHOWN = 5
 FOUND, NOT_ALL_JUDGED = 1, 3  # exit statuses; 2 is that of a wrong argument
 
 
 def play_all(
-    folder: Path, first: int, seeds: int, seconds: float, clients: int = CLIENTS
+    folder: Path, first: int, seeds: int, seconds: float, clients: int = CLIENTS_PER_HEAD
 ) -> list[SeedReport]:
     """Play the seeds, and print each as it ends."""
     reports: list[SeedReport] = []
--- a/tests/heads/chaos.py
+++ b/tests/heads/chaos.py
@@ -9,10 +9,10 @@
 
 from stoatrouter.lab.histories.history import History, read_history
 from tests.heads.history_clients import PRICE, VOLUMES, HistoryClients
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.story_tasks import set_within
 
-MORE = (
+CHAOS_SETTINGS = (
     'credit: {prices: {"score-read": 1000, "event-write": 1000, "stats-export": 1000}, lease: "2s"}\n'
     'rules: {check_within: "2s", versions: 5000}\n'
 )
@@ -26,7 +26,7 @@
 
     faults_drawn = FAULTS
 
-    def __init__(self, fleet: Processes, seed: int, file: Path) -> None:
+    def __init__(self, fleet: ProcessFleet, seed: int, file: Path) -> None:
         super().__init__(fleet, seed, file)
         self.faults: list[str] = []  # for the report
         self.restarts: list[asyncio.Task[None]] = []  # the starts that are owed to heads that were killed
@@ -43,7 +43,7 @@
             fault = self.draws.choice(self.faults_drawn)
             duration = self.draws.uniform(0.2, 5.0)
             self.faults.append(f"{time.time():.2f} {fault}")
-            head = self.some()
+            head = self.random_head()
             if head is None:
                 fault = "heal"
             await self.inject(fault, head, duration)
@@ -98,7 +98,7 @@
     async def run(self, seconds: float, detect: bool) -> History:
         """Play for a time, let all settle, and return the history."""
         await self.put_customers()
-        await self.fleet.all_equal()
+        await self.fleet.until_all_applied()
         askers = [self.client() for _ in range(CLIENTS)]
         askers += [self.payer(), self.payer(), self.editor("ann"), self.editor("bob")]
         tasks = [asyncio.create_task(asker) for asker in askers]
@@ -106,15 +106,15 @@
         await asyncio.sleep(seconds)
         await self.end_faults()
         healed = time.time()
-        await self.fleet.all_in_touch()
+        await self.fleet.until_all_connected()
         in_touch = time.time()
         await asyncio.sleep(1.0)
-        self.over = True
+        self.stopping = True
         await asyncio.gather(*tasks)
         await self.settle(healed, in_touch)
         if detect:
             await self.detect()
-        self.out.close()
+        self.history_file.close()
         return read_history(self.file, {head.name: head.logs for head in self.fleet})
 
     async def put_customers(self) -> None:
--- a/tests/heads/credit_clients.py
+++ b/tests/heads/credit_clients.py
@@ -7,17 +7,19 @@
 
 from aiohttp import web
 
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.peers import Node
 
 LIMIT = 150.0
 PRICE = 1_000  # millionths for each unit of a score-read
 CHARGE = 2 * PRICE
-CREDIT = 'credit: {prices: {"score-read": 1000, "event-write": 1000, "stats-export": 1000}, lease: "2s"}\n'
+CREDIT_SETTINGS = (
+    'credit: {prices: {"score-read": 1000, "event-write": 1000, "stats-export": 1000}, lease: "2s"}\n'
+)
 VOLUME, OTHER = "00000003b4d60021", "00000003b4d60022"
 # On a crowded machine a round of the account takes longer than the 150 ms that a request waits by default,
 # and leaders come and go. Where a request must be served it waits for the state: a refusal is the program's.
-PATIENT = CREDIT.replace('lease: "2s"', 'lease: "2s", wait: "5s"') + (
+PATIENT = CREDIT_SETTINGS.replace('lease: "2s"', 'lease: "2s", wait: "5s"') + (
     'cut_off_after: "20s"\nagreement: election: "3s"\n'
 )
 # Milliseconds. A request waits for a quarter of its time at most, and its time is bounded by its class's
@@ -52,7 +54,7 @@
     advice: list[str] = field(default_factory=list)
 
     async def ask(self, head: HeadProcess, name: str, volume: str = VOLUME, **how) -> int:
-        status, headers = await head.read(name, volume, **how)
+        status, headers = await head.send_request(name, volume, **how)
         if status == 200:
             self.served += 1
         elif status == 503:
@@ -63,7 +65,7 @@
         return status
 
 
-async def customer(head: HeadProcess, name: str, *volumes: str, paid: int = 0, **more) -> None:
+async def put_customer(head: HeadProcess, name: str, *volumes: str, paid: int = 0, **more) -> None:
     call = {"volumes": list(volumes), "by": "test", "why": "story"} | more
     status, told = await head.call("PUT", f"/control/credit/customers/{name}", call)
     assert status == 200, told
@@ -79,7 +81,7 @@
     )
 
 
-async def account(fleet: Processes, name: str) -> dict:
+async def account(fleet: ProcessFleet, name: str) -> dict:
     """The account, once some head can confirm it."""
 
     async def look():
@@ -92,7 +94,7 @@
     return await fleet.until(look, f"the account of {name}")
 
 
-async def settled(fleet: Processes, name: str) -> dict:
+async def settled(fleet: ProcessFleet, name: str) -> dict:
     """The account once nothing of it is out."""
 
     async def look():
--- a/tests/heads/history_clients.py
+++ b/tests/heads/history_clients.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.heads.rules_clients import edit, rules, undo
 
 PRICE = 1_000
@@ -33,26 +33,26 @@
 class HistoryClients:
     """All who ask in one run, drawn from a seed, and the file that they write down."""
 
-    def __init__(self, fleet: Processes, seed: int, file: Path) -> None:
+    def __init__(self, fleet: ProcessFleet, seed: int, file: Path) -> None:
         self.fleet, self.seed, self.file = fleet, seed, file
         self.draws = random.Random(f"chaos/{seed}")
-        self.out = file.open("w")
+        self.history_file = file.open("w")
         self.count = 0  # of names
-        self.over = False
+        self.stopping = False
         self.newest = 0  # version of the rules, as somebody read it last
         self.unresolved: list[UnresolvedChange] = []
         self.lost: dict[str, int] = {}  # what lost folders may have held, by customer
 
     def write(self, what: str, at: float, **more: Any) -> None:
         """Write a line of the history."""
-        self.out.write(json.dumps({"what": what, "at": at, **more}) + "\n")
+        self.history_file.write(json.dumps({"what": what, "at": at, **more}) + "\n")
 
-    def some(self) -> HeadProcess | None:
+    def random_head(self) -> HeadProcess | None:
         """Draw a head that runs; None where none does."""
         up = self.fleet.up
         return self.draws.choice(up) if up else None
 
-    def name(self, what: str) -> str:
+    def new_id(self, what: str) -> str:
         """A new id."""
         self.count += 1
         return f"{what}-{self.seed}-{self.count}"
@@ -60,8 +60,8 @@
     # -- customers ----------------------------------------------------------------------------------------
     async def client(self) -> None:
         """Make requests of customers, one after the other."""
-        while not self.over:
-            head = self.some()
+        while not self.stopping:
+            head = self.random_head()
             if head is None:
                 await asyncio.sleep(RETRY_INTERVAL)
                 continue
@@ -72,8 +72,8 @@
         """Make one request."""
         customer = self.draws.choice(["acme", "acme", "other"])
         units = self.draws.randint(1, 4)
-        id, at = self.name("r"), time.time()
-        status, _ = await head.read(id, VOLUMES[customer], units=units, deadline=1500)
+        id, at = self.new_id("r"), time.time()
+        status, _ = await head.send_request(id, VOLUMES[customer], units=units, deadline=1500)
         self.write(
             "request",
             at,
@@ -87,12 +87,12 @@
 
     async def payer(self) -> None:
         """Top customers up, each time until it is acknowledged."""
-        while not self.over:
+        while not self.stopping:
             customer = self.draws.choice(["acme", "other"])
-            id, amount = self.name("t"), self.draws.choice([5, 20, 60]) * PRICE
+            id, amount = self.new_id("t"), self.draws.choice([5, 20, 60]) * PRICE
             status = -1
-            while status not in (OK, CONFLICT) and not self.over:
-                head = self.some()
+            while status not in (OK, CONFLICT) and not self.stopping:
+                head = self.random_head()
                 if head is None:
                     await asyncio.sleep(RETRY_INTERVAL)
                     continue
@@ -110,8 +110,8 @@
     # -- editors of the rules -----------------------------------------------------------------------------
     async def editor(self, who: str) -> None:
         """Edit, undo and read the rules."""
-        while not self.over:
-            head = self.some()
+        while not self.stopping:
+            head = self.random_head()
             if head is None:
                 await asyncio.sleep(RETRY_INTERVAL)
                 continue
@@ -133,7 +133,7 @@
 
     async def change(self, head: HeadProcess, kind: str, who: str) -> None:
         """Edit or undo, until it is known whether it took effect. Its moment lies anywhere in between."""
-        id, base, at = self.name(who), self.newest, time.time()
+        id, base, at = self.new_id(who), self.newest, time.time()
         if kind == "undo" and base < 2:
             return
         call = edit(head, id, base, rules(id), who) if kind == "edit" else undo(head, id, base)
@@ -152,8 +152,8 @@
 
     async def outcome_of(self, id: str) -> dict[str, Any] | None:
         """Wait until a change is over; None where it is known to nobody yet, or the run ends before."""
-        while not self.over:
-            head = self.some()
+        while not self.stopping:
+            head = self.random_head()
             status, answer = await head.call("GET", f"/control/rules/edits/{id}") if head else (0, None)
             if status == OK and answer["state"] != "accepted":
                 return answer
--- a/tests/heads/ledger_chaos.py
+++ b/tests/heads/ledger_chaos.py
@@ -11,13 +11,13 @@
 from collections import Counter
 from typing import Any
 
-from tests.heads.chaos import FAULTS, MORE, Chaos
+from tests.heads.chaos import CHAOS_SETTINGS, FAULTS, Chaos
 from tests.heads.history_clients import OK, PRICE, VOLUMES
 from tests.heads.processes import HeadProcess
 
 CUT_OFF_AFTER = 1.5  # seconds
-LEASE = 2.0  # of MORE; a charge may be booked on an allotment of who had the volume before
-LEDGER_MORE = MORE + f'cut_off_after: "{CUT_OFF_AFTER}s"\nwait_at_start: "1s"\n'
+LEASE = 2.0  # of CHAOS_SETTINGS; a charge may be booked on an allotment of who had the volume before
+LEDGER_CHAOS_SETTINGS = CHAOS_SETTINGS + f'cut_off_after: "{CUT_OFF_AFTER}s"\nwait_at_start: "1s"\n'
 LONGEST_BEHIND = max(CUT_OFF_AFTER, LEASE) * 1.05 + 0.1  # clocks that drift, and what a loop may lag
 MOVING = "00000003b4d60030"
 MADE = [f"00000003b4d600{number}" for number in range(40, 52)]  # nobody's until a customer is made
@@ -50,9 +50,9 @@
     # -- customers ----------------------------------------------------------------------------------------
     async def change_owners(self) -> None:
         """Make customers of free volumes, let them pay, lose volumes and be deleted, and move a volume."""
-        while not self.over:
+        while not self.stopping:
             await asyncio.sleep(self.draws.uniform(*CHANGE_INTERVAL))
-            head = self.some()
+            head = self.random_head()
             if head is None:
                 continue
             draw = self.draws.random()
@@ -73,7 +73,7 @@
     async def pay_in(self, head: HeadProcess, customer: str) -> None:
         """Top a customer up, once: it may be deleted meanwhile."""
         amount = self.draws.choice(PAYMENTS) * PRICE
-        await self.top_up(head, customer, self.name("t"), amount)
+        await self.top_up(head, customer, self.new_id("t"), amount)
 
     async def take_volume(self, head: HeadProcess) -> None:
         """Give a volume of a customer that was made to a new one, which has paid nothing."""
@@ -99,8 +99,8 @@
         """Make one request of a volume that is somebody's, that moves, or that may get a customer."""
         volume = self.draws.choice([*VOLUMES.values(), MOVING, MOVING, *MADE[: self.made + 2]])
         units = self.draws.randint(1, 4)
-        id, at = self.name("r"), time.time()
-        status, _ = await head.read(id, volume, units=units, deadline=1500)
+        id, at = self.new_id("r"), time.time()
+        status, _ = await head.send_request(id, volume, units=units, deadline=1500)
         charge = units * PRICE
         line = {"id": id, "customer": "", "volume": volume, "charge": charge, "head": head.name}
         self.write("request", at, until=time.time(), status=status, **line)
--- a/tests/heads/processes.py
+++ b/tests/heads/processes.py
@@ -35,12 +35,14 @@
 
     optimized = False  # with its assertions
 
-    def __init__(self, fleet: Processes, name: str) -> None:
+    def __init__(self, fleet: ProcessFleet, name: str) -> None:
         self.fleet, self.name = fleet, name
         self.folder = fleet.folder / name
         self.folder.mkdir()
         self.host = own_host()
-        self.port, self.management, self.datagrams, self.streams, self.http = free_ports(self.host, 5)
+        self.port, self.management_port, self.datagram_port, self.stream_port, self.http_port = free_ports(
+            self.host, 5
+        )
         self.process: asyncio.subprocess.Process | None = None
         self.logs = self.folder / "log"
         self.paused = False
@@ -52,10 +54,12 @@
         (self.folder / "heads.cue").write_text(self.heads_settings())
         (self.folder / "secret").write_text(SECRET)
         (self.folder / "tmp").mkdir(exist_ok=True)
-        if fleet.http:
-            (self.folder / "http.cue").write_text(f'listen: "{self.host}:{self.http}"\nrules: "rules.cue"\n')
+        if fleet.http_rules:
+            (self.folder / "http.cue").write_text(
+                f'listen: "{self.host}:{self.http_port}"\nrules: "rules.cue"\n'
+            )
             if not (self.folder / "rules.cue").exists():
-                (self.folder / "rules.cue").write_text(fleet.http)
+                (self.folder / "rules.cue").write_text(fleet.http_rules)
 
     def configuration(self) -> dict[str, Any]:
         """Its configuration, in which the relay is the others' address."""
@@ -64,13 +68,13 @@
             node_list(1, *(n.entry() for n in fleet.nodes)),
             fleet.discovery,
             self.port,
-            f"{self.host}:{self.management}",
+            f"{self.host}:{self.management_port}",
         ) | {"listen": f"{self.host}:{self.port}"}
         others = [name for name in fleet.names if name != self.name]
         return data | {
             "settings": self.platform_settings(data["settings"]),
             "name": self.name,
-            "peer_listen": f"{self.host}:{self.datagrams}",
+            "peer_listen": f"{self.host}:{self.datagram_port}",
             "peers": [relay.datagram_address(self.name, other) for other in others],
         }
 
@@ -86,20 +90,20 @@
     def heads_settings(self) -> str:
         """Its settings of the heads, in which the relay is the others' address."""
         fleet, relay = self.fleet, self.fleet.relay
-        own = f"{self.host}:{self.streams}"
+        own = f"{self.host}:{self.stream_port}"
         others = [name for name in fleet.names if name != self.name]
         streams = {name: relay.stream_address(self.name, name) for name in others} | {self.name: own}
         return (
             'fleet: "test"\nsecret_file: "secret"\nfolder: "disk"\n'
             f'listen: "{own}"\n'
             f"streams: {json.dumps(streams)}\n"
-            f"voters: {json.dumps(fleet.voters)}\n{fleet.more}"
+            f"voters: {json.dumps(fleet.voters)}\n{fleet.extra_settings}"
         )
 
     def settings_environ(self) -> dict[str, str]:
         """Name the files of the parts that are switched on."""
         environ = {"STOATROUTER_HEADS": str(self.folder / "heads.cue")}
-        if self.fleet.http:
+        if self.fleet.http_rules:
             environ["STOATROUTER_HTTP"] = str(self.folder / "http.cue")
         return environ
 
@@ -117,7 +121,7 @@
                 self.folder, environ | self.fleet.environ, self.optimized, stderr=logs, stdout=logs
             )
         self.paused = False
-        self.fleet.relay.where[self.name] = (self.host, self.datagrams, self.streams)
+        self.fleet.relay.addresses[self.name] = (self.host, self.datagram_port, self.stream_port)
         if ready:
             await self.until_ready()
 
@@ -136,7 +140,7 @@
                 asyncio.timeout(within),
                 self.fleet.session.request(
                     method,
-                    f"http://{self.host}:{self.management}{path}",
+                    f"http://{self.host}:{self.management_port}{path}",
                     data=None if data is None else json.dumps(data),
                 ) as response,
             ):
@@ -151,7 +155,7 @@
         code, status = await self.call("GET", "/control/heads")
         return status if code == 200 else {}
 
-    async def read(
+    async def send_request(
         self,
         name: str,
         volume: str = "00000003b4d60021",
@@ -217,7 +221,7 @@
         return found
 
 
-class Processes:
+class ProcessFleet:
     """The heads of a story."""
 
     def __init__(
@@ -226,12 +230,12 @@
         count: int,
         voters: int,
         seed: int,
-        more: str,
+        extra_settings: str,
         http: str,
         environ: dict[str, str],
         class_deadline: int | None = None,
     ) -> None:
-        self.folder, self.seed, self.more, self.http = folder, seed, more, http
+        self.folder, self.seed, self.extra_settings, self.http_rules = folder, seed, extra_settings, http
         self.names = [f"h{i}" for i in range(count)]
         self.voters = self.names[:voters]
         self.environ = environ
@@ -282,7 +286,7 @@
         """Start all at once, and wait until they are ready and connected."""
         await asyncio.gather(*(head.start(ready=False) for head in self))
         await asyncio.gather(*(head.until_ready() for head in self))
-        await self.all_in_touch()
+        await self.until_all_connected()
 
     async def kill_all(self) -> None:
         """Kill all that run, and wait until they have ended."""
@@ -306,7 +310,7 @@
 
         return await self.until(look, "a leader")
 
-    async def all_in_touch(self, *names: str) -> None:
+    async def until_all_connected(self, *names: str) -> None:
         async def look() -> bool:
             heads = [self[n] for n in names] if names else self.up
             statuses = [await head.status() for head in heads]
@@ -314,7 +318,7 @@
 
         await self.until(look, f"{names or 'all'} in touch")
 
-    async def all_equal(self) -> None:
+    async def until_all_applied(self) -> None:
         """All that run have applied the same."""
 
         async def look() -> bool:
@@ -325,23 +329,23 @@
 
 
 @contextlib.asynccontextmanager
-async def heads_up(
+async def running_heads(
     folder: Path,
     count: int = 5,
     voters: int = 3,
     seed: int = 1,
-    more: str = "",
+    extra_settings: str = "",
     http: str = "",
     nodes: tuple[Node, ...] = (),
     environ: dict[str, str] | None = None,
     start: bool = True,
     class_deadline: int | None = None,
-) -> AsyncIterator[Processes]:
+) -> AsyncIterator[ProcessFleet]:
     """Heads h0 to h(count-1), the first `voters` of them voting, ready to serve; killed at the end.
 
     `class_deadline` is the deadline of every class, in milliseconds; a head bounds a request's own by it.
     """
-    fleet = Processes(folder, count, voters, seed, more, http, environ or {}, class_deadline)
+    fleet = ProcessFleet(folder, count, voters, seed, extra_settings, http, environ or {}, class_deadline)
     fleet.nodes = list(nodes) or [Node("a", 0)]
     print(f"seed {seed}")
     async with (
--- a/tests/heads/relay.py
+++ b/tests/heads/relay.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Way:
+class Link:
     """How one direction between two heads is at the moment."""
 
     cut: bool = False
@@ -46,8 +46,8 @@
 
     names: list[str]
     seed: int = 1
-    where: dict[str, tuple[str, int, int]] = field(default_factory=dict)
-    ways: dict[tuple[str, str], Way] = field(default_factory=dict)
+    addresses: dict[str, tuple[str, int, int]] = field(default_factory=dict)
+    links: dict[tuple[str, str], Link] = field(default_factory=dict)
     ears: dict[tuple[str, str], DatagramEar] = field(default_factory=dict)
     streams: dict[tuple[str, str], asyncio.Server] = field(default_factory=dict)
     open: dict[tuple[str, str], set[asyncio.StreamWriter]] = field(default_factory=dict)
@@ -60,7 +60,7 @@
             for b in self.names:
                 if a == b:
                     continue
-                self.ways[a, b], self.open[a, b] = Way(), set()
+                self.links[a, b], self.open[a, b] = Link(), set()
                 _, ear = await loop.create_datagram_endpoint(
                     lambda a=a, b=b: DatagramEar(self, a, b), local_addr=(HOST, 0)
                 )
@@ -79,9 +79,9 @@
     # -- faults -------------------------------------------------------------------------------------------
     def cut(self, a: str, b: str, both: bool = True) -> None:
         """Nothing passes from A to B any more; open streams stay open and silent."""
-        self.ways[a, b].cut = True
+        self.links[a, b].cut = True
         if both:
-            self.ways[b, a].cut = True
+            self.links[b, a].cut = True
 
     def split(self, *sides: list[str]) -> None:
         for i, side in enumerate(sides):
@@ -92,23 +92,23 @@
 
     def heal(self) -> None:
         """All passes again. Streams that stood still are reset, as connections of a cut-off machine are."""
-        for pair, way in self.ways.items():
+        for pair, way in self.links.items():
             if way.cut:
                 for writer in list(self.open[pair]):
                     writer.transport.abort()
                 for writer in list(self.open[pair[1], pair[0]]):
                     writer.transport.abort()
-            self.ways[pair] = Way(passed=way.passed)
+            self.links[pair] = Link(passed=way.passed)
 
     def all_ways(self, **how: float) -> None:
-        for way in self.ways.values():
+        for way in self.links.values():
             for name, value in how.items():
                 setattr(way, name, value)
 
     # -- passing on ---------------------------------------------------------------------------------------
     def datagram(self, a: str, b: str, data: bytes) -> None:
-        way = self.ways[a, b]
-        if way.cut or b not in self.where or self.draws.random() < way.loss:
+        way = self.links[a, b]
+        if way.cut or b not in self.addresses or self.draws.random() < way.loss:
             return
         for _ in range(1 + (self.draws.random() < way.twice)):
             delay = self.draws.random() * way.delay
@@ -117,9 +117,9 @@
     def deliver(self, a: str, b: str, data: bytes) -> None:
         """To B, from the address that B has for A."""
         ear = self.ears.get((b, a))
-        if ear is not None and not ear.transport.is_closing() and not self.ways[a, b].cut:
-            self.ways[a, b].passed += 1
-            ear.transport.sendto(data, self.where[b][:2])
+        if ear is not None and not ear.transport.is_closing() and not self.links[a, b].cut:
+            self.links[a, b].passed += 1
+            ear.transport.sendto(data, self.addresses[b][:2])
 
     async def stream(
         self, a: str, b: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -128,9 +128,9 @@
         self.open[a, b].add(writer)
         onward: asyncio.StreamWriter | None = None
         try:
-            while self.ways[a, b].cut or self.ways[b, a].cut:
+            while self.links[a, b].cut or self.links[b, a].cut:
                 await asyncio.sleep(0.02)
-            back, onward = await asyncio.open_connection(self.where[b][0], self.where[b][2])
+            back, onward = await asyncio.open_connection(self.addresses[b][0], self.addresses[b][2])
             self.open[a, b].add(onward)
             there = asyncio.ensure_future(self.pump(a, b, reader, onward))
             here = asyncio.ensure_future(self.pump(b, a, back, writer))
@@ -149,12 +149,12 @@
     async def pump(self, a: str, b: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(65536):
-                way = self.ways[a, b]
+                way = self.links[a, b]
                 if way.delay:
                     await asyncio.sleep(self.draws.random() * way.delay)
-                while self.ways[a, b].cut:
+                while self.links[a, b].cut:
                     await asyncio.sleep(0.02)
-                self.ways[a, b].passed += 1
+                self.links[a, b].passed += 1
                 writer.write(data)
                 await writer.drain()
 
--- a/tests/heads/rules_clients.py
+++ b/tests/heads/rules_clients.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 
 HISTORY = 'rules: {check_within: "4s"}\n'
 RULES = """scopes: feed: {
@@ -28,10 +28,10 @@
     return RULES.replace("MARK", mark)
 
 
-async def mark(head: HeadProcess) -> str:
+async def active_mark(head: HeadProcess) -> str:
     """Which rules a head decides by, as a client sees it."""
     try:
-        url = f"http://{head.host}:{head.http}/mark"
+        url = f"http://{head.host}:{head.http_port}/mark"
         async with asyncio.timeout(3), head.fleet.session.get(url) as response:
             return (await response.text()).strip()
     except (aiohttp.ClientError, TimeoutError, OSError):
@@ -61,7 +61,7 @@
     )
 
 
-async def became(fleet: Processes, id: str, *states: str) -> dict[str, Any]:
+async def became(fleet: ProcessFleet, id: str, *states: str) -> dict[str, Any]:
     """What became of an id, once it is one of these."""
 
     async def look():
@@ -74,14 +74,14 @@
     return await fleet.until(look, f"{id} is {states}")
 
 
-async def all_marked(fleet: Processes, text: str, *names: str) -> None:
+async def all_marked(fleet: ProcessFleet, text: str, *names: str) -> None:
     async def look() -> bool:
-        return all([await mark(h) == text for h in ([fleet[n] for n in names] or fleet.up)])
+        return all([await active_mark(h) == text for h in ([fleet[n] for n in names] or fleet.up)])
 
     await fleet.until(look, f"all decide by {text!r}")
 
 
-async def put(fleet: Processes, id: str, base: int, text: str, by: HeadProcess | None = None) -> int:
+async def put(fleet: ProcessFleet, id: str, base: int, text: str, by: HeadProcess | None = None) -> int:
     """An edit that comes in force everywhere; its number."""
     head = by or fleet.up[0]
     status, told = await edit(head, id, base, rules(text))
@@ -91,7 +91,7 @@
     return told["number"]
 
 
-def versions_only_go_up(fleet: Processes) -> None:
+def versions_only_go_up(fleet: ProcessFleet) -> None:
     """From each head's log: over its restarts, too."""
     for head in fleet:
         numbers = [said["number"] for said in head.events("rules.version")]
--- a/tests/heads/test_chaos.py
+++ b/tests/heads/test_chaos.py
@@ -11,8 +11,8 @@
 import pytest
 
 from tests.heads.history_clients import OK, PRICE, VOLUMES
-from tests.heads.ledger_chaos import LEDGER_MORE, LedgerChaos
-from tests.heads.processes import HeadProcess, HeadsDownError, Processes, heads_up
+from tests.heads.ledger_chaos import LEDGER_CHAOS_SETTINGS, LedgerChaos
+from tests.heads.processes import HeadProcess, HeadsDownError, ProcessFleet, running_heads
 from tests.heads.rules_clients import rules
 from tests.peers import run
 from tests.process_signals import kill as kill_process
@@ -47,7 +47,7 @@
 
 async def stand_in_chaos(folder, fault: str) -> LedgerChaos:
     """Faults of one kind on five stand-ins that run."""
-    fleet = Processes(folder, 5, 3, 1, "", "", {})
+    fleet = ProcessFleet(folder, 5, 3, 1, "", "", {})
     await fleet.relay.start()
     fleet.heads = {name: StandInHead(fleet, name) for name in fleet.names}
     StandInHead.halfway = asyncio.Event()
@@ -113,10 +113,12 @@
         await kill(head)
 
     async def is_served(head: HeadProcess) -> bool:
-        return (await head.read("first", VOLUMES["acme"]))[0] == OK
+        return (await head.send_request("first", VOLUMES["acme"]))[0] == OK
 
     async def story():
-        async with heads_up(tmp_path, seed=4, more=LEDGER_MORE, http=rules("own")) as fleet:
+        async with running_heads(
+            tmp_path, seed=4, extra_settings=LEDGER_CHAOS_SETTINGS, http=rules("own")
+        ) as fleet:
             chaos = LedgerChaos(fleet, 4, tmp_path / "history.jsonl")
             chaos.draws.uniform, chaos.faults_drawn = min, [fault]  # the shortest of all times
             await chaos.put_customers()
@@ -127,7 +129,7 @@
             chaos.begin_faults()
             await halfway.wait()
             await chaos.end_faults()
-            chaos.over = True
+            chaos.stopping = True
             await chaos.settle(time.time(), time.time())
 
     run(story(), 100.0)
--- a/tests/heads/test_cluster_processes.py
+++ b/tests/heads/test_cluster_processes.py
@@ -19,14 +19,14 @@
 import pytest
 
 from stoatrouter.peering.storage import DATABASE_FILE
-from tests.heads.processes import HeadProcess, Processes, heads_up
+from tests.heads.processes import HeadProcess, ProcessFleet, running_heads
 from tests.peers import run
 from tests.program_process import ROOT, program_environ, start_program
 
 LIMIT = 100.0  # seconds; it only ends what hangs
 
 
-async def seen_as(fleet: Processes, of: str, status: str, by: list[HeadProcess] | None = None) -> None:
+async def seen_as(fleet: ProcessFleet, of: str, status: str, by: list[HeadProcess] | None = None) -> None:
     async def look() -> bool:
         others = [h for h in by or fleet.up if h.name != of]
         return all([(await h.status()).get("seen", {}).get(of) == status for h in others])
@@ -34,7 +34,7 @@
     await fleet.until(look, f"{of} seen as {status}")
 
 
-def one_leader_for_each_term(fleet: Processes) -> None:
+def one_leader_for_each_term(fleet: ProcessFleet) -> None:
     """From the logs of all heads: what each said of itself."""
     leaders: dict[int, set[str]] = {}
     for head in fleet:
@@ -46,17 +46,17 @@
 
 def test_a_killed_leader_is_replaced_found_out_and_catches_up(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=1) as fleet:
+        async with running_heads(tmp_path, seed=1) as fleet:
             first = await fleet.leader()
             identity = (await first.status())["identity"]
             await first.kill()
             second = await fleet.leader()
             assert second.name != first.name
             await seen_as(fleet, first.name, "failed")
-            assert all([(await h.read(f"r{h.name}"))[0] == 200 for h in fleet.up])
+            assert all([(await h.send_request(f"r{h.name}"))[0] == 200 for h in fleet.up])
             await first.start()
-            await fleet.all_in_touch()
-            await fleet.all_equal()
+            await fleet.until_all_connected()
+            await fleet.until_all_applied()
             await seen_as(fleet, first.name, "alive")
             assert (await first.status())["identity"] == identity
             one_leader_for_each_term(fleet)
@@ -66,7 +66,7 @@
 
 def test_the_smaller_side_of_a_split_serves_changes_nothing_and_says_so(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=2) as fleet:
+        async with running_heads(tmp_path, seed=2) as fleet:
             leader = await fleet.leader()
             other = next(n for n in fleet.voters if n != leader.name)
             small, large = [leader.name, "h4"], [n for n in fleet.names if n not in (leader.name, "h4")]
@@ -80,13 +80,13 @@
             for name in small:
                 head = fleet[name]
                 assert (await head.call("GET", "/control/ready"))[0] == 200
-                assert (await head.read(f"r-{name}"))[0] == 200
+                assert (await head.send_request(f"r-{name}"))[0] == 200
                 assert head.events("heads.standing")[-1]["state"] == "cut off"
             assert (await leader.call("DELETE", f"/control/heads/voters/{other}"))[0] in (409, 503)
             assert (await second.call("POST", "/control/heads/voters/h3"))[0] == 200
             fleet.relay.heal()
-            await fleet.all_in_touch()
-            await fleet.all_equal()
+            await fleet.until_all_connected()
+            await fleet.until_all_applied()
             assert "h3" in (await fleet[leader.name].status())["voters"]
             one_leader_for_each_term(fleet)
 
@@ -97,7 +97,7 @@
     """h3 hears h0 and is not heard by it; two others think each other gone: rights stay where they are."""
 
     async def story():
-        async with heads_up(tmp_path, seed=3) as fleet:
+        async with running_heads(tmp_path, seed=3) as fleet:
             voters = (await (await fleet.leader()).status())["voters"]
             fleet.relay.cut("h3", "h0", both=False)
             fleet.relay.cut("h3", "h4")
@@ -112,7 +112,7 @@
 
 def test_a_leader_paused_beyond_its_time_comes_back_as_a_follower(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=4) as fleet:
+        async with running_heads(tmp_path, seed=4) as fleet:
             first = await fleet.leader()
             first.signal(signal.SIGSTOP)
             second = await fleet.leader()
@@ -134,14 +134,14 @@
 
 def test_it_goes_on_under_loss_delay_and_repeats(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=5) as fleet:
+        async with running_heads(tmp_path, seed=5) as fleet:
             fleet.relay.all_ways(loss=0.1, twice=0.2, delay=0.03)
             await asyncio.sleep(8)
             assert not any(s["status"] == "failed" for h in fleet for s in h.events("heads.seen"))
             leader = await fleet.leader()
             assert (await leader.call("POST", "/control/heads/voters/h3"))[0] == 200
             assert (await leader.call("POST", "/control/heads/voters/h4"))[0] == 200
-            await fleet.all_equal()
+            await fleet.until_all_applied()
 
     run(story(), LIMIT)
 
@@ -165,20 +165,20 @@
 @pytest.mark.parametrize("how", ["empty", "older", "spoilt"])
 def test_a_voter_whose_disk_is_lost_never_votes_under_its_old_identity(tmp_path, how):
     async def story():
-        async with heads_up(tmp_path, seed=6) as fleet:
+        async with running_heads(tmp_path, seed=6) as fleet:
             leader = await fleet.leader()
             victim = fleet[next(n for n in fleet.voters if n != leader.name)]
             before = (await victim.status())["identity"]
             await victim.kill()
             shutil.copy(victim.disk / DATABASE_FILE, victim.folder / "older.db")
             await victim.start()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             assert (await leader.call("POST", "/control/heads/voters/h3"))[0] == 200
-            await fleet.all_equal()
+            await fleet.until_all_applied()
             await victim.kill()
             spoil(victim, how)
             await victim.start()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             told = await victim.status()
             assert told["identity"] != before and not told["votes"]
             assert told["voters"][victim.name] == before  # it is still named so, until operators change that
@@ -201,28 +201,28 @@
 
 def test_a_head_that_cannot_write_serves_without_a_voice(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=7, start=False) as fleet:
+        async with running_heads(tmp_path, seed=7, start=False) as fleet:
             blocked = fleet["h4"]
             (blocked.folder / "disk").write_text("a file where the folder should be")
             await asyncio.gather(*(h.start(ready=False) for h in fleet))
             await asyncio.gather(*(h.until_ready() for h in fleet))
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             told = await blocked.status()
             assert not told["disk"] and not told["votes"]
-            assert (await blocked.read("r1"))[0] == 200
+            assert (await blocked.send_request("r1"))[0] == 200
             leader = await fleet.leader()
             assert (await leader.call("POST", "/control/heads/voters/h3"))[0] == 200
-            await fleet.all_equal()  # it follows all the same
+            await fleet.until_all_applied()  # it follows all the same
 
     run(story(), LIMIT)
 
 
 def test_voters_lost_for_good_are_left_behind_by_a_call(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=8) as fleet:
+        async with running_heads(tmp_path, seed=8) as fleet:
             leader = await fleet.leader()
             assert (await leader.call("POST", "/control/heads/recover"))[0] == 409
-            await fleet.all_equal()
+            await fleet.until_all_applied()
             origin = (await fleet["h3"].status())["origin"]
             for name in fleet.voters:
                 await fleet[name].kill()
@@ -245,7 +245,7 @@
 
 def test_a_head_that_stops_says_so(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=9) as fleet:
+        async with running_heads(tmp_path, seed=9) as fleet:
             assert await fleet["h4"].stop() == 0
             await seen_as(fleet, "h4", "left")
             assert all(s["status"] != "failed" for h in fleet.up for s in h.events("heads.seen"))
@@ -255,13 +255,13 @@
 
 def test_datagrams_from_nobody_and_streams_that_are_not_believed_are_dropped_and_counted(tmp_path):
     async def story():
-        async with heads_up(tmp_path, count=3, seed=10) as fleet:
+        async with running_heads(tmp_path, count=3, seed=10) as fleet:
             head = fleet["h0"]
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 for data in (b"", b"x" * 20, b"x" * 300):
-                    stranger.sendto(data, (head.host, head.datagrams))
+                    stranger.sendto(data, (head.host, head.datagram_port))
             for data in (b"", b"x" * 100, b"y" * 1_000_000):
-                url = f"http://{head.host}:{head.streams}/heads"
+                url = f"http://{head.host}:{head.stream_port}/heads"
                 async with fleet.session.post(url, data=data) as response:
                     assert response.status == 403
 
@@ -274,7 +274,7 @@
 
             await fleet.until(counted, "all counted")
             assert len([e for e in head.events("heads.dropped") if "not_a_peer" in e["why"]]) == 1
-            assert (await head.read("r1"))[0] == 200
+            assert (await head.send_request("r1"))[0] == 200
 
     run(story(), LIMIT)
 
@@ -311,7 +311,7 @@
 )
 def test_a_wrong_settings_file_ends_the_start_with_place_and_what_is_right(tmp_path, change, words):
     async def story():
-        async with heads_up(tmp_path, count=3, seed=11, start=False) as fleet:
+        async with running_heads(tmp_path, count=3, seed=11, start=False) as fleet:
             head = fleet["h0"]
             head.write()
             text = (head.folder / "heads.cue").read_text()
@@ -327,7 +327,7 @@
 
 def test_a_peer_that_is_no_address_is_left_out(tmp_path):
     async def story():
-        async with heads_up(tmp_path, count=3, seed=12, start=False) as fleet:
+        async with running_heads(tmp_path, count=3, seed=12, start=False) as fleet:
             head = fleet["h0"]
             head.write()
             file = head.folder / "config.json"
@@ -340,6 +340,6 @@
                     each.write()
             (head.folder / "tmp").mkdir(exist_ok=True)
             await asyncio.gather(*(h.start(ready=False) for h in fleet))
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
 
     run(story(), LIMIT)
--- a/tests/heads/test_credit_cut_off.py
+++ b/tests/heads/test_credit_cut_off.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from tests.heads.processes import HeadProcess, Processes, heads_up
+from tests.heads.processes import HeadProcess, ProcessFleet, running_heads
 from tests.peers import run
 
 PRICES = '"score-read": 1000, "event-write": 1000'
@@ -45,22 +45,22 @@
 
 async def answers(head: HeadProcess, volume: str = VOLUME, label: str = "r", **more: Any) -> list[int]:
     """The statuses of a few requests, one after the other."""
-    return [(await head.read(f"{label}-{n}", volume, **more))[0] for n in range(ATTEMPTS)]
+    return [(await head.send_request(f"{label}-{n}", volume, **more))[0] for n in range(ATTEMPTS)]
 
 
-async def cut_off(fleet: Processes, name: str) -> None:
+async def cut_off(fleet: ProcessFleet, name: str) -> None:
     """Cut one head off from all others."""
     fleet.relay.split([name], [other for other in fleet.names if other != name])
 
 
-async def until_it_says(fleet: Processes, head: HeadProcess, state: str) -> None:
+async def until_it_says(fleet: ProcessFleet, head: HeadProcess, state: str) -> None:
     async def look() -> bool:
         return (await head.status()).get("state") == state
 
     await fleet.until(look, f"{head.name} is {state}")
 
 
-async def account(fleet: Processes, head: HeadProcess, name: str) -> dict[str, Any]:
+async def account(fleet: ProcessFleet, head: HeadProcess, name: str) -> dict[str, Any]:
     """A customer's account, once nothing of it is out."""
 
     async def look() -> dict[str, Any] | None:
@@ -74,10 +74,10 @@
 @pytest.mark.parametrize("folder_lost", [False, True], ids=["with its disk", "folder lost"])
 def test_a_head_started_while_cut_off_serves_no_customer_free_of_charge(tmp_path, name, folder_lost):
     async def story():
-        async with heads_up(tmp_path, count=4, more=MORE) as fleet:
+        async with running_heads(tmp_path, count=4, extra_settings=MORE) as fleet:
             head = fleet[name]
             await put_customer(fleet["h0"], "acme", VOLUME)
-            await fleet.all_equal()
+            await fleet.until_all_applied()
             assert await answers(head) == [UNAVAILABLE] * ATTEMPTS
             await head.kill()
             await cut_off(fleet, name)
@@ -88,7 +88,7 @@
             # what has no price is served as ever
             assert await answers(head, kind="stats-export", label="free") == [OK] * ATTEMPTS
             fleet.relay.heal()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             assert await answers(head, label="healed") == [UNAVAILABLE] * ATTEMPTS
 
     run(story(), 120.0)
@@ -96,7 +96,7 @@
 
 def test_a_volume_that_got_a_customer_behind_a_cut_is_not_served_there(tmp_path):
     async def story():
-        async with heads_up(tmp_path, count=3, more=MORE) as fleet:
+        async with running_heads(tmp_path, count=3, extra_settings=MORE) as fleet:
             head = fleet["h2"]
             assert await answers(head) == [OK] * ATTEMPTS  # nobody's
             await cut_off(fleet, "h2")
@@ -104,8 +104,8 @@
             await put_customer(fleet["h0"], "acme", VOLUME)
             assert await answers(head, label="cut") == [UNAVAILABLE] * ATTEMPTS
             fleet.relay.heal()
-            await fleet.all_in_touch()
-            await fleet.all_equal()
+            await fleet.until_all_connected()
+            await fleet.until_all_applied()
             assert await answers(head, label="healed") == [UNAVAILABLE] * ATTEMPTS
 
     run(story(), 120.0)
@@ -115,14 +115,15 @@
     """Nothing may be served by what the head believed of itself before its pause."""
 
     async def story():
-        async with heads_up(tmp_path, count=3, more=MORE) as fleet:
+        async with running_heads(tmp_path, count=3, extra_settings=MORE) as fleet:
             head = fleet["h2"]
             assert await answers(head) == [OK] * ATTEMPTS
             await cut_off(fleet, "h2")
             head.signal(signal.SIGSTOP)
             await put_customer(fleet["h0"], "acme", VOLUME)
             requests = [
-                asyncio.create_task(head.read(f"paused-{n}", VOLUME, deadline=8000)) for n in range(ATTEMPTS)
+                asyncio.create_task(head.send_request(f"paused-{n}", VOLUME, deadline=8000))
+                for n in range(ATTEMPTS)
             ]
             await asyncio.sleep(4)  # longer than cut_off_after
             head.signal(signal.SIGCONT)
@@ -136,13 +137,13 @@
     """Its allotments are neither lost nor spent twice: what it had spent is charged, the rest goes back."""
 
     async def story():
-        async with heads_up(tmp_path, count=4, more=MORE) as fleet:
+        async with running_heads(tmp_path, count=4, extra_settings=MORE) as fleet:
             head = fleet["h3"]
             await put_customer(fleet["h0"], "acme", VOLUME)
             await top_up(fleet["h0"], "acme", 1_000_000)
 
             async def served() -> bool:
-                return (await head.read("first", VOLUME, units=1))[0] == OK
+                return (await head.send_request("first", VOLUME, units=1))[0] == OK
 
             await fleet.until(served, "the customer is served")
             spent = 1_000 * (1 + (await answers(head, units=1)).count(OK))
@@ -153,7 +154,7 @@
             assert status == OK and ledger["state"] == "restored" and ledger["index"] > 1, ledger
             assert await answers(head, label="cut", units=1) == [UNAVAILABLE] * ATTEMPTS
             fleet.relay.heal()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             found = await account(fleet, fleet["h0"], "acme")
             assert found["charged"] == spent and found["balance"] == 1_000_000 - spent, found
 
@@ -164,10 +165,10 @@
     more = MORE.replace('lease: "2s"', 'lease: "2s", unknown_volumes: "serve"')
 
     async def story():
-        async with heads_up(tmp_path, count=3, more=more) as fleet:
+        async with running_heads(tmp_path, count=3, extra_settings=more) as fleet:
             head = fleet["h2"]
             await put_customer(fleet["h0"], "acme", VOLUME)
-            await fleet.all_equal()
+            await fleet.until_all_applied()
             await head.kill()
             await cut_off(fleet, "h2")
             await head.start()
@@ -176,7 +177,7 @@
             status, ledger = await head.call("GET", "/control/credit/ledger")
             assert status == OK and ledger["served_without"] == ATTEMPTS, ledger
             fleet.relay.heal()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             # the first start had a gap too
             gaps = await fleet.until(lambda: head.events("credit.ledger_current")[1:], "the log counts them")
             assert gaps[0]["served"] == ATTEMPTS and gaps[0]["rejected"] == 0, gaps
@@ -189,20 +190,20 @@
 @pytest.mark.parametrize("name", ["h2", "h3"], ids=["voter", "follower"])
 def test_once_a_call_has_made_a_customer_no_head_serves_its_volume_free(tmp_path, name):
     async def story():
-        async with heads_up(tmp_path, count=4, more=MORE) as fleet:
-            await fleet.all_in_touch()
-            assert (await fleet[name].read("free", VOLUME))[0] == OK  # nobody's yet
+        async with running_heads(tmp_path, count=4, extra_settings=MORE) as fleet:
+            await fleet.until_all_connected()
+            assert (await fleet[name].send_request("free", VOLUME))[0] == OK  # nobody's yet
             await cut_off(fleet, name)
             asking = asyncio.create_task(put_customer(fleet["h0"], "acme", VOLUME))
-            before = [(await fleet[name].read(f"before-{n}", VOLUME))[0] for n in range(3)]
+            before = [(await fleet[name].send_request(f"before-{n}", VOLUME))[0] for n in range(3)]
             assert OK in before, "it has not noticed yet that it is cut off"
             await asking
             assert set(await answers(fleet[name])) == {UNAVAILABLE}
             fleet.relay.heal()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             # all in touch: the call waits for each of them to apply it
             await put_customer(fleet["h1"], "other", OTHER_VOLUME)
-            statuses = [(await head.read(f"{head.name}-now", OTHER_VOLUME))[0] for head in fleet]
+            statuses = [(await head.send_request(f"{head.name}-now", OTHER_VOLUME))[0] for head in fleet]
             assert set(statuses) == {UNAVAILABLE}
 
     run(story(), 120.0)
--- a/tests/heads/test_credit_operations.py
+++ b/tests/heads/test_credit_operations.py
@@ -6,38 +6,38 @@
 
 from tests.heads.credit_clients import (
     CHARGE,
-    CREDIT,
+    CREDIT_SETTINGS,
     LIMIT,
     PATIENCE,
     PATIENT,
     VOLUME,
     Counted,
-    customer,
     holding_node,
     pay,
+    put_customer,
     settled,
 )
-from tests.heads.processes import Processes, heads_up
+from tests.heads.processes import ProcessFleet, running_heads
 from tests.peers import run
 
 
 def test_customers_are_moved_and_dropped_with_requests_out(tmp_path):
     async def story():
         node, gate = holding_node()
-        async with heads_up(
-            tmp_path, count=3, seed=6, more=PATIENT, class_deadline=PATIENCE, nodes=(node,)
+        async with running_heads(
+            tmp_path, count=3, seed=6, extra_settings=PATIENT, class_deadline=PATIENCE, nodes=(node,)
         ) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME, paid=20 * CHARGE)
-            await customer(fleet["h0"], "next", paid=20 * CHARGE)
-            await fleet.all_equal()
+            await put_customer(fleet["h0"], "acme", VOLUME, paid=20 * CHARGE)
+            await put_customer(fleet["h0"], "next", paid=20 * CHARGE)
+            await fleet.until_all_applied()
             counted = Counted()
             held = [
                 asyncio.create_task(counted.ask(fleet["h1"], f"held{i}", deadline=6000, kind="stats-export"))
                 for i in range(2)
             ]
             await fleet.until(lambda: len(node.requests) == 2, "two are held")
-            await customer(fleet["h2"], "next", VOLUME)  # the volume moves
-            await fleet.all_equal()
+            await put_customer(fleet["h2"], "next", VOLUME)  # the volume moves
+            await fleet.until_all_applied()
             assert await counted.ask(fleet["h1"], "after", deadline=PATIENCE) == 200
             gate.set()
             await asyncio.gather(*held)
@@ -61,7 +61,7 @@
                 return (await fleet["h0"].call("GET", "/control/credit/customers/next"))[0] == 404
 
             await fleet.until(gone, "it goes once its last charge is settled")
-            await fleet.all_equal()
+            await fleet.until_all_applied()
             assert (
                 await counted.ask(fleet["h1"], "free", deadline=PATIENCE) == 200
             )  # the volume is nobody's now
@@ -81,16 +81,18 @@
     """A head restarts with its clock a year back, another a year ahead: both take part, and leases hold."""
 
     async def story():
-        async with heads_up(tmp_path, count=3, seed=7, more=PATIENT, class_deadline=PATIENCE) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME, paid=100 * CHARGE)
-            await fleet.all_equal()
+        async with running_heads(
+            tmp_path, count=3, seed=7, extra_settings=PATIENT, class_deadline=PATIENCE
+        ) as fleet:
+            await put_customer(fleet["h0"], "acme", VOLUME, paid=100 * CHARGE)
+            await fleet.until_all_applied()
             counted = Counted()
             for name, jump in (("h1", -31_000_000), ("h2", 31_000_000), ("h2", 0)):
                 head = fleet[name]
                 await head.kill()
                 (head.folder / "sitecustomize.py").write_text(JUMP.format(jump=jump))
                 await head.start()
-                await fleet.all_in_touch()
+                await fleet.until_all_connected()
                 for n in range(3):
                     assert await counted.ask(head, f"{name}{jump}{n}", deadline=PATIENCE) == 200
             await seen_alive(fleet)
@@ -100,7 +102,7 @@
     run(story(), LIMIT)
 
 
-async def seen_alive(fleet: Processes) -> None:
+async def seen_alive(fleet: ProcessFleet) -> None:
     async def look() -> bool:
         return all([set((await h.status())["seen"].values()) == {"alive"} for h in fleet.up])
 
@@ -109,9 +111,9 @@
 
 def test_what_is_low_is_narrowed_and_a_stop_gives_back_what_was_not_spent(tmp_path):
     async def story():
-        async with heads_up(tmp_path, count=3, seed=8, more=CREDIT) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME, paid=1000 * CHARGE, low_water=2000 * CHARGE)
-            await fleet.all_equal()
+        async with running_heads(tmp_path, count=3, seed=8, extra_settings=CREDIT_SETTINGS) as fleet:
+            await put_customer(fleet["h0"], "acme", VOLUME, paid=1000 * CHARGE, low_water=2000 * CHARGE)
+            await fleet.until_all_applied()
             counts = {kind: Counted() for kind in ("stats-export", "score-read")}
             for n in range(30):
                 for kind, counted in counts.items():
@@ -128,7 +130,7 @@
 
 def test_calls_that_are_wrong_say_what_would_be_right(tmp_path):
     async def story():
-        async with heads_up(tmp_path, count=3, seed=9, more=CREDIT) as fleet:
+        async with running_heads(tmp_path, count=3, seed=9, extra_settings=CREDIT_SETTINGS) as fleet:
             head = fleet["h0"]
             for call, words in (
                 ({"volumes": [], "by": "x"}, "why"),
@@ -142,7 +144,7 @@
             assert status == 409 and "no customer" in told["error"]
             assert (await head.call("GET", "/control/credit/customers/nobody"))[0] == 404
             assert (await head.call("GET", "/control/credit/none"))[0] == 404
-            await customer(head, "acme", VOLUME)
+            await put_customer(head, "acme", VOLUME)
             status, told = await pay(head, "acme", -5, "1")
             assert status == 409 and "more than 0" in told["error"]
             assert (await pay(head, "acme", 5, "2", "gift"))[0] == 400
--- a/tests/heads/test_credit_processes.py
+++ b/tests/heads/test_credit_processes.py
@@ -14,7 +14,7 @@
 
 from tests.heads.credit_clients import (
     CHARGE,
-    CREDIT,
+    CREDIT_SETTINGS,
     LIMIT,
     OTHER,
     PATIENCE,
@@ -22,22 +22,22 @@
     VOLUME,
     Counted,
     account,
-    customer,
     holding_node,
     pay,
+    put_customer,
     requests_held,
     settled,
 )
-from tests.heads.processes import Processes, heads_up
+from tests.heads.processes import ProcessFleet, running_heads
 from tests.peers import run
 
 
 def test_all_heads_surge_on_a_nearly_empty_account_and_another_customer_loses_nothing(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=1, more=PATIENT, class_deadline=PATIENCE) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME, paid=60 * CHARGE)
-            await customer(fleet["h1"], "other", OTHER, paid=10_000 * CHARGE)
-            await fleet.all_equal()
+        async with running_heads(tmp_path, seed=1, extra_settings=PATIENT, class_deadline=PATIENCE) as fleet:
+            await put_customer(fleet["h0"], "acme", VOLUME, paid=60 * CHARGE)
+            await put_customer(fleet["h1"], "other", OTHER, paid=10_000 * CHARGE)
+            await fleet.until_all_applied()
             acme, other = Counted(), Counted()
 
             async def client(i: int) -> None:
@@ -73,8 +73,8 @@
 
 def test_top_ups_while_leaders_die_are_booked_once_and_none_is_lost(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=2, more=CREDIT) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME)
+        async with running_heads(tmp_path, seed=2, extra_settings=CREDIT_SETTINGS) as fleet:
+            await put_customer(fleet["h0"], "acme", VOLUME)
             acknowledged: set[str] = set()
 
             async def payer(i: int) -> None:
@@ -97,7 +97,7 @@
             await asyncio.gather(killer(), *(payer(i) for i in range(6)))
             told = await account(fleet, "acme")
             assert told["paid"] == len(acknowledged) == 60
-            await fleet.all_equal()
+            await fleet.until_all_applied()
             refused, said = await pay(fleet["h1"], "acme", 2, "t0-0")
             assert refused == 409 and "otherwise" in said["error"]
             status, entry = await fleet["h2"].call("GET", "/control/credit/entries/t3-4")
@@ -115,9 +115,9 @@
 
     async def story():
         node, gate = holding_node()
-        async with heads_up(tmp_path, seed=3, more=CREDIT, nodes=(node,)) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME, paid=40 * CHARGE)
-            await fleet.all_equal()
+        async with running_heads(tmp_path, seed=3, extra_settings=CREDIT_SETTINGS, nodes=(node,)) as fleet:
+            await put_customer(fleet["h0"], "acme", VOLUME, paid=40 * CHARGE)
+            await fleet.until_all_applied()
             counted, late, paused = Counted(), Counted(), fleet["h3"]
             await counted.ask(paused, "first")
 
@@ -138,7 +138,7 @@
             paused.signal(signal.SIGCONT)
             paused.paused = False
             await asyncio.gather(*held)
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             told = await settled(fleet, "acme")
             # a held request ran at its node: it is charged, also where the head woke too late to say so
             ran = counted.served + len(held)
@@ -152,9 +152,11 @@
 def test_a_head_killed_with_reservations_out_starts_again_at_once(tmp_path, disk):
     async def story():
         node, gate = holding_node()
-        async with heads_up(tmp_path, seed=4, more=PATIENT, class_deadline=PATIENCE, nodes=(node,)) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME, paid=100 * CHARGE)
-            await fleet.all_equal()
+        async with running_heads(
+            tmp_path, seed=4, extra_settings=PATIENT, class_deadline=PATIENCE, nodes=(node,)
+        ) as fleet:
+            await put_customer(fleet["h0"], "acme", VOLUME, paid=100 * CHARGE)
+            await fleet.until_all_applied()
             counted, victim = Counted(), fleet["h4"]
             for n in range(6):
                 assert await counted.ask(victim, f"s{n}", deadline=PATIENCE) == 200
@@ -170,7 +172,7 @@
             if not disk:
                 shutil.rmtree(victim.disk)
             await victim.start()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             told = await settled(fleet, "acme")
             if disk:
                 assert told["charged"] == 6 * CHARGE  # to the unit: no final answer, no charge
@@ -186,9 +188,9 @@
 
 def test_an_account_runs_out_during_a_split_and_both_sides_hold_allotments(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=5, more=CREDIT) as fleet:
-            await customer(fleet["h0"], "acme", VOLUME, paid=80 * CHARGE)
-            await fleet.all_equal()
+        async with running_heads(tmp_path, seed=5, extra_settings=CREDIT_SETTINGS) as fleet:
+            await put_customer(fleet["h0"], "acme", VOLUME, paid=80 * CHARGE)
+            await fleet.until_all_applied()
             counted = Counted()
             for n in range(10):  # each head draws
                 await counted.ask(fleet[f"h{n % 5}"], f"w{n}")
@@ -208,7 +210,7 @@
             topped = await pay(leader, "acme", 5 * CHARGE, "minority")
             assert topped[0] == 503 and topped[1]["unknown"]
             fleet.relay.heal()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             assert (await pay(fleet["h0"], "acme", 5 * CHARGE, "minority"))[0] == 200  # by its id: once
             told = await settled(fleet, "acme")
             assert told["paid"] == 85 * CHARGE
@@ -218,5 +220,5 @@
     run(story(), LIMIT)
 
 
-async def all_cut_off(fleet: Processes, names: list[str]) -> bool:
+async def all_cut_off(fleet: ProcessFleet, names: list[str]) -> bool:
     return all([(await fleet[n].status())["state"] == "cut off" for n in names])
--- a/tests/heads/test_histories.py
+++ b/tests/heads/test_histories.py
@@ -19,9 +19,9 @@
     linearizable,
     register_model,
 )
-from tests.heads.chaos import MORE, Chaos
-from tests.heads.ledger_chaos import LEDGER_MORE, LedgerChaos
-from tests.heads.processes import heads_up
+from tests.heads.chaos import CHAOS_SETTINGS, Chaos
+from tests.heads.ledger_chaos import LEDGER_CHAOS_SETTINGS, LedgerChaos
+from tests.heads.processes import running_heads
 from tests.heads.rules_clients import rules
 from tests.peers import run
 
@@ -216,7 +216,9 @@
     """A short one of each; benchmarks/heads_history.py plays ten minutes."""
 
     async def story():
-        async with heads_up(tmp_path, seed=seed, more=MORE, http=rules("own")) as fleet:
+        async with running_heads(
+            tmp_path, seed=seed, extra_settings=CHAOS_SETTINGS, http=rules("own")
+        ) as fleet:
             await play_and_judge(Chaos(fleet, seed, tmp_path / "history.jsonl"), detect=seed == 1)
 
     run(story(), 170.0)
@@ -289,7 +291,9 @@
     """Kills and lost folders of cut-off heads beside the other faults: nothing is served uncharged."""
 
     async def story():
-        async with heads_up(tmp_path, seed=seed, more=LEDGER_MORE, http=rules("own")) as fleet:
+        async with running_heads(
+            tmp_path, seed=seed, extra_settings=LEDGER_CHAOS_SETTINGS, http=rules("own")
+        ) as fleet:
             chaos = LedgerChaos(fleet, seed, tmp_path / "history.jsonl")
             history = await play_and_judge(chaos, detect=False)
             assert len(history.of(CustomerPut)) > 3
--- a/tests/heads/test_majority_lost.py
+++ b/tests/heads/test_majority_lost.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from tests.heads.processes import Processes, heads_up
+from tests.heads.processes import ProcessFleet, running_heads
 from tests.peers import run
 
 LIMIT = 150.0
 CREDIT = 'credit: prices: "score-read": 1000\n'
 
 
-async def all_cut_off(fleet: Processes) -> None:
+async def all_cut_off(fleet: ProcessFleet) -> None:
     async def look() -> bool:
         told = [await head.status() for head in fleet.up]
         return all(t.get("state") == "cut off" for t in told)
@@ -29,7 +29,7 @@
 )
 def test_heads_that_lost_the_majority_are_cut_off_and_change_nothing(tmp_path, count, voters, lost, wiped):
     async def story():
-        async with heads_up(tmp_path, count, voters, seed=1, more=CREDIT) as fleet:
+        async with running_heads(tmp_path, count, voters, seed=1, extra_settings=CREDIT) as fleet:
             await asyncio.gather(*(fleet[name].kill() for name in lost))
             if wiped:
                 for name in lost:
@@ -48,6 +48,6 @@
             if not wiped:
                 for name in lost:
                     await fleet[name].start(ready=False)
-                await fleet.all_in_touch()
+                await fleet.until_all_connected()
 
     run(story(), LIMIT)
--- a/tests/heads/test_rules_processes.py
+++ b/tests/heads/test_rules_processes.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from tests.heads.processes import heads_up
+from tests.heads.processes import running_heads
 from tests.heads.rules_clients import (
     HISTORY,
+    active_mark,
     all_marked,
     became,
     edit,
-    mark,
     put,
     rules,
     undo,
@@ -31,7 +31,7 @@
 
 def test_edits_and_undo_come_in_force_on_every_head(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=1, more=HISTORY, http=rules("own")) as fleet:
+        async with running_heads(tmp_path, seed=1, extra_settings=HISTORY, http=rules("own")) as fleet:
             await all_marked(fleet, "own")
             assert await put(fleet, "e1", 0, "one") == 1
             assert await put(fleet, "e2", 1, "two", fleet["h4"]) == 2
@@ -59,7 +59,7 @@
 
 def test_an_edit_that_a_head_cannot_load_is_abandoned_with_its_name_and_the_place(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=2, more=HISTORY, http=rules("own")) as fleet:
+        async with running_heads(tmp_path, seed=2, extra_settings=HISTORY, http=rules("own")) as fleet:
             await put(fleet, "e1", 0, "one")
             wrong = rules("x").replace('class: "score-read"}', 'class: "no-such-class"}')
             assert (await edit(fleet["h0"], "bad", 1, wrong))[0] == 202
@@ -98,7 +98,7 @@
 
 def test_edit_and_undo_from_two_sides_of_a_split(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=3, more=HISTORY, http=rules("own")) as fleet:
+        async with running_heads(tmp_path, seed=3, extra_settings=HISTORY, http=rules("own")) as fleet:
             await put(fleet, "e1", 0, "one")
             await put(fleet, "e2", 1, "two")
             leader = await fleet.leader()
@@ -116,13 +116,13 @@
 
             await fleet.until(cut_off, "the smaller side cut off")
             for name in small:
-                assert await mark(fleet[name]) == "two"  # what it holds, and it says how old that is
+                assert await active_mark(fleet[name]) == "two"  # what it holds, and it says how old that is
                 told = (await fleet[name].call("GET", "/control/rules"))[1]
                 assert told["state"] == "cut off" and told["version"] == 2
                 assert told["majority_heard_s_ago"] >= 3
                 assert (await fleet[name].call("GET", "/control/rules/edits/e3"))[0] == 503
             fleet.relay.heal()
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             await all_marked(fleet, "three")
             status, told = await undo(fleet["h0"], "u-small", 2)  # its caller asks again: e3 came in between
             if status == 409:
@@ -134,7 +134,7 @@
 
 def test_leaders_are_killed_at_each_step_and_nothing_acknowledged_is_lost(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=4, more=HISTORY, http=rules("own")) as fleet:
+        async with running_heads(tmp_path, seed=4, extra_settings=HISTORY, http=rules("own")) as fleet:
             base = await put(fleet, "e0", 0, "v0")
             acknowledged = []
             for step, pause in enumerate((0.0, 0.02, 0.08, 0.2)):
@@ -149,7 +149,7 @@
                 assert status == 202, told
                 acknowledged.append(f"s{step}")
                 await leader.start()
-                await fleet.all_in_touch()
+                await fleet.until_all_connected()
                 assert (await became(fleet, f"s{step}", "everywhere"))["number"] > base
                 await all_marked(fleet, f"s{step}")
                 base = (await fleet.up[0].call("GET", "/control/rules"))[1]["newest_known"]
@@ -176,7 +176,7 @@
 
 def test_undo_while_the_edit_is_still_being_put_in_force(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=5, more=HISTORY, http=rules("own")) as fleet:
+        async with running_heads(tmp_path, seed=5, extra_settings=HISTORY, http=rules("own")) as fleet:
             await put(fleet, "e1", 0, "one")
             fleet["h4"].signal(signal.SIGSTOP)  # alive as far as the others know: it holds the edit up
             assert (await edit(fleet["h0"], "e2", 1, rules("two")))[0] == 202
@@ -186,7 +186,7 @@
             assert (await undo(fleet["h1"], "u", 2))[0] == 202
             assert "taken back by bob" in (await became(fleet, "e2", "abandoned"))["why"]
             fleet["h4"].signal(signal.SIGCONT)
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             await put(fleet, "e4", 1, "four")
             versions_only_go_up(fleet)
 
@@ -195,8 +195,8 @@
 
 def test_a_head_that_died_before_activation_and_one_far_behind_catch_up_before_they_serve(tmp_path):
     async def story():
-        async with heads_up(
-            tmp_path, seed=6, more='rules: {check_within: "1s", versions: 50}\n', http=rules("own")
+        async with running_heads(
+            tmp_path, seed=6, extra_settings='rules: {check_within: "1s", versions: 50}\n', http=rules("own")
         ) as fleet:
             await put(fleet, "e1", 0, "one")
             fleet["h3"].signal(signal.SIGSTOP)  # it is waited for: there is time between check and activation
@@ -206,7 +206,7 @@
             await became(fleet, "e2", "in force", "everywhere")
             fleet["h3"].signal(signal.SIGCONT)
             await fleet["h4"].start()
-            assert await mark(fleet["h4"]) == "two"  # from its first answer on
+            assert await active_mark(fleet["h4"]) == "two"  # from its first answer on
             await fleet["h4"].kill()
             base = 2
             for n in range(60):
@@ -215,7 +215,7 @@
                 base = told["number"]
                 await became(fleet, f"n{n}", "in force", "everywhere")
             await fleet["h4"].start()
-            assert await mark(fleet["h4"]) == "n59"
+            assert await active_mark(fleet["h4"]) == "n59"
             told = (await fleet["h4"].call("GET", "/control/rules"))[1]
             assert told["newest_known"] == base and told["history_from"] == base - 49
             status, told = await undo(fleet["h4"], "past", 2, to=1)
@@ -232,7 +232,9 @@
     """What was stored, or what its log holds as committed; its own files only where it has neither."""
 
     async def story():
-        async with heads_up(tmp_path, count=3, seed=7, more=HISTORY, http=rules("own")) as fleet:
+        async with running_heads(
+            tmp_path, count=3, seed=7, extra_settings=HISTORY, http=rules("own")
+        ) as fleet:
             await put(fleet, "e1", 0, "one")
             alone = fleet["h1"]
             await fleet.until(lambda: (alone.disk / "rules.kept").exists(), "it is kept")
@@ -245,7 +247,7 @@
             if log_lost:
                 (alone.disk / "heads.db").unlink()
             await alone.start()
-            assert await mark(alone) == ("own" if log_lost else "one")
+            assert await active_mark(alone) == ("own" if log_lost else "one")
             told = (await alone.call("GET", "/control/rules"))[1]
             assert told["state"] == ("unfounded" if log_lost else "cut off")
             assert told["version"] == (0 if log_lost else 1)
@@ -255,7 +257,7 @@
             assert (await edit(alone, "e2", 1, rules("two")))[0] == 503
             await fleet["h0"].start(ready=False)
             await fleet["h2"].start(ready=False)
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             await all_marked(fleet, "one")
             versions_only_go_up(fleet)
 
@@ -264,7 +266,7 @@
 
 def test_a_rolling_restart_during_an_undo(tmp_path):
     async def story():
-        async with heads_up(tmp_path, seed=8, more=HISTORY, http=rules("own")) as fleet:
+        async with running_heads(tmp_path, seed=8, extra_settings=HISTORY, http=rules("own")) as fleet:
             await put(fleet, "e1", 0, "one")
             await put(fleet, "e2", 1, "two")
 
@@ -279,7 +281,7 @@
             while status != 202:
                 status, _ = await undo(fleet.up[0], "u", 2)
             await rolling
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             await became(fleet, "u", "everywhere")
             await all_marked(fleet, "one")
             versions_only_go_up(fleet)
@@ -291,8 +293,8 @@
     """2,000 rules here; 10,000 are played by benchmarks/heads_rules.py."""
 
     async def story():
-        async with heads_up(
-            tmp_path, count=3, seed=9, more='rules: {check_within: "30s"}\n', http=rules("own")
+        async with running_heads(
+            tmp_path, count=3, seed=9, extra_settings='rules: {check_within: "30s"}\n', http=rules("own")
         ) as fleet:
             lines = "".join(
                 f'\t\t{{name: "r{i}", when: #"request.path == "/p{i}""#, refuse: '
@@ -304,12 +306,14 @@
             worst, done = 0.0, asyncio.create_task(became(fleet, "many", "everywhere"))
             while not done.done():
                 began = asyncio.get_running_loop().time()
-                assert (await fleet["h1"].read(f"r{began}"))[0] == 200
+                assert (await fleet["h1"].send_request(f"r{began}"))[0] == 200
                 worst = max(worst, asyncio.get_running_loop().time() - began)
             await done
             print(f"slowest request beside it: {worst * 1000:.0f} ms")
             await all_marked(fleet, "many")
-            async with fleet.session.get(f"http://{fleet['h2'].host}:{fleet['h2'].http}/p1999") as response:
+            async with fleet.session.get(
+                f"http://{fleet['h2'].host}:{fleet['h2'].http_port}/p1999"
+            ) as response:
                 assert response.status == 410
 
     run(story(), LIMIT)
--- a/tests/soak/credit_story.py
+++ b/tests/soak/credit_story.py
@@ -8,8 +8,8 @@
 
 from stoatrouter.lab.histories.history import Request
 from stoatrouter.lab.histories.judge import judge
-from tests.heads.ledger_chaos import LEDGER_MORE, LedgerChaos
-from tests.heads.processes import HeadProcess, Processes, heads_up
+from tests.heads.ledger_chaos import LEDGER_CHAOS_SETTINGS, LedgerChaos
+from tests.heads.processes import HeadProcess, ProcessFleet, running_heads
 from tests.heads.rules_clients import rules
 from tests.soak.ends import Signaller
 from tests.soak.lag import measured
@@ -39,9 +39,11 @@
             self.restarts.append(asyncio.create_task(self.start_after(duration, head)))
 
 
-async def play_credit(folder: Path, report: SeedReport, seconds: float, settings: str = LEDGER_MORE) -> None:
+async def play_credit(
+    folder: Path, report: SeedReport, seconds: float, settings: str = LEDGER_CHAOS_SETTINGS
+) -> None:
     """Play and judge one seed."""
-    up = heads_up(folder, count=HEADS, seed=report.seed, more=settings, http=rules("own"))
+    up = running_heads(folder, count=HEADS, seed=report.seed, extra_settings=settings, http=rules("own"))
     async with measured(report.lag_of("stand-ins")), up as fleet:
         report.before = usage(fleet)
         chaos = SeriesChaos(fleet, report.seed, folder / "history.jsonl")
@@ -57,6 +59,6 @@
     report.ends += sum(fault.split()[1] in ENDS for fault in chaos.faults)
 
 
-def usage(fleet: Processes) -> list[Usage]:
+def usage(fleet: ProcessFleet) -> list[Usage]:
     """What the heads hold now."""
     return [Usage.of(head.process.pid) for head in fleet.up if head.process is not None]
--- a/tests/soak/seed.py
+++ b/tests/soak/seed.py
@@ -9,12 +9,12 @@
 from tests.soak.credit_story import play_credit
 from tests.soak.plan import Kind, kind_of
 from tests.soak.report import Finding, SeedReport
-from tests.soak.story import CLIENTS, Soak
+from tests.soak.story import CLIENTS_PER_HEAD, Soak
 
 LIMIT_FACTOR, LIMIT_MARGIN = 3.0, 120.0  # a seed that takes this many times its span, and seconds, hangs
 
 
-def play_seed(folder: Path, seed: int, seconds: float, clients: int = CLIENTS) -> SeedReport:
+def play_seed(folder: Path, seed: int, seconds: float, clients: int = CLIENTS_PER_HEAD) -> SeedReport:
     """Play and judge one seed; one that does not end, or whose story fails, is a finding."""
     report = SeedReport(seed, kind_of(seed))
     try:
--- a/tests/soak/story.py
+++ b/tests/soak/story.py
@@ -26,7 +26,7 @@
 HEADS, NODES = 3, 18
 DRAINED = 3  # nodes at once
 TWO_AT_ONCE = 0.3  # of the turns end two heads
-CLIENTS = 8  # of each head, where a story names no number
+CLIENTS_PER_HEAD = 8  # of each head, where a story names no number
 CLIENT_PROCESSES = 2
 CROWD_NAME = "crowd"
 CROWD = 1_100  # idle clients of each head, which may hold 1,024 descriptors
@@ -39,7 +39,12 @@
     """One seed."""
 
     def __init__(
-        self, folder: Path, report: SeedReport, seconds: float, prelude: str = "", clients: int = CLIENTS
+        self,
+        folder: Path,
+        report: SeedReport,
+        seconds: float,
+        prelude: str = "",
+        clients: int = CLIENTS_PER_HEAD,
     ) -> None:
         seed = report.seed
         self.seed, self.seconds, self.folder = seed, seconds, folder
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,7 +15,7 @@
 
 from benchmarks.soak import FOUND, NOT_ALL_JUDGED, exit_status, play_all
 from stoatrouter.lab.histories.requests import Verdict
-from tests.heads.ledger_chaos import LEDGER_MORE
+from tests.heads.ledger_chaos import LEDGER_CHAOS_SETTINGS
 from tests.soak import ends, story
 from tests.soak.credit_story import SERIES, SeriesChaos, play_credit
 from tests.soak.ends import Signaller
@@ -204,8 +204,8 @@
 def test_heads_that_serve_without_a_ledger_are_found(tmp_path, monkeypatch):
     """The operator's setting that serves what cannot be charged stands for a program that does."""
     monkeypatch.setattr(SeriesChaos, "faults_drawn", ["start_cut_off"])
-    serving = LEDGER_MORE.replace('lease: "2s"', 'lease: "2s", unknown_volumes: "serve"')
-    assert serving != LEDGER_MORE
+    serving = LEDGER_CHAOS_SETTINGS.replace('lease: "2s"', 'lease: "2s", unknown_volumes: "serve"')
+    assert serving != LEDGER_CHAOS_SETTINGS
 
     def is_found(seed: int) -> bool:
         print("seed", seed)
