--- a/tests/heads/__init__.py
+++ b/tests/heads/__init__.py
@@ -1,1 +1,1 @@
-"""Heads that know each other: pure cores in virtual time, processes with faults between them, histories."""
+"""Tests of fleets of heads: pure cores in virtual time, processes with injected faults, and histories."""
--- a/tests/heads/chaos.py
+++ b/tests/heads/chaos.py
@@ -1,4 +1,4 @@
-"""Clients, payers and editors beside random faults, from a seed."""
+"""Run clients, payers and rule editors while random faults are injected, all drawn from a seed."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
     'credit: {prices: {"score-read": 1000, "event-write": 1000, "stats-export": 1000}, lease: "2s"}\n'
     'rules: {check_within: "2s", versions: 5000}\n'
 )
-DETECT_WITHIN = 15.0  # seconds
+DETECTION_TIMEOUT = 15.0  # seconds that the other heads have to see a killed one as failed
 FAULTS = ["kill", "kill_leader", "split", "one_way", "pause", "loss", "heal", "heal"]
-CLIENTS = 6
+CLIENT_COUNT = 6  # clients that send requests
 
 
 class Chaos(HistoryClients):
-    """One run."""
+    """One run of clients and random faults."""
 
-    faults_drawn = FAULTS
+    fault_kinds = FAULTS
 
     def __init__(self, fleet: ProcessFleet, seed: int, file: Path) -> None:
         super().__init__(fleet, seed, file)
-        self.faults: list[str] = []  # for the report
-        self.restarts: list[asyncio.Task[None]] = []  # the starts that are owed to heads that were killed
+        self.faults: list[str] = []  # time and kind of each injected fault, for the report
+        self.restarts: list[asyncio.Task[None]] = []  # pending restarts of killed heads
         self.faults_over = asyncio.Event()
-        self.breaking: asyncio.Task[None] | None = None
+        self.fault_task: asyncio.Task[None] | None = None
 
-    # -- faults -------------------------------------------------------------------------------------------
-    async def break_things(self) -> None:
-        """Inject one fault after the other, some on top of others; most heads come back at once.
+    # -- faults ------------------------------------------------------------------------------------------
+    async def inject_faults(self) -> None:
+        """Inject faults until `faults_over` is set; faults may overlap, and killed heads are restarted.
 
-        It ends between two faults: a task that is cancelled within one leaves the head that it killed dead.
+        The loop ends between two faults: cancelling the task within one would leave a killed head down.
         """
         while not await set_within(self.faults_over, self.draws.uniform(0.3, 2.0)):
-            fault = self.draws.choice(self.faults_drawn)
+            fault = self.draws.choice(self.fault_kinds)
             duration = self.draws.uniform(0.2, 5.0)
             self.faults.append(f"{time.time():.2f} {fault}")
             head = self.random_head()
@@ -49,18 +49,19 @@
             await self.inject(fault, head, duration)
 
     async def inject(self, fault: str, head: HeadProcess | None, duration: float) -> None:
-        """Inject one fault, of this head where it is a head's."""
+        """Inject one fault; faults of a single head apply to `head`."""
         match fault:
             case "kill" | "kill_leader":
                 await self.kill(head, fault == "kill_leader", duration)
             case "pause":
                 await self.pause(head, duration)
             case _:
-                self.disturb_network(fault)
+                self.inject_network_fault(fault)
 
-    def disturb_network(self, fault: str) -> None:
-        """Heal, cut or worsen the paths between heads."""
-        draws, relay = self.draws, self.fleet.relay
+    def inject_network_fault(self, fault: str) -> None:
+        """Heal, cut or degrade the links between heads."""
+        draws = self.draws
+        relay = self.fleet.relay
         match fault:
             case "heal":
                 relay.heal()
@@ -72,10 +73,10 @@
             case "one_way":
                 relay.cut(*draws.sample(self.fleet.names, 2), both=False)
             case _:
-                relay.all_ways(loss=draws.uniform(0, 0.3), delay=draws.uniform(0, 0.1), twice=0.2)
+                relay.set_all_links(loss=draws.uniform(0, 0.3), delay=draws.uniform(0, 0.1), duplication=0.2)
 
     async def kill(self, head: HeadProcess, leader: bool, duration: float) -> None:
-        """Kill a head, or the leader that it knows, and start it again later; two at least stay up."""
+        """Kill a head, or the leader that it knows, and restart it later; at least two heads stay up."""
         status = await head.status()
         victim = self.fleet.heads.get(status.get("leader") or "") if leader else head
         if victim in self.fleet.up and len(self.fleet.up) > 2:
@@ -83,28 +84,28 @@
             self.restarts.append(asyncio.create_task(self.start_after(duration, victim)))
 
     async def pause(self, head: HeadProcess, duration: float) -> None:
-        """Stop a head for a while; two at least stay up."""
+        """Pause a head with SIGSTOP for a while; at least two heads stay up."""
         if len(self.fleet.up) > 2:
             head.signal(signal.SIGSTOP)
             await asyncio.sleep(duration)
             head.signal(signal.SIGCONT)
 
     async def start_after(self, delay: float, head: HeadProcess) -> None:
-        """Start a head again after a delay."""
+        """Restart a head after a delay."""
         await asyncio.sleep(delay)
         await head.start(ready=False)
 
-    # -- a whole run --------------------------------------------------------------------------------------
+    # -- a whole run -------------------------------------------------------------------------------------
     async def run(self, seconds: float, detect: bool) -> History:
-        """Play for a time, let all settle, and return the history."""
+        """Run for a time, wait until the fleet has settled, and return the history."""
         await self.put_customers()
         await self.fleet.until_all_applied()
-        askers = [self.client() for _ in range(CLIENTS)]
-        askers += [self.payer(), self.payer(), self.editor("ann"), self.editor("bob")]
-        tasks = [asyncio.create_task(asker) for asker in askers]
-        self.begin_faults()
+        clients = [self.client() for _ in range(CLIENT_COUNT)]
+        clients += [self.payer(), self.payer(), self.editor("ann"), self.editor("bob")]
+        tasks = [asyncio.create_task(client) for client in clients]
+        self.start_faults()
         await asyncio.sleep(seconds)
-        await self.end_faults()
+        await self.stop_faults()
         healed = time.time()
         await self.fleet.until_all_connected()
         in_touch = time.time()
@@ -113,38 +114,38 @@
         await asyncio.gather(*tasks)
         await self.settle(healed, in_touch)
         if detect:
-            await self.detect()
+            await self.record_detection()
         self.history_file.close()
         return read_history(self.file, {head.name: head.logs for head in self.fleet})
 
     async def put_customers(self) -> None:
-        """Make all customers; nothing is paid in yet."""
+        """Create all customers, without any top-up."""
         for name, volume in VOLUMES.items():
             customer = {"volumes": [volume], "by": "chaos", "why": "run", "low_water": 10 * PRICE}
             status, answer = await self.fleet["h0"].call("PUT", f"/control/credit/customers/{name}", customer)
             assert status == 200, answer
 
-    def begin_faults(self) -> None:
-        """Begin to inject faults."""
-        self.breaking = asyncio.create_task(self.break_things())
+    def start_faults(self) -> None:
+        """Start injecting faults."""
+        self.fault_task = asyncio.create_task(self.inject_faults())
 
-    async def end_faults(self) -> None:
-        """Wait for the fault that has begun, heal the network, and wait for heads that start again.
+    async def stop_faults(self) -> None:
+        """Wait for the current fault to end, heal the network, and wait for pending restarts.
 
         Raises:
-            HeadsDownError: A head is not up, now or at a later wait.
+            HeadsDownError: A head is not up, now or while a later state is awaited.
         """
-        assert self.breaking is not None
+        assert self.fault_task is not None
         self.faults_over.set()
-        await self.breaking
+        await self.fault_task
         self.fleet.relay.heal()
         await asyncio.gather(*self.restarts)
         self.fleet.required = self.fleet.names
         self.fleet.check_required()
 
-    async def detect(self) -> None:
-        """Write a span without faults, then kill one head, for the judge of what the detectors saw."""
-        await asyncio.sleep(5)  # suspicions that the faults left are over
+    async def record_detection(self) -> None:
+        """Record a span without faults, then kill one head, so that the judge can check the detectors."""
+        await asyncio.sleep(5)  # suspicions caused by the faults have cleared
         began = time.time()
         await asyncio.sleep(4)
         self.write("calm", began, until=time.time())
@@ -153,12 +154,12 @@
         witnesses = [head.name for head in self.fleet if head is not victim]
         await victim.kill()
         killed = time.time()
-        await asyncio.sleep(DETECT_WITHIN)
+        await asyncio.sleep(DETECTION_TIMEOUT)
         self.write(
             "down",
             killed,
             until=time.time(),
             head=victim.name,
             witnesses=witnesses,
-            detect_within=DETECT_WITHIN - 1,
+            detect_within=DETECTION_TIMEOUT - 1,
         )
--- a/tests/heads/history_clients.py
+++ b/tests/heads/history_clients.py
@@ -1,6 +1,6 @@
-"""Clients, payers and editors of heads, and the history of what they asked and were answered.
+"""Clients, payers and rule editors of heads, which record a history of their calls and the answers.
 
-The verdict is the judge's (stoatrouter/lab/histories), from that file and the heads' logs alone.
+The judge (stoatrouter/lab/histories) decides by that file and the heads' logs alone.
 """
 
 from __future__ import annotations
@@ -16,50 +16,54 @@
 from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.heads.rules_clients import edit, rules, undo
 
-PRICE = 1_000
+PRICE = 1_000  # millionths per unit
 VOLUMES = {"acme": "00000003b4d60021", "other": "00000003b4d60022", "idle": "00000003b4d60023"}
 RETRY_INTERVAL = 0.1  # seconds
-OK, NOT_FOUND, CONFLICT = 200, 404, 409
+OK = 200
+NOT_FOUND = 404
+CONFLICT = 409
 
 
 @dataclass(slots=True, frozen=True)
 class UnresolvedChange:
-    """A change whose caller does not know yet whether it took effect."""
+    """A change of the rules whose outcome its caller does not know yet."""
 
-    at: float  # when it was asked
-    line: dict[str, Any]  # of the history, without its times and answer
+    at: float  # when the call was made
+    line: dict[str, Any]  # line of the history, without end time and answer
 
 
 class HistoryClients:
-    """All who ask in one run, drawn from a seed, and the file that they write down."""
+    """All callers of one run, drawn from a seed, and the history file that they write."""
 
     def __init__(self, fleet: ProcessFleet, seed: int, file: Path) -> None:
-        self.fleet, self.seed, self.file = fleet, seed, file
+        self.fleet = fleet
+        self.seed = seed
+        self.file = file
         self.draws = random.Random(f"chaos/{seed}")
         self.history_file = file.open("w")
-        self.count = 0  # of names
+        self.id_count = 0  # ids issued so far
         self.stopping = False
-        self.newest = 0  # version of the rules, as somebody read it last
+        self.newest = 0  # newest version of the rules that any caller has read
         self.unresolved: list[UnresolvedChange] = []
-        self.lost: dict[str, int] = {}  # what lost folders may have held, by customer
+        self.lost: dict[str, int] = {}  # credit that lost data folders may have held, by customer
 
     def write(self, what: str, at: float, **more: Any) -> None:
-        """Write a line of the history."""
+        """Append a line to the history."""
         self.history_file.write(json.dumps({"what": what, "at": at, **more}) + "\n")
 
     def random_head(self) -> HeadProcess | None:
-        """Draw a head that runs; None where none does."""
+        """Draw a running head; None if none runs."""
         up = self.fleet.up
         return self.draws.choice(up) if up else None
 
     def new_id(self, what: str) -> str:
-        """A new id."""
-        self.count += 1
-        return f"{what}-{self.seed}-{self.count}"
+        """Return a new id with this prefix."""
+        self.id_count += 1
+        return f"{what}-{self.seed}-{self.id_count}"
 
-    # -- customers ----------------------------------------------------------------------------------------
+    # -- customers ---------------------------------------------------------------------------------------
     async def client(self) -> None:
-        """Make requests of customers, one after the other."""
+        """Send requests of customers, one after the other."""
         while not self.stopping:
             head = self.random_head()
             if head is None:
@@ -69,10 +73,11 @@
             await asyncio.sleep(self.draws.uniform(0.005, 0.06))
 
     async def request(self, head: HeadProcess) -> None:
-        """Make one request."""
+        """Send one request and record it."""
         customer = self.draws.choice(["acme", "acme", "other"])
         units = self.draws.randint(1, 4)
-        id, at = self.new_id("r"), time.time()
+        id = self.new_id("r")
+        at = time.time()
         status, _ = await head.send_request(id, VOLUMES[customer], units=units, deadline=1500)
         self.write(
             "request",
@@ -86,10 +91,11 @@
         )
 
     async def payer(self) -> None:
-        """Top customers up, each time until it is acknowledged."""
+        """Book top-ups, repeating each until it is acknowledged."""
         while not self.stopping:
             customer = self.draws.choice(["acme", "other"])
-            id, amount = self.new_id("t"), self.draws.choice([5, 20, 60]) * PRICE
+            id = self.new_id("t")
+            amount = self.draws.choice([5, 20, 60]) * PRICE
             status = -1
             while status not in (OK, CONFLICT) and not self.stopping:
                 head = self.random_head()
@@ -100,16 +106,16 @@
             await asyncio.sleep(self.draws.uniform(0.3, 1.2))
 
     async def top_up(self, head: HeadProcess, customer: str, id: str, amount: int) -> int:
-        """Top a customer up at a head; returns the status."""
+        """Book a top-up at a head, record it, and return the status."""
         at = time.time()
         entry = {"id": id, "amount": amount, "by": "chaos", "why": "run"}
         status, _ = await head.call("POST", f"/control/credit/customers/{customer}/entries", entry)
         self.write("pay", at, until=time.time(), id=id, customer=customer, amount=amount, status=status)
         return status
 
-    # -- editors of the rules -----------------------------------------------------------------------------
+    # -- editors of the rules ----------------------------------------------------------------------------
     async def editor(self, who: str) -> None:
-        """Edit, undo and read the rules."""
+        """Edit, undo and read the rules at random heads."""
         while not self.stopping:
             head = self.random_head()
             if head is None:
@@ -123,7 +129,7 @@
             await asyncio.sleep(self.draws.uniform(0.1, 0.8))
 
     async def read_newest(self, head: HeadProcess) -> None:
-        """Read the number of the newest version."""
+        """Read and record the number of the newest version."""
         at = time.time()
         status, answer = await head.call("GET", "/control/rules/newest")
         if status == OK:
@@ -132,8 +138,13 @@
             self.write("register", at, until=time.time(), **line)
 
     async def change(self, head: HeadProcess, kind: str, who: str) -> None:
-        """Edit or undo, until it is known whether it took effect. Its moment lies anywhere in between."""
-        id, base, at = self.new_id(who), self.newest, time.time()
+        """Edit or undo the rules, and wait until it is known whether the change took effect.
+
+        It may have taken effect at any moment between the call and the outcome.
+        """
+        id = self.new_id(who)
+        base = self.newest
+        at = time.time()
         if kind == "undo" and base < 2:
             return
         call = edit(head, id, base, rules(id), who) if kind == "edit" else undo(head, id, base)
@@ -151,20 +162,20 @@
             self.write("register", at, until=time.time(), **line, answer=("ok", outcome["number"]))
 
     async def outcome_of(self, id: str) -> dict[str, Any] | None:
-        """Wait until a change is over; None where it is known to nobody yet, or the run ends before."""
+        """Wait for the outcome of a change; None if no head knows the change yet, or the run ends first."""
         while not self.stopping:
             head = self.random_head()
             status, answer = await head.call("GET", f"/control/rules/edits/{id}") if head else (0, None)
             if status == OK and answer["state"] != "accepted":
                 return answer
             if status == NOT_FOUND:
-                return None  # it may still come: `resolve` asks again once all has settled
+                return None  # it may still take effect: `resolve` asks again once the fleet has settled
             await asyncio.sleep(RETRY_INTERVAL)
         return None
 
-    # -- the end ------------------------------------------------------------------------------------------
+    # -- the end -----------------------------------------------------------------------------------------
     async def settle(self, healed: float, in_touch: float) -> None:
-        """Wait, after the faults, for accounts without anything out and the same rules at all heads."""
+        """Wait, after the faults, until all accounts are settled and all heads use the same rules."""
         for name in VOLUMES:
             account = await self.fleet.until(lambda name=name: self.settled_account(name), f"{name} settled")
             figures = {key: account[key] for key in ("paid", "charged", "balance")}
@@ -180,7 +191,7 @@
             self.write_restored(state["versions"])
 
     async def read_account(self, customer: str) -> dict[str, Any] | None:
-        """An account, as the first head that can confirm it has it; empty where there is none."""
+        """Return an account from the first head that can confirm it; empty if there is no such customer."""
         for head in self.fleet.up:
             status, account = await head.call("GET", f"/control/credit/customers/{customer}")
             if status in (OK, NOT_FOUND):
@@ -188,12 +199,12 @@
         return None
 
     async def settled_account(self, name: str) -> dict[str, Any] | None:
-        """A customer's account; None while any of it is out, or nobody can say."""
+        """Return a customer's account; None while it has outstanding allotments or no head can confirm it."""
         account = await self.read_account(name)
         return account if account and not account["out"] else None
 
     async def equal_rules(self) -> dict[str, Any] | None:
-        """Each head's state of the rules, once all decide by the newest version."""
+        """Return each head's state of the rules once all use the newest version; None before."""
         states = {head.name: (await head.call("GET", "/control/rules"))[1] for head in self.fleet}
         if any(
             state is None or state["pending"] or state["version"] != state["newest_known"]
@@ -203,9 +214,9 @@
         return states if len({state["newest_known"] for state in states.values()}) == 1 else None
 
     async def resolve(self) -> None:
-        """Find out, with nothing in flight any more, whether changes took effect whose callers never knew.
+        """Record the changes of unknown outcome that took effect, once no change is in flight any more.
 
-        One that is known to nobody never did, and no later call can make it.
+        A change that no head knows did not take effect, and no later call can make it do so.
         """
         for change in self.unresolved:
             id = change.line["id"]
@@ -215,12 +226,12 @@
                 self.write("register", change.at, until=time.time(), **change.line, answer=outcome)
 
     async def state_of_change(self, id: str) -> dict[str, Any] | None:
-        """What the first head knows of a change; None where it gives no answer."""
+        """Return what the first head knows of a change; None if it gives no answer."""
         status, answer = await self.fleet["h0"].call("GET", f"/control/rules/edits/{id}")
         return {"state": "unknown"} if status == NOT_FOUND else answer if status == OK else None
 
     async def write_contents(self, version: int) -> None:
-        """Write what each head has as the newest version."""
+        """Record the contents of the newest version at each head."""
         digests = {}
         for head in self.fleet:
             status, contents = await head.call("GET", f"/control/rules/versions/{version}")
@@ -228,7 +239,7 @@
         self.write("contents", time.time(), digests=digests)
 
     def write_restored(self, versions: list[dict[str, Any]]) -> None:
-        """Write, for each undo in the history, what was in force before the undone version, and after it."""
+        """Record, for each undo, the digest in force before the undone version and the one after the undo."""
         digests = {version["number"]: version["digest"] for version in versions}
         numbers = sorted(digests)
         for version in versions:
@@ -240,5 +251,5 @@
 
 
 def is_for_another_change(error: str) -> bool:
-    """Whether a change never acted: rejected for another in progress, or for a version that is gone."""
+    """Return whether a change was rejected because of another one in progress, or of a dropped version."""
     return "is being put in force" in error or "is not in the history" in error
--- a/tests/heads/processes.py
+++ b/tests/heads/processes.py
@@ -1,4 +1,4 @@
-"""Several heads of the real program, with relays between them, stand-in nodes and discovery."""
+"""A fleet of head processes of the real program, with relays between them, stand-in nodes and discovery."""
 
 from __future__ import annotations
 
@@ -21,22 +21,23 @@
 from tests.program_process import program_environ, start_program
 from tests.story_tasks import raise_failed
 
-STATE_TIMEOUT = 40.0  # seconds that a story waits for a state; it only ends what would never come
-LOG_TAIL = 8  # lines
+STATE_TIMEOUT = 40.0  # seconds; only guards against a state that never comes about
+LOG_TAIL_LINES = 8
 SECRET = "s" * 40
 
 
 class HeadsDownError(AssertionError):
-    """Heads that have to be up are not."""
+    """Heads that have to be up are down."""
 
 
 class HeadProcess:
-    """One head: its files, its process, and calls to it."""
+    """One head: its files, its process, and calls to it. `host` and the ports are where it listens."""
 
-    optimized = False  # with its assertions
+    optimized = False  # run with assertions enabled
 
     def __init__(self, fleet: ProcessFleet, name: str) -> None:
-        self.fleet, self.name = fleet, name
+        self.fleet = fleet
+        self.name = name
         self.folder = fleet.folder / name
         self.folder.mkdir()
         self.host = own_host()
@@ -48,7 +49,7 @@
         self.paused = False
 
     def write(self) -> None:
-        """Write its configuration and settings."""
+        """Write the head's configuration and settings files."""
         fleet = self.fleet
         (self.folder / "config.json").write_text(json.dumps(self.configuration()))
         (self.folder / "heads.cue").write_text(self.heads_settings())
@@ -62,8 +63,9 @@
                 (self.folder / "rules.cue").write_text(fleet.http_rules)
 
     def configuration(self) -> dict[str, Any]:
-        """Its configuration, in which the relay is the others' address."""
-        fleet, relay = self.fleet, self.fleet.relay
+        """Return its configuration, in which the other heads have the relay's addresses."""
+        fleet = self.fleet
+        relay = self.fleet.relay
         data = config_data(
             node_list(1, *(n.entry() for n in fleet.nodes)),
             fleet.discovery,
@@ -79,7 +81,7 @@
         }
 
     def platform_settings(self, settings: dict[str, Any]) -> dict[str, Any]:
-        """The platform's settings, with the story's deadline for all classes where it has one."""
+        """Return the platform's settings, with the fleet's deadline for all classes if it has one."""
         if self.fleet.class_deadline is None:
             return settings
         settings = copy.deepcopy(settings)
@@ -88,8 +90,9 @@
         return settings
 
     def heads_settings(self) -> str:
-        """Its settings of the heads, in which the relay is the others' address."""
-        fleet, relay = self.fleet, self.fleet.relay
+        """Return its fleet settings, in which the other heads have the relay's addresses."""
+        fleet = self.fleet
+        relay = self.fleet.relay
         own = f"{self.host}:{self.stream_port}"
         others = [name for name in fleet.names if name != self.name]
         streams = {name: relay.stream_address(self.name, name) for name in others} | {self.name: own}
@@ -101,14 +104,14 @@
         )
 
     def settings_environ(self) -> dict[str, str]:
-        """Name the files of the parts that are switched on."""
+        """Return the environment variables that name the settings files of the enabled parts."""
         environ = {"STOATROUTER_HEADS": str(self.folder / "heads.cue")}
         if self.fleet.http_rules:
             environ["STOATROUTER_HTTP"] = str(self.folder / "http.cue")
         return environ
 
     async def start(self, ready: bool = True) -> None:
-        """Write the files and start the process; returns once it is ready, or at once without `ready`."""
+        """Write the files and start the process; return once it is ready, or at once without `ready`."""
         self.write()
         environ = program_environ(
             self.folder / "config.json",
@@ -133,11 +136,11 @@
         assert self.process.returncode is None, f"{self.name} ended:\n{self.logs.read_text()[-3000:]}"
         return (await self.call("GET", "/control/ready"))[0] == 200
 
-    async def call(self, method: str, path: str, data: Any = None, within: float = 6.0) -> tuple[int, Any]:
-        """A management call: status and JSON (or text); status 0 where no answer came."""
+    async def call(self, method: str, path: str, data: Any = None, timeout: float = 6.0) -> tuple[int, Any]:
+        """Make a management call; return status and JSON (or text), status 0 if no answer came."""
         try:
             async with (
-                asyncio.timeout(within),
+                asyncio.timeout(timeout),
                 self.fleet.session.request(
                     method,
                     f"http://{self.host}:{self.management_port}{path}",
@@ -151,7 +154,7 @@
             return 0, None
 
     async def status(self) -> dict[str, Any]:
-        """What it says of itself and the others; empty where it gives no answer."""
+        """Return its view of itself and the other heads; empty if it gives no answer."""
         code, status = await self.call("GET", "/control/heads")
         return status if code == 200 else {}
 
@@ -165,7 +168,7 @@
         method: str = "GET",
         **more: str,
     ) -> tuple[int, dict[str, str]]:
-        """One request at the platform's front: status (0: none came) and headers."""
+        """Send one request to the platform's front; return status (0 if no answer came) and headers."""
         url = f"http://{self.host}:{self.port}/{kind}/{volume}/7f3a9c21e0b4d655"
         body = b"x" if method == "PUT" else None
         headers = {
@@ -185,10 +188,10 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0, {}
 
-    def signal(self, sign: signal.Signals) -> None:
+    def signal(self, signal_number: signal.Signals) -> None:
         assert self.process is not None
-        send_signal(self.process, sign)
-        self.paused = sign is signal.SIGSTOP
+        send_signal(self.process, signal_number)
+        self.paused = signal_number is signal.SIGSTOP
 
     async def kill(self) -> None:
         assert self.process is not None
@@ -206,12 +209,12 @@
         return self.folder / "disk" / self.name
 
     def log_tail(self) -> str:
-        """The texts of the last lines of its log."""
-        lines = self.logs.read_text().splitlines()[-LOG_TAIL:]
+        """Return the texts of the last lines of its log."""
+        lines = self.logs.read_text().splitlines()[-LOG_TAIL_LINES:]
         return " | ".join(json.loads(line)["text"].strip() for line in lines if line.startswith("{"))
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Its log's records of one event."""
+        """Return its log records of one event."""
         found = []
         for line in self.logs.read_text().splitlines():
             with contextlib.suppress(ValueError):
@@ -222,7 +225,7 @@
 
 
 class ProcessFleet:
-    """The heads of a story."""
+    """The head processes of one test."""
 
     def __init__(
         self,
@@ -235,14 +238,17 @@
         environ: dict[str, str],
         class_deadline: int | None = None,
     ) -> None:
-        self.folder, self.seed, self.extra_settings, self.http_rules = folder, seed, extra_settings, http
+        self.folder = folder
+        self.seed = seed
+        self.extra_settings = extra_settings
+        self.http_rules = http
         self.names = [f"h{i}" for i in range(count)]
         self.voters = self.names[:voters]
         self.environ = environ
         self.class_deadline = class_deadline
         self.relay = Relay(self.names, seed)
         self.heads: dict[str, HeadProcess] = {}
-        self.required: list[str] = []  # heads that have to be up whenever a state is waited for
+        self.required: list[str] = []  # heads that must be up while any state is awaited
         self.nodes: list[Node] = []
         self.discovery = 0
         self.session: aiohttp.ClientSession
@@ -258,14 +264,14 @@
         return [h for h in self if h.process is not None and h.process.returncode is None and not h.paused]
 
     def check_required(self) -> None:
-        """Raise HeadsDownError where a head that has to be up is not: what is waited for may never come."""
+        """Raise HeadsDownError if a required head is down: the awaited state might never come about."""
         down = [head for head in self if head.name in self.required and head not in self.up]
         if down:
             ends = [f"{head.name} ({head.process and head.process.returncode})" for head in down]
             raise HeadsDownError(f"not up: {', '.join(ends)}\n{self.log_tails()}")
 
     async def until(self, holds: Callable[[], Any], what: str, timeout: float = STATE_TIMEOUT) -> Any:
-        """Wait for a state, and return what `holds` returned; fails with the name of the state."""
+        """Wait until `holds` returns a true value, and return it; a timeout fails with the state's name."""
         deadline = time.monotonic() + timeout
         while True:
             raise_failed()
@@ -279,17 +285,17 @@
             await asyncio.sleep(0.05)
 
     def log_tails(self) -> str:
-        """The last lines of each head's log."""
+        """Return the last lines of each head's log."""
         return "\n".join(f"{head.name}: {head.log_tail()}" for head in self if head.logs.exists())
 
     async def start_all(self) -> None:
-        """Start all at once, and wait until they are ready and connected."""
+        """Start all heads at once, and wait until they are ready and connected."""
         await asyncio.gather(*(head.start(ready=False) for head in self))
         await asyncio.gather(*(head.until_ready() for head in self))
         await self.until_all_connected()
 
     async def kill_all(self) -> None:
-        """Kill all that run, and wait until they have ended."""
+        """Kill all running heads, and wait until they have exited."""
         started = [head.process for head in self if head.process is not None]
         for process in started:
             if process.returncode is None:
@@ -298,7 +304,7 @@
             await process.wait()
 
     async def leader(self, among: list[str] | None = None) -> HeadProcess:
-        """The head that leads and hears a majority, once there is one."""
+        """Wait for a head that leads and is connected to a majority, and return it."""
 
         async def look() -> HeadProcess | None:
             for head in self.up:
@@ -311,6 +317,8 @@
         return await self.until(look, "a leader")
 
     async def until_all_connected(self, *names: str) -> None:
+        """Wait until these heads, or all running ones, are connected to a majority."""
+
         async def look() -> bool:
             heads = [self[n] for n in names] if names else self.up
             statuses = [await head.status() for head in heads]
@@ -319,7 +327,7 @@
         await self.until(look, f"{names or 'all'} in touch")
 
     async def until_all_applied(self) -> None:
-        """All that run have applied the same."""
+        """Wait until all running heads have applied the same index."""
 
         async def look() -> bool:
             applied = {(await h.status()).get("applied") for h in self.up}
@@ -341,9 +349,9 @@
     start: bool = True,
     class_deadline: int | None = None,
 ) -> AsyncIterator[ProcessFleet]:
-    """Heads h0 to h(count-1), the first `voters` of them voting, ready to serve; killed at the end.
+    """Run heads h0 to h(count-1), of which the first `voters` vote, ready to serve; kill them at the end.
 
-    `class_deadline` is the deadline of every class, in milliseconds; a head bounds a request's own by it.
+    `class_deadline` is the deadline of every class, in milliseconds; it caps the deadlines of requests.
     """
     fleet = ProcessFleet(folder, count, voters, seed, extra_settings, http, environ or {}, class_deadline)
     fleet.nodes = list(nodes) or [Node("a", 0)]
@@ -353,7 +361,8 @@
         listening(Discovery().handle) as discovery,
         aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0, force_close=True)) as session,
     ):
-        fleet.discovery, fleet.session = discovery, session
+        fleet.discovery = discovery
+        fleet.session = session
         await fleet.relay.start()
         fleet.heads = {name: HeadProcess(fleet, name) for name in fleet.names}
         try:
--- a/tests/heads/rules_clients.py
+++ b/tests/heads/rules_clients.py
@@ -1,4 +1,4 @@
-"""Editors of rules and clients of the HTTP front, as stories on processes need them."""
+"""Editors of rules and clients of the HTTP front for tests with real processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tests.heads.processes import HeadProcess, ProcessFleet
 
-HISTORY = 'rules: {check_within: "4s"}\n'
+RULES_SETTINGS = 'rules: {check_within: "4s"}\n'
 RULES = """scopes: feed: {
 	hosts: ["*"]
 	paths: ["/"]
@@ -29,7 +29,7 @@
 
 
 async def active_mark(head: HeadProcess) -> str:
-    """Which rules a head decides by, as a client sees it."""
+    """Return the mark of the rules that a head uses, as a client sees it."""
     try:
         url = f"http://{head.host}:{head.http_port}/mark"
         async with asyncio.timeout(3), head.fleet.session.get(url) as response:
@@ -61,38 +61,40 @@
     )
 
 
-async def became(fleet: ProcessFleet, id: str, *states: str) -> dict[str, Any]:
-    """What became of an id, once it is one of these."""
+async def until_edit_is(fleet: ProcessFleet, id: str, *states: str) -> dict[str, Any]:
+    """Wait until the change with this id is in one of these states, and return its status."""
 
     async def look():
         for head in fleet.up:
-            status, told = await head.call("GET", f"/control/rules/edits/{id}")
+            status, answer = await head.call("GET", f"/control/rules/edits/{id}")
             if status == 200:
-                return told if told["state"] in states else None
+                return answer if answer["state"] in states else None
         return None
 
     return await fleet.until(look, f"{id} is {states}")
 
 
-async def all_marked(fleet: ProcessFleet, text: str, *names: str) -> None:
+async def until_all_marked(fleet: ProcessFleet, text: str, *names: str) -> None:
+    """Wait until these heads, or all running ones, use the rules with this mark."""
+
     async def look() -> bool:
         return all([await active_mark(h) == text for h in ([fleet[n] for n in names] or fleet.up)])
 
     await fleet.until(look, f"all decide by {text!r}")
 
 
-async def put(fleet: ProcessFleet, id: str, base: int, text: str, by: HeadProcess | None = None) -> int:
-    """An edit that comes in force everywhere; its number."""
+async def roll_out(fleet: ProcessFleet, id: str, base: int, text: str, by: HeadProcess | None = None) -> int:
+    """Make an edit, wait until it is in force everywhere, and return its number."""
     head = by or fleet.up[0]
-    status, told = await edit(head, id, base, rules(text))
-    assert status == 202, told
-    assert (await became(fleet, id, "everywhere", "abandoned"))["state"] == "everywhere"
-    await all_marked(fleet, text)
-    return told["number"]
+    status, answer = await edit(head, id, base, rules(text))
+    assert status == 202, answer
+    assert (await until_edit_is(fleet, id, "everywhere", "abandoned"))["state"] == "everywhere"
+    await until_all_marked(fleet, text)
+    return answer["number"]
 
 
-def versions_only_go_up(fleet: ProcessFleet) -> None:
-    """From each head's log: over its restarts, too."""
+def check_versions_ascend(fleet: ProcessFleet) -> None:
+    """Assert, by each head's log, that its versions ascend, also over restarts."""
     for head in fleet:
-        numbers = [said["number"] for said in head.events("rules.version")]
+        numbers = [event["number"] for event in head.events("rules.version")]
         assert numbers == sorted(numbers), (head.name, numbers)
--- a/tests/heads/test_agreement.py
+++ b/tests/heads/test_agreement.py
@@ -1,4 +1,4 @@
-"""The agreement in virtual time: seeds of faults, mutants that must be caught, all orders of small cases."""
+"""The agreement in virtual time: random faults, mutants that must be caught, exhaustive small cases."""
 
 from __future__ import annotations
 
@@ -55,10 +55,9 @@
     assert stories.run_agreement(3, heads=20, span=6 * stories.SECOND).acknowledged
 
 
-# -- mutants: each breaks one rule of the program, and a promise must show it
-# ------------------------------------
+# -- mutants: each breaks one rule of the program, and an invariant must show it -------------------------
 class VoteNotDurable(Raft):
-    """A vote goes out before it is on the disk."""
+    """Sends a vote before it is on disk."""
 
     __slots__ = ()
 
@@ -72,7 +71,7 @@
 
 
 class AcknowledgesAtOnce(Raft):
-    """Entries are acknowledged before they are on the disk."""
+    """Acknowledges entries before they are on disk."""
 
     __slots__ = ()
 
@@ -86,7 +85,7 @@
 
 
 class CountsOlderTerms(Raft):
-    """Entries of an older term are committed by counting (Ongaro 2014, figure 3.7)."""
+    """Commits entries of an older term by counting replicas (Ongaro 2014, figure 3.7)."""
 
     __slots__ = ()
 
@@ -106,7 +105,7 @@
 
 
 class VotesForAnybody(Raft):
-    """Votes do not ask whether the candidate's log is as new."""
+    """Votes without checking that the candidate's log is up to date."""
 
     __slots__ = ()
 
@@ -115,7 +114,7 @@
 
 
 class VotesTwice(Raft):
-    """A vote given in a term is forgotten when another asks."""
+    """Forgets the vote given in a term when another candidate asks."""
 
     __slots__ = ()
 
@@ -125,7 +124,7 @@
 
 
 class AnswersReadsUnconfirmed(Raft):
-    """A leader answers reads without asking whether it still leads."""
+    """Answers reads without confirming that it still leads."""
 
     __slots__ = ()
 
@@ -135,7 +134,7 @@
 
 
 class AcceptsAnyVoterChange(Raft):
-    """Voters change while another change is under way, and before the leader is settled."""
+    """Accepts a change of voters while another is under way, or before the leader is settled."""
 
     __slots__ = ()
 
@@ -144,7 +143,7 @@
 
 
 class SkipsLogMatching(Raft):
-    """Entries are taken in without asking whether the one before them is the same."""
+    """Appends entries without checking that the preceding entry matches."""
 
     __slots__ = ()
 
@@ -153,7 +152,7 @@
         return super()._match_entries(prev, held if held is not None else prev_term, entries)
 
 
-# and the first seed that shows it; a few after it are tried too, should an order change
+# Each with the first seed that shows it; 150 further seeds are tried, in case the order of events changes.
 MUTANTS = [
     (AcknowledgesAtOnce, 34),
     (VotesForAnybody, 0),
@@ -164,9 +163,9 @@
 ]
 
 
-@pytest.mark.parametrize(("mutant", "first"), MUTANTS, ids=lambda m: getattr(m, "__name__", ""))
-def test_a_mutant_is_caught(mutant, first):
-    for seed in [first, *range(150)]:
+@pytest.mark.parametrize(("mutant", "first_seed"), MUTANTS, ids=lambda m: getattr(m, "__name__", ""))
+def test_a_mutant_is_caught(mutant, first_seed):
+    for seed in [first_seed, *range(150)]:
         try:
             stories.run_agreement(seed, make_raft=mutant)
         except (InvariantViolated, AssertionError) as caught:
@@ -176,11 +175,11 @@
 
 
 # -- all orders of small cases ---------------------------------------------------------------------------
-@pytest.mark.parametrize(("voters", "depth", "least"), [(2, 9, 2_000), (3, 5, 1_000)])
-def test_promises_hold_in_all_orders_of_a_few_events(voters, depth, least):
+@pytest.mark.parametrize(("voters", "depth", "min_states"), [(2, 9, 2_000), (3, 5, 1_000)])
+def test_promises_hold_in_all_orders_of_a_few_events(voters, depth, min_states):
     states, done = search(voters, depth)
     print(f"{voters} voters, depth {done}: {states} states")
-    assert done == depth and states > least
+    assert done == depth and states > min_states
 
 
 # -- single rules ----------------------------------------------------------------------------------------
@@ -192,28 +191,28 @@
 GENESIS = PersistentState(0, None, Snapshot(1, 0, THREE, b""))
 
 
-def elected(raft: Raft) -> Raft:
-    """Let the others vote for it."""
+def elect_leader(raft: Raft) -> Raft:
+    """Make a voter the leader by votes of the others."""
     raft.reduce(Tick(5000 * MS))
     effects = raft.reduce(Tick(10_000 * MS))
     assert any(
         isinstance(e, Send) and isinstance(e.message, RequestVote) and e.message.pre_vote for e in effects
     )
-    (durable,) = [
+    (persist,) = [
         e
         for e in raft.reduce(Received(raft.now, voter(1), RequestVoteReply(raft.term + 1, True, True)))
         if isinstance(e, Persist)
     ]
-    raft.reduce(WriteCompleted(raft.now, durable.number))
+    raft.reduce(WriteCompleted(raft.now, persist.number))
     raft.reduce(Received(raft.now, voter(1), RequestVoteReply(raft.term, True, False)))
     assert raft.leads
     return raft
 
 
 def an_entry_of_an_older_term_is_not_committed_by_counting(make):
-    """Figure 3.7 of the thesis: on a majority's disks, and still not agreed on."""
+    """An entry that a majority has on disk may still not be committed (Ongaro 2014, figure 3.7)."""
     old = Entry(2, 1, "c", b"old")
-    raft = elected(make(voter(0), PersistentState(1, None, GENESIS.snapshot, (old,)), 1))
+    raft = elect_leader(make(voter(0), PersistentState(1, None, GENESIS.snapshot, (old,)), 1))
     commits = raft.reduce(Received(raft.now, voter(1), AppendEntriesReply(raft.term, True, 2, raft.round)))
     assert raft.commit_index == 1 and not any(isinstance(e, Apply) for e in commits)
 
@@ -222,13 +221,13 @@
     raft = make(voter(0), GENESIS, 1)
     effects = raft.reduce(Received(MS, voter(1), RequestVote(1, 1, 0, False)))
     assert not any(isinstance(e, Send) for e in effects)
-    (durable,) = [e for e in effects if isinstance(e, Persist)]
-    assert durable.write.term == 1 and durable.write.voted_for == "h1/0"
-    assert durable.then == (Send(voter(1), RequestVoteReply(1, True, False)),)
+    (persist,) = [e for e in effects if isinstance(e, Persist)]
+    assert persist.write.term == 1 and persist.write.voted_for == "h1/0"
+    assert persist.then == (Send(voter(1), RequestVoteReply(1, True, False)),)
 
 
 def a_leader_of_an_older_term_changes_nothing_committed(make):
-    """It counts this head as a voter, in a change that nobody else took (seed 1101 of the story)."""
+    """That leader counts this head as a voter, by a change that no other head accepted (seed 1101)."""
     raft = make(voter(3), PersistentState(1, None, GENESIS.snapshot), 1)
     raft.reduce(CommittedReceived(MS, 1, 0, (Entry(2, 2, "n"), Entry(3, 2, "c", b"kept")), 3))
     raft.reduce(Received(2 * MS, voter(0), AppendEntries(1, 1, 0, (Entry(2, 1, "c", b"old"),), 2, 1, 0)))
@@ -236,19 +235,19 @@
 
 
 def a_commit_is_recorded_once_its_entries_are_on_the_disk(make):
-    """The disk holds another entry at that index until then: a head killed now would restore that one."""
+    """Until then the disk holds another entry at that index, which a head killed now would restore."""
     old = Entry(2, 1, "c", b"old")
     raft = make(voter(1), PersistentState(1, None, GENESIS.snapshot, (old,)), 1)
     effects = raft.reduce(
         Received(MS, voter(0), AppendEntries(2, 1, 0, (Entry(2, 2, "c", b"kept"),), 2, 1, 0))
     )
     assert raft.commit_index == 2 and raft.durable_commit_index == 1
-    (durable,) = [e for e in effects if isinstance(e, Persist)]
-    raft.reduce(WriteCompleted(2 * MS, durable.number))
+    (persist,) = [e for e in effects if isinstance(e, Persist)]
+    raft.reduce(WriteCompleted(2 * MS, persist.number))
     assert raft.durable_commit_index == 2
 
 
-RARE_MOMENTS = [
+RARE_EVENT_CHECKS = [
     an_entry_of_an_older_term_is_not_committed_by_counting,
     a_vote_waits_for_the_disk,
     a_leader_of_an_older_term_changes_nothing_committed,
@@ -256,13 +255,13 @@
 ]
 
 
-@pytest.mark.parametrize("check", RARE_MOMENTS, ids=lambda c: c.__name__)
+@pytest.mark.parametrize("check", RARE_EVENT_CHECKS, ids=lambda c: c.__name__)
 def test_rules_of_rare_moments_hold(check):
     check(Raft)
 
 
 class RecordsCommitBeforeItsEntries(Raft):
-    """The commit index is recorded while entries up to it are still being written."""
+    """Records the commit index while entries up to it are still being written."""
 
     __slots__ = ()
 
@@ -272,7 +271,7 @@
 
 
 class LearnsNoTermFromCommitted(Raft):
-    """What was agreed on says nothing of the terms that have begun."""
+    """Does not take its term from committed entries that it receives."""
 
     __slots__ = ()
 
@@ -283,14 +282,15 @@
         return effects
 
 
-# what no seed of 2,400 showed (of the last one, none of 150): their moments are rare, each has a check
+# None of 2,400 seeds (150 for the last one) showed these mutants, as the events are rare: each has its own
+# check.
 @pytest.mark.parametrize(
     ("mutant", "check"),
     [
-        (CountsOlderTerms, RARE_MOMENTS[0]),
-        (VoteNotDurable, RARE_MOMENTS[1]),
-        (LearnsNoTermFromCommitted, RARE_MOMENTS[2]),
-        (RecordsCommitBeforeItsEntries, RARE_MOMENTS[3]),
+        (CountsOlderTerms, RARE_EVENT_CHECKS[0]),
+        (VoteNotDurable, RARE_EVENT_CHECKS[1]),
+        (LearnsNoTermFromCommitted, RARE_EVENT_CHECKS[2]),
+        (RecordsCommitBeforeItsEntries, RARE_EVENT_CHECKS[3]),
     ],
 )
 def test_a_mutant_of_a_rare_moment_is_caught(mutant, check):
@@ -306,7 +306,7 @@
 
 
 def test_a_head_whose_disk_takes_no_writes_waits_for_none():
-    """It follows by polls for as long as it runs: each was a write that never ended, held for ever."""
+    """Guards memory: such a head follows by polls, and each poll left a pending write that never ended."""
     raft = Raft(voter(3), GENESIS, 1)
     raft.reduce(CommittedReceived(MS, 1, 0, (Entry(2, 1, "c", b"x"),), 2))
     assert raft.pending_writes
@@ -319,7 +319,7 @@
 
 
 def test_two_changes_of_voters_at_once_are_rejected():
-    raft = elected(Raft(voter(0), GENESIS, 1))
+    raft = elect_leader(Raft(voter(0), GENESIS, 1))
     body = encode_voters(THREE[:2])
     (rejected,) = [e for e in raft.reduce(Propose(raft.now, "a", body, "v")) if isinstance(e, Rejected)]
     assert "not settled" in rejected.reason
@@ -341,14 +341,14 @@
     assert h0.receive(h1.promise(h0.me)) is None
     founded = h0.receive(h2.promise(h0.me))
     assert founded == Founded("h0/0", THREE) and h0.adopt(founded) and h1.adopt(founded)
-    # the founder loses its disk before h2 heard: a second founding never comes about
+    # the founder loses its disk before h2 has heard of the founding: no second founding succeeds
     again = Founding(Voter("h0", "h0/1"), names)
     assert again.receive(h2.promise(again.me)) is None and again.receive(h1.promise(again.me)) is None
-    assert not h2.adopt(founded)  # it has promised to the later founder
+    assert not h2.adopt(founded)  # h2 has promised to the later founder
     assert not Founding(Voter("h1", "h1/1"), names).adopt(founded)
 
 
-# -- what a head does, by where it stands ----------------------------------------------------------------
+# -- availability of a head by the facts that it knows ---------------------------------------------------
 @pytest.mark.parametrize(
     ("facts", "waited", "state", "may"),
     [
@@ -367,7 +367,8 @@
         ),
         (HeadFacts(True, False, 100 * MS, True, False, True), 9, HeadState.CATCHING_UP, "votes"),
         (HeadFacts(True, True, 9000 * MS, True, False, True), 9, HeadState.CUT_OFF, "serves votes ready"),
-        (HeadFacts(True, False, None, False, False, True), 1, HeadState.CUT_OFF, ""),  # waits at its start
+        # still waiting at its start
+        (HeadFacts(True, False, None, False, False, True), 1, HeadState.CUT_OFF, ""),
         (HeadFacts(True, False, None, False, False, True), 9, HeadState.CUT_OFF, "serves ready"),
     ],
 )
@@ -379,7 +380,7 @@
 
 
 def test_changes_of_voters_before_a_snapshot_are_not_held():
-    """Guards memory: each change of the voters was held for as long as the process ran."""
+    """Guards memory: every change of the voters was kept for the lifetime of the process."""
     log = Log(Snapshot(0, 0, THREE, b""))
     for index in range(1, 101):
         log.append([Entry(index, 1, VOTERS, encode_voters(THREE[: 1 + index % 3]))])
--- a/tests/heads/test_agreement_wire.py
+++ b/tests/heads/test_agreement_wire.py
@@ -1,7 +1,7 @@
-"""Messages and snapshot state written by the code before the Raft names still decode into the new types.
+"""Messages and snapshot state written before the Raft types were renamed still decode into the new types.
 
-The bytes below were made with main at b966509 (classes `AskVote`, `GiveVote`, `Append`, `Appended`, `Install`
-and `Held`), before they were renamed; tags and field order are what goes on the wire and to disk.
+The bytes below were written by commit b966509 (classes `AskVote`, `GiveVote`, `Append`, `Appended`, `Install`
+and `Held`); tags and field order define the format on the wire and on disk.
 """
 
 from __future__ import annotations
@@ -46,13 +46,13 @@
 
 @pytest.mark.parametrize(("old", "new"), OLD_MESSAGES)
 def test_old_messages_decode_into_the_renamed_types(old, new):
-    """Each message in the old bytes decodes to the renamed type, and encodes back to the same bytes."""
+    """The old bytes of each message decode to the renamed type, which encodes to the same bytes."""
     assert msgspec.msgpack.decode(old, type=AnyMessage) == new
     assert msgspec.msgpack.encode(new) == old
 
 
 def test_old_snapshot_state_decodes_into_machine_state():
-    """A snapshot's state written as the old `Held` decodes as `MachineState`, and encodes back the same."""
+    """Snapshot state written as the old `Held` decodes to `MachineState`, which encodes to the same bytes."""
     old = b"\x92\x91\x92\xa3id1\xc4\x03ans\x81\xa6credit\xc4\x01p"
     state = msgspec.msgpack.decode(old, type=MachineState)
     assert state == MachineState([("id1", b"ans")], {"credit": b"p"})
--- a/tests/heads/test_allotment_ages.py
+++ b/tests/heads/test_allotment_ages.py
@@ -1,10 +1,11 @@
-"""When a leader expires an allotment: never before its holder has stopped to spend it.
+"""A leader never expires an allotment before its holder has stopped spending it.
 
-What was there: a callback that was to let ages count anew after a snapshot, and cleared a dictionary that
-had been replaced since. What it cost: nothing. An id names the log entry of its grant, so what a leader knew
-before a snapshot is the same allotment after it, known since a moment after its holder asked for it. Cleared,
-ages would only have begun later: a customer marked `unspent` would have got back what a failed head held up
-to a lease later; one marked `spent` is charged until the head settles, whenever it expires.
+Ages need no reset after a snapshot: an allotment's id names the log entry of its grant, so the same id is the
+same allotment before and after a snapshot, and the leader knows it since a moment after its holder asked for
+it. An earlier callback meant to reset the ages after a snapshot cleared a dictionary that had been replaced,
+without effect. A reset would only delay expiry: a customer set to `unspent` would get back the credit of a
+failed head up to a lease later; one set to `spent` is charged until the head settles, whenever the allotment
+expires.
 """
 
 from __future__ import annotations
@@ -35,16 +36,18 @@
 
 @given(steps, st.floats(1 / MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT))
 def test_nothing_expires_while_its_holder_may_spend_it(steps, rate):
-    """Over snapshots too: `rate` is how fast the holder's clock runs beside the leader's."""
-    ages, now = AllotmentAges(LEASE), timedelta(0)
-    asked_at: dict[str, timedelta] = {}  # of those outstanding, by the leader's clock
+    """Holds over snapshots too; `rate` is the speed of the holder's clock relative to the leader's."""
+    ages = AllotmentAges(LEASE)
+    now = timedelta(0)
+    # when each outstanding allotment was requested, by the leader's clock
+    asked_at: dict[str, timedelta] = {}
     for number, (step, wait) in enumerate(steps):
         if step == "grant":
-            asked_at[f"{number}.0"] = now  # the holder counts from its asking
+            asked_at[f"{number}.0"] = now  # the holder counts the lease from its request
         now += wait * MS
         if step == "settle" and asked_at:
             del asked_at[next(iter(asked_at))]
-        # a snapshot that replaces the ledger names the same allotments: nothing to be done
+        # a snapshot that replaces the ledger has the same allotments, so ages need no reset
         if step in ("look", "snapshot"):
             ages.observe(asked_at.keys(), now)
             for id in ages.overdue(now):
@@ -60,7 +63,7 @@
 
 
 def outstanding_after_a_snapshot(refund_expired: bool) -> tuple[int, int]:
-    """What is free of an account, before and after its one allotment expires at a restored ledger."""
+    """Return the free credit of a restored account before and after its only allotment expires."""
     ledger = Ledger()
     ledger.put_customer(PutCustomer("x", ("v",), refund_expired=refund_expired))
     ledger.book_entry(1, BookEntry("t", "x", 1000, "top-up", "a", "b", "c"))
--- a/tests/heads/test_call_answers.py
+++ b/tests/heads/test_call_answers.py
@@ -1,6 +1,6 @@
-"""Answers to operators' calls, byte for byte: status, keys, their order and the layout of the JSON.
+"""Answers to operators' calls are the same byte for byte: status, keys, their order and the JSON layout.
 
-``tests/data/call-answers-8ad4498.txt`` was written by the code of commit 8ad4498 with the calls of this file.
+``tests/data/call-answers-8ad4498.txt`` was written by commit 8ad4498 with the calls of this file.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from stoatrouter.peering.rule_calls import RuleCalls
 from stoatrouter.peering.rule_rollout import RolloutStatus
 
-WRITTEN_BY_8AD4498 = Path(__file__).parents[1] / "data" / "call-answers-8ad4498.txt"
-WHEN = "2026-12-02T20:30:00.123+00:00"
+RECORDED_ANSWERS = Path(__file__).parents[1] / "data" / "call-answers-8ad4498.txt"
+TIMESTAMP = "2026-12-02T20:30:00.123+00:00"
 SECOND = timedelta(seconds=1)
 EDIT = {"id": "e1", "base": 0, "root": "r.cue", "files": {"r.cue": "ü"}, "author": "ann", "reason": "why"}
 UNDO = {"id": "u1", "version": 1, "author": "bob", "reason": "r"}
@@ -39,8 +39,8 @@
 ACCOUNT = "/control/credit/customers/acm%C3%A9"
 
 
-class Surroundings:
-    """Stands in for a fleet that leads: commands are applied at once."""
+class LeadingHeadStub:
+    """A stub of a leading head that applies commands at once."""
 
     def __init__(self) -> None:
         self.leader = "h0"
@@ -63,7 +63,9 @@
             read=self.read,
             wait_until_known=self.known,
         )
-        self.history, self.ledger, self.status = RuleHistory(), Ledger(), None
+        self.history = RuleHistory()
+        self.ledger = Ledger()
+        self.status = None
         self.escrow = HeadEscrow(2 * SECOND, CreditDisk())
         self.escrow.accounts["acmé"] = LocalAccount("acmé", [LocalAllotment("1.0", 1500, 4 * SECOND)])
         self.rules = SimpleNamespace(
@@ -73,33 +75,36 @@
             active_version=1,
             active_since=3.21 * SECOND,
             compiler=SimpleNamespace(errors={"d": "r.cue:1: é"}),
-            rollout=SimpleNamespace(submit_command=self.put_rules, fetch_status=self.fetch_status),
+            rollout=SimpleNamespace(submit_command=self.submit_rules_command, fetch_status=self.fetch_status),
         )
         self.credit = SimpleNamespace(
-            fleet=self.fleet, ledger=self.ledger, escrow=self.escrow, submit_command=self.put_credit
+            fleet=self.fleet,
+            ledger=self.ledger,
+            escrow=self.escrow,
+            submit_command=self.submit_credit_command,
         )
 
     async def known(self, timeout) -> bool:
         return True
 
     async def read(self, timeout) -> None:
-        """All is applied."""
+        """Return at once, as everything is applied."""
 
     async def fetch_status(self):
         return self.status
 
-    async def put_rules(self, command, id):
+    async def submit_rules_command(self, command, id):
         return msgspec.msgpack.decode(
             self.history.apply(1, msgspec.msgpack.encode(command)), type=CommandResult
         )
 
-    async def put_credit(self, command, id, timeout):
+    async def submit_credit_command(self, command, id, timeout):
         return msgspec.msgpack.decode(
             self.ledger.apply(1, msgspec.msgpack.encode(command)), type=credit_records.CommandResult
         )
 
     async def call(self, method: str, path: str, data: object = None) -> str:
-        """One call and its answer as text."""
+        """Return one call and its answer as text."""
         body = b"" if data is None else json.dumps(data).encode()
         for calls in (RuleCalls(self.rules), CreditCalls(self.credit), HeadCalls(self.fleet)):
             if (response := await calls.call(method, path, body)) is not None:
@@ -108,8 +113,9 @@
 
 
 async def all_answers() -> list[str]:
-    head = Surroundings()
-    edits, undo = "/control/rules/edits", "/control/rules/undo"
+    head = LeadingHeadStub()
+    edits = "/control/rules/edits"
+    undo = "/control/rules/undo"
     answers = [
         await head.call("GET", "/control/rules"),
         await head.call("POST", edits, EDIT),
@@ -161,5 +167,5 @@
 
 def test_answers_are_what_an_earlier_release_gave_byte_for_byte(monkeypatch):
     for module in (rule_calls, credit_calls):
-        monkeypatch.setattr(module, "utc_timestamp", lambda: WHEN)
-    assert "".join(asyncio.run(all_answers())) == WRITTEN_BY_8AD4498.read_text()
+        monkeypatch.setattr(module, "utc_timestamp", lambda: TIMESTAMP)
+    assert "".join(asyncio.run(all_answers())) == RECORDED_ANSWERS.read_text()
--- a/tests/heads/test_call_bounds.py
+++ b/tests/heads/test_call_bounds.py
@@ -1,4 +1,4 @@
-"""Operators' calls that bring too much are refused before anything is agreed on, and told what is allowed."""
+"""Oversized operators' calls are refused before a command is submitted; the error names the limit."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 CUSTOMERS = "/control/credit/customers"
 
 
-class Asked:
-    """Stands in for a service: takes whatever comes that far, and remembers it."""
+class RecordingService:
+    """A stub of a service that accepts and records every command that reaches it."""
 
     def __init__(self) -> None:
         self.commands: list[object] = []
@@ -45,10 +45,10 @@
         self.rollout = SimpleNamespace(submit_command=self.submit_command)
         self.ledger = SimpleNamespace(accounts={}, entries={})
 
-    async def known(self, within) -> bool:
+    async def known(self, timeout) -> bool:
         return True
 
-    async def read(self, within) -> None:
+    async def read(self, timeout) -> None:
         self.commands.append("read")
 
     async def submit_command(self, command, id, timeout=None):
@@ -59,22 +59,22 @@
 
 
 def call(method: str, path: str, data: object = None) -> tuple[int, str, list[object]]:
-    """Status, error and what was asked of the agreement."""
-    asked = Asked()
-    answerers = (RuleCalls(asked), CreditCalls(asked), HeadCalls(asked.fleet))
+    """Make a call; return status, error and the commands submitted to the agreement."""
+    service = RecordingService()
+    call_handlers = (RuleCalls(service), CreditCalls(service), HeadCalls(service.fleet))
     body = b"" if data is None else json.dumps(data).encode()
 
     async def ask():
-        for answerer in answerers:
-            if (response := await answerer.call(method, path, body)) is not None:
+        for handler in call_handlers:
+            if (response := await handler.call(method, path, body)) is not None:
                 return response
         raise AssertionError(f"nobody answers {path}")
 
     response = asyncio.run(ask())
-    return response.status, json.loads(response.text).get("error", ""), asked.commands
+    return response.status, json.loads(response.text).get("error", ""), service.commands
 
 
-def names(count: int) -> dict[str, str]:
+def empty_files(count: int) -> dict[str, str]:
     return {f"f{i}.cue": "" for i in range(count)}
 
 
@@ -88,7 +88,7 @@
     ("POST", "/control/rules/edits", EDIT | {"base": 10**20}, "base: found 1000000", "0 to 10000"),
     ("POST", "/control/rules/edits", EDIT | {"base": -1}, "base: found -1", "0 to 10000"),
     ("POST", "/control/rules/edits", EDIT | {"root": "r" * 9_000}, "root: found 'rrr", "one of files"),
-    ("POST", "/control/rules/edits", EDIT | {"files": names(257)}, "files: found 257", "up to 256"),
+    ("POST", "/control/rules/edits", EDIT | {"files": empty_files(257)}, "files: found 257", "up to 256"),
     (
         "POST",
         "/control/rules/edits",
@@ -164,8 +164,8 @@
 def test_what_is_too_much_is_refused_with_its_field_what_was_found_and_what_is_allowed(
     method, path, data, found, allowed
 ):
-    status, error, asked = call(method, path, data)
-    assert status == 400 and not asked
+    status, error, commands = call(method, path, data)
+    assert status == 400 and not commands
     assert found in error and f"(allowed: {allowed}" in error and len(error) < 300
 
 
@@ -191,8 +191,8 @@
 
 @pytest.mark.parametrize(("method", "path", "data"), LARGEST)
 def test_what_is_just_allowed_comes_through(method, path, data):
-    status, error, asked = call(method, path, data)
-    assert status in (200, 202) and len(asked) == 1, error
+    status, error, commands = call(method, path, data)
+    assert status in (200, 202) and len(commands) == 1, error
 
 
 def test_an_error_of_form_repeats_no_more_than_a_line():
@@ -200,6 +200,6 @@
         ("/control/rules/edits", EDIT | {"x" * 9_000: 1}),
         (f"{CUSTOMERS}/acme/entries", ENTRY | {"x" * 9_000: 1}),
     ):
-        status, error, asked = call("POST", path, data)
-        assert status == 400 and not asked and len(error) <= 500
+        status, error, commands = call("POST", path, data)
+        assert status == 400 and not commands and len(error) <= 500
     assert call("DELETE", f"{CUSTOMERS}/acme", ["no object"])[0] == 400
--- a/tests/heads/test_capacity_control.py
+++ b/tests/heads/test_capacity_control.py
@@ -1,7 +1,7 @@
-"""What control costs by the size of the fleet, counted at small sizes: the same in every run, by no clock.
+"""Costs of the control plane by fleet size, counted at small sizes, so that every run gives the same result.
 
-The figures at large sizes, with processor time, are measured by `benchmarks/capacity/control.py`, `voters.py`
-and `times.py` (docs/measurements/capacity-control.md).
+Large sizes and processor time are measured by `benchmarks/capacity/control.py`, `voters.py` and `times.py`
+(docs/measurements/capacity-control.md).
 """
 
 from __future__ import annotations
@@ -42,20 +42,20 @@
 SECOND = timedelta(seconds=1)
 SECRET = b"s" * 64
 CREDIT = "credit"
-WATCHED = 10 * SECOND  # virtual
+OBSERVED_SPAN = 10 * SECOND  # of virtual time
 
 
-# -- the detector ------------------------------------------------------------------------------------------
+# -- the detector ----------------------------------------------------------------------------------------
 @dataclass(frozen=True)
 class Load:
-    """What a head of a fleet sends a second, at rest."""
+    """What one head of an idle fleet sends per second."""
 
     messages: float
     bytes: float
 
 
-def load_at_rest(size: int, make: Callable[..., Detector] = Detector) -> Load:
-    """The load of a head of a fleet that has long been up: all know each other, no news is left."""
+def idle_load(size: int, make: Callable[..., Detector] = Detector) -> Load:
+    """Return the load of a head once all heads know each other and no gossip is left to spread."""
     names = [f"h{i:03d}" for i in range(size)]
     world = World(1, names)
     fleet = DetectorFleet(world, make)
@@ -63,24 +63,26 @@
         detector.roster.members = {other: MemberUpdate(other, 1, Status.ALIVE) for other in names}
         detector.roster.addresses = {other: other for other in names if other != name}
         detector.gossip = GossipQueue()
-    world.run(WATCHED)
-    assert not fleet.changes, "nobody is suspected in a calm fleet"
-    share = size * (WATCHED / SECOND)
-    return Load(sum(world.messages_sent.values()) / share, sum(world.bytes_sent.values()) / share)
-
-
-def loads_do_not_grow(sizes: tuple[int, ...], make: Callable[..., Detector] = Detector) -> None:
-    loads = [load_at_rest(size, make) for size in sizes]
-    # a probe a period and the answer to another's: some cross the end of the span
-    most = 2 * SECOND / Timing().period
-    bare = len(encode(Datagram(Kind.PING, 1, "h000", 1), SECRET, "count"))
-    assert all(load.messages <= most for load in loads), loads
-    assert all(load.bytes <= 1.01 * bare * load.messages for load in loads), loads
+    world.run(OBSERVED_SPAN)
+    assert not fleet.changes, "nobody is suspected in a fleet without faults"
+    head_seconds = size * (OBSERVED_SPAN / SECOND)
+    return Load(
+        sum(world.messages_sent.values()) / head_seconds, sum(world.bytes_sent.values()) / head_seconds
+    )
+
+
+def check_loads_do_not_grow(sizes: tuple[int, ...], make: Callable[..., Detector] = Detector) -> None:
+    loads = [idle_load(size, make) for size in sizes]
+    # a probe and the answer to another head's probe in each period; some cross the end of the span
+    max_messages = 2 * SECOND / Timing().period
+    empty_ping_bytes = len(encode(Datagram(Kind.PING, 1, "h000", 1), SECRET, "count"))
+    assert all(load.messages <= max_messages for load in loads), loads
+    assert all(load.bytes <= 1.01 * empty_ping_bytes * load.messages for load in loads), loads
     assert max(load.messages for load in loads) <= 1.02 * min(load.messages for load in loads), loads
 
 
 class ProbesAll(Detector):
-    """Broken: probes every head each period."""
+    """A broken detector that probes every head in each period."""
 
     __slots__ = ()
 
@@ -91,7 +93,7 @@
 
 
 class TellsAll(Detector):
-    """Broken: never forgets news that it has passed on."""
+    """A broken detector that spreads every update for ever."""
 
     __slots__ = ()
 
@@ -102,17 +104,17 @@
 
 
 def test_detector_load_of_a_head_does_not_grow_with_the_fleet():
-    loads_do_not_grow((20, 60, 180))
+    check_loads_do_not_grow((20, 60, 180))
 
 
 @pytest.mark.parametrize("broken", [ProbesAll, TellsAll])
 def test_a_detector_whose_load_grows_is_seen(broken):
     with pytest.raises(AssertionError):
-        loads_do_not_grow((10, 30), broken)
+        check_loads_do_not_grow((10, 30), broken)
 
 
-# -- following ---------------------------------------------------------------------------------------------
-def one_voter(folder: Path, port: int) -> HeadsSettings:
+# -- following -------------------------------------------------------------------------------------------
+def single_voter_settings(folder: Path, port: int) -> HeadsSettings:
     address = f"{HOST}:{port}"
     return HeadsSettings(
         name="v0",
@@ -133,55 +135,58 @@
     )
 
 
-async def bring(fleet: Fleet, body: msgspec.Struct, name: str) -> None:
+async def submit_credit_command(fleet: Fleet, body: msgspec.Struct, name: str) -> None:
     await fleet.replication.command(Command(name, CREDIT, msgspec.msgpack.encode(body), "v0"), 10 * SECOND)
 
 
-async def answer_with_nothing_new(fleet: Fleet) -> int:
-    """Bytes of the answer to a follower that has all of it."""
+async def empty_answer_size(fleet: Fleet) -> int:
+    """Return the size in bytes of the answer to a follower that has the whole log."""
     raft = fleet.replication.raft
     answer = await fleet.follower_feed.answer(
         calls.Fetch(raft.commit_index, raft.log.term_at(raft.commit_index) or 0)
     )
-    told = msgspec.msgpack.decode(answer, type=calls.Fetched)
-    assert told.majority_connected and not told.entries and told.snapshot is None
-    # the two spans are written in as many digits as they have: the same ones at each size
+    fetched = msgspec.msgpack.decode(answer, type=calls.Fetched)
+    assert fetched.majority_connected and not fetched.entries and fetched.snapshot is None
+    # the two durations are encoded with as many digits as they have, so they are set to equal ones
     spans = {"majority_age": SECOND, "waited": SECOND}
-    return len(msgspec.msgpack.encode(msgspec.structs.replace(told, **spans)))
+    return len(msgspec.msgpack.encode(msgspec.structs.replace(fetched, **spans)))
 
 
 def test_an_answer_with_nothing_new_does_not_grow_with_the_log(tmp_path):
     async def story() -> list[int]:
         port = free_port()
-        fleet = Fleet(one_voter(tmp_path / "v0", port), 1, {CREDIT: Ledger()})
+        fleet = Fleet(single_voter_settings(tmp_path / "v0", port), 1, {CREDIT: Ledger()})
         fleet.restore_stored()
         await fleet.start()
         try:
             await until(lambda: fleet.replication.raft.settled)
-            await bring(fleet, PutCustomer("acme", ("volume",)), "customer")
-            sizes, done = [], 0
+            await submit_credit_command(fleet, PutCustomer("acme", ("volume",)), "customer")
+            sizes = []
+            done = 0
             for count in (10, 100, COMPACT_ENTRIES + 100):  # the last is past a snapshot
-                tops = range(done, count)
+                numbers = range(done, count)
                 await asyncio.gather(
                     *(
-                        bring(fleet, BookEntry(f"t{i}", "acme", 1, "top-up", "", "", ""), f"t{i}")
-                        for i in tops
+                        submit_credit_command(
+                            fleet, BookEntry(f"t{i}", "acme", 1, "top-up", "", "", ""), f"t{i}"
+                        )
+                        for i in numbers
                     )
                 )
                 done = count
-                sizes.append(await answer_with_nothing_new(fleet))
+                sizes.append(await empty_answer_size(fleet))
             assert fleet.replication.raft.log.snapshot.index > 0
             return sizes
         finally:
             await fleet.close()
 
     sizes = run(story())
-    # the two indices in it take one byte each at the first, three at the last
+    # each of the two indices takes one byte in the first answer and three in the last
     assert max(sizes) - min(sizes) <= 4, sizes
 
 
 def test_followers_spread_evenly_over_the_voters():
-    """Each begins at a voter of its own name's choice, so that 740 of them stay under the bound of three."""
+    """Each starts at a voter chosen by its name, so 740 followers stay within the bounds of three voters."""
     for voters in (3, 5):
         begin = [0] * voters
         for number in range(740):
@@ -190,128 +195,132 @@
         assert max(begin) < MAX_IN_FLIGHT, begin
 
 
-# -- a voter's bound on open questions -----------------------------------------------------------------------
+# -- a voter's bound on requests in flight ---------------------------------------------------------------
 @dataclass
-class Crowd:
-    """Askers of one voter that holds its answers, as it does while nothing is new."""
+class RequestCounts:
+    """Requests at one voter that holds its answers, as it does while there is nothing new."""
 
     held: int = 0
-    most_held: int = 0
+    max_held: int = 0
     refused: int = 0
     served: int = 0
 
 
-BEYOND = 16  # askers more than a voter answers at once
-AT_ONCE = 16
-ENOUGH = 60.0  # seconds; guards against a hang
-CONNECT = "connect"  # a question that is answered at once: its connection is kept for the next one
+EXCESS_CLIENTS = 16  # clients beyond the number that a voter answers at once
+CLIENTS_AT_ONCE = 16  # clients that send in one step
+STORY_TIMEOUT = 60.0  # seconds; guards against a hang
+CONNECT = "connect"  # a request that is answered at once: its connection is kept for the next one
 NO_STALL = timedelta(0)
 STALL = timedelta(seconds=0.7)  # longer than a connection may take to come up
 
 
-async def connect(asker: Streams) -> None:
-    """Have a connection to the voter in hand, however often it has to be opened."""
+async def connect(client: Streams) -> None:
+    """Establish a connection to the voter, retrying as often as needed."""
     while True:
         try:
-            await asker.request("v0", CONNECT, b"")
+            await client.request("v0", CONNECT, b"")
         except PeerUnreachable:
             continue
         return
 
 
 async def stall_loop(span: timedelta) -> None:
-    """Hold up the loop, as a busy machine does, just after the tasks before have begun their work."""
+    """Block the event loop, as a busy machine does, just after earlier tasks have begun their work."""
     if span:
         for _ in range(3):
             await asyncio.sleep(0)
         time.sleep(span.total_seconds())
 
 
-async def crowded_voter(stall: timedelta) -> tuple[Crowd, Crowd]:
-    """What becomes of MAX_IN_FLIGHT + BEYOND questions: the first time, and once the refused ask again."""
-    first, again, release = Crowd(), Crowd(), asyncio.Event()
-    now = first
+async def overload_voter(stall: timedelta) -> tuple[RequestCounts, RequestCounts]:
+    """Send MAX_IN_FLIGHT + EXCESS_CLIENTS requests, and the refused ones again; return both counts."""
+    first = RequestCounts()
+    again = RequestCounts()
+    release = asyncio.Event()
+    current = first
 
-    async def hold(envelope: Envelope) -> bytes:
+    async def hold_answer(envelope: Envelope) -> bytes:
         if envelope.kind == CONNECT:
             return b""
-        now.held += 1
-        now.most_held = max(now.most_held, now.held)
+        current.held += 1
+        current.max_held = max(current.max_held, current.held)
         await release.wait()
-        now.held -= 1
+        current.held -= 1
         return b"told"
 
-    async def nothing(envelope: Envelope) -> None:
+    async def answer_nothing(envelope: Envelope) -> None:
         return None
 
     port = free_port()
     address = {"v0": f"{HOST}:{port}"}
 
     def streams_of(name: str, handler: streams.Handler) -> Streams:
-        seal = EnvelopeSealer(SECRET, "count", name)
-        return Streams(seal, Voter(name, name), 1, address, MessageCounters(), handler, lambda: "")
+        sealer = EnvelopeSealer(SECRET, "count", name)
+        return Streams(sealer, Voter(name, name), 1, address, MessageCounters(), handler, lambda: "")
 
-    voter = streams_of("v0", hold)
-    askers = [streams_of(f"f{i}", nothing) for i in range(MAX_IN_FLIGHT + BEYOND)]
+    voter = streams_of("v0", hold_answer)
+    clients = [streams_of(f"f{i}", answer_nothing) for i in range(MAX_IN_FLIGHT + EXCESS_CLIENTS)]
     await voter.start((HOST, port))
-    for asker in askers:
-        await asker.start(None)
+    for client in clients:
+        await client.start(None)
 
-    async def ask(asker: Streams, crowd: Crowd) -> bool:
+    async def ask(client: Streams, counts: RequestCounts) -> bool:
         try:
-            await asker.request("v0", calls.FETCH, b"", 20 * SECOND)
+            await client.request("v0", calls.FETCH, b"", 20 * SECOND)
         except PeerUnreachable as error:
             assert str(error) == "v0 answered 503"
-            crowd.refused += 1
+            counts.refused += 1
             return False
-        crowd.served += 1
+        counts.served += 1
         return True
 
     try:
-        connecting = [asyncio.create_task(connect(asker)) for asker in askers]
+        connecting = [asyncio.create_task(connect(client)) for client in clients]
         await stall_loop(stall)
         await asyncio.gather(*connecting)
-        asking = []
-        for begin in range(0, len(askers), AT_ONCE):
-            asking += [asyncio.create_task(ask(asker, first)) for asker in askers[begin : begin + AT_ONCE]]
+        requests = []
+        for begin in range(0, len(clients), CLIENTS_AT_ONCE):
+            requests += [
+                asyncio.create_task(ask(client, first)) for client in clients[begin : begin + CLIENTS_AT_ONCE]
+            ]
             await stall_loop(stall if not begin else NO_STALL)
-            begun = len(asking)
-            await until(lambda begun=begun: first.held + first.refused == begun)
+            sent = len(requests)
+            await until(lambda sent=sent: first.held + first.refused == sent)
         release.set()
-        served = await asyncio.gather(*asking)
-        now = again
-        left = [asker for asker, ok in zip(askers, served, strict=True) if not ok]
-        await asyncio.gather(*(ask(asker, again) for asker in left))
+        served = await asyncio.gather(*requests)
+        current = again
+        left = [client for client, ok in zip(clients, served, strict=True) if not ok]
+        await asyncio.gather(*(ask(client, again) for client in left))
     finally:
         release.set()
-        for asker in askers:
-            await asker.close()
+        for client in clients:
+            await client.close()
         await voter.close()
     return first, again
 
 
-def bound_holds(stall: timedelta = NO_STALL) -> None:
-    first, again = run(crowded_voter(stall), ENOUGH)
-    assert (first.most_held, first.refused, first.served) == (MAX_IN_FLIGHT, BEYOND, MAX_IN_FLIGHT)
-    assert (again.refused, again.served) == (0, BEYOND), "all are served in the end"
+def check_bound_holds(stall: timedelta = NO_STALL) -> None:
+    first, again = run(overload_voter(stall), STORY_TIMEOUT)
+    assert (first.max_held, first.refused, first.served) == (MAX_IN_FLIGHT, EXCESS_CLIENTS, MAX_IN_FLIGHT)
+    assert (again.refused, again.served) == (0, EXCESS_CLIENTS), "all are served in the end"
 
 
 def test_a_voter_refuses_what_is_beyond_its_bound_and_serves_it_later():
-    bound_holds()
+    check_bound_holds()
 
 
 def test_a_loop_that_stalls_while_the_crowd_connects_and_asks_changes_nothing():
-    """Guards against a dial that the stall ends: its asker failed unseen, and the story waited for it."""
-    bound_holds(STALL)
+    """Guards against a connection attempt that times out in the stall, whose client then failed unnoticed."""
+    check_bound_holds(STALL)
 
 
 def test_a_voter_without_its_bound_is_seen_where_the_loop_stalls(monkeypatch):
     monkeypatch.setattr(streams, "MAX_IN_FLIGHT", 1 << 30)
     with pytest.raises(AssertionError):
-        bound_holds(STALL)
+        check_bound_holds(STALL)
 
 
 def test_a_voter_without_its_bound_is_seen(monkeypatch):
     monkeypatch.setattr(streams, "MAX_IN_FLIGHT", 1 << 30)
     with pytest.raises(AssertionError):
-        bound_holds()
+        check_bound_holds()
--- a/tests/heads/test_capacity_samples.py
+++ b/tests/heads/test_capacity_samples.py
@@ -1,4 +1,4 @@
-"""Samples of a fleet of real and hollow heads, taken while heads come and go."""
+"""Samples of a fleet of real and hollow heads, taken while heads start and end."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from benchmarks.capacity.mixed import cpu_of
 
 
-class Ended:
+class EndedHead:
     """A real head whose process ended after it was listed as up."""
 
     name = "h1"
@@ -17,12 +17,13 @@
         raise FileNotFoundError("/proc/1234567/stat")
 
 
-class Running:
+class RunningHead:
     """A real head that has used some processor time."""
 
-    name, cpu = "h0", 1.5
+    name = "h0"
+    cpu = 1.5  # seconds
 
 
 def test_a_head_that_has_just_ended_is_left_out_of_a_sample_and_ends_no_run():
-    real = SimpleNamespace(up=[Running(), Ended()])
+    real = SimpleNamespace(up=[RunningHead(), EndedHead()])
     assert cpu_of(SimpleNamespace(hollow=SimpleNamespace(replies={}), real=real)) == {"h0": 1.5}
--- a/tests/heads/test_cluster_processes.py
+++ b/tests/heads/test_cluster_processes.py
@@ -1,7 +1,6 @@
-"""Several heads of the real program with faults between them: who is there, who leads, and what a cut-off
-head does.
+"""Fleets of real head processes with injected faults: membership, leadership and cut-off heads.
 
-No verdict hangs on a race: each story waits for states, and ends all the processes that it started.
+No result depends on a race: each test waits for states, and ends all processes that it started.
 """
 
 from __future__ import annotations
@@ -23,10 +22,12 @@
 from tests.peers import run
 from tests.program_process import ROOT, program_environ, start_program
 
-LIMIT = 100.0  # seconds; it only ends what hangs
+STORY_TIMEOUT = 100.0  # seconds; only guards against a hang
 
 
-async def seen_as(fleet: ProcessFleet, of: str, status: str, by: list[HeadProcess] | None = None) -> None:
+async def until_seen_as(
+    fleet: ProcessFleet, of: str, status: str, by: list[HeadProcess] | None = None
+) -> None:
     async def look() -> bool:
         others = [h for h in by or fleet.up if h.name != of]
         return all([(await h.status()).get("seen", {}).get(of) == status for h in others])
@@ -34,13 +35,13 @@
     await fleet.until(look, f"{of} seen as {status}")
 
 
-def one_leader_for_each_term(fleet: ProcessFleet) -> None:
-    """From the logs of all heads: what each said of itself."""
+def check_one_leader_per_term(fleet: ProcessFleet) -> None:
+    """Assert, by the logs of all heads, that each term had one leader."""
     leaders: dict[int, set[str]] = {}
     for head in fleet:
-        for said in head.events("heads.role"):
-            if said["leader"] == head.name:
-                leaders.setdefault(said["term"], set()).add(head.name)
+        for record in head.events("heads.role"):
+            if record["leader"] == head.name:
+                leaders.setdefault(record["term"], set()).add(head.name)
     assert leaders and all(len(names) == 1 for names in leaders.values()), leaders
 
 
@@ -52,16 +53,16 @@
             await first.kill()
             second = await fleet.leader()
             assert second.name != first.name
-            await seen_as(fleet, first.name, "failed")
+            await until_seen_as(fleet, first.name, "failed")
             assert all([(await h.send_request(f"r{h.name}"))[0] == 200 for h in fleet.up])
             await first.start()
             await fleet.until_all_connected()
             await fleet.until_all_applied()
-            await seen_as(fleet, first.name, "alive")
+            await until_seen_as(fleet, first.name, "alive")
             assert (await first.status())["identity"] == identity
-            one_leader_for_each_term(fleet)
+            check_one_leader_per_term(fleet)
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_the_smaller_side_of_a_split_serves_changes_nothing_and_says_so(tmp_path):
@@ -69,15 +70,16 @@
         async with running_heads(tmp_path, seed=2) as fleet:
             leader = await fleet.leader()
             other = next(n for n in fleet.voters if n != leader.name)
-            small, large = [leader.name, "h4"], [n for n in fleet.names if n not in (leader.name, "h4")]
-            fleet.relay.split(small, large)
-            second = await fleet.leader(large)
+            minority = [leader.name, "h4"]
+            majority = [n for n in fleet.names if n not in (leader.name, "h4")]
+            fleet.relay.split(minority, majority)
+            second = await fleet.leader(majority)
 
             async def cut_off() -> bool:
-                return all([(await fleet[n].status())["state"] == "cut off" for n in small])
+                return all([(await fleet[n].status())["state"] == "cut off" for n in minority])
 
             await fleet.until(cut_off, "both cut off")
-            for name in small:
+            for name in minority:
                 head = fleet[name]
                 assert (await head.call("GET", "/control/ready"))[0] == 200
                 assert (await head.send_request(f"r-{name}"))[0] == 200
@@ -88,13 +90,13 @@
             await fleet.until_all_connected()
             await fleet.until_all_applied()
             assert "h3" in (await fleet[leader.name].status())["voters"]
-            one_leader_for_each_term(fleet)
+            check_one_leader_per_term(fleet)
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_one_way_cuts_and_views_that_differ_move_nothing(tmp_path):
-    """h3 hears h0 and is not heard by it; two others think each other gone: rights stay where they are."""
+    """h0 does not hear h3, and h3 and h4 do not hear each other: voters and availability do not change."""
 
     async def story():
         async with running_heads(tmp_path, seed=3) as fleet:
@@ -104,10 +106,10 @@
             await asyncio.sleep(6)
             assert not any(s["status"] == "failed" for h in fleet for s in h.events("heads.seen"))
             for head in fleet:
-                told = await head.status()
-                assert told["state"] == "in touch" and told["voters"] == voters
+                answer = await head.status()
+                assert answer["state"] == "in touch" and answer["voters"] == voters
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_a_leader_paused_beyond_its_time_comes_back_as_a_follower(tmp_path):
@@ -116,26 +118,26 @@
             first = await fleet.leader()
             first.signal(signal.SIGSTOP)
             second = await fleet.leader()
-            await seen_as(fleet, first.name, "failed")
+            await until_seen_as(fleet, first.name, "failed")
             first.signal(signal.SIGCONT)
             first.paused = False
 
             async def follows() -> bool:
-                told = await first.status()
-                return told["state"] == "in touch" and not told["leads"]
+                answer = await first.status()
+                return answer["state"] == "in touch" and not answer["leads"]
 
             await fleet.until(follows, "it follows")
             assert (await fleet.leader()).name == second.name
-            await seen_as(fleet, first.name, "alive")  # it refuted
-            one_leader_for_each_term(fleet)
+            await until_seen_as(fleet, first.name, "alive")  # it has refuted the suspicion
+            check_one_leader_per_term(fleet)
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_it_goes_on_under_loss_delay_and_repeats(tmp_path):
     async def story():
         async with running_heads(tmp_path, seed=5) as fleet:
-            fleet.relay.all_ways(loss=0.1, twice=0.2, delay=0.03)
+            fleet.relay.set_all_links(loss=0.1, duplication=0.2, delay=0.03)
             await asyncio.sleep(8)
             assert not any(s["status"] == "failed" for h in fleet for s in h.events("heads.seen"))
             leader = await fleet.leader()
@@ -143,10 +145,10 @@
             assert (await leader.call("POST", "/control/heads/voters/h4"))[0] == 200
             await fleet.until_all_applied()
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
-def spoil(head: HeadProcess, how: str) -> None:
+def corrupt_disk(head: HeadProcess, how: str) -> None:
     file = head.disk / DATABASE_FILE
     if how == "empty":
         shutil.rmtree(head.disk)
@@ -176,12 +178,14 @@
             assert (await leader.call("POST", "/control/heads/voters/h3"))[0] == 200
             await fleet.until_all_applied()
             await victim.kill()
-            spoil(victim, how)
+            corrupt_disk(victim, how)
             await victim.start()
             await fleet.until_all_connected()
-            told = await victim.status()
-            assert told["identity"] != before and not told["votes"]
-            assert told["voters"][victim.name] == before  # it is still named so, until operators change that
+            answer = await victim.status()
+            assert answer["identity"] != before and not answer["votes"]
+            assert (
+                answer["voters"][victim.name] == before
+            )  # its old identity stays a voter until operators change that
             leader = await fleet.leader()
             refused = await leader.call("POST", f"/control/heads/voters/{victim.name}")
             assert refused[0] == 503 and "older identity" in refused[1]["error"]
@@ -192,7 +196,7 @@
                 assert any("spoilt" in file.name for file in victim.disk.iterdir())
                 assert victim.events("heads.fresh")
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 async def votes(head: HeadProcess) -> bool:
@@ -207,14 +211,14 @@
             await asyncio.gather(*(h.start(ready=False) for h in fleet))
             await asyncio.gather(*(h.until_ready() for h in fleet))
             await fleet.until_all_connected()
-            told = await blocked.status()
-            assert not told["disk"] and not told["votes"]
+            answer = await blocked.status()
+            assert not answer["disk"] and not answer["votes"]
             assert (await blocked.send_request("r1"))[0] == 200
             leader = await fleet.leader()
             assert (await leader.call("POST", "/control/heads/voters/h3"))[0] == 200
-            await fleet.until_all_applied()  # it follows all the same
+            await fleet.until_all_applied()  # it follows without a disk
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_voters_lost_for_good_are_left_behind_by_a_call(tmp_path):
@@ -236,30 +240,30 @@
             assert (await survivor.call("POST", "/control/heads/recover"))[0] == 200
             assert (await fleet.leader()).name == "h3"
             assert (await survivor.status())["origin"] != origin
-            for name in fleet.voters:  # they come back with empty disks and follow
+            for name in fleet.voters:  # they return with empty disks, as followers
                 await fleet[name].start(ready=False)
                 assert not (await fleet[name].status()).get("votes")
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_a_head_that_stops_says_so(tmp_path):
     async def story():
         async with running_heads(tmp_path, seed=9) as fleet:
             assert await fleet["h4"].stop() == 0
-            await seen_as(fleet, "h4", "left")
+            await until_seen_as(fleet, "h4", "left")
             assert all(s["status"] != "failed" for h in fleet.up for s in h.events("heads.seen"))
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_datagrams_from_nobody_and_streams_that_are_not_believed_are_dropped_and_counted(tmp_path):
     async def story():
         async with running_heads(tmp_path, count=3, seed=10) as fleet:
             head = fleet["h0"]
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                 for data in (b"", b"x" * 20, b"x" * 300):
-                    stranger.sendto(data, (head.host, head.datagram_port))
+                    sender.sendto(data, (head.host, head.datagram_port))
             for data in (b"", b"x" * 100, b"y" * 1_000_000):
                 url = f"http://{head.host}:{head.stream_port}/heads"
                 async with fleet.session.post(url, data=data) as response:
@@ -276,11 +280,11 @@
             assert len([e for e in head.events("heads.dropped") if "not_a_peer" in e["why"]]) == 1
             assert (await head.send_request("r1"))[0] == 200
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_where_it_is_off_nothing_of_it_is_imported():
-    said = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-B",
@@ -293,11 +297,11 @@
         capture_output=True,
         text=True,
     )
-    assert said.stdout == "[]\n", said
+    assert result.stdout == "[]\n", result
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "expected"),
     [
         (('voters: ["h0", "h1", "h2"]', 'voters: ["h0", "h1"]'), "1, 3 or 5 different heads"),
         (('voters: ["h0", "h1", "h2"]', 'voters: ["h0", "h1", "x"]'), "heads of streams"),
@@ -309,7 +313,7 @@
         (('fleet: "test"', 'fleet: "test"\nrules: versions: 7'), "versions"),
     ],
 )
-def test_a_wrong_settings_file_ends_the_start_with_place_and_what_is_right(tmp_path, change, words):
+def test_a_wrong_settings_file_ends_the_start_with_place_and_what_is_right(tmp_path, change, expected):
     async def story():
         async with running_heads(tmp_path, count=3, seed=11, start=False) as fleet:
             head = fleet["h0"]
@@ -319,10 +323,10 @@
             (head.folder / "heads.cue").write_text(text.replace(*change))
             environ = program_environ(head.folder / "config.json", **head.settings_environ())
             process = await start_program(head.folder, environ, stderr=asyncio.subprocess.PIPE)
-            _, said = await process.communicate()
-            assert process.returncode == 2 and words in said.decode(), said.decode()
+            _, stderr = await process.communicate()
+            assert process.returncode == 2 and expected in stderr.decode(), stderr.decode()
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_a_peer_that_is_no_address_is_left_out(tmp_path):
@@ -342,4 +346,4 @@
             await asyncio.gather(*(h.start(ready=False) for h in fleet))
             await fleet.until_all_connected()
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
--- a/tests/heads/test_contact.py
+++ b/tests/heads/test_contact.py
@@ -1,5 +1,4 @@
-"""How long a head counts as in touch after the majority of voters is lost: the rule, and fleets in virtual
-time."""
+"""How long a head counts as connected after the majority of voters is lost: the rule, and virtual fleets."""
 
 from __future__ import annotations
 
@@ -13,7 +12,7 @@
 from stoatrouter.agreement.records import Tick
 from stoatrouter.lab.fleet.contact_stories import LOSSES, run_majority_loss
 from stoatrouter.lab.fleet.errors import InvariantViolated
-from tests.heads.test_agreement import GENESIS, elected, voter
+from tests.heads.test_agreement import GENESIS, elect_leader, voter
 
 MS = timedelta(milliseconds=1)
 
@@ -24,23 +23,23 @@
 
 
 class CountsFromTheAnswer(MajorityContact):
-    """What another head tells is taken as heard at this moment: the fault that was found on real heads."""
+    """Counts another head's report as contact at the present moment: a fault once found on real heads."""
 
     def record_report(self, asked_at, wait_at_answerer, age):
         self.record(asked_at + wait_at_answerer)
 
 
 class ForgetsTheAge(MajorityContact):
-    """The age told counts, but for what was passed on already."""
+    """Ignores ages beyond 100 ms, so that a contact that was passed on before becomes younger."""
 
     def record_report(self, asked_at, wait_at_answerer, age):
         super().record_report(asked_at, wait_at_answerer, min(age, 100 * MS))
 
 
-@pytest.mark.parametrize("how", LOSSES)
+@pytest.mark.parametrize("loss", LOSSES)
 @pytest.mark.parametrize("mutant", [CountsFromTheAnswer, ForgetsTheAge])
-def test_a_mutant_whose_contact_becomes_younger_is_caught(mutant, how):
-    seeds = [seed for seed in range(80) if LOSSES[seed // 4 % len(LOSSES)] == how]
+def test_a_mutant_whose_contact_becomes_younger_is_caught(mutant, loss):
+    seeds = [seed for seed in range(80) if LOSSES[seed // 4 % len(LOSSES)] == loss]
     for seed in seeds:
         try:
             run_majority_loss(seed, mutant)
@@ -51,7 +50,7 @@
 
 
 def test_a_leader_that_counts_from_the_last_answer_is_caught(monkeypatch):
-    """A paused leader finds answers that have waited for it: they say nothing of the time since."""
+    """A paused leader finds answers that arrived during the pause, which prove nothing about later times."""
 
     class StartsNow(RoundStarts):
         def start_of(self, number):
@@ -72,9 +71,8 @@
     assert contact.latest == 700 * MS and contact.age(1500 * MS) == 800 * MS
     contact.record_report(asked_at=1200 * MS, wait_at_answerer=105 * MS, age=1000 * MS)
     assert contact.latest == 700 * MS
-    contact.record_report(
-        asked_at=1200 * MS, wait_at_answerer=105 * MS, age=-5 * MS
-    )  # nobody is told of what will be
+    # a negative age does not put the contact into the future
+    contact.record_report(asked_at=1200 * MS, wait_at_answerer=105 * MS, age=-5 * MS)
     assert contact.latest == 1300 * MS
 
 
@@ -90,8 +88,8 @@
 
 
 def test_a_head_that_leads_no_more_holds_no_rounds():
-    """Guards memory: up to 1,024 starts of rounds were held until the head led again."""
-    raft = elected(Raft(voter(0), GENESIS, 1))
+    """Guards memory: up to 1,024 starts of rounds were kept until the head led again."""
+    raft = elect_leader(Raft(voter(0), GENESIS, 1))
     assert raft.round_starts.starts
-    raft.reduce(Tick(raft.now + 5000 * MS))  # no majority was heard
+    raft.reduce(Tick(raft.now + 5000 * MS))  # no majority has answered
     assert not raft.leads and not raft.round_starts.starts
--- a/tests/heads/test_credit.py
+++ b/tests/heads/test_credit.py
@@ -1,4 +1,4 @@
-"""Credit without any socket: seeds of faults in virtual time, and mutants that they catch."""
+"""Credit in virtual time, without sockets: random faults by seed, and mutants that must be caught."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 # -- mutants ---------------------------------------------------------------------------------------------
 class NoExpiry(HeadEscrow):
-    """An allotment is spent from for as long as it lasts."""
+    """Spends from an allotment after it has expired."""
 
     __slots__ = ()
 
@@ -54,7 +54,7 @@
 
 
 class ChargesTwice(HeadEscrow):
-    """The charge is booked on the reservation and on the answer."""
+    """Books the charge both for the reservation and for the answer."""
 
     __slots__ = ()
 
@@ -67,7 +67,7 @@
 
 
 class ForgetsOnKill(HeadEscrow):
-    """What is spent is not recorded."""
+    """Does not record what is spent."""
 
     __slots__ = ()
 
@@ -78,7 +78,7 @@
 
 
 class FinalSettlementTooEarly(HeadEscrow):
-    """The final settlement of an allotment does not wait for its reservations."""
+    """Settles an allotment finally without waiting for its reservations."""
 
     __slots__ = ()
 
@@ -92,7 +92,7 @@
 
 
 class GrantsWhatIsOutstanding(Ledger):
-    """Outstanding allotments are not counted against what may be granted."""
+    """Does not subtract outstanding allotments from what may be granted."""
 
     __slots__ = ()
 
@@ -108,7 +108,7 @@
 
 
 class RefundsOnExpiry(Ledger):
-    """What expired without a final settlement counts as unspent, whatever the customer's setting."""
+    """Refunds allotments that expired without a final settlement, whatever the customer's setting."""
 
     __slots__ = ()
 
@@ -119,7 +119,7 @@
 
 
 class BooksRepeatedReports(Ledger):
-    """A report that comes again is booked again."""
+    """Books a repeated report again."""
 
     __slots__ = ()
 
@@ -129,7 +129,7 @@
 
 
 class BooksRepeatedTopUps(Ledger):
-    """A top-up is not known by its id."""
+    """Books a repeated top-up again."""
 
     __slots__ = ()
 
@@ -139,7 +139,7 @@
 
 
 class RefundsLostAllotments(Ledger):
-    """What a lost disk held goes back."""
+    """Refunds the allotments of a lost disk."""
 
     __slots__ = ()
 
@@ -166,18 +166,17 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "words"),
+    ("options", "words"),
     MUTANTS,
     ids=lambda m: getattr(next(iter(m.values())), "__name__", "unsent") if isinstance(m, dict) else "",
 )
-def test_a_mutant_is_caught(how, words):
+def test_a_mutant_is_caught(options, words):
     for seed in range(60):
         try:
-            stories.run_credit(seed, wipes=seed % 2 == 0, **how)
+            stories.run_credit(seed, wipes=seed % 2 == 0, **options)
         except InvariantViolated as caught:
             print(f"seed {seed}: {caught}")
-            if words in str(
-                caught
-            ):  # another promise may well be broken first: what was booked twice is spent
+            # another invariant may be violated first, as credit that was booked twice is spent
+            if words in str(caught):
                 return
     pytest.fail(f"no seed caught it by {words!r}")
--- a/tests/heads/test_credit_escrow.py
+++ b/tests/heads/test_credit_escrow.py
@@ -1,4 +1,4 @@
-"""Credit at one head: its pace, its allotments, the charge of a request by its outcome, the book on disk."""
+"""Credit at one head: pacing, allotments, the charge of a request by its outcome, the journal of spending."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     escrow = escrow_with_an_allotment(10)
     assert escrow.reserve("a", "x", 10, 2, SECOND) is None
     rejection = escrow.reserve("b", "x", 1, 2, SECOND)
-    assert rejection is not None and rejection.retry_in is not None  # more is asked for
+    assert rejection is not None and rejection.retry_in is not None  # a further allotment has been requested
     escrow.settle("a", True)
     (report,) = escrow.due_reports(SECOND)
     escrow.apply_grant(report, Grant("x", "", 0, 0, 0), SECOND, SECOND)
@@ -77,7 +77,7 @@
 def test_an_expired_allotment_is_not_reserved_from_and_is_settled_after_its_last_reservation():
     escrow = escrow_with_an_allotment()
     assert escrow.reserve("a", "x", 7, 2, 5 * SECOND) is None
-    assert escrow.reserve("b", "x", 7, 2, 7 * SECOND) is not None  # asked at 1 s, for 5 s
+    assert escrow.reserve("b", "x", 7, 2, 7 * SECOND) is not None  # requested at 1 s, for 5 s
     (report,) = escrow.due_reports(7 * SECOND)
     assert not any(s.final for s in report.settlements)
     escrow.apply_grant(report, Grant("x", "", 0, 100, 0), 7 * SECOND, 7 * SECOND)
@@ -108,9 +108,9 @@
     assert charge - 1 < units * price <= charge or price == 0
 
 
-# -- the core asks, once for each request ----------------------------------------------------------------
-def core(*outcomes: api.Outcome | None) -> tuple[HeadEscrow, list[model.Effect]]:
-    """A request whose attempts end so (None: stays out); its client gives up at the end."""
+# -- the reducer asks the gate once for each request -----------------------------------------------------
+def run_request(*outcomes: api.Outcome | None) -> tuple[HeadEscrow, list[model.Effect]]:
+    """Run a request whose attempts have these outcomes (None: no answer), until its client disconnects."""
     conf = head_config(Node("a", 0), Node("b", 0))
     reducer = Reducer(conf.settings, 1)
     nodes = tuple(model.NodeInfo(n, f"127.0.0.1:{9 + i}", 0, api.Phase.ON) for i, n in enumerate("ab"))
@@ -125,46 +125,46 @@
         lambda: LedgerFreshness.CURRENT,
     )
     request = model.Request("r", 0, 1, "v", "k", 0, 2.0, 1, 2 * SECOND, False)
-    sent = list(reducer.reduce(model.Arrived(SECOND, request)))
+    effects = list(reducer.reduce(model.Arrived(SECOND, request)))
     now = SECOND
     for number, outcome in enumerate(outcomes):
         now += 20 * MS
-        while not any(isinstance(e, model.SendAttempt) and e.attempt == number for e in sent):
-            timers = [e for e in sent if isinstance(e, model.SetTimer)]
+        while not any(isinstance(e, model.SendAttempt) and e.attempt == number for e in effects):
+            timers = [e for e in effects if isinstance(e, model.SetTimer)]
             if now > 4 * SECOND or not timers:
                 break
             now += 20 * MS
             for timer in timers:
-                sent += reducer.reduce(model.TimerDue(now, timer.token))
+                effects += reducer.reduce(model.TimerDue(now, timer.token))
         if outcome is not None:
-            sent += reducer.reduce(model.AttemptEnded(now, "r", number, outcome, b"x"))
-    sent += reducer.reduce(model.ClientLeft(now + MS, "r"))
-    return escrow, sent
+            effects += reducer.reduce(model.AttemptEnded(now, "r", number, outcome, b"x"))
+    effects += reducer.reduce(model.ClientLeft(now + MS, "r"))
+    return escrow, effects
 
 
-O = api.Outcome  # noqa: E741
+Outcome = api.Outcome
 
 
 @pytest.mark.parametrize(
     ("outcomes", "charged"),
     [
-        ((O.OK,), 20),
-        ((O.CONNECT_FAILED,), 0),
-        ((O.FULL,), 0),
-        ((O.MOOT,), 0),
-        ((O.RESET,), 20),
-        ((O.TIMEOUT,), 20),
-        ((O.ERROR,), 20),
+        ((Outcome.OK,), 20),
+        ((Outcome.CONNECT_FAILED,), 0),
+        ((Outcome.FULL,), 0),
+        ((Outcome.MOOT,), 0),
+        ((Outcome.RESET,), 20),
+        ((Outcome.TIMEOUT,), 20),
+        ((Outcome.ERROR,), 20),
         ((None,), 20),
-        ((O.CONNECT_FAILED, O.OK), 20),
-        ((O.RESET, O.OK), 20),
-        ((O.FULL, O.FULL), 0),
+        ((Outcome.CONNECT_FAILED, Outcome.OK), 20),
+        ((Outcome.RESET, Outcome.OK), 20),
+        ((Outcome.FULL, Outcome.FULL), 0),
         ((), 20),
     ],
 )
 def test_a_request_is_charged_once_by_what_may_have_run(outcomes, charged):
-    escrow, sent = core(*outcomes)
-    assert any(isinstance(e, model.SendAttempt) for e in sent)
+    escrow, effects = run_request(*outcomes)
+    assert any(isinstance(e, model.SendAttempt) for e in effects)
     assert escrow.charged == charged and not escrow.reservations
 
 
@@ -176,42 +176,42 @@
     for i, volume in enumerate("vvww"):
         request = model.Request(f"r{i}", 0, 1, volume, "k", 0, 1.0, 1, 2 * SECOND, False)
         effects = reducer.reduce(model.Arrived(SECOND, request))
-        turned = isinstance(effects[0], model.RejectRequest)
-        assert turned == (i == 1)
-        if turned:
+        rejected = isinstance(effects[0], model.RejectRequest)
+        assert rejected == (i == 1)
+        if rejected:
             assert isinstance(effects[0].answer, model.Refused)
 
 
-# -- the book of what is spent ---------------------------------------------------------------------------
+# -- the journal of what is spent ------------------------------------------------------------------------
 def test_the_book_is_read_by_the_next_process_and_has_a_bound(tmp_path):
-    book = SpentJournal(tmp_path / "book")
-    assert book.begin("7.0") and book.begin("8.1")
-    book.set("7.0", 12)
-    book.set("8.1", 5)
-    book.end("8.1")
-    again = SpentJournal(tmp_path / "book")  # the first one was killed
+    journal = SpentJournal(tmp_path / "journal")
+    assert journal.begin("7.0") and journal.begin("8.1")
+    journal.set("7.0", 12)
+    journal.set("8.1", 5)
+    journal.end("8.1")
+    again = SpentJournal(tmp_path / "journal")  # the first one was killed
     assert again.read() == {"7.0": 12}
     assert all(again.begin(f"{i}.0") for i in range(100, 100 + 4095)) and not again.begin("x")
 
 
-# What happened: a customer whose credit is low was told `Retry-After: 0.000`, to try again at once, and was
-# rejected again. Why: the tenths of a request that a quota of 0.1 admits add up to 0.9999999999999999 in ten
-# steps, short of one by 1e-16 of a request; and any wait under half a millisecond was printed as none.
-@pytest.mark.parametrize("every", [2, 3, 5, 6, 7, 10, 12, 49])
-def test_a_quota_admits_each_nth_request_and_advises_a_wait_that_is_seen(every):
-    account = LocalAccount("x", low_water=3 * every, balance=1, answered_at=SECOND)
+# Guards against `Retry-After: 0.000`: a customer with little credit was advised to retry at once, and was
+# rejected again. With a quota of 0.1, ten steps add up to 0.9999999999999999 of a request, 1e-16 short of
+# one, and any wait under half a millisecond was printed as zero.
+@pytest.mark.parametrize("interval", [2, 3, 5, 6, 7, 10, 12, 49])
+def test_a_quota_admits_each_nth_request_and_advises_a_wait_that_is_seen(interval):
+    account = LocalAccount("x", low_water=3 * interval, balance=1, answered_at=SECOND)
     rank = 2
     quota = account.quota(rank)
-    assert quota == pytest.approx(1 / every)
+    assert quota == pytest.approx(1 / interval)
     account.pace_tokens[rank] = 0.0
     verdicts = []
-    for n in range(20 * every):
+    for n in range(20 * interval):
         account.count_request(1, rank, SECOND * (1 + n))
         verdicts.append(account.pace(rank))
     admitted = [n + 1 for n, verdict in enumerate(verdicts) if verdict is None]
-    assert admitted == [every * n for n in range(1, 21)]
+    assert admitted == [interval * n for n in range(1, 21)]
     least = min(verdict.retry_in for verdict in verdicts if verdict is not None)
-    assert least >= timedelta(milliseconds=100)  # one request's interval at one a second, about
+    assert least >= timedelta(milliseconds=100)  # about the interval between requests at one per second
 
 
 @given(st.integers(1, 10**7))
@@ -223,8 +223,9 @@
 
 
 def test_a_large_request_of_long_ago_keeps_nothing_from_small_ones():
-    """Guards a poor customer: a head that was cut off asked for a charge that nobody waited for any more."""
-    ledger, escrow = Ledger(), HeadEscrow(5 * SECOND, CreditDisk())
+    """Guards customers with little credit: after a cut-off a head asked for the charge of an old request."""
+    ledger = Ledger()
+    escrow = HeadEscrow(5 * SECOND, CreditDisk())
     ledger.put_customer(PutCustomer("x", ("v",)))
     ledger.book_entry(1, BookEntry("paid", "x", 20, "top-up", "", "", ""))
     escrow.reachable = False
--- a/tests/heads/test_credit_ledger.py
+++ b/tests/heads/test_credit_ledger.py
@@ -1,6 +1,6 @@
-"""Customers are made and volumes move while heads are cut off, killed and wiped: nothing is served uncharged.
+"""Customers are created and volumes move while heads are cut off, killed and wiped: all requests are charged.
 
-In virtual time, by what the world knows of whose a volume was; and broken programs, each caught by its seed.
+Runs in virtual time against the simulation's own record of each volume's customer; mutants must be caught.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class TakesUnknownForFree(Gate):
-    """A volume without a known customer is nobody's, whatever the ledger is worth: the fault of before."""
+    """Takes a volume without a known customer for a free one, however old the ledger: an earlier fault."""
 
     __slots__ = ()
 
@@ -31,7 +31,7 @@
 
 
 class MistakesFreshness(Gate):
-    """One degree of freshness is taken for a current ledger."""
+    """Takes one degree of freshness for a current ledger."""
 
     __slots__ = ()
     mistaken: LedgerFreshness
@@ -45,21 +45,21 @@
 
 
 class TakesRestoredForCurrent(MistakesFreshness):
-    """What was restored from the disk counts as confirmed."""
+    """Takes a ledger restored from disk for a current one."""
 
     __slots__ = ()
     mistaken = LedgerFreshness.RESTORED
 
 
 class TakesStaleForCurrent(MistakesFreshness):
-    """A ledger that was followed once counts as current for ever."""
+    """Takes a ledger that was once current for a current one."""
 
     __slots__ = ()
     mistaken = LedgerFreshness.STALE
 
 
 @pytest.mark.parametrize(
-    "how",
+    "options",
     [
         {"make_gate": TakesUnknownForFree},
         {"make_gate": TakesRestoredForCurrent},
@@ -68,10 +68,10 @@
     ],
     ids=["unknown", "restored", "stale", "the setting"],
 )
-def test_a_mutant_is_caught(how):
+def test_a_mutant_is_caught(options):
     for seed in range(40):
         try:
-            stories.run_ledger(seed, **how)
+            stories.run_ledger(seed, **options)
         except InvariantViolated as caught:
             print(f"seed {seed}: {caught}")
             if "free of charge" in str(caught):
--- a/tests/heads/test_credit_waiting.py
+++ b/tests/heads/test_credit_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an allotment at one head: what the head asks for is enough for all of them."""
+"""Requests that wait for an allotment at one head: the head asks for enough credit for all of them."""
 
 from __future__ import annotations
 
@@ -29,25 +29,29 @@
 
 SECOND = timedelta(seconds=1)
 LEASE = 2 * SECOND
-PRICE, UNITS = 1_000, 2.0
+PRICE = 1_000
+UNITS = 2.0
 CHARGE = charge_of(UNITS, PRICE)
-FEW, MANY = 3, 40
+FEW = 3
+MANY = 40
 
 
-class OneHead:
-    """A head beside an account: words to it are answered only when a test lets them be."""
+class HeadWithAccount:
+    """A head and the account: its reports are answered only when a test allows it."""
 
     def __init__(self, tmp_path, paid: int) -> None:
-        self.ledger, self.asked, self.answers = Ledger(), [], asyncio.Semaphore(0)
+        self.ledger = Ledger()
+        self.reports = []
+        self.answers = asyncio.Semaphore(0)
         self.ledger.put_customer(PutCustomer("acme", ("v",)))
         self.ledger.book_entry(1, BookEntry("t", "acme", paid, "top-up", "x", "y", "z"))
-        agreed = SimpleNamespace(raft=SimpleNamespace(settled=False), machine=SimpleNamespace(index=1))
+        replication = SimpleNamespace(raft=SimpleNamespace(settled=False), machine=SimpleNamespace(index=1))
         fleet = SimpleNamespace(
             settings=SimpleNamespace(folder=tmp_path, name="h0", cut_off_after=3 * SECOND),
             stored=SimpleNamespace(writable=False, start_count=1),
             me=SimpleNamespace(identity="h0/0"),
             monitor=SimpleNamespace(watchers=[]),
-            replication=agreed,
+            replication=replication,
             followed_age=timedelta(0),
             now=self.now,
             command=self.command,
@@ -61,23 +65,23 @@
     def now() -> timedelta:
         return timedelta(seconds=asyncio.get_running_loop().time())
 
-    async def command(self, part, body, id, within) -> bytes:
-        """The account's answer, once it may be given."""
+    async def command(self, part, body, id, timeout) -> bytes:
+        """Return the account's answer once a test allows it."""
         command = msgspec.msgpack.decode(body, type=RegisterHead | CreditReport)
         if isinstance(command, CreditReport):
-            self.asked.append(command)
+            self.reports.append(command)
             await self.answers.acquire()
-        return self.ledger.apply(len(self.asked) + 1, body)
+        return self.ledger.apply(len(self.reports) + 1, body)
 
     async def request(self, number: int) -> bool:
-        """One request: waits for an allotment where that helps; whether it is taken."""
+        """Send one request, which waits for an allotment if that helps; return whether it is admitted."""
         request = model.Request(f"r{number}", 0, 1, "v", "k", 0, UNITS, 1, 600 * SECOND, False)
         await self.service.prepare(request)
         return self.service.gate.take(request, self.now()) is None
 
 
-async def settle(times: int = 50) -> None:
-    """Let all that can go on go on."""
+async def run_pending_tasks(times: int = 50) -> None:
+    """Run all tasks that are ready."""
     for _ in range(times):
         await asyncio.sleep(0)
 
@@ -85,16 +89,16 @@
 @pytest.mark.parametrize("count", [1, FEW, MANY])
 def test_all_waiting_requests_are_admitted_after_one_answer(tmp_path, count):
     async def story():
-        head = OneHead(tmp_path, paid=1_000 * CHARGE)
+        head = HeadWithAccount(tmp_path, paid=1_000 * CHARGE)
         requests = [asyncio.create_task(head.request(i)) for i in range(count)]
-        await settle()  # all wait before anything is asked
-        speaking = asyncio.create_task(head.service.run())
-        await settle()
+        await run_pending_tasks()  # all wait before the first report is sent
+        service_task = asyncio.create_task(head.service.run())
+        await run_pending_tasks()
         head.answers.release()
-        while not all(r.done() for r in requests) and len(head.asked) == 1:
+        while not all(r.done() for r in requests) and len(head.reports) == 1:
             await asyncio.sleep(0.01)
-        speaking.cancel()
-        assert len(head.asked) == 1, f"{sum(r.done() for r in requests)} of {count} after one answer"
+        service_task.cancel()
+        assert len(head.reports) == 1, f"{sum(r.done() for r in requests)} of {count} after one answer"
         assert all([await r for r in requests])
         assert head.service.escrow.accounts["acme"].waiting == 0
 
@@ -103,9 +107,9 @@
 
 def test_no_allotment_is_asked_for_a_request_that_gave_up_waiting(tmp_path):
     async def story():
-        head = OneHead(tmp_path, paid=1_000 * CHARGE)
+        head = HeadWithAccount(tmp_path, paid=1_000 * CHARGE)
         requests = [asyncio.create_task(head.request(i)) for i in range(FEW)]
-        await settle()
+        await run_pending_tasks()
         assert head.service.escrow.accounts["acme"].waiting == FEW * CHARGE
         for request in requests[1:]:
             request.cancel()
@@ -117,25 +121,25 @@
 
 
 def test_remainders_of_small_allotments_do_not_keep_a_head_from_asking():
-    """Two allotments with 1,500 each are enough for one charge of 2,000 by their sum, and not by either."""
-    holder = HeadEscrow(LEASE, CreditDisk())
+    """Two allotments of 1,500 cover a charge of 2,000 by their sum, but neither covers it alone."""
+    escrow = HeadEscrow(LEASE, CreditDisk())
     held = [LocalAllotment(f"{number}.0", 1_500, SECOND + LEASE) for number in (1, 2)]
-    holder.accounts["acme"] = LocalAccount("acme", held, answered_at=SECOND)
-    assert holder.reserve("r2", "acme", 2_000, 2, SECOND) is not None
-    (report,) = holder.due_reports(SECOND)
+    escrow.accounts["acme"] = LocalAccount("acme", held, answered_at=SECOND)
+    assert escrow.reserve("r2", "acme", 2_000, 2, SECOND) is not None
+    (report,) = escrow.due_reports(SECOND)
     assert report.min_useful == 2_000 and report.wanted >= 2_000
 
 
 def test_a_grant_for_all_that_wait_is_bounded_by_the_account(tmp_path):
-    """The account gives a head half of what is free at most: the others wait for the next word."""
+    """The account grants a head at most half of what is free: the other requests wait for the next report."""
     ledger = Ledger()
     ledger.put_customer(PutCustomer("acme", ("v",)))
     ledger.book_entry(1, BookEntry("t", "acme", 10 * CHARGE, "top-up", "x", "y", "z"))
-    holder = HeadEscrow(LEASE, CreditDisk())
+    escrow = HeadEscrow(LEASE, CreditDisk())
     for _ in range(MANY):
-        holder.add_waiting("acme", CHARGE)
-        holder.request_allotment("acme", CHARGE, SECOND)
-    reports = tuple(holder.due_reports(SECOND))
+        escrow.add_waiting("acme", CHARGE)
+        escrow.request_allotment("acme", CHARGE, SECOND)
+    reports = tuple(escrow.due_reports(SECOND))
     assert reports[0].wanted == MANY * CHARGE and reports[0].min_useful == CHARGE
     assert msgspec.msgpack.decode(
         ledger.apply(2, msgspec.msgpack.encode(RegisterHead("h0", "h0/0", "", 0, ()))), type=CommandResult
--- a/tests/heads/test_follower_return.py
+++ b/tests/heads/test_follower_return.py
@@ -1,8 +1,8 @@
-"""Followers go back to a voter that returned.
+"""Followers go back to a voter that has returned.
 
-What happened: a follower stays with the voter that answers it. Once a voter had been down, nothing brought
-its followers back: with three voters two were polled by all from then on, and at several hundred heads that
-is more than a voter answers at once.
+Guards against uneven load: a follower stays with the voter that answers it, so after a voter had been down
+nothing brought its followers back. With three voters, two were polled by all followers from then on, and with
+several hundred heads that is more than a voter answers at once.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from tests.peers import run
 
 VOTERS = ("v0", "v1", "v2")
-POLL = timedelta(milliseconds=500)
+POLL_INTERVAL = timedelta(milliseconds=500)
 INDEX = 5
 
 
-class Fleet:
-    """Voters that are up, hang or are down, and the clock of all followers."""
+class StubFleet:
+    """A stub of voters that are current, behind or down, and the clock of all followers."""
 
     def __init__(self) -> None:
         self.down: set[str] = set()
@@ -36,7 +36,7 @@
     def now(self) -> timedelta:
         return self.time
 
-    async def request(self, name, kind, body, within):
+    async def request(self, name, kind, body, timeout):
         assert kind == calls.PROGRESS
         if name in self.down:
             raise PeerUnreachable(name)
@@ -44,48 +44,50 @@
         return SimpleNamespace(body=msgspec.msgpack.encode(progress))
 
 
-class PollsOnly(Follower):
-    """A follower whose polls are answered by whoever is up, without what the answer brings."""
+class PollingFollower(Follower):
+    """A follower whose polls succeed at any voter that is up, without applying the answers."""
 
-    def __init__(self, name: str, fleet: Fleet) -> None:
+    def __init__(self, name: str, fleet: StubFleet) -> None:
         addresses = dict.fromkeys(VOTERS, "")
         settings = SimpleNamespace(name=name, streams=addresses, voters=VOTERS)
         raft = SimpleNamespace(voters=[SimpleNamespace(name=voter) for voter in VOTERS])
         replication = SimpleNamespace(raft=raft, machine=SimpleNamespace(index=INDEX))
         super().__init__(settings, replication, fleet, None, None, fleet.now, random.Random(1))
-        self.fleet, self.at = fleet, ""
+        self.fleet = fleet
+        self.current_voter = ""
 
     async def step(self) -> None:
         name = self.next_voter()
         if name in self.fleet.down:
             return
-        self.at = name
-        self._voter_cursor -= 1  # stay with it
+        self.current_voter = name
+        self._voter_cursor -= 1  # stay with this voter
         await self._return_if_due()
 
 
-async def play(fleet: Fleet, followers: list[PollsOnly], span: timedelta) -> Counter[str]:
-    """Let time pass; how many followers each voter has then."""
+async def run_polls(fleet: StubFleet, followers: list[PollingFollower], span: timedelta) -> Counter[str]:
+    """Advance the time; return how many followers each voter has then."""
     ends = fleet.time + span
     while fleet.time < ends:
-        fleet.time += POLL
+        fleet.time += POLL_INTERVAL
         for follower in followers:
             await follower.step()
-    return Counter(follower.at for follower in followers)
+    return Counter(follower.current_voter for follower in followers)
 
 
 @pytest.mark.parametrize("lost", VOTERS)
 def test_followers_of_a_voter_that_returned_come_back(lost):
     async def story():
-        fleet = Fleet()
-        followers = [PollsOnly(f"head-{number:04d}", fleet) for number in range(120)]
-        spread = await play(fleet, followers, 2 * POLL)
+        fleet = StubFleet()
+        followers = [PollingFollower(f"head-{number:04d}", fleet) for number in range(120)]
+        spread = await run_polls(fleet, followers, 2 * POLL_INTERVAL)
         fleet.down = {lost}
-        without = await play(fleet, followers, 2 * RETURN_INTERVAL)
-        assert lost not in without and sum(without.values()) == 120
-        fleet.down, fleet.behind = set(), {lost}
-        assert await play(fleet, followers, 2 * RETURN_INTERVAL) == without, "it has not caught up"
+        reduced = await run_polls(fleet, followers, 2 * RETURN_INTERVAL)
+        assert lost not in reduced and sum(reduced.values()) == 120
+        fleet.down = set()
+        fleet.behind = {lost}
+        assert await run_polls(fleet, followers, 2 * RETURN_INTERVAL) == reduced, "it has not caught up"
         fleet.behind = set()
-        assert await play(fleet, followers, 2 * RETURN_INTERVAL) == spread
+        assert await run_polls(fleet, followers, 2 * RETURN_INTERVAL) == spread
 
     run(story())
--- a/tests/heads/test_histories.py
+++ b/tests/heads/test_histories.py
@@ -1,5 +1,4 @@
-"""The judge is shown to fail on broken histories before it is believed; then it judges runs of the real
-program."""
+"""The judge fails on each kind of broken history; then it judges runs of the real program."""
 
 from __future__ import annotations
 
@@ -25,7 +24,7 @@
 from tests.heads.rules_clients import rules
 from tests.peers import run
 
-FIRST = RegisterState()
+INITIAL_STATE = RegisterState()
 
 
 def call(invoked, returned, kind, id="", base=0, answer=None) -> RegisterCall:
@@ -34,12 +33,13 @@
 
 
 @pytest.mark.parametrize(
-    ("calls", "so"),
+    ("calls", "expected"),
     [
         ([call(0, 1, "edit", "a", 0, ("ok", 1)), call(2, 3, "read", answer=("read", 1))], True),
         ([call(0, 1, "edit", "a", 0, ("ok", 1)), call(2, 3, "read", answer=("read", 0))], False),  # lost
-        ([call(0, 9, "edit", "a", 0, ("ok", 1)), call(2, 3, "read", answer=("read", 0))], True),  # not yet
-        ([call(0, 9, "edit", "a", 0, ("ok", 1)), call(0, 9, "edit", "b", 0, ("ok", 2))], False),  # both won
+        ([call(0, 9, "edit", "a", 0, ("ok", 1)), call(2, 3, "read", answer=("read", 0))], True),  # concurrent
+        # both accepted
+        ([call(0, 9, "edit", "a", 0, ("ok", 1)), call(0, 9, "edit", "b", 0, ("ok", 2))], False),
         ([call(0, 9, "edit", "a", 0, ("ok", 1)), call(0, 9, "edit", "b", 0, ("refused", 1))], True),
         ([call(0, 1, "edit", "a", 0, ("ok", 1)), call(2, 3, "edit", "b", 0, ("refused", 0))], False),
         (
@@ -49,7 +49,7 @@
                 call(4, 5, "read", answer=("read", 1)),
             ],
             True,
-        ),  # unanswered, and it acted
+        ),  # unanswered, and it took effect
         (
             [
                 call(0, NEVER, "edit", "a", 0),
@@ -57,22 +57,23 @@
                 call(4, 5, "read", answer=("read", 0)),
             ],
             False,
-        ),  # and went back
+        ),  # the effect disappeared
         (
             [call(0, 1, "edit", "a", 0, ("ok", 1)), call(2, 3, "edit", "a", 0, ("ok", 2))],
             False,
-        ),  # acted twice
+        ),  # took effect twice
     ],
 )
-def test_the_register_checker(calls, so):
-    assert linearizable(calls, FIRST, register_model) is so
+def test_the_register_checker(calls, expected):
+    assert linearizable(calls, INITIAL_STATE, register_model) is expected
 
 
 @given(st.lists(st.tuples(st.floats(0, 1), st.floats(0, 1), st.booleans()), max_size=12), st.randoms())
 @settings(max_examples=100, deadline=None)
 def test_what_a_register_did_in_any_order_is_found_linearizable(spans, draws):
-    """Calls act one after the other at moments within their spans: the checker must find an order."""
-    calls, newest = [], 0
+    """Calls take effect in turn at moments within their spans, so the checker must find an order."""
+    calls = []
+    newest = 0
     for n, (before, after, read) in enumerate(spans):
         at = float(n * 2)
         if read:
@@ -81,7 +82,7 @@
             calls.append(call(at - before * 5, at + after * 5, "edit", f"i{n}", newest, ("ok", newest + 1)))
             newest += 1
     draws.shuffle(calls)
-    assert linearizable(calls, FIRST, register_model)
+    assert linearizable(calls, INITIAL_STATE, register_model)
 
 
 def request(id, status, at=5.0, charge=10) -> dict:
@@ -123,15 +124,15 @@
     return {"event": "heads.seen", "head": "b", "status": status, "at": at}
 
 
-DOWN = {"what": "down", "head": "b", "at": 0.0, "until": 20.0, "detect_within": 15.0, "witnesses": ["a"]}
-WHOLE = History(
+DOWN_LINE = {"what": "down", "head": "b", "at": 0.0, "until": 20.0, "detect_within": 15.0, "witnesses": ["a"]}
+VALID_HISTORY = History(
     [pay("t", 100), request("1", 200), request("2", 503), request("3", 0), settled(100, 10)],
     {"a": [role(1, "a"), version(1), version(2)], "b": [role(1, "a"), version(2)]},
 )
 
 
 def test_a_whole_history_is_found_whole():
-    assert judge(WHOLE) == []
+    assert judge(VALID_HISTORY) == []
     assert describe([]) == "all promises are kept"
 
 
@@ -175,32 +176,32 @@
         ),
         ([{"what": "contents", "at": 0, "digests": {"a": "x", "b": "y"}}], {}, "different contents"),
         ([{"what": "restored", "at": 0, "undone": 2, "before": "x", "now": "y"}], {}, "did not restore"),
-        ([DOWN], {"a": [seen("suspect")]}, "did not see"),
+        ([DOWN_LINE], {"a": [seen("suspect")]}, "did not see"),
         ([{"what": "calm", "at": 0.0, "until": 9.0}], {"a": [seen("failed")]}, "calm times"),
     ],
 )
 def test_each_checker_fails_on_its_fault(lines, logs, words):
-    (wrong,) = judge(History(lines, logs))
-    assert words in wrong
+    (violation,) = judge(History(lines, logs))
+    assert words in violation
 
 
 def test_a_head_that_lost_its_folder_begins_with_its_own_files():
     logs = {"a": [version(2) | {"at": 1.0}, version(1) | {"at": 3.0}]}
     assert judge(History([{"what": "folder_lost", "at": 2.0, "head": "a"}], logs)) == []
     for lost in ({"at": 2.0, "head": "b"}, {"at": 4.0, "head": "a"}, {"at": 0.5, "head": "a"}):
-        (wrong,) = judge(History([{"what": "folder_lost"} | lost], logs))
-        assert "back to 1" in wrong
+        (violation,) = judge(History([{"what": "folder_lost"} | lost], logs))
+        assert "back to 1" in violation
 
 
 def test_a_head_that_was_seen_as_failed_is_found_out_in_time():
-    assert judge(History([DOWN], {"a": [seen("failed")]})) == []
+    assert judge(History([DOWN_LINE], {"a": [seen("failed")]})) == []
 
 
 async def play_and_judge(chaos: Chaos, detect: bool) -> History:
-    """Play faults for a while: all promises are kept, and there was enough to judge."""
+    """Run random faults for a while; assert that no guarantee was violated and enough was judged."""
     history = await chaos.run(14, detect)
-    wrong = judge(history)
-    assert not wrong, describe(wrong) + "\n" + "\n".join(chaos.faults)
+    violations = judge(history)
+    assert not violations, describe(violations) + "\n" + "\n".join(chaos.faults)
     statuses = [request.status for request in history.of(Request)]
     print(
         f"{len(statuses)} requests, {statuses.count(200)} served, {len(history.of(Payment))} top-ups, "
@@ -213,7 +214,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_random_faults_on_the_real_program(tmp_path, seed):
-    """A short one of each; benchmarks/heads_history.py plays ten minutes."""
+    """A short run for each seed; benchmarks/heads_history.py runs for ten minutes."""
 
     async def story():
         async with running_heads(
@@ -224,14 +225,14 @@
     run(story(), 170.0)
 
 
-# -- customers made and volumes moved during the faults ----------------------------------------------------
-def put(customer, at, until=None, status=200, volumes=("v",)) -> dict:
+# -- customers created and volumes moved during the faults -----------------------------------------------
+def customer_put(customer, at, until=None, status=200, volumes=("v",)) -> dict:
     end = at if until is None else until
     line = {"what": "customer", "at": at, "until": end, "customer": customer, "volumes": list(volumes)}
     return line | {"status": status}
 
 
-def of_volume(id, at, status=200, until=None, volume="v") -> dict:
+def volume_request(id, at, status=200, until=None, volume="v") -> dict:
     return request(id, status, at) | {
         "customer": "",
         "volume": volume,
@@ -239,56 +240,106 @@
     }
 
 
-BEHIND = {"what": "ledger_behind", "at": 0.0, "seconds": 2.0}
-DELETED = put("x", 4.0, status=0, volumes=())  # it takes effect at a time that nobody knows
+LEDGER_AGE_LINE = {"what": "ledger_behind", "at": 0.0, "seconds": 2.0}
+DELETED_LINE = customer_put("x", 4.0, status=0, volumes=())  # it takes effect at an unknown time
 
 
 @pytest.mark.parametrize(
     ("lines", "words"),
     [
-        # nobody's, and served free
-        ([of_volume("1", 5.0), put("x", 6.0), settled(0, 0)], ""),
-        # a customer's for longer than any ledger may be old, and served without a charge
-        ([put("x", 1.0), pay("t", 100), of_volume("1", 5.0), settled(100, 0)], "clients say 10"),
-        ([put("x", 1.0), of_volume("1", 5.0)], "more than was paid in"),
-        # a moment behind: charged all the same once the call has answered; before, both may be
-        ([put("x", 4.0), pay("t", 100), of_volume("1", 5.0), settled(100, 0)], "clients say 10"),
-        ([put("x", 4.0), pay("t", 100), of_volume("1", 5.0), settled(100, 10)], ""),
-        ([put("x", 4.0, 6.0), pay("t", 100), of_volume("1", 5.0), settled(100, 0)], ""),
-        ([put("x", 4.0, 6.0), pay("t", 100), of_volume("1", 5.0), settled(100, 10)], ""),
-        # asked before the customer was there, answered long after
-        ([put("x", 4.0), pay("t", 100), of_volume("1", 3.0, until=9.0), settled(100, 0)], ""),
-        # the call's caller never knew; it may come at any time, but not before it was made
-        ([put("x", 1.0, status=503), pay("t", 100), of_volume("1", 5.0), settled(100, 10)], ""),
-        ([put("x", 6.0, status=503), pay("t", 100), of_volume("1", 5.0), settled(100, 10)], "clients say 0"),
-        ([put("x", 1.0, status=409), pay("t", 100), of_volume("1", 5.0), settled(100, 10)], "clients say 0"),
-        # moved: charged to one of them while a ledger may be old, to the second afterwards
-        ([put("y", 1.0), put("x", 4.0), pay("t", 100), of_volume("1", 5.0), settled(100, 0)], ""),
+        # without a customer, and served free of charge
+        ([volume_request("1", 5.0), customer_put("x", 6.0), settled(0, 0)], ""),
+        # owned for longer than the maximum age of a ledger, and served without a charge
         (
-            [put("y", 1.0), put("x", 4.0), pay("t", 100), of_volume("1", 7.0), settled(100, 0)],
+            [customer_put("x", 1.0), pay("t", 100), volume_request("1", 5.0), settled(100, 0)],
             "clients say 10",
         ),
-        # x is put again without the volume
-        ([put("x", 1.0), put("x", 2.0, volumes=()), of_volume("1", 5.0), settled(0, 0)], ""),
-        # made and paid in during the faults: what was paid is served, and no more
-        ([put("x", 1.0), pay("t", 15), of_volume("1", 5.0), settled(15, 10)], ""),
-        ([put("x", 1.0), pay("t", 15), of_volume("1", 5.0), of_volume("2", 6.0)], "x was served 5 more"),
-        # the volume is lost to a customer that has paid nothing
-        ([put("x", 1.0), pay("t", 100), put("y", 4.0), of_volume("1", 7.0)], "y was served 10 more"),
-        # deleted: free or charged from then on, whenever it is settled; but not charged for nothing
-        ([put("x", 1.0), pay("t", 100), DELETED, of_volume("1", 7.0), settled(100, 0)], ""),
-        ([put("x", 1.0), pay("t", 100), DELETED, of_volume("1", 7.0), settled(100, 10)], ""),
-        ([put("x", 1.0), pay("t", 100), DELETED, of_volume("1", 7.0), settled(100, 20)], "clients say 0"),
+        ([customer_put("x", 1.0), volume_request("1", 5.0)], "more than was paid in"),
+        # within the maximum age: charged once the call has answered; before that, free or charged
+        (
+            [customer_put("x", 4.0), pay("t", 100), volume_request("1", 5.0), settled(100, 0)],
+            "clients say 10",
+        ),
+        ([customer_put("x", 4.0), pay("t", 100), volume_request("1", 5.0), settled(100, 10)], ""),
+        ([customer_put("x", 4.0, 6.0), pay("t", 100), volume_request("1", 5.0), settled(100, 0)], ""),
+        ([customer_put("x", 4.0, 6.0), pay("t", 100), volume_request("1", 5.0), settled(100, 10)], ""),
+        # sent before the customer was created, answered long after
+        ([customer_put("x", 4.0), pay("t", 100), volume_request("1", 3.0, until=9.0), settled(100, 0)], ""),
+        # of unknown outcome: it may take effect at any time, but not before the call was made
+        ([customer_put("x", 1.0, status=503), pay("t", 100), volume_request("1", 5.0), settled(100, 10)], ""),
+        (
+            [customer_put("x", 6.0, status=503), pay("t", 100), volume_request("1", 5.0), settled(100, 10)],
+            "clients say 0",
+        ),
+        (
+            [customer_put("x", 1.0, status=409), pay("t", 100), volume_request("1", 5.0), settled(100, 10)],
+            "clients say 0",
+        ),
+        # moved: charged to either customer within the maximum age, to the second afterwards
+        (
+            [
+                customer_put("y", 1.0),
+                customer_put("x", 4.0),
+                pay("t", 100),
+                volume_request("1", 5.0),
+                settled(100, 0),
+            ],
+            "",
+        ),
+        (
+            [
+                customer_put("y", 1.0),
+                customer_put("x", 4.0),
+                pay("t", 100),
+                volume_request("1", 7.0),
+                settled(100, 0),
+            ],
+            "clients say 10",
+        ),
+        # x is replaced without the volume
+        (
+            [
+                customer_put("x", 1.0),
+                customer_put("x", 2.0, volumes=()),
+                volume_request("1", 5.0),
+                settled(0, 0),
+            ],
+            "",
+        ),
+        # created and topped up during the faults: no more is served than was paid
+        ([customer_put("x", 1.0), pay("t", 15), volume_request("1", 5.0), settled(15, 10)], ""),
+        (
+            [customer_put("x", 1.0), pay("t", 15), volume_request("1", 5.0), volume_request("2", 6.0)],
+            "x was served 5 more",
+        ),
+        # the volume is reassigned to a customer that has paid nothing
+        (
+            [customer_put("x", 1.0), pay("t", 100), customer_put("y", 4.0), volume_request("1", 7.0)],
+            "y was served 10 more",
+        ),
+        # deleted: free or charged from then on, until it is settled; but never charged without a request
+        (
+            [customer_put("x", 1.0), pay("t", 100), DELETED_LINE, volume_request("1", 7.0), settled(100, 0)],
+            "",
+        ),
+        (
+            [customer_put("x", 1.0), pay("t", 100), DELETED_LINE, volume_request("1", 7.0), settled(100, 10)],
+            "",
+        ),
+        (
+            [customer_put("x", 1.0), pay("t", 100), DELETED_LINE, volume_request("1", 7.0), settled(100, 20)],
+            "clients say 0",
+        ),
     ],
 )
 def test_the_judge_knows_whose_a_volume_may_have_been(lines, words):
-    wrong = describe(judge(History([BEHIND, *lines], {})))
-    assert words in wrong if words else wrong == "all promises are kept"
+    violations = describe(judge(History([LEDGER_AGE_LINE, *lines], {})))
+    assert words in violations if words else violations == "all promises are kept"
 
 
 @pytest.mark.parametrize("seed", [3, 4])
 def test_customers_made_and_volumes_moved_while_heads_lose_folders(tmp_path, seed):
-    """Kills and lost folders of cut-off heads beside the other faults: nothing is served uncharged."""
+    """Kills and lost data folders of cut-off heads among the faults: no request goes uncharged."""
 
     async def story():
         async with running_heads(
--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -1,124 +1,74 @@
-"""Hollow heads: like real ones in what they count, named when they die, and bounded in what they ask.
+"""Hollow heads count like real ones, are named when they die, and send a bounded number of requests.
 
-No span judges: it bounds a wait, and rates are held against the most that the heads' own timers allow.
+No result depends on how long something takes: timeouts only bound waits, and rates are compared with the
+maximum that the heads' own timers allow.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import json
-import math
 import os
 import signal
 import subprocess
 import sys
 import time
-from collections.abc import AsyncIterator, Callable
+from collections.abc import Callable
 from datetime import timedelta
 from pathlib import Path
 
 import pytest
 
 from benchmarks.capacity.harness import TooLarge
-from benchmarks.capacity.mixed import MORE, CapacityFleet, Size, fleet_up
-from benchmarks.capacity.realheads import FLEET
+from benchmarks.capacity.mixed import CapacityFleet, Size, fleet_up
 from benchmarks.capacity.story import Story
-from stoatrouter import config
 from stoatrouter.agreement.records import Voter
-from stoatrouter.fronts.http.settings import load_http
 from stoatrouter.lab.histories.history import Request
 from stoatrouter.lab.histories.judge import judge
 from stoatrouter.lab.hollow.census import Census, Incomplete
-from stoatrouter.lab.hollow.head import HollowHead, Lifecycle, Surroundings, settings_of_head
-from stoatrouter.lab.hollow.launcher import choose_addresses
-from stoatrouter.lab.hollow.network import Network
+from stoatrouter.lab.hollow.head import HollowHead, Lifecycle
 from stoatrouter.peering.counters import MessageCounters
 from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
 from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.follower import RETURN_INTERVAL
-from stoatrouter.peering.settings import load_heads
 from stoatrouter.peering.streams import MAX_IN_FLIGHT, Streams
 from tests.addresses import free_port
-from tests.heads.rules_clients import RULES
-from tests.peers import config_data, node_list, run
+from tests.heads.hollow_fleet import hollow_heads, own_probe_count, reachable_heads
+from tests.peers import run
 from tests.process_signals import kill
 from tests.program_process import ROOT
 
-LIMIT = 170.0
-SMALL = Size(hollow=4, voters=3, spares=0, followers=1, workers=2, nodes=2)
-PERIOD = 0.5  # seconds, of the detector
-HELD = 0.5  # seconds that a fetch waits for news
-SAY_EVERY = 2.0  # seconds between a head's words to the leader of the rules
-LIKENESS = 1.5  # a hollow head counts at most so many times what a real one does, and at least a part of it
-SEEN_PERIODS = 8  # periods of each head that are counted
+STORY_TIMEOUT = 170.0  # seconds
+SMALL_SIZE = Size(hollow=4, voters=3, spares=0, followers=1, workers=2, nodes=2)
+PROBE_PERIOD = 0.5  # seconds, of the failure detector
+FETCH_HOLD = 0.5  # seconds that a fetch waits at a voter for new entries
+REPORT_INTERVAL = 2.0  # seconds between a head's reports to the leader about the rules
+MAX_COUNT_RATIO = 1.5  # between the counts of a hollow and a real head, in either direction
+MIN_PERIODS = 8  # detector periods observed at each head
 
 
 async def until(holds: Callable[[], bool], what: str) -> None:
-    """Wait for a state; the limit only ends what would never come."""
-    async with asyncio.timeout(LIMIT - 30):
+    """Wait for a state; the timeout only guards against a hang."""
+    async with asyncio.timeout(STORY_TIMEOUT - 30):
         while not holds():
             await asyncio.sleep(0.05)
     assert holds(), what
 
 
-# -- many in this process -----------------------------------------------------------------------------------
-@contextlib.asynccontextmanager
-async def hollow_only(folder: Path, count: int, voters: int = 3) -> AsyncIterator[list[HollowHead]]:
-    """Hollow heads that vote, and hollow heads that follow them, all in this process."""
-    names = tuple(f"h{number}" for number in range(count))
-    addresses = choose_addresses([names])
-    ports = [free_port() for _ in range(voters)]
-    streams = {name: f"127.0.0.1:{port}" for name, port in zip(names, ports, strict=False)}
-    (folder / "secret").write_text("s" * 40)
-    (folder / "rules.cue").write_text(RULES)
-    (folder / "http.cue").write_text('listen: "127.0.0.1:0"\nrules: "rules.cue"\n')
-    (folder / "config.json").write_text(json.dumps(config_data(node_list(1))))
-    (folder / "heads.cue").write_text(
-        f'fleet: "{FLEET}"\nsecret_file: "secret"\nfolder: "disk"\n'
-        f"streams: {json.dumps(streams)}\nvoters: {json.dumps(names[:voters])}\n{MORE}"
-    )
-    files = {"NODE_CONFIG": str(folder / "config.json"), "STOATROUTER_HTTP": str(folder / "http.cue")}
-    conf = config.read(files, {})
-    common = load_heads(folder / "heads.cue", conf)
-    network = Network({}, {address: name for name, address in addresses.items()})
-    surroundings = Surroundings(conf, load_http(folder / "http.cue"), network, watches=False)
-    peers = tuple(addresses.values())
-    heads = [
-        HollowHead(name, settings_of_head(common, name, addresses[name], peers), surroundings)
-        for name in names
-    ]
-    try:
-        await asyncio.gather(*(asyncio.create_task(head.start()) for head in heads))
-        yield heads
-    finally:
-        await asyncio.gather(*(head.close() for head in heads))
-
-
-def seen(head: HollowHead) -> int:
-    """How many heads a hollow head's detector has heard itself, and so can reach; itself with them."""
-    assert head.heads is not None and head.heads.fleet.datagrams is not None
-    return len(head.heads.fleet.datagrams.detector.roster.addresses) + 1
-
-
-def own_probes(counts: dict[str, int]) -> int:
-    """Pings that a head sent for itself: without those sent in another's place, and without the second one
-    of each probe for which others were asked."""
-    for_others = counts.get("hollow.heard.ping_for", 0)
-    again = math.ceil(counts.get("hollow.said.ping_for", 0) / 3)
-    return counts.get("hollow.said.ping", 0) - for_others - again
-
-
+# -- many heads in this process --------------------------------------------------------------------------
 @pytest.mark.parametrize("count", [20, 60])
 def test_what_a_head_asks_does_not_grow_with_the_fleet(tmp_path, count):
-    """The same bounds hold at 20 heads and at 60: one probe a period, one fetch held, one word to the leader,
-    one look each 30 s whether the first voter is back, and nothing else while nothing happens."""
+    """The same bounds hold with 20 and 60 idle heads.
+
+    They allow one probe per period, one fetch in flight, one report to the leader per interval, one check
+    each 30 s whether the first voter is back, and no other request.
+    """
 
     async def story():
-        async with hollow_only(tmp_path, count) as heads:
+        async with hollow_heads(tmp_path, count) as heads:
             followers = heads[3:]
-            await until(lambda: all(seen(head) == count for head in heads), "all have met")
-            await asyncio.sleep(SAY_EVERY)  # what the start left to be agreed on is over
+            await until(lambda: all(reachable_heads(head) == count for head in heads), "all have met")
+            await asyncio.sleep(REPORT_INTERVAL)  # commands submitted during the start are committed
             began = time.monotonic()
             before = {head.name: head.counts for head in heads}
 
@@ -126,21 +76,21 @@
                 return head.counts[kind] - before[head.name][kind]
 
             await until(
-                lambda: all(grown(head, "hollow.said.ping") >= SEEN_PERIODS for head in heads), "probes"
+                lambda: all(grown(head, "hollow.said.ping") >= MIN_PERIODS for head in heads), "probes"
             )
             entries = followers[0].heads.fleet.replication.machine.index
             for head in followers:
                 spent = time.monotonic() - began
                 counted = {kind: grown(head, kind) for kind in head.counts}
-                assert own_probes(counted) <= spent / PERIOD + 2, counted
-                # An answer to each ping that came, and to each that was sent in another's place: counted
-                # since the start, as a lagging loop answers late what came before this span.
+                assert own_probe_count(counted) <= spent / PROBE_PERIOD + 2, counted
+                # One ack for each received ping and each relayed one; counted since the start, as a lagging
+                # loop may answer late what came before this span.
                 pings = head.counts["hollow.heard.ping"]
                 relayed = head.counts["hollow.heard.ping_for"]
                 assert head.counts["hollow.said.ack"] <= pings + relayed, head.counts
-                assert counted.get("hollow.asked.fetch", 0) <= spent / HELD + 2, counted
-                assert counted.get("hollow.asked.rules", 0) <= spent / SAY_EVERY + 2, counted
-                # a follower that is away from its first voter asks now and then whether it is back
+                assert counted.get("hollow.asked.fetch", 0) <= spent / FETCH_HOLD + 2, counted
+                assert counted.get("hollow.asked.rules", 0) <= spent / REPORT_INTERVAL + 2, counted
+                # a follower away from its first voter checks at intervals whether that voter is back
                 returns = counted.get("hollow.asked.progress", 0)
                 assert returns <= spent / RETURN_INTERVAL.total_seconds() + 1, counted
                 bounded = {f"hollow.asked.{kind}" for kind in ("fetch", "rules", "progress")}
@@ -149,12 +99,12 @@
                 assert others == 0, counted
             assert followers[0].heads.fleet.replication.machine.index == entries
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_a_hollow_head_whose_loop_ends_is_dead_and_says_why(tmp_path):
     async def story():
-        async with hollow_only(tmp_path, 4) as heads:
+        async with hollow_heads(tmp_path, 4) as heads:
             victim = heads[3]
             victim.heads.fleet.tasks[0].cancel()
             await until(lambda: victim.lifecycle is Lifecycle.DIED, "it is found dead")
@@ -162,16 +112,17 @@
             assert [head.lifecycle for head in heads[:3]] == [Lifecycle.RUNNING] * 3
             for task in (*victim.heads.tasks, *victim.heads.fleet.tasks):
                 task.cancel()
-            victim.lifecycle = Lifecycle.RUNNING  # so that it is closed with the others
+            victim.lifecycle = Lifecycle.RUNNING  # so that it is closed like the others
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_a_crashed_hollow_head_says_nothing_and_begins_again_with_its_disk(tmp_path):
     async def story():
-        async with hollow_only(tmp_path, 4) as heads:
-            victim, witness = heads[3], heads[0]
-            await until(lambda: seen(witness) == 4, "all know each other")
+        async with hollow_heads(tmp_path, 4) as heads:
+            victim = heads[3]
+            witness = heads[0]
+            await until(lambda: reachable_heads(witness) == 4, "all know each other")
             identity = victim.heads.fleet.me
             await victim.crash()
             left = [
@@ -183,19 +134,21 @@
             await victim.start()
             assert victim.heads.fleet.me == identity and victim.lifecycle is Lifecycle.RUNNING
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
-# -- a voter's bound ----------------------------------------------------------------------------------------
+# -- a voter's bound -------------------------------------------------------------------------------------
 def test_a_voter_holds_so_many_questions_and_refuses_the_next(tmp_path, monkeypatch):
-    """Each waiting question holds a place; those beyond MAX_IN_FLIGHT are refused, the others answered."""
-    beyond, at_once = 8, 8  # a client opens eight connections to one head
-    # However long a crowded machine takes to bring all questions to the voter, none of them times out.
-    monkeypatch.setattr("stoatrouter.peering.streams.CONNECT_TIMEOUT", timedelta(seconds=LIMIT))
-    monkeypatch.setattr("stoatrouter.peering.streams.REQUEST_TIMEOUT", timedelta(seconds=LIMIT))
+    """Requests beyond MAX_IN_FLIGHT are refused, and the waiting ones are answered."""
+    excess = 8
+    at_once = 8  # a client opens eight connections to one head
+    # No request times out, however long a loaded machine takes to deliver all of them.
+    monkeypatch.setattr("stoatrouter.peering.streams.CONNECT_TIMEOUT", timedelta(seconds=STORY_TIMEOUT))
+    monkeypatch.setattr("stoatrouter.peering.streams.REQUEST_TIMEOUT", timedelta(seconds=STORY_TIMEOUT))
 
     async def story():
-        release, fleet = asyncio.Event(), "f"
+        release = asyncio.Event()
+        fleet = "f"
         secret = b"s" * 64
 
         async def answer(envelope: Envelope) -> bytes:
@@ -217,30 +170,32 @@
         addresses = {"voter": f"127.0.0.1:{port}"}
         voter = streams("voter")
         await voter.start(("127.0.0.1", port))
-        clients = [streams(f"c{number}") for number in range((MAX_IN_FLIGHT + beyond) // at_once)]
+        clients = [streams(f"c{number}") for number in range((MAX_IN_FLIGHT + excess) // at_once)]
         asked = []
         for client in clients:
             await client.start(None)
             asked += [
-                asyncio.create_task(client.request("voter", "fetch", b"x", timedelta(seconds=LIMIT)))
+                asyncio.create_task(client.request("voter", "fetch", b"x", timedelta(seconds=STORY_TIMEOUT)))
                 for _ in range(at_once)
             ]
-        await until(lambda: sum(task.done() for task in asked) == beyond, "the ones beyond are refused")
+        await until(
+            lambda: sum(task.done() for task in asked) == excess, "the ones beyond the bound are refused"
+        )
         assert voter.in_flight == MAX_IN_FLIGHT
         release.set()
         answers = await asyncio.gather(*asked, return_exceptions=True)
         refused = [each for each in answers if isinstance(each, PeerUnreachable)]
-        assert len(refused) == beyond and all(str(each).endswith("503") for each in refused)
+        assert len(refused) == excess and all(str(each).endswith("503") for each in refused)
         assert sum(isinstance(each, tuple) for each in answers) == MAX_IN_FLIGHT and voter.in_flight == 0
         for each in (*clients, voter):
             await each.close()
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
-# -- beside real heads --------------------------------------------------------------------------------------
+# -- beside real heads -----------------------------------------------------------------------------------
 async def counts_of(fleet: CapacityFleet) -> tuple[dict[str, int], dict[str, dict[str, int]]]:
-    """What the real follower and the hollow ones have counted."""
+    """Return the counts of the real follower and of the hollow heads."""
     real = next(head for head in fleet.real if head.name not in fleet.real.voters)
     census = await fleet.hollow.report()
     assert not census.died, census.summary()
@@ -249,7 +204,7 @@
 
 def test_a_hollow_head_counts_what_a_real_one_does(tmp_path):
     async def story():
-        async with fleet_up(tmp_path, SMALL, seed=1) as fleet:
+        async with fleet_up(tmp_path, SMALL_SIZE, seed=1) as fleet:
             await fleet.steady(quiet=True)
             real_before, hollow_before = await counts_of(fleet)
             await asyncio.sleep(10)
@@ -264,22 +219,27 @@
                 real = real_after[kind] - real_before[kind]
                 for name, counts in hollow_after.items():
                     hollow = counts[kind] - hollow_before[name][kind]
-                    assert real / LIKENESS <= hollow <= real * LIKENESS, (kind, name, hollow, real)
+                    assert real / MAX_COUNT_RATIO <= hollow <= real * MAX_COUNT_RATIO, (
+                        kind,
+                        name,
+                        hollow,
+                        real,
+                    )
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_real_voters_and_hollow_heads_keep_all_promises_under_faults(tmp_path):
-    """The leader is killed, hollow heads crash, two regions are apart; the judges read the logs of all."""
+    """The leader is killed, hollow heads crash, and two regions are cut apart; the judge reads all logs."""
 
     async def story():
-        async with fleet_up(tmp_path, SMALL, seed=2) as fleet:
+        async with fleet_up(tmp_path, SMALL_SIZE, seed=2) as fleet:
             from benchmarks.capacity.faults import Faults
 
             await fleet.steady(quiet=True)
-            asking = Story(fleet, 2, tmp_path / "history.jsonl", edit_every=2.0)
-            faults = Faults(fleet, asking)
-            await asking.begin(spend=0.5)
+            clients = Story(fleet, 2, tmp_path / "history.jsonl", edit_every=2.0)
+            faults = Faults(fleet, clients)
+            await clients.begin(spend=0.5)
             leader = await fleet.real.leader()
             await leader.kill()
             await fleet.hollow.crash(fleet.hollow.names[:2])
@@ -289,29 +249,29 @@
             await asyncio.sleep(3)
             await faults.heal()
             await fleet.steady(quiet=True)
-            async with asyncio.timeout(LIMIT / 3):  # whatever the faults were, each draws credit again
+            async with asyncio.timeout(STORY_TIMEOUT / 3):  # after the faults each head draws credit again
                 while not all(report.served for report in (await fleet.hollow.report()).running):
                     await asyncio.sleep(0.2)
-            await asking.finish()
-            history, broken = asking.judged()
+            await clients.finish()
+            history, broken = clients.judged()
             assert broken == []
-            assert asking.accepted > 0
+            assert clients.accepted > 0
             for name in fleet.hollow.names:
                 assert any(event["event"] == "rules.version" for event in history.logs[name]), name
             served = [line for line in history.of(Request) if line.status == 200]
             assert served and {line.head for line in served} == set(fleet.hollow.names)
-            # the judge reads hollow heads' logs: one that goes back to an older version is found out
+            # the judge reads the logs of hollow heads: it reports one that goes back to an older version
             name = fleet.hollow.names[0]
             newest = next(e for e in reversed(history.logs[name]) if e["event"] == "rules.version")
             history.logs[name].append(newest | {"number": 0})
             assert any(f"{name} went from version" in text for text in judge(history))
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_the_heads_of_a_worker_that_dies_are_named_and_in_no_mean(tmp_path):
     async def story():
-        async with fleet_up(tmp_path, SMALL, seed=3) as fleet:
+        async with fleet_up(tmp_path, SMALL_SIZE, seed=3) as fleet:
             before = await fleet.hollow.report()
             worker = fleet.hollow.workers[0]
             kill(worker.process)
@@ -323,7 +283,7 @@
             with pytest.raises(Incomplete, match=worker.names[0]):
                 after.mean_rates(before, 1.0)
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
 
 
 def test_a_head_without_a_report_counts_as_dead():
@@ -331,9 +291,9 @@
     assert set(census.died) == {"a", "b"} and census.lifecycles["died"] == 2
 
 
-# -- sizes and ends -----------------------------------------------------------------------------------------
+# -- sizes and ends --------------------------------------------------------------------------------------
 @pytest.mark.parametrize(
-    ("size", "says"),
+    ("size", "message"),
     [
         (Size(hollow=2_000), "a detector holds 1,024"),
         (Size(hollow=900, workers=300), "processes are needed"),
@@ -341,8 +301,8 @@
         (Size(hollow=10, voters=5, followers=90), "descriptors of one process"),
     ],
 )
-def test_sizes_that_this_machine_cannot_hold_are_refused_with_what_would_do(size, says):
-    with pytest.raises(TooLarge, match=says):
+def test_sizes_that_this_machine_cannot_hold_are_refused_with_what_would_do(size, message):
+    with pytest.raises(TooLarge, match=message):
         size.check()
 
 
@@ -357,8 +317,8 @@
     assert done.returncode == 2 and "refused:" in done.stderr and "founded" not in done.stderr
 
 
-def children(pid: int) -> set[int]:
-    """All processes below one."""
+def descendants(pid: int) -> set[int]:
+    """Return all descendants of a process."""
     parents = {}
     for entry in Path("/proc").iterdir():
         with contextlib.suppress(OSError, ValueError):
@@ -384,7 +344,7 @@
     assert command.stderr is not None
     while "hollow heads run" not in (line := command.stderr.readline()):
         assert line, "the command ended by itself"
-    started = children(command.pid)
+    started = descendants(command.pid)
     assert len(started) >= 5
     command.send_signal(signal.SIGINT)
     out, _ = command.communicate(timeout=60)
--- a/tests/heads/test_ledger.py
+++ b/tests/heads/test_ledger.py
@@ -1,4 +1,4 @@
-"""The account under any commands: what is handed out and charged is never more than there is."""
+"""Random sequences of commands never grant or charge more than an account holds."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 heads = st.sampled_from(["a", "b"])
 customers = st.sampled_from(["x", "y"])
 allotments = st.builds("{}.0".format, st.integers(1, 40))
-turn = st.builds(
+report = st.builds(
     CustomerReport,
     customers,
     st.lists(allotments, max_size=3).map(tuple),
@@ -61,7 +61,7 @@
         lambda h, n, t: CreditReport(h, h + "/0", n, tuple(t)),
         heads,
         st.integers(0, 60),
-        st.lists(turn, max_size=2),
+        st.lists(report, max_size=2),
     ),
     st.builds(lambda i: Expired((i,)), allotments),
     st.builds(
@@ -77,21 +77,22 @@
 @given(st.lists(command, max_size=60))
 @settings(max_examples=300, deadline=None)
 def test_no_sequence_of_commands_grants_or_charges_more_than_there_is(commands):
-    ledger, twin = Ledger(), Ledger()
+    ledger = Ledger()
+    replica = Ledger()
     charged: dict[str, int] = {}
     for index, each in enumerate(commands, 1):
         body = msgspec.msgpack.encode(each)
         free = {name: a.free for name, a in ledger.accounts.items()}
-        assert ledger.apply(index, body) == twin.apply(index, body)  # the same at every head
+        assert ledger.apply(index, body) == replica.apply(index, body)  # the same at every head
         if index % 7 == 0:
-            twin.restore(ledger.state())  # and after a snapshot
+            replica.restore(ledger.state())  # and after a snapshot
         for name, account in ledger.accounts.items():
             assert account.charged >= charged.get(name, 0) or name not in free
             charged[name] = account.charged
             assert all(0 <= a.spent <= a.amount for a in account.outstanding.values())
-            handed = isinstance(each, CreditReport) and name in free and not account.refund_expired
-            if handed and account.free < 0:
-                assert account.free >= free[name]  # no turn hands out what is not there
+            granted = isinstance(each, CreditReport) and name in free and not account.refund_expired
+            if granted and account.free < 0:
+                assert account.free >= free[name]  # no report grants more than is available
         assert set(ledger.customer_by_allotment) == {
             i for a in ledger.accounts.values() for i in a.outstanding
         }
@@ -121,8 +122,8 @@
     assert ledger.book_entry(5, BookEntry("3", "x", -1, "correction", "me", "why", "now")).balance == 49
 
 
-# Bytes made by the code of b966509 (classes `Turns`, `Begin`), before `holder` became `head` in them: the
-# commands go on the wire and into the agreed log, the snapshot onto disk, so the old bytes must still read.
+# Written by commit b966509 (classes `Turns`, `Begin`), before their field `holder` was renamed to `head`.
+# Commands go on the wire and into the agreed log, snapshots onto disk, so the old bytes must still decode.
 OLD_TURNS = bytes.fromhex(
     "95a57475726e73a6686561642d61a66469736b2d31079195a461636d6591a3332e309193a3332e30cd01f4c2cd07d064"
 )
@@ -134,14 +135,14 @@
 
 
 def test_commands_written_before_the_rename_of_holder_to_head_still_decode():
-    turn = CustomerReport("acme", ("3.0",), (Settlement("3.0", 500, False),), 2000, 100)
+    report = CustomerReport("acme", ("3.0",), (Settlement("3.0", 500, False),), 2000, 100)
     assert msgspec.msgpack.decode(OLD_TURNS, type=CreditReport) == CreditReport(
-        "head-a", "disk-1", 7, (turn,)
+        "head-a", "disk-1", 7, (report,)
     )
     assert msgspec.msgpack.decode(OLD_BEGIN, type=RegisterHead) == RegisterHead(
         "head-a", "disk-2", "disk-1", 8, ("3.0",)
     )
-    assert msgspec.msgpack.encode(CreditReport("head-a", "disk-1", 7, (turn,))) == OLD_TURNS
+    assert msgspec.msgpack.encode(CreditReport("head-a", "disk-1", 7, (report,))) == OLD_TURNS
 
 
 def test_a_snapshot_written_before_the_rename_of_holder_to_head_still_restores():
--- a/tests/heads/test_ledger_freshness.py
+++ b/tests/heads/test_ledger_freshness.py
@@ -1,4 +1,4 @@
-"""What a head may do with a volume of which it knows no customer, by what it knows of the ledger."""
+"""Admission for volumes without a known customer, by how current a head's ledger is."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     gate = Gate(escrow, {}.get, PRICES, (0, 0), lambda: freshness, unknown_volumes)
     rejection = gate.take(request(0), SECOND)
     free = gate.take(request(1), SECOND)
-    assert free is None, "what has no price is served as ever"
+    assert free is None, "requests without a price are served as before"
     unknown = freshness is not LedgerFreshness.CURRENT
     rejects = unknown and unknown_volumes is UnknownVolumes.REJECT
     assert (rejection is not None) is rejects
@@ -69,12 +69,12 @@
 
 
 def request(request_class: int) -> model.Request:
-    """A request of a volume without a known customer."""
+    """Return a request for a volume without a known customer."""
     return model.Request(f"r{request_class}", request_class, 1, "v", "k", 0, 2.0, 1, 2 * SECOND, False)
 
 
 def test_a_contact_counts_as_followed_once_what_it_came_with_is_applied():
-    """A voter may report a fresh contact while its log lags: the index that was committed travels with it."""
+    """A voter may report a recent contact while its log lags, so the report includes the committed index."""
 
     async def story() -> None:
         now = [10 * SECOND]
@@ -86,12 +86,12 @@
         monitor.note_contact(MajorityContact(9 * SECOND), 5)
         assert monitor.followed.latest == 9 * SECOND
         now[0] = 12 * SECOND
-        monitor.note_contact(MajorityContact(12 * SECOND), 7)  # two entries are still to come
+        monitor.note_contact(MajorityContact(12 * SECOND), 7)  # two entries are still missing
         assert (monitor.followed.latest, monitor.contact.latest) == (9 * SECOND, 12 * SECOND)
         machine.index = 7
         monitor.refresh()
         assert monitor.followed.latest == 12 * SECOND
-        monitor.note_contact(MajorityContact(13 * SECOND), 6)  # from one that knows less
+        monitor.note_contact(MajorityContact(13 * SECOND), 6)  # from a voter that knows less
         assert monitor.known_commit == 7
         monitor.reset_followed()
         assert monitor.followed.latest is None
--- a/tests/heads/test_majority_lost.py
+++ b/tests/heads/test_majority_lost.py
@@ -1,4 +1,4 @@
-"""Heads of the real program that lose the majority of their voters find it out, whoever is left to ask."""
+"""Head processes that lose the majority of their voters notice it, whichever heads are left."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from tests.heads.processes import ProcessFleet, running_heads
 from tests.peers import run
 
-LIMIT = 150.0
+STORY_TIMEOUT = 150.0  # seconds
 CREDIT = 'credit: prices: "score-read": 1000\n'
 
 
 async def all_cut_off(fleet: ProcessFleet) -> None:
     async def look() -> bool:
-        told = [await head.status() for head in fleet.up]
-        return all(t.get("state") == "cut off" for t in told)
+        answer = [await head.status() for head in fleet.up]
+        return all(t.get("state") == "cut off" for t in answer)
 
-    await fleet.until(look, "all that are left are cut off")
+    await fleet.until(look, "all remaining heads are cut off")
 
 
 @pytest.mark.parametrize(
@@ -37,17 +37,17 @@
                     await fleet[name].start(ready=False)
             await all_cut_off(fleet)
             for head in fleet.up:
-                status, told = await head.call("GET", "/control/credit")
-                assert status == 200 and not told["draws"], (head.name, told)
+                status, answer = await head.call("GET", "/control/credit")
+                assert status == 200 and not answer["draws"], (head.name, answer)
             before = {head.name: (await head.status())["majority_heard_s_ago"] for head in fleet.up}
-            await asyncio.sleep(1)  # whom they ask meanwhile changes nothing of it
+            await asyncio.sleep(1)  # polls of other heads in the meantime change nothing
             for head in fleet.up:
-                told = await head.status()
-                assert told["state"] == "cut off", told
-                assert before[head.name] is None or told["majority_heard_s_ago"] > before[head.name]
+                answer = await head.status()
+                assert answer["state"] == "cut off", answer
+                assert before[head.name] is None or answer["majority_heard_s_ago"] > before[head.name]
             if not wiped:
                 for name in lost:
                     await fleet[name].start(ready=False)
                 await fleet.until_all_connected()
 
-    run(story(), LIMIT)
+    run(story(), STORY_TIMEOUT)
--- a/tests/heads/test_replication_waiters.py
+++ b/tests/heads/test_replication_waiters.py
@@ -1,7 +1,7 @@
-"""Who waits for the agreement's answers: nothing is held for those who have given up.
+"""Nothing is kept for callers that no longer wait for the agreement's answer.
 
-What happened: a read that timed out and was rejected later, as its leader stepped down, left its rejection
-behind for ever, as if a proposal were still to take it.
+Guards memory: when a read timed out and was rejected later, as its leader stepped down, the rejection was
+kept for ever, as if a proposal were still going to take it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 async def hold_after_rejections(replication: Replication, reads: int) -> int:
-    """Reject reads whose callers have given up, and a proposal; how much the replication holds then."""
+    """Reject reads whose callers have given up, and a proposal; return how many elements are held then."""
     for number in range(reads):
         replication._perform(Rejected(f"r{number}", RejectReason.MAJORITY_LOST))
     with pytest.raises(ProposalRejected) as caught:
--- a/tests/heads/test_rule_compiler.py
+++ b/tests/heads/test_rule_compiler.py
@@ -1,4 +1,4 @@
-"""What one head holds of versions of the rules: tables and errors of the present ones, and of no others."""
+"""A head keeps compiled tables and errors only of the current versions of the rules."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.peers import run
 
 
-class Tables:
-    """Compiles whatever it is given, or fails while the disk is full."""
+class TablesStub:
+    """A stub that compiles any rules, or fails while the disk is full."""
 
     disk_is_full = False
 
@@ -32,11 +32,11 @@
         leader=None,
         replication=SimpleNamespace(raft=SimpleNamespace(settled=False)),
     )
-    return RulesService(SimpleNamespace(), fleet, RuleHistory(), Tables())
+    return RulesService(SimpleNamespace(), fleet, RuleHistory(), TablesStub())
 
 
 async def check_and_abandon(rules: RulesService, id: str, text: str) -> bool:
-    """Whether this head could load an edit, which is abandoned then, as another head cannot."""
+    """Make an edit and abandon it as another head cannot load it; return whether this head could."""
     number = rules.history.edit(edit(id, 0, text)).number
     await rules.step()
     await asyncio.gather(rules.compiler._task)
@@ -48,7 +48,7 @@
 
 
 def test_tables_of_abandoned_versions_are_not_held(tmp_path):
-    """Guards memory: a table stayed for each edit that was abandoned, until another one came into force."""
+    """Guards memory: the table of each abandoned edit was kept until another edit came into force."""
 
     async def story():
         rules = service(tmp_path)
@@ -60,7 +60,7 @@
 
 
 def test_an_edit_that_a_head_could_not_load_is_tried_again_when_it_is_made_again(tmp_path):
-    """Guards operators: a head that had lacked a resource once refused the same rules for good."""
+    """Guards against a head that, after lacking a resource once, refused the same rules for ever."""
 
     async def story():
         rules = service(tmp_path)
--- a/tests/heads/test_stored_version.py
+++ b/tests/heads/test_stored_version.py
@@ -1,7 +1,7 @@
-"""The version of the rules that a head stores for a start without any other, and its files.
+"""The version of the rules that a head stores for a start without any other head, and its files.
 
-``tests/data/rules-8ad4498.kept`` was written by the code of commit 8ad4498 (RulesService.keep): a head of
-any later release must read it as it is, and write the same bytes.
+``tests/data/rules-8ad4498.kept`` was written by commit 8ad4498 (RulesService.keep): every later release must
+read it and write the same bytes.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 from stoatrouter.peering.rule_store import write_rule_set
 from tests.heads.test_history import rule_set
 
-WRITTEN_BY_8AD4498 = Path(__file__).parents[1] / "data" / "rules-8ad4498.kept"
+RECORDED_VERSION = Path(__file__).parents[1] / "data" / "rules-8ad4498.kept"
 
 
 def test_a_stored_version_is_read_as_written_and_each_flipped_bit_is_found_out():
     data = encode_stored_version(StoredVersion(3, "d", pack_rule_set(rule_set("x")), "now"))
     assert decode_stored_version(data).number == 3
     for at in range(0, len(data) * 8, 7):
-        spoilt = bytearray(data)
-        spoilt[at // 8] ^= 1 << at % 8
+        corrupted = bytearray(data)
+        corrupted[at // 8] ^= 1 << at % 8
         with pytest.raises(CorruptVersionError):
-            decode_stored_version(bytes(spoilt))
+            decode_stored_version(bytes(corrupted))
     with pytest.raises(CorruptVersionError):
         decode_stored_version(data[:-1])
 
 
 def test_a_version_that_an_earlier_release_stored_is_read_and_written_alike():
-    data = WRITTEN_BY_8AD4498.read_bytes()
+    data = RECORDED_VERSION.read_bytes()
     version = decode_stored_version(data)
     assert version.number == 7 and version.when == "2026-12-02T20:30:00.123+00:00"
     rules = unpack_rule_set(version.packed_rules)
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Long random stories of heads that end as the platform's pages have it; `benchmarks.soak` plays them."""
+"""Long random runs in which heads end as the platform specifies; `benchmarks.soak` runs many seeds."""
--- a/tests/soak/children.py
+++ b/tests/soak/children.py
@@ -1,8 +1,8 @@
-"""Processes of the soak beside the story's own: each has a loop, and a clock, that others do not hold up.
+"""Child processes of the soak, each with an event loop of its own that other processes do not delay.
 
-A child reads its specification from its first line of input, says one line once it is at work, works until
+A child reads its specification from its first line of input, writes one line once it is running, works until
 the end of its input, and then writes its result. All are JSON. Times are those of the system's monotonic
-clock, which the processes of one machine have in common.
+clock, which the processes of one machine share.
 """
 
 from __future__ import annotations
@@ -21,23 +21,25 @@
 from tests.program_process import ROOT, end_with_parent
 from tests.soak.lag import Lag, measured
 
-LONGEST_LINE = 1 << 20  # bytes
+MAX_LINE_BYTES = 1 << 20
 
-Say = Callable[[Any], None]
-# what a child does: with its specification, a function that says its line, and an event at which it ends
-Work = Callable[[dict[str, Any], Say, asyncio.Event], Awaitable[dict[str, Any]]]
+SendLine = Callable[[Any], None]
+# The work of a child, given its specification, a function that writes a line, and an event at which it ends.
+Work = Callable[[dict[str, Any], SendLine, asyncio.Event], Awaitable[dict[str, Any]]]
 
 
 class Child:
-    """A child, as its parent sees it."""
+    """A child process, as its parent sees it."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdin is not None and process.stdout is not None
-        self.process, self.input, self.output = process, process.stdin, process.stdout
+        self.process = process
+        self.input = process.stdin
+        self.output = process.stdout
 
     @classmethod
     async def start(cls, module: str) -> Child:
-        """Start a child, which imports what it needs meanwhile."""
+        """Start a child; it imports its modules in the meantime."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-B",
@@ -48,58 +50,61 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             preexec_fn=end_with_parent,
-            limit=LONGEST_LINE,
+            limit=MAX_LINE_BYTES,
         )
         return cls(process)
 
     async def begin(self, **specification: Any) -> Any:
-        """Hand a child its specification; what it says once it is at work."""
+        """Send a child its specification, and return the line that it writes once it is running."""
         self.input.write(msgspec.json.encode(specification) + b"\n")
         await self.input.drain()
         return msgspec.json.decode(await self.output.readline())
 
     async def end(self) -> dict[str, Any]:
-        """End its work, and return its result, with the lag of its loop."""
+        """End the child's work, and return its result with the lag of its event loop."""
         self.input.close()
         result: dict[str, Any] = msgspec.json.decode(await self.output.read())
         await self.process.wait()
         return result | {"lag": Lag(**result["lag"])}
 
     def stop(self) -> None:
-        """Kill it, if it has not ended."""
+        """Kill the child if it has not ended."""
         if self.process.returncode is None:
             kill(self.process)
 
 
 def run_child(work: Work) -> None:
-    """Run the process of a child."""
-    asyncio.run(work_until_told(work))
+    """Run the work of this child process."""
+    asyncio.run(work_until_end_of_input(work))
 
 
-async def work_until_told(work: Work) -> None:
-    """Work from the first line of input to its end."""
-    reader, loop = asyncio.StreamReader(limit=LONGEST_LINE), asyncio.get_running_loop()
+async def work_until_end_of_input(work: Work) -> None:
+    """Run the work from the first line of input to the end of the input."""
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
+    loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     line = await reader.readline()
     if not line:
         return
-    specification, over, lag = msgspec.json.decode(line), asyncio.Event(), Lag()
-    waiting = asyncio.create_task(set_at_end(reader, over))
+    specification = msgspec.json.decode(line)
+    stop_event = asyncio.Event()
+    lag = Lag()
+    end_of_input = asyncio.create_task(set_at_end_of_input(reader, stop_event))
     async with measured(lag):
         if specification.get("stall"):
             loop.call_later(1.0, time.sleep, specification["stall"])
-        result = await work(specification, say, over)
-    await waiting
-    say(result | {"lag": asdict(lag)})
+        result = await work(specification, send_line, stop_event)
+    await end_of_input
+    send_line(result | {"lag": asdict(lag)})
 
 
-async def set_at_end(reader: asyncio.StreamReader, over: asyncio.Event) -> None:
+async def set_at_end_of_input(reader: asyncio.StreamReader, stop_event: asyncio.Event) -> None:
     """Set an event at the end of the input."""
     await reader.read()
-    over.set()
+    stop_event.set()
 
 
-def say(something: Any) -> None:
+def send_line(something: Any) -> None:
     """Write a line to the parent."""
     sys.stdout.buffer.write(msgspec.json.encode(something) + b"\n")
     sys.stdout.buffer.flush()
--- a/tests/soak/credit_story.py
+++ b/tests/soak/credit_story.py
@@ -1,4 +1,4 @@
-"""A seed of the soak with heads that know each other: credit and rules under faults and cut-offs."""
+"""A seed of the soak with a fleet of heads: credit and rules under faults and cut-offs."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from tests.heads.rules_clients import rules
 from tests.soak.ends import Signaller
 from tests.soak.lag import measured
-from tests.soak.plan import Way
+from tests.soak.plan import EndMode
 from tests.soak.report import Finding, SeedReport, Usage
 from tests.soak.story import add_tracebacks
 
 HEADS = 5
-ENDS = ("kill", "kill_leader", "lose_folder", "start_cut_off")  # faults that end a process outright
+KILL_FAULTS = ("kill", "kill_leader", "lose_folder", "start_cut_off")  # faults that kill a process
 SERIES = "series"
-KILL_AFTER = 2.7  # seconds after SIGTERM: 0.7 after the longest deadline of what the story asks
-UNCHARGED = ("served", "paid in", "charged")  # in the judge's words
+KILL_TIMEOUT = 2.7  # seconds after SIGTERM: 0.7 s after the longest deadline of a request of this run
+UNCHARGED_WORDS = ("served", "paid in", "charged")  # words of the judge that mark uncharged requests
 
 
 class SeriesChaos(LedgerChaos):
-    """Faults, among them heads that are told to end by a series of signals."""
+    """Random faults that include heads ended by a series of signals."""
 
-    faults_drawn = [*LedgerChaos.faults_drawn, SERIES, SERIES, SERIES]
+    fault_kinds = [*LedgerChaos.fault_kinds, SERIES, SERIES, SERIES]
     signaller: Signaller  # of the seed
 
     async def inject(self, fault: str, head: HeadProcess | None, duration: float) -> None:
@@ -35,30 +35,30 @@
         if fault != SERIES:
             return await super().inject(fault, head, duration)
         if head in self.fleet.up and len(self.fleet.up) > 2 and head.process is not None:
-            await self.signaller.end_process(head.name, head.process, Way.SERIES)
+            await self.signaller.end_process(head.name, head.process, EndMode.SERIES)
             self.restarts.append(asyncio.create_task(self.start_after(duration, head)))
 
 
 async def play_credit(
     folder: Path, report: SeedReport, seconds: float, settings: str = LEDGER_CHAOS_SETTINGS
 ) -> None:
-    """Play and judge one seed."""
+    """Run and judge one seed."""
     up = running_heads(folder, count=HEADS, seed=report.seed, extra_settings=settings, http=rules("own"))
     async with measured(report.lag_of("stand-ins")), up as fleet:
         report.before = usage(fleet)
         chaos = SeriesChaos(fleet, report.seed, folder / "history.jsonl")
-        chaos.signaller = Signaller(report.seed, report, KILL_AFTER)
+        chaos.signaller = Signaller(report.seed, report, KILL_TIMEOUT)
         history = await chaos.run(seconds, detect=False)
         report.after = usage(fleet)
     for violation in judge(history):
         text = str(violation)
-        uncharged = any(word in text for word in UNCHARGED)
+        uncharged = any(word in text for word in UNCHARGED_WORDS)
         report.add(Finding.UNCHARGED if uncharged else Finding.CREDIT, text)
     add_tracebacks(report, [head.logs for head in fleet])
     report.answers = Counter(str(request.status) for request in history.of(Request))
-    report.ends += sum(fault.split()[1] in ENDS for fault in chaos.faults)
+    report.ends += sum(fault.split()[1] in KILL_FAULTS for fault in chaos.faults)
 
 
 def usage(fleet: ProcessFleet) -> list[Usage]:
-    """What the heads hold now."""
+    """Return the present resource usage of the running heads."""
     return [Usage.of(head.process.pid) for head in fleet.up if head.process is not None]
--- a/tests/soak/crowd_process.py
+++ b/tests/soak/crowd_process.py
@@ -1,4 +1,4 @@
-"""A process with the crowd of a seed: thousands of idle clients, by whose clock nothing is judged."""
+"""A child process with thousands of idle clients, whose clock is not used by the judge."""
 
 from __future__ import annotations
 
@@ -6,19 +6,21 @@
 import contextlib
 from typing import Any
 
-from tests.soak.children import Say, run_child
+from tests.soak.children import SendLine, run_child
 
 
 class Crowd:
-    """Idle clients of a head: they connect and say nothing, and come again where they are ended."""
+    """Idle clients of a head, which connect, send nothing, and reconnect when they are disconnected."""
 
     def __init__(self, host: str, port: int, size: int) -> None:
-        self.host, self.port, self.size = host, port, size
+        self.host = host
+        self.port = port
+        self.size = size
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def run(self, over: asyncio.Event) -> None:
-        """Keep so many connections open until the story is over."""
-        while not over.is_set():
+    async def run(self, stop_event: asyncio.Event) -> None:
+        """Keep `size` connections open until the end."""
+        while not stop_event.is_set():
             self.writers = [writer for writer in self.writers if not self.has_ended(writer)]
             missing = self.size - len(self.writers)
             await asyncio.gather(*(self.connect() for _ in range(min(missing, 100))))
@@ -33,7 +35,7 @@
 
     @staticmethod
     def has_ended(writer: asyncio.StreamWriter) -> bool:
-        """Whether the head has ended a connection."""
+        """Return whether the head has closed a connection."""
         protocol = writer.transport.get_protocol()
         ended = writer.is_closing() or protocol._stream_reader.at_eof()  # type: ignore[attr-defined]
         if ended:
@@ -41,12 +43,14 @@
         return bool(ended)
 
 
-async def work(specification: dict[str, Any], say: Say, over: asyncio.Event) -> dict[str, Any]:
-    """Run the crowds of all heads."""
+async def work(
+    specification: dict[str, Any], send_line: SendLine, stop_event: asyncio.Event
+) -> dict[str, Any]:
+    """Run the idle clients of all heads."""
     size = specification["size"]
     crowds = [Crowd(head["host"], head["port"], size) for head in specification["heads"]]
-    say(None)
-    await asyncio.gather(*(crowd.run(over) for crowd in crowds))
+    send_line(None)
+    await asyncio.gather(*(crowd.run(stop_event) for crowd in crowds))
     return {}
 
 
--- a/tests/soak/node_process.py
+++ b/tests/soak/node_process.py
@@ -1,4 +1,4 @@
-"""The nodes of a seed in a process of their own; it also answers what was attempted, and how much is open."""
+"""A child process with the nodes of a seed, which also answers questions about attempts and open requests."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from typing import Any
 
 from tests.fleet_stand_ins import History
-from tests.soak.children import Say, run_child
+from tests.soak.children import SendLine, run_child
 from tests.soak.stand_ins import SoakNode
 
 HOST = "127.0.0.1"
 
 
 class NodeHistory(History):
-    """What nodes saw; the name of a request begins with that of its head."""
+    """The history of what nodes saw; a request's name begins with that of its head."""
 
     def write(self, what: str, **more: Any) -> None:
-        """Add a line, of now."""
+        """Append a line with the present time."""
         request = more["request"]
         self.heads.setdefault(request, request.partition("-")[0])
         super().write(what, **more)
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Questions:
-    """Answers what other processes of the soak must know of the nodes at once, a line for a line."""
+    """Answers questions of other processes of the soak about the nodes, one line for each line."""
 
     history: NodeHistory
 
@@ -42,20 +42,22 @@
 
 
 async def listen(stack: contextlib.ExitStack, serve: Any) -> str:
-    """Listen until the stack is closed; the address."""
+    """Listen until the stack is closed; return the address."""
     server = await asyncio.start_server(serve, HOST, 0)
     stack.callback(server.close)
     return f"{HOST}:{server.sockets[0].getsockname()[1]}"
 
 
-async def work(specification: dict[str, Any], say: Say, over: asyncio.Event) -> dict[str, Any]:
-    """Serve all nodes until the story is over; the lines that they wrote."""
+async def work(
+    specification: dict[str, Any], send_line: SendLine, stop_event: asyncio.Event
+) -> dict[str, Any]:
+    """Serve all nodes until the end; return the lines of their history."""
     history = NodeHistory()
     nodes = [SoakNode(name, cell, specification["seed"], history) for name, cell in specification["nodes"]]
     with contextlib.ExitStack() as stack:
         addresses = [await listen(stack, node.serve) for node in nodes]
-        say({"nodes": addresses, "questions": await listen(stack, Questions(history).serve)})
-        await over.wait()
+        send_line({"nodes": addresses, "questions": await listen(stack, Questions(history).serve)})
+        await stop_event.wait()
     return {"lines": history.lines, "second_answers": sum(node.second_answers for node in nodes)}
 
 
--- a/tests/soak/node_questions.py
+++ b/tests/soak/node_questions.py
@@ -1,4 +1,4 @@
-"""What clients and the story ask the process of the nodes while it runs."""
+"""Questions of clients and the main process to the running process of the nodes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class NodeQuestions:
-    """Asks over one connection, one question at a time."""
+    """Sends questions over one connection, one at a time."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -14,15 +14,15 @@
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def reached_a_node(self, request: str) -> bool:
-        """Whether a request was attempted."""
+        """Return whether a request was attempted at a node."""
         return bool(await self.ask("attempted", request))
 
     async def in_flight(self, head: str) -> int:
-        """How many requests of a head are at nodes now."""
+        """Return how many requests of a head are at nodes now."""
         return await self.ask("open", head)
 
     async def ask(self, about: str, name: str) -> int:
-        """Ask one question."""
+        """Send one question and return the number in the answer."""
         async with self.one_at_a_time:
             if self.streams is None:
                 host, _, port = self.address.partition(":")
