--- a/tests/soak/report.py
+++ b/tests/soak/report.py
@@ -1,4 +1,4 @@
-"""What a seed of the soak has shown, in one line, and the sum of all seeds."""
+"""The report of a seed of the soak in one line, and the summary of all seeds."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from pathlib import Path
 
 from tests.soak.lag import Lag
-from tests.soak.plan import SLACK, Kind, Way
+from tests.soak.plan import JUDGE_SLACK, EndMode, Kind
 
 MEGABYTE = 1 << 20
 NOT_JUDGED = "NOT JUDGED (a loop of the soak lagged {:.2f} s, {} violations withheld)"
 
 
 class Finding(StrEnum):
-    """What a head must not do."""
+    """A kind of violation or failure."""
 
     LOST = "lost"
     RUN_TWICE = "run twice"
@@ -34,8 +34,8 @@
     STORY_FAILED = "the story failed"
 
 
-# texts of the judges' violations, and what they are counted as
-BY_TEXT = {
+# Findings by texts of the judges' violations.
+FINDING_BY_TEXT = {
     "lost by": Finding.LOST,
     "never answered": Finding.LOST,
     " answers": Finding.LOST,
@@ -50,28 +50,33 @@
     "before its head began to write it": Finding.MISRECORDED,
 }
 
-
-# of these, what compares times that the stand-ins noted: one that ran late shows it of a good program
-BY_CLOCK = ("outside its window", "two attempts at once", "told as leaving", "after its client had gone")
-# but for this one: both of its times are of the head's own record
-BY_RECORD = "outside its window (written"
+# The texts among them that compare times recorded by the stand-ins: a stand-in that ran late reports them of
+# a correct program.
+CLOCK_DEPENDENT_TEXTS = (
+    "outside its window",
+    "two attempts at once",
+    "told as leaving",
+    "after its client had gone",
+)
+# Except for this text, whose times both come from the head's own record.
+HEAD_RECORDED_TEXT = "outside its window (written"
 
 
 def classify(violation: str) -> Finding:
-    """What a violation of the requests' judge is counted as."""
-    return next((found for text, found in BY_TEXT.items() if text in violation), Finding.UNKNOWN)
+    """Return the finding as which a violation of the requests' judge is counted."""
+    return next((found for text, found in FINDING_BY_TEXT.items() if text in violation), Finding.UNKNOWN)
 
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """What a process holds."""
+    """The resource usage of a process."""
 
     memory: int  # bytes, resident
     descriptors: int
 
     @staticmethod
     def of(process: int) -> Usage:
-        """Read it from the system; zeros where the process has ended."""
+        """Read the usage of a process; zeros if it has ended."""
         try:
             pages = int(Path(f"/proc/{process}/statm").read_text().split()[1])
             return Usage(pages * 4096, len(list(Path(f"/proc/{process}/fd").iterdir())))
@@ -81,108 +86,116 @@
 
 @dataclass(slots=True)
 class SeedReport:
-    """What one seed has shown."""
+    """The results of one seed."""
 
     seed: int
     kind: Kind
     answers: Counter[str] = field(default_factory=Counter)
     findings: list[tuple[Finding, str]] = field(default_factory=list)
     ends: int = 0  # of processes
-    killed_at_the_end: int = 0  # of these, that had not ended by the kill that the page allows
-    took: dict[Way, list[float]] = field(default_factory=dict)  # seconds from the first SIGTERM to the end
-    second_answers: int = 0  # that nodes wrote
-    before: list[Usage] = field(default_factory=list)  # of each head, once it is ready
-    after: list[Usage] = field(default_factory=list)  # of those that run at the end
-    most_descriptors: int = 0  # of a head, as disturbances began
-    lags: dict[str, Lag] = field(default_factory=dict)  # of the loops by whose clock is judged
-    withheld: list[str] = field(default_factory=list)  # violations by a clock that ran late
-    read_late: list[str] = field(default_factory=list)  # that nodes saw late, by the heads' records
+    killed_after_timeout: int = 0  # of these, killed as they had not ended in time
+    # seconds from the first SIGTERM to each end
+    end_durations: dict[EndMode, list[float]] = field(default_factory=dict)
+    second_answers: int = 0  # second answers that nodes wrote
+    before: list[Usage] = field(default_factory=list)  # of each head, once all are ready
+    after: list[Usage] = field(default_factory=list)  # of the heads that run at the end
+    max_descriptors: int = 0  # of a head at the begin of a disturbance
+    lags: dict[str, Lag] = field(default_factory=dict)  # of the event loops whose times are judged
+    withheld: list[str] = field(default_factory=list)  # violations by times of a loop that lagged
+    read_late: list[str] = field(default_factory=list)  # requests that nodes saw late, by the heads' records
 
     def add(self, finding: Finding, text: str) -> None:
         """Add a finding."""
         self.findings.append((finding, text))
 
     def add_violation(self, text: str) -> None:
-        """Add a violation of the requests' judge; it is withheld where it hangs on a clock that ran late."""
-        by_clock = BY_RECORD not in text and any(part in text for part in BY_CLOCK)
+        """Add a violation of the requests' judge; withhold it if it depends on times of a lagging loop."""
+        by_clock = HEAD_RECORDED_TEXT not in text and any(part in text for part in CLOCK_DEPENDENT_TEXTS)
         if not self.was_judged and by_clock:
             self.withheld.append(text)
         else:
             self.add(classify(text), text)
 
-    def add_end(self, way: Way, seconds: float) -> None:
-        """Add how long an end took."""
-        self.took.setdefault(way, []).append(seconds)
+    def add_end(self, mode: EndMode, seconds: float) -> None:
+        """Add the duration of an end."""
+        self.end_durations.setdefault(mode, []).append(seconds)
 
     @property
     def slowest_end(self) -> float:
-        """The longest that any end took, in seconds."""
-        return max((seconds for took in self.took.values() for seconds in took), default=0.0)
+        """The longest duration of an end, in seconds."""
+        return max(
+            (seconds for durations in self.end_durations.values() for seconds in durations),
+            default=0.0,
+        )
 
     def lag_of(self, loop: str) -> Lag:
-        """The lag of a loop, to be measured."""
+        """Return the lag record of an event loop, for its measurement."""
         return self.lags.setdefault(loop, Lag())
 
     @property
     def worst_lag(self) -> float:
-        """The worst lag of any loop, in seconds."""
+        """The worst lag of any event loop, in seconds."""
         return max((lag.worst for lag in self.lags.values()), default=0.0)
 
     @property
     def was_judged(self) -> bool:
-        """Whether the stand-ins' clocks can be trusted within the judge's slack."""
-        return bool(self.lags) and self.worst_lag <= SLACK
+        """Whether the lag of all event loops was measured and is within the judge's slack."""
+        return bool(self.lags) and self.worst_lag <= JUDGE_SLACK
 
     def verdict(self) -> str:
-        """What was found; a seed that was not judged never counts as one in which nothing was."""
+        """Return the findings as text; a seed that was not judged never reads "nothing found"."""
         found = [f"{count} {name}" for name, count in self.found().items()]
         if not self.was_judged:
             found.append(NOT_JUDGED.format(self.worst_lag, len(self.withheld)))
         return ", ".join(found) or "nothing found"
 
     def line(self) -> str:
-        """The report in one line."""
+        """Return the report in one line."""
         return (
             f"seed {self.seed} {self.kind}: {self.ends} ends (slowest {self.slowest_end:.1f} s, "
-            f"{self.killed_at_the_end} killed), {sum(self.answers.values())} answers "
+            f"{self.killed_after_timeout} killed), {sum(self.answers.values())} answers "
             f"{dict(sorted(self.answers.items()))}, {self.second_answers} second answers, "
-            f"{usage_text(self.before)} before, {self.most_descriptors} descriptors between, "
+            f"{usage_text(self.before)} before, {self.max_descriptors} descriptors between, "
             f"{usage_text(self.after)} after, lag {self.worst_lag:.2f} s "
             f"({sum(lag.long for lag in self.lags.values())} over 50 ms), "
             f"{len(self.read_late)} read late: {self.verdict()}"
         )
 
     def found(self) -> Counter[str]:
-        """Findings by what they are."""
+        """Return the number of findings of each kind."""
         return Counter(str(finding) for finding, _ in self.findings)
 
 
 def usage_text(usages: Iterable[Usage]) -> str:
-    """The most that a process holds, in words."""
+    """Return the maximum usage of any process as text."""
     held = list(usages) or [Usage(0, 0)]
     memory = max(usage.memory for usage in held) // MEGABYTE
     return f"{memory} MB and {max(usage.descriptors for usage in held)} descriptors"
 
 
 def end_times(reports: list[SeedReport]) -> list[str]:
-    """How long ends took, by the kind of seed and the way, a line each."""
-    took: dict[tuple[str, str], list[float]] = defaultdict(list)
+    """Return a line on the durations of ends for each kind of seed and mode."""
+    end_durations: dict[tuple[str, str], list[float]] = defaultdict(list)
     for report in reports:
-        for way, seconds in report.took.items():
-            took[report.kind, way] += seconds
-    return [f"ends, {kind}, {way}: {spread(seconds)}" for (kind, way), seconds in sorted(took.items())]
+        for mode, seconds in report.end_durations.items():
+            end_durations[report.kind, mode] += seconds
+    return [
+        f"ends, {kind}, {mode}: {spread(seconds)}" for (kind, mode), seconds in sorted(end_durations.items())
+    ]
 
 
 def spread(seconds: list[float]) -> str:
-    """Median, 95th percentile (by nearest rank) and slowest."""
+    """Return count, median, 95th percentile (by nearest rank) and maximum as text."""
     ordered = sorted(seconds)
     median, percentile = (ordered[math.ceil(part * len(ordered)) - 1] for part in (0.5, 0.95))
     return f"{len(ordered)}, median {median:.2f} s, 95th {percentile:.2f} s, slowest {ordered[-1]:.2f} s"
 
 
 def summary(reports: list[SeedReport]) -> str:
-    """All seeds in a few lines."""
-    answers, found, kinds = Counter[str](), Counter[str](), Counter[str]()
+    """Return the summary of all seeds in a few lines."""
+    answers = Counter[str]()
+    found = Counter[str]()
+    kinds = Counter[str]()
     for report in reports:
         answers += report.answers
         found += report.found()
@@ -193,13 +206,13 @@
     lines = [
         f"{len(reports)} seeds ({played}), {sum(report.ends for report in reports)} ends, "
         f"slowest {max((report.slowest_end for report in reports), default=0.0):.2f} s, "
-        f"{sum(report.killed_at_the_end for report in reports)} killed at the page's earliest",
+        f"{sum(report.killed_after_timeout for report in reports)} killed at the page's earliest",
         f"judged: {judged}, NOT JUDGED: {len(reports) - judged}, of them {withheld} violations withheld; "
         f"worst lag {max((report.worst_lag for report in reports), default=0.0):.2f} s",
         f"requests by answer {dict(sorted(answers.items()))}; "
         f"{sum(report.second_answers for report in reports)} second answers",
         f"most held by a head: {usage_text(u for r in reports for u in r.before)} before, "
-        f"{max((r.most_descriptors for r in reports), default=0)} descriptors between, "
+        f"{max((r.max_descriptors for r in reports), default=0)} descriptors between, "
         f"{usage_text(u for r in reports for u in r.after)} after",
     ]
     return "\n".join([*lines, *end_times(reports), *(f"{finding}: {found[finding]}" for finding in Finding)])
--- a/tests/soak/seed.py
+++ b/tests/soak/seed.py
@@ -1,4 +1,4 @@
-"""One seed of the soak, whatever happens to it: an error of its story is a finding, with its traceback."""
+"""Run one seed of the soak; an error of the run is a finding, with its traceback."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 from tests.soak.report import Finding, SeedReport
 from tests.soak.story import CLIENTS_PER_HEAD, Soak
 
-LIMIT_FACTOR, LIMIT_MARGIN = 3.0, 120.0  # a seed that takes this many times its span, and seconds, hangs
+# A seed that takes longer than its span times the factor plus the margin is considered to hang.
+TIMEOUT_FACTOR = 3.0
+TIMEOUT_MARGIN = 120.0  # seconds
 
 
 def play_seed(folder: Path, seed: int, seconds: float, clients: int = CLIENTS_PER_HEAD) -> SeedReport:
-    """Play and judge one seed; one that does not end, or whose story fails, is a finding."""
+    """Run and judge one seed; a hang or an error of the run is a finding."""
     report = SeedReport(seed, kind_of(seed))
     try:
         asyncio.run(play_in_time(folder, report, seconds, clients))
-    except Exception:  # of whatever kind: the next seed is played all the same
+    except Exception:  # any error: the next seed must still run
         report.add(Finding.STORY_FAILED, traceback.format_exc())
     return report
 
 
 async def play_in_time(folder: Path, report: SeedReport, seconds: float, clients: int) -> None:
-    """Play one seed into its report."""
-    async with asyncio.timeout(LIMIT_FACTOR * seconds + LIMIT_MARGIN):
+    """Run one seed within its timeout and fill its report."""
+    async with asyncio.timeout(TIMEOUT_FACTOR * seconds + TIMEOUT_MARGIN):
         if report.kind is Kind.CREDIT:
             await play_credit(folder, report, seconds)
         else:
--- a/tests/test_request_histories.py
+++ b/tests/test_request_histories.py
@@ -1,5 +1,7 @@
-"""Several processes with faults, judged after the fact by what clients, nodes and discovery saw; and the
-judge itself, which must find what broken programs do."""
+"""Histories of several processes with faults, judged by what clients, nodes and discovery saw.
+
+The judge itself must find the violations of broken programs.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +33,7 @@
     return {"what": "attempt", "at": first, "first": first, "request": "r", "node": node}
 
 
-def over(node="a", at=0.2, ran=True):
+def done(node="a", at=0.2, ran=True):
     return {"what": "over", "at": at, "request": "r", "node": node, "ran": ran}
 
 
@@ -39,43 +41,43 @@
     return {"what": what, "at": at, "request": "r"} | more
 
 
-def word(what, at):
+def notice(what, at):
     return {"what": what, "at": at, "head": "h", "node": "a"}
 
 
 ANSWER = line("answered", 3.0, status=200)
-LATER = (sent(at=2.0), attempt(first=2.0), over(at=2.1), ANSWER)
+LATER_REQUEST = (sent(at=2.0), attempt(first=2.0), done(at=2.1), ANSWER)
 
 
 @pytest.mark.parametrize(
     ("lines", "found"),
     [
-        ([sent(), attempt(), over(), ANSWER], None),
-        ([sent(), attempt(), over(), attempt("b", 0.5), over("b", 0.6), ANSWER], None),
-        ([sent(), attempt(), over()], "never answered"),
-        ([sent(), attempt(), over(), line("answered", 3.0, status=200, of="r")], None),
-        ([sent(), attempt(), over(), line("answered", 3.0, status=200, of="q")], "the answer to q"),
+        ([sent(), attempt(), done(), ANSWER], None),
+        ([sent(), attempt(), done(), attempt("b", 0.5), done("b", 0.6), ANSWER], None),
+        ([sent(), attempt(), done()], "never answered"),
+        ([sent(), attempt(), done(), line("answered", 3.0, status=200, of="r")], None),
+        ([sent(), attempt(), done(), line("answered", 3.0, status=200, of="q")], "the answer to q"),
         ([sent(), ANSWER, line("answered", 3.1, status=503)], "2 answers"),
         ([sent(), attempt(), line("ended")], "lost by h"),
         ([sent(), attempt(), line("ended"), {"what": "killed", "at": 0.9, "head": "h"}], None),
         ([sent(), line("gone", 1.0), attempt(first=1.1)], None),
         ([sent(), line("gone", 1.0), attempt(first=1.2)], "after its client had gone"),
-        ([sent(), attempt(), attempt("b", 0.15), over(), over("b"), ANSWER], None),  # within the slack
-        ([sent(), attempt(), attempt("b", 0.12), over(), over("b"), ANSWER], "two attempts at once"),
-        ([sent("lend"), attempt(), over(ran=False), attempt("b", 0.5), over("b", 0.6), ANSWER], None),
-        ([sent("lend"), attempt(), over(), attempt("b", 0.5), over("b", 0.6), ANSWER], "may not run twice"),
-        ([sent("note"), attempt(), over(), attempt("b", 2.0), over("b", 2.1), ANSWER], None),
-        ([sent("note"), attempt(), over(), attempt("b", 2.2), over("b", 2.3), ANSWER], "outside its window"),
-        ([sent("note"), attempt(), over(), attempt("c", 1.0), over("c", 1.1), ANSWER], "in another cell"),
-        ([*LATER, word("told", 1.0)], None),
-        ([*LATER, word("told", 0.5)], "told as leaving"),
-        ([*LATER, word("told", 0.5), word("back", 1.0)], None),
+        ([sent(), attempt(), attempt("b", 0.15), done(), done("b"), ANSWER], None),  # within the slack
+        ([sent(), attempt(), attempt("b", 0.12), done(), done("b"), ANSWER], "two attempts at once"),
+        ([sent("lend"), attempt(), done(ran=False), attempt("b", 0.5), done("b", 0.6), ANSWER], None),
+        ([sent("lend"), attempt(), done(), attempt("b", 0.5), done("b", 0.6), ANSWER], "may not run twice"),
+        ([sent("note"), attempt(), done(), attempt("b", 2.0), done("b", 2.1), ANSWER], None),
+        ([sent("note"), attempt(), done(), attempt("b", 2.2), done("b", 2.3), ANSWER], "outside its window"),
+        ([sent("note"), attempt(), done(), attempt("c", 1.0), done("c", 1.1), ANSWER], "in another cell"),
+        ([*LATER_REQUEST, notice("told", 1.0)], None),
+        ([*LATER_REQUEST, notice("told", 0.5)], "told as leaving"),
+        ([*LATER_REQUEST, notice("told", 0.5), notice("back", 1.0)], None),
         ([attempt()], "what no client sent"),
     ],
 )
 def test_the_judge_finds_what_is_broken_and_nothing_else(lines, found):
-    said = judge(lines, TERMS)
-    assert said == [] if found is None else len(said) == 1 and found in said[0]
+    violations = judge(lines, TERMS)
+    assert violations == [] if found is None else len(violations) == 1 and found in violations[0]
 
 
 @pytest.mark.parametrize("seed", [1])
@@ -83,13 +85,13 @@
     print("seed", seed)
     lines, terms = asyncio.run(play(tmp_path, seed))
     assert judge(lines, terms) == []
-    said = {what: sum(line["what"] == what for line in lines) for what in ("answered", "gone", "attempt")}
-    assert min(said.values()) >= 10, said  # there was something to judge
+    counts = {what: sum(line["what"] == what for line in lines) for what in ("answered", "gone", "attempt")}
+    assert min(counts.values()) >= 10, counts  # there was something to judge
     served = sum(line["what"] == "answered" and line["status"] == 200 for line in lines)
-    assert served > 0.5 * said["answered"]
+    assert served > 0.5 * counts["answered"]
 
 
-BROKEN = {
+BROKEN_PROGRAMS = {
     "told as leaving": "from stoatrouter.net import endpoint_list\n"
     "endpoint_list.PHASES['DRAINING'] = endpoint_list.PHASES['SERVING']\n",
     "may not run twice": "from stoatrouter.policy import scheduler, send_rules\n"
@@ -101,14 +103,14 @@
 }
 
 
-# What happened: the stories below failed once to show this one. Whether a client leaves between an attempt
-# and its retry hung on draws and on the machine's pace, so that now and then none had it. Here it is forced.
+# In the random runs below, whether a client leaves between an attempt and its retry depends on the seed and
+# on the machine's speed, so that they sometimes missed this fault. Here the departure is forced.
 def test_a_program_that_does_not_see_its_clients_leave_is_caught(tmp_path):
     found = "after its client had gone"
-    lines, terms = asyncio.run(play_departures(tmp_path, BROKEN[found]))
-    said = judge(lines, terms)
-    # the first at least: after it the node has declined, and not each attempt is repeated
-    assert said and all(found in violation for violation in said), said
+    lines, terms = asyncio.run(play_departures(tmp_path, BROKEN_PROGRAMS[found]))
+    violations = judge(lines, terms)
+    # at least the first departure: after it the node has declined, and not each attempt is repeated
+    assert violations and all(found in violation for violation in violations), violations
 
 
 def test_nothing_is_sent_for_a_client_that_has_gone(tmp_path):
@@ -117,19 +119,22 @@
     assert sum(line["what"] == "attempt" for line in lines) == DEPARTURES
 
 
-# A story shows a fault where its draws and the machine's pace bring one about: a client that leaves before a
-# retry, say. On a crowded machine one story has too few of them, so more are played.
-STORIES = range(1, 7)
+# A run shows a fault only if its random events and the machine's speed bring it about, for example by a
+# client that leaves before a retry. On a loaded machine one run has too few such events, so several seeds are
+# tried.
+STORY_SEEDS = range(1, 7)
 
 
-@pytest.mark.parametrize("found", [found for found in BROKEN if found != "after its client had gone"])
+@pytest.mark.parametrize(
+    "found", [found for found in BROKEN_PROGRAMS if found != "after its client had gone"]
+)
 def test_a_broken_program_is_caught(tmp_path, found):
     def is_caught(seed: int) -> bool:
         print("seed", seed)
         folder = tmp_path / str(seed)
         folder.mkdir()
-        lines, terms = asyncio.run(play(folder, seed, heads=2, turns=3, prelude=BROKEN[found]))
-        # the slack of the page itself: the wider one above is for a whole program on a busy machine
+        lines, terms = asyncio.run(play(folder, seed, heads=2, turns=3, prelude=BROKEN_PROGRAMS[found]))
+        # the slack of the platform's page; the wider one above allows for the whole program on a busy machine
         return any(found in violation for violation in judge(lines, replace(terms, slack=0.05)))
 
-    assert any(is_caught(seed) for seed in STORIES)
+    assert any(is_caught(seed) for seed in STORY_SEEDS)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of fixed seeds, and the soak itself, which must find what broken programs do.
+"""A short soak of fixed seeds, and checks that the soak finds the faults of broken programs.
 
 The long run is `python -m benchmarks.soak`; its figures are in docs/measurements/soak.md.
 """
@@ -19,16 +19,16 @@
 from tests.soak import ends, story
 from tests.soak.credit_story import SERIES, SeriesChaos, play_credit
 from tests.soak.ends import Signaller
-from tests.soak.plan import SIGNALS_WITHIN, TERM, Kind, Way, draw_series, kind_of
-from tests.soak.report import BY_TEXT, Finding, SeedReport, classify, summary
+from tests.soak.plan import MAX_SERIES_SECONDS, TERM, EndMode, Kind, draw_series, kind_of
+from tests.soak.report import FINDING_BY_TEXT, Finding, SeedReport, classify, summary
 from tests.soak.seed import play_seed
 from tests.soak.story import Soak
 
-SECONDS = 10.0  # of a seed
-BROKEN_SECONDS = 6.0
-SEEDS = (*range(10, 14), 204)  # one of each kind, and one that found something under load
-FURTHER_SEEDS = 2  # in place of one that was not judged
-ENOUGH = 5  # seeds within which a broken program is caught
+SEED_SECONDS = 10.0
+BROKEN_SEED_SECONDS = 6.0
+SEEDS = (*range(10, 14), 204)  # one of each kind, and one with a finding under load
+EXTRA_SEEDS = 2  # tried in place of one that was not judged
+MAX_SEEDS = 5  # tried until a broken program is caught
 
 
 def test_seeds_in_a_row_are_of_all_kinds():
@@ -41,27 +41,27 @@
     draws = random.Random(1)
     for _ in range(1_000):
         series = draw_series(draws)
-        assert TERM in [signalled.sign for signalled in series]
-        assert all(0.0 <= signalled.after <= SIGNALS_WITHIN for signalled in series)
+        assert TERM in [timed_signal.signal_number for timed_signal in series]
+        assert all(0.0 <= timed_signal.delay <= MAX_SERIES_SECONDS for timed_signal in series)
 
 
 def test_the_report_names_what_was_found():
     report = SeedReport(3, Kind.PLAIN)
     report.lag_of("stand-ins")
     assert "nothing found" in report.line()
-    for text, finding in BY_TEXT.items():
+    for text, finding in FINDING_BY_TEXT.items():
         assert classify(f"c1-2: {text} x") is finding
     report.add(Finding.LOST, "text")
     assert "1 lost" in report.line() and "lost: 1" in summary([report]).splitlines()
     for hundredths in range(1, 101):
-        report.add_end(Way.EARLY, hundredths / 100)
+        report.add_end(EndMode.EARLY, hundredths / 100)
     spread = "ends, plain, within moments of its start: 100, median 0.50 s, 95th 0.95 s, slowest 1.00 s"
     assert spread in summary([report]).splitlines() and "(slowest 1.0 s" in report.line()
     assert classify("something new") is Finding.UNKNOWN
 
 
 def test_an_error_of_a_seed_is_a_finding_and_the_next_one_is_played(tmp_path, monkeypatch, capsys):
-    # guards against a run that dies with an error of one story, and hides what later seeds would find
+    # Guards against an error of one seed that ends the run, so that later seeds find nothing.
     async def fail(story: Soak) -> None:
         if story.seed == 2:
             raise ProcessLookupError("gone")
@@ -69,24 +69,24 @@
     monkeypatch.setattr(Soak, "play", fail)
     first, second = play_all(tmp_path, 2, 2, 1.0)
     assert [found for found, _ in first.findings] == [Finding.STORY_FAILED] and not second.findings
-    assert not second.was_judged  # nothing measured its loop
+    assert not second.was_judged  # the lag of its loop was not measured
     assert "the story failed: Traceback" in capsys.readouterr().out and "in fail\n" in first.findings[0][1]
 
 
 def test_a_process_that_ends_as_its_time_is_over_was_not_killed():
-    # guards against a kill of what has ended, whose error ended the run
+    # Guards against killing a process that has ended, which raised an error and ended the run.
     async def story() -> None:
         report = SeedReport(2, Kind.PLAIN)
         process = await asyncio.create_subprocess_exec("true")
         await process.wait()
-        await Signaller(2, report).wait_or_kill("h0", process, 0.0, Way.SERIES)
-        assert (report.killed_at_the_end, report.findings) == (0, [])
+        await Signaller(2, report).wait_or_kill("h0", process, 0.0, EndMode.SERIES)
+        assert (report.killed_after_timeout, report.findings) == (0, [])
 
     asyncio.run(story())
 
 
 def test_a_seed_whose_loop_lagged_was_not_judged(tmp_path, monkeypatch):
-    # guards against findings that a late stand-in shows of a good program, and against "nothing found" then
+    # Guards against false findings caused by the lag of a stand-in, and against "nothing found" in that case.
     async def stall(soak: Soak) -> None:
         time.sleep(0.8)
 
@@ -96,7 +96,7 @@
     def judge_something(*_: object) -> Verdict:
         return Verdict([late, "c1-3: lost by h1", wrote_late])
 
-    monkeypatch.setattr(Soak, "play_before", stall)
+    monkeypatch.setattr(Soak, "run_load", stall)
     lagged = play_seed(tmp_path, 2, 1.0)
     assert not lagged.findings and "NOT JUDGED" in lagged.line() and "nothing found" not in lagged.line()
     assert exit_status([lagged]) == NOT_ALL_JUDGED and "judged: 0, NOT JUDGED: 1" in summary([lagged])
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("process", ["nodes", "clients 1"])
 def test_a_lag_of_another_process_counts(tmp_path, process):
-    # guards against a stand-in that runs late in a process whose lag nobody looks at
+    # Guards against the lag of a stand-in in a process whose lag is not measured.
     report = SeedReport(2, Kind.PLAIN)
     soak = Soak(tmp_path, report, 2.0)
     soak.stalls = {process: 0.8}
@@ -121,16 +121,16 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_heads_lose_nothing_whatever_ends_them(tmp_path, seed):
-    """Signals in series, crowds, upgrades, lost folders: each request gets its own answer, once.
+    """With series of signals, idle clients, upgrades and lost folders each request gets its own answer once.
 
-    A seed that was not judged shows nothing: the next of its kind is played in its place, at most twice, and
-    what was found in any of them counts.
+    A seed that was not judged is replaced by the next one of its kind, at most twice; findings of all of them
+    count.
     """
-    for played in range(seed, seed + 10 * (1 + FURTHER_SEEDS), 10):
+    for played in range(seed, seed + 10 * (1 + EXTRA_SEEDS), 10):
         print("seed", played)
         folder = tmp_path / str(played)
         folder.mkdir()
-        report = play_seed(folder, played, SECONDS)
+        report = play_seed(folder, played, SEED_SECONDS)
         print(report.line())
         assert report.findings == []
         assert report.ends and report.answers["200"] > 50
@@ -139,7 +139,7 @@
     pytest.fail(f"no seed could be judged: {report.verdict()}")
 
 
-BROKEN = {
+BROKEN_PROGRAMS = {
     Finding.LOST: "from stoatrouter.head import Head\nasync def stop(self):\n    pass\nHead.stop = stop\n",
     Finding.RUN_TWICE: "from stoatrouter.policy import scheduler, send_rules\n"
     "scheduler.blocks_retry = send_rules.blocks_retry = lambda *_: False\n",
@@ -157,42 +157,45 @@
 }
 
 
-@pytest.mark.parametrize("finding", BROKEN)
+@pytest.mark.parametrize("finding", BROKEN_PROGRAMS)
 def test_a_broken_program_is_found(tmp_path, monkeypatch, finding):
-    # the slack of the page itself: the wider one is for a whole program on a busy machine
-    monkeypatch.setattr(story, "SLACK", 0.05)
+    # the slack of the platform's page; the wider one allows for the whole program on a busy machine
+    monkeypatch.setattr(story, "JUDGE_SLACK", 0.05)
 
     def is_found(number: int) -> bool:
-        seed = 2 + 10 * number  # plain ones
+        seed = 2 + 10 * number  # seeds of the plain kind
         print("seed", seed)
         folder = tmp_path / str(seed)
         folder.mkdir()
         report = SeedReport(seed, kind_of(seed))
-        asyncio.run(Soak(folder, report, BROKEN_SECONDS, BROKEN[finding]).play())
+        asyncio.run(Soak(folder, report, BROKEN_SEED_SECONDS, BROKEN_PROGRAMS[finding]).play())
         return any(found is finding for found, _ in report.findings)
 
-    assert any(is_found(number) for number in range(ENOUGH))
+    assert any(is_found(number) for number in range(MAX_SEEDS))
 
 
 def test_a_program_that_is_not_ready_in_time_is_found(tmp_path, monkeypatch):
-    monkeypatch.setattr(ends, "READY_WITHIN", 1.0)
+    monkeypatch.setattr(ends, "READY_TIMEOUT", 1.0)
     report = SeedReport(2, kind_of(2))
-    asyncio.run(Soak(tmp_path, report, BROKEN_SECONDS, "import time\ntime.sleep(60)\n").play())
+    asyncio.run(Soak(tmp_path, report, BROKEN_SEED_SECONDS, "import time\ntime.sleep(60)\n").play())
     assert {found for found, _ in report.findings} == {Finding.NOT_READY}
 
 
 def test_no_fault_follows_while_signals_end_a_head():
-    # guards against a head that is killed while signals end it, and then started twice
+    # Guards against a head that is killed while signals end it, and is then started twice.
     async def story() -> None:
-        head, ended = SimpleNamespace(name="h0", process=object()), []
+        head = SimpleNamespace(name="h0", process=object())
+        ended = []
 
         async def end_process(name: str, *_: object) -> None:
             await asyncio.sleep(0.01)
             ended.append(name)
 
         chaos = SeriesChaos.__new__(SeriesChaos)
-        chaos.fleet, chaos.restarts = SimpleNamespace(up=[head, 1, 2]), []
-        chaos.signaller, chaos.start_after = SimpleNamespace(end_process=end_process), AsyncMock()
+        chaos.fleet = SimpleNamespace(up=[head, 1, 2])
+        chaos.restarts = []
+        chaos.signaller = SimpleNamespace(end_process=end_process)
+        chaos.start_after = AsyncMock()
         await chaos.inject(SERIES, head, 0.0)
         assert ended == ["h0"]
         await asyncio.gather(*chaos.restarts)
@@ -202,8 +205,8 @@
 
 
 def test_heads_that_serve_without_a_ledger_are_found(tmp_path, monkeypatch):
-    """The operator's setting that serves what cannot be charged stands for a program that does."""
-    monkeypatch.setattr(SeriesChaos, "faults_drawn", ["start_cut_off"])
+    """The operator's setting that serves unknown volumes stands in for a program with this fault."""
+    monkeypatch.setattr(SeriesChaos, "fault_kinds", ["start_cut_off"])
     serving = LEDGER_CHAOS_SETTINGS.replace('lease: "2s"', 'lease: "2s", unknown_volumes: "serve"')
     assert serving != LEDGER_CHAOS_SETTINGS
 
@@ -212,7 +215,7 @@
         folder = tmp_path / str(seed)
         folder.mkdir()
         report = SeedReport(seed, Kind.CREDIT)
-        asyncio.run(play_credit(folder, report, SECONDS, serving))
+        asyncio.run(play_credit(folder, report, SEED_SECONDS, serving))
         return any(found is Finding.UNCHARGED for found, _ in report.findings)
 
-    assert any(is_found(seed) for seed in range(1, 1 + ENOUGH))
+    assert any(is_found(seed) for seed in range(1, 1 + MAX_SEEDS))
