--- a/benchmarks/capacity/capacity_fleet.py
+++ b/benchmarks/capacity/capacity_fleet.py
@@ -239,7 +239,7 @@
             config_file,
             http_file,
             hollow_names,
-            {head.name: f"{head.host}:{head.datagrams}" for head in real},
+            {head.name: f"{head.host}:{head.datagram_port}" for head in real},
             {name: (place.region, place.zone, place.rack) for name, place in places.items()},
         )
         hollow = HollowFleet(folder / "hollow", spec, size.workers)
--- a/benchmarks/capacity/faults.py
+++ b/benchmarks/capacity/faults.py
@@ -79,7 +79,7 @@
         places, real = self.fleet.places, self.fleet.real
         regions = {name: place.region for name, place in places.items()}
         await self.fleet.hollow.partition(regions, ((first, second),))
-        for sender, receiver in real.relay.ways:
+        for sender, receiver in real.relay.links:
             if {places[sender].region, places[receiver].region} == {first, second}:
                 real.relay.cut(sender, receiver, both=False)
 
@@ -98,14 +98,14 @@
         del self.fleet.real.heads[name]
         lost: dict[str, int] = {}
         for customer in VOLUMES:
-            head = self.clients.some()
+            head = self.clients.random_head()
             assert head is not None
             status, account = await head.call("GET", f"/control/credit/customers/{customer}")
             if status == 200:
                 lost[customer] = sum(
                     held["amount"] for held in account["out"].values() if held["head"] == name
                 )
-        head = self.clients.some()
+        head = self.clients.random_head()
         assert head is not None
         await head.call("POST", f"/control/credit/heads/{name}/write-off")
         for customer, amount in lost.items():
--- a/benchmarks/capacity/head_processes.py
+++ b/benchmarks/capacity/head_processes.py
@@ -15,7 +15,7 @@
 
 from benchmarks.capacity import harness
 from stoatrouter.peering.envelope import read_secret
-from tests.heads.processes import HeadProcess, Processes, heads_up
+from tests.heads.processes import HeadProcess, ProcessFleet, running_heads
 from tests.peers import Node
 
 FLEET = "test"  # name of the fleet in tests/heads/processes.py
@@ -26,15 +26,15 @@
 class DirectRelay:
     """Replaces the relay of the tests, so that heads connect to each other directly."""
 
-    def __init__(self, fleet: Processes) -> None:
+    def __init__(self, fleet: ProcessFleet) -> None:
         self.heads, self.relay = fleet.heads, fleet.relay
-        self.where: dict[str, tuple[str, int, int]] = {}
+        self.addresses: dict[str, tuple[str, int, int]] = {}
 
     def datagram_address(self, a: str, b: str) -> str:
-        return f"{self.heads[b].host}:{self.heads[b].datagrams}"
+        return f"{self.heads[b].host}:{self.heads[b].datagram_port}"
 
     def stream_address(self, a: str, b: str) -> str:
-        return f"{self.heads[b].host}:{self.heads[b].streams}"
+        return f"{self.heads[b].host}:{self.heads[b].stream_port}"
 
     async def close(self) -> None:
         await self.relay.close()
@@ -48,29 +48,29 @@
     http: str = "",
     nodes: tuple[Node, ...] = (),
     discovery: int | None = None,
-) -> AsyncIterator[Processes]:
+) -> AsyncIterator[ProcessFleet]:
     """Run heads of the real program, connected directly, once all are in touch; all are ended on exit."""
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(
-            Path(folder), count, voters, more=more, http=http, nodes=nodes, start=False
+        async with running_heads(
+            Path(folder), count, voters, extra_settings=more, http=http, nodes=nodes, start=False
         ) as fleet:
             if discovery is not None:
                 fleet.discovery = discovery
             fleet.relay = DirectRelay(fleet)  # type: ignore[assignment]
             await asyncio.gather(*(head.start(ready=False) for head in fleet))
             await asyncio.gather(*(head.until_ready() for head in fleet))
-            await fleet.all_in_touch()
+            await fleet.until_all_connected()
             yield fleet
 
 
-def fleet_key(fleet: Processes) -> bytes:
+def fleet_key(fleet: ProcessFleet) -> bytes:
     """Return the key that the heads of a fleet use."""
     return read_secret(next(iter(fleet)).folder / "secret")
 
 
-def voter_addresses(fleet: Processes) -> dict[str, str]:
+def voter_addresses(fleet: ProcessFleet) -> dict[str, str]:
     """Return the stream addresses of the voters."""
-    return {name: f"{fleet[name].host}:{fleet[name].streams}" for name in fleet.voters}
+    return {name: f"{fleet[name].host}:{fleet[name].stream_port}" for name in fleet.voters}
 
 
 @dataclass(slots=True)
@@ -102,7 +102,7 @@
 async def usage(head: HeadProcess) -> Usage:
     """Return the usage of a head."""
     assert head.process is not None
-    bytes_out, bytes_in = address_bytes(head.host, head.streams)
+    bytes_out, bytes_in = address_bytes(head.host, head.stream_port)
     status: dict[str, Any] = await head.status()
     return process_usage(head.process.pid, status.get("counts", {}), write_count(head), bytes_in, bytes_out)
 
@@ -154,7 +154,7 @@
 def open_streams(head: HeadProcess) -> int:
     """Return the number of established connections to the stream address of a head."""
     output = subprocess.run(
-        ["ss", "-tnH", "state", "established", "src", f"{head.host}:{head.streams}"],
+        ["ss", "-tnH", "state", "established", "src", f"{head.host}:{head.stream_port}"],
         capture_output=True,
         text=True,
         check=True,
--- a/benchmarks/capacity/likeness.py
+++ b/benchmarks/capacity/likeness.py
@@ -99,7 +99,7 @@
         hollow_fleet = None
         if hollow:
             config_file, heads_file, http_file = real.write_hollow(folder / "hollow")
-            addresses = {head.name: f"{head.host}:{head.datagrams}" for head in real}
+            addresses = {head.name: f"{head.host}:{head.datagram_port}" for head in real}
             spec = FleetSpec(heads_file, config_file, http_file, names[count:], addresses, {}, watches)
             hollow_fleet = HollowFleet(folder / "hollow", spec, 1)
             real.hollow_addresses = hollow_fleet.hollow_addresses
@@ -109,7 +109,7 @@
             await hollow_fleet.start(hollow_fleet.names)
         await asyncio.gather(*(head.until_ready() for head in real))
         if heads_on:
-            await real.all_in_touch()
+            await real.until_all_connected()
         await asyncio.sleep(SETTLE_TIME)
         yield ComparedFleet(real, hollow_fleet)
 
--- a/benchmarks/capacity/realheads.py
+++ b/benchmarks/capacity/realheads.py
@@ -15,7 +15,7 @@
 
 from benchmarks.capacity.harness import process_cpu, process_memory_mb
 from stoatrouter.lab.hollow.places import Place, one_way_seconds
-from tests.heads.processes import SECRET, HeadProcess, Processes
+from tests.heads.processes import SECRET, HeadProcess, ProcessFleet
 from tests.peers import config_data
 
 FLEET = "capacity"
@@ -31,7 +31,7 @@
     def write(self) -> None:
         """Write its configuration and settings, and its initial rules."""
         super().write()
-        (self.folder / "rules.cue").write_text(self.fleet.http)
+        (self.folder / "rules.cue").write_text(self.fleet.http_rules)
 
     def configuration(self) -> dict[str, Any]:
         """Return its configuration, with hollow heads among its peers."""
@@ -41,15 +41,15 @@
         return fleet.config_data() | {
             "name": self.name,
             "listen": f"{self.host}:{self.port}",
-            "management": f"{self.host}:{self.management}",
-            "peer_listen": f"{self.host}:{self.datagrams}",
+            "management": f"{self.host}:{self.management_port}",
+            "peer_listen": f"{self.host}:{self.datagram_port}",
             "peers": [*peers, *fleet.hollow_addresses.values()],
         }
 
     def heads_settings(self) -> str:
         """Return its peering settings; only voters and spares have stream addresses."""
         relay = self.fleet.relay
-        own = f"{self.host}:{self.streams}"
+        own = f"{self.host}:{self.stream_port}"
         streams = {
             name: own if name == self.name else relay.stream_address(self.name, name)
             for name in self.fleet.streams
@@ -76,7 +76,7 @@
         return process_memory_mb(self.process.pid)
 
 
-class RealHeads(Processes):
+class RealHeads(ProcessFleet):
     """All real heads of a run: first the voters, then the spares that may become voters, then followers."""
 
     def __init__(
@@ -109,7 +109,7 @@
         """Return the peering settings, with the stream addresses that one head uses."""
         return (
             f'fleet: "{FLEET}"\nsecret_file: "secret"\nfolder: "disk"\n'
-            f"streams: {json.dumps(streams)}\nvoters: {json.dumps(self.voters)}\n{self.more}"
+            f"streams: {json.dumps(streams)}\nvoters: {json.dumps(self.voters)}\n{self.extra_settings}"
         )
 
     async def open(self) -> None:
@@ -121,7 +121,7 @@
 
     def delay(self) -> None:
         """Set the delays of the relay according to the places; must be called again after `relay.heal`."""
-        for (sender, receiver), link in self.relay.ways.items():
+        for (sender, receiver), link in self.relay.links.items():
             # the relay draws a delay between 0 and the given value, which is thus twice the mean
             sender_place, receiver_place = self.places.get(sender), self.places.get(receiver)
             link.delay = (
@@ -140,12 +140,12 @@
         """Write the files of hollow heads: configuration, peering, HTTP front. Their streams use no relay."""
         folder.mkdir(parents=True, exist_ok=True)
         first = self.heads[self.names[0]]
-        streams = {name: f"{self[name].host}:{self[name].streams}" for name in self.streams}
+        streams = {name: f"{self[name].host}:{self[name].stream_port}" for name in self.streams}
         data = self.config_data() | {"listen": f"{first.host}:0"}
         files = folder / "config.json", folder / "heads.cue", folder / "http.cue"
         files[0].write_text(json.dumps(data))
         files[1].write_text(self.heads_file(streams))
         files[2].write_text('listen: "127.0.0.1:0"\nrules: "rules.cue"\n')
         (folder / "secret").write_text(SECRET)
-        (folder / "rules.cue").write_text(self.http)
+        (folder / "rules.cue").write_text(self.http_rules)
         return files
--- a/benchmarks/capacity/scene_clients.py
+++ b/benchmarks/capacity/scene_clients.py
@@ -84,7 +84,7 @@
 
     async def pay(self, head: HeadProcess, customer: str, amount: int) -> int:
         """Top up an account; return the status of the answer."""
-        id, at = self.name("t"), time.time()
+        id, at = self.new_id("t"), time.time()
         entry = {"id": id, "amount": amount, "by": "scenes", "why": "run"}
         status, _ = await head.call("POST", f"/control/credit/customers/{customer}/entries", entry)
         self.write("pay", at, until=time.time(), id=id, customer=customer, amount=amount, status=status)
@@ -94,7 +94,7 @@
         """Top up accounts at random heads until the clients stop."""
         stopped = False
         while not stopped:
-            if (head := self.some()) is not None:
+            if (head := self.random_head()) is not None:
                 await self.pay(head, self.draws.choice(["acme", "other"]), 5 * PRICE)
             stopped = await set_within(self.stopping, self.draws.expovariate(1 / PAY_INTERVAL))
 
@@ -102,7 +102,7 @@
         """Read the newest version at random heads until the clients stop."""
         stopped = False
         while not stopped:
-            if (head := self.some()) is not None:
+            if (head := self.random_head()) is not None:
                 await self.read_newest(head)
             stopped = await set_within(self.stopping, self.draws.expovariate(1 / READ_INTERVAL))
 
@@ -121,13 +121,13 @@
         """Stop all clients, wait until accounts settle and versions spread, and close the history."""
         healed = time.time()
         await self.capacity.hollow.spend((), 0.0, self.seed)
-        self.over = True
+        self.stopping = True
         self.stopping.set()
         async with asyncio.timeout(CALLS_TIMEOUT):  # the history needs the answer to each call
             await asyncio.gather(*self.tasks)
         async with asyncio.timeout(SETTLE_TIMEOUT):
             await self.settle(healed, healed)
-        self.out.close()
+        self.history_file.close()
 
     def check_history(self) -> tuple[History, list[str]]:
         """Return the whole history and the violations found in it."""
--- a/benchmarks/capacity/times.py
+++ b/benchmarks/capacity/times.py
@@ -26,7 +26,7 @@
 from stoatrouter.lab.fleet.detectors import DetectorFleet
 from stoatrouter.lab.fleet.world import World
 from stoatrouter.membership.roster import GossipQueue, MemberUpdate, Status
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.peers import Node, listening
 
 SECOND = timedelta(seconds=1)
@@ -105,7 +105,7 @@
         record_times(run, "a node's successor told to a head", size, delays)
 
 
-async def replace_node(fleet: Processes, service: ListService, before: Node, after: Node) -> list[float]:
+async def replace_node(fleet: ProcessFleet, service: ListService, before: Node, after: Node) -> list[float]:
     """Replace one node; return the delay until each head received the list, from its log.
 
     A request to each head must reach the new node.
@@ -120,7 +120,7 @@
     await fleet.until(all_received, "all heads have received the successor")
     for head in fleet:
         request = f"{after.name}-{head.name}"
-        status, _ = await head.read(request)
+        status, _ = await head.send_request(request)
         assert status == 200 and after.ran[request] == 1, (
             f"{head.name} does not use {after.name}: status {status}"
         )
--- a/benchmarks/capacity/times_processes.py
+++ b/benchmarks/capacity/times_processes.py
@@ -24,7 +24,7 @@
 from benchmarks.capacity.voter_load import CREDIT_ON, RULES_ON, Sender, command_sender
 from benchmarks.heads_rules import rules_text
 from stoatrouter.credit.records import BookEntry
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.heads.rules_clients import edit
 from tests.process_signals import send_signal
 
@@ -73,7 +73,7 @@
 
 
 async def replace_leader(
-    fleet: Processes, followers: FollowerGroup, sender: Sender, how: str
+    fleet: ProcessFleet, followers: FollowerGroup, sender: Sender, how: str
 ) -> tuple[float, list[float]]:
     """End the leader and start it again.
 
@@ -96,12 +96,14 @@
     assert old.process is not None
     await old.process.wait()
     await old.start()
-    await fleet.all_in_touch()
+    await fleet.until_all_connected()
     await asyncio.sleep(SETTLE_S)
     return elapsed, delays
 
 
-async def wait_acknowledged(fleet: Processes, sender: Sender, old: HeadProcess, started_at: float) -> float:
+async def wait_acknowledged(
+    fleet: ProcessFleet, sender: Sender, old: HeadProcess, started_at: float
+) -> float:
     """Send commands to the other voters in turn; return the seconds until one is acknowledged."""
     others = [name for name in fleet.voters if name != old.name]
     number = 0
@@ -149,7 +151,7 @@
         run.add(Measurement("bytes of the set as text", rules, size, "bytes"))
 
 
-async def make_edit(fleet: Processes, base: int, rules: int, mark: str) -> tuple[int, list[float], float]:
+async def make_edit(fleet: ProcessFleet, base: int, rules: int, mark: str) -> tuple[int, list[float], float]:
     """Make an edit; return its version, the delay until it is in force on each head, and the total time."""
     started_at = time.monotonic()
     head = next(iter(fleet))
@@ -173,17 +175,17 @@
     return dict(zip(numbers, event_times(head, "rules.version"), strict=False))
 
 
-def stream_bytes(fleet: Processes, heads: Iterable[HeadProcess]) -> int:
+def stream_bytes(fleet: ProcessFleet, heads: Iterable[HeadProcess]) -> int:
     """Return the bytes, in both directions, of the streams from heads to the voters."""
     count = 0
     for head in heads:
         assert head.process is not None
         for name in fleet.voters:
-            count += sum(process_bytes(head.process.pid, fleet[name].host, fleet[name].streams))
+            count += sum(process_bytes(head.process.pid, fleet[name].host, fleet[name].stream_port))
     return count
 
 
-async def bytes_at_rest(fleet: Processes, heads: list[HeadProcess]) -> float:
+async def bytes_at_rest(fleet: ProcessFleet, heads: list[HeadProcess]) -> float:
     """Return the bytes per second of one head at rest."""
     bytes_before, started_at = stream_bytes(fleet, heads), time.monotonic()
     await asyncio.sleep(REST_S)
--- a/benchmarks/capacity/voter_load.py
+++ b/benchmarks/capacity/voter_load.py
@@ -32,7 +32,7 @@
 from stoatrouter.peering.envelope import Envelope, EnvelopeSealer
 from stoatrouter.peering.errors import PeerUnreachable
 from stoatrouter.peering.streams import Streams
-from tests.heads.processes import HeadProcess, Processes
+from tests.heads.processes import HeadProcess, ProcessFleet
 from tests.heads.rules_clients import edit
 
 CREDIT_ON = 'credit: prices: "score-read": 1000\n'
@@ -96,7 +96,7 @@
 
 
 @asynccontextmanager
-async def command_sender(fleet: Processes, leader: HeadProcess) -> AsyncIterator[Sender]:
+async def command_sender(fleet: ProcessFleet, leader: HeadProcess) -> AsyncIterator[Sender]:
     """Run a sender of commands that knows the key of the fleet."""
 
     async def ignore_message(envelope: Envelope) -> bytes | None:
@@ -122,7 +122,7 @@
     totals: Totals
 
 
-async def take_snapshot(fleet: Processes, followers: FollowerGroup) -> LoadSnapshot:
+async def take_snapshot(fleet: ProcessFleet, followers: FollowerGroup) -> LoadSnapshot:
     return LoadSnapshot({head.name: await usage(head) for head in fleet.up}, await followers.totals())
 
 
@@ -205,7 +205,7 @@
             record_edits(run, label, rules, leader.name, before, after, arguments.followers)
 
 
-async def make_edit(fleet: Processes, leader: HeadProcess, base: int, rules: int, mark: str) -> int:
+async def make_edit(fleet: ProcessFleet, leader: HeadProcess, base: int, rules: int, mark: str) -> int:
     """Make an edit, wait until it is in force on each voter, and return its version."""
     status, answer = await edit(leader, f"edit-{mark}", base, rules_text(rules, mark))
     assert status == 202, answer
--- a/benchmarks/capacity/voters.py
+++ b/benchmarks/capacity/voters.py
@@ -31,7 +31,7 @@
 )
 from benchmarks.heads_rules import rules_text
 from stoatrouter.peering.streams import MAX_IN_FLIGHT
-from tests.heads.processes import Processes
+from tests.heads.processes import ProcessFleet
 
 SETTLE_S = 5.0  # for new followers to spread over the voters
 # Upper estimates, for the check of the machine's memory.
@@ -68,7 +68,7 @@
         return sum(a.counted(name, b) for b, a in zip(self.before, self.after, strict=True))
 
 
-async def measure_window(fleet: Processes, followers: FollowerGroup, seconds: float) -> Window:
+async def measure_window(fleet: ProcessFleet, followers: FollowerGroup, seconds: float) -> Window:
     """Measure the running voters and the followers over a span of time."""
     voters = [head for head in fleet.up if head.name in fleet.voters]
     term = await max_term(fleet)
@@ -82,7 +82,7 @@
     return Window(seconds, before, after, totals_before, totals, terms, streams)
 
 
-async def max_term(fleet: Processes) -> int:
+async def max_term(fleet: ProcessFleet) -> int:
     statuses: list[dict[str, Any]] = [await head.status() for head in fleet.up]
     return max((each.get("term", 0) for each in statuses), default=0)
 
--- a/benchmarks/heads_detector.py
+++ b/benchmarks/heads_detector.py
@@ -71,10 +71,10 @@
 
 async def measure_processes(size: int) -> str:
     """Kill one head of a fleet of the real program; return a table row."""
-    from tests.heads.processes import heads_up
+    from tests.heads.processes import running_heads
 
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(Path(folder), count=size, seed=size) as fleet:
+        async with running_heads(Path(folder), count=size, seed=size) as fleet:
             await asyncio.sleep(5)
             before = [await h.status() for h in fleet]
             cpu = [cpu_seconds(h.process.pid) for h in fleet if h.process]
--- a/benchmarks/heads_rules.py
+++ b/benchmarks/heads_rules.py
@@ -53,12 +53,14 @@
 
 
 async def measure_undos(count: int, times: int, heads: int) -> str:
-    from tests.heads.processes import heads_up
+    from tests.heads.processes import running_heads
     from tests.heads.rules_clients import edit, undo
 
     more = 'rules: {check_within: "120s", largest: 16Mi}\n'
     with tempfile.TemporaryDirectory() as folder:
-        async with heads_up(Path(folder), count=heads, more=more, http=rules_text(1, "own")) as fleet:
+        async with running_heads(
+            Path(folder), count=heads, extra_settings=more, http=rules_text(1, "own")
+        ) as fleet:
             head, delays = fleet["h0"], []
             newest = 0
             for n in range(2):
@@ -84,16 +86,16 @@
     """Return the seconds from SIGHUP until a single head has new files of this size in force."""
     import signal
 
-    from tests.heads.processes import heads_up
-    from tests.heads.rules_clients import mark
+    from tests.heads.processes import running_heads
+    from tests.heads.rules_clients import active_mark
 
     folder.mkdir()
-    async with heads_up(folder, count=1, voters=1, http=rules_text(count, "one")) as fleet:
+    async with running_heads(folder, count=1, voters=1, http=rules_text(count, "one")) as fleet:
         head = fleet["h0"]
         (head.folder / "rules.cue").write_text(rules_text(count, "two"))
         started_at = time.monotonic()
         head.signal(signal.SIGHUP)
-        while await mark(head) != "two":
+        while await active_mark(head) != "two":
             await asyncio.sleep(0.01)
         return time.monotonic() - started_at
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -19,7 +19,7 @@
 
 from tests.soak.report import SeedReport, summary
 from tests.soak.seed import play_seed
-from tests.soak.story import CLIENTS
+from tests.soak.story import CLIENTS_PER_HEAD
 
 MAX_FINDINGS_PRINTED = 5
 # Exit statuses; argparse exits with 2 for invalid arguments.
@@ -28,7 +28,7 @@
 
 
 def run_seeds(
-    folder: Path, first: int, seeds: int, seconds: float, clients: int = CLIENTS
+    folder: Path, first: int, seeds: int, seconds: float, clients: int = CLIENTS_PER_HEAD
 ) -> list[SeedReport]:
     """Run the seeds, and print the report of each as it ends."""
     reports: list[SeedReport] = []
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,7 +16,7 @@
 
 FLEETS_AT_ONCE = 4  # of three to five processes each: more overload eight cores
 # names that a test module imports or defines if its tests start fleets
-STARTERS_OF_FLEETS = ("heads_up", "play", "Soak")
+STARTERS_OF_FLEETS = ("running_heads", "play", "Soak")
 KNOWN_RED = read_known_red()
 
 
