--- a/tests/heads/test_hollow.py
+++ b/tests/heads/test_hollow.py
@@ -230,7 +230,7 @@
 
 
 def test_real_voters_and_hollow_heads_keep_all_promises_under_faults(tmp_path):
-    """The leader is killed, hollow heads crash, and two regions are cut apart; the check_history reads all logs."""
+    """The leader is killed, hollow heads crash, and two regions are cut apart; the checker reads all logs."""
 
     async def story():
         async with running_fleet(tmp_path, SMALL_SIZE, seed=2) as fleet:
@@ -260,7 +260,7 @@
                 assert any(event["event"] == "rules.version" for event in history.logs[name]), name
             served = [line for line in history.of(Request) if line.status == 200]
             assert served and {line.head for line in served} == set(fleet.hollow.names)
-            # the check_history reads the logs of hollow heads: it reports one that goes back to an older version
+            # the checker reads the logs of hollow heads: it reports one that goes back to an older version
             name = fleet.hollow.names[0]
             newest = next(e for e in reversed(history.logs[name]) if e["event"] == "rules.version")
             history.logs[name].append(newest | {"number": 0})
