--- a/tests/heads/test_histories.py
+++ b/tests/heads/test_histories.py
@@ -1,4 +1,4 @@
-"""The check_history fails on each kind of broken history; then it judges runs of the real program."""
+"""The checker fails on each kind of broken history; then it judges runs of the real program."""
 
 from __future__ import annotations
 
--- a/tests/soak/credit_story.py
+++ b/tests/soak/credit_story.py
@@ -21,7 +21,7 @@
 KILL_FAULTS = ("kill", "kill_leader", "lose_folder", "start_cut_off")  # faults that kill a process
 SERIES = "series"
 KILL_TIMEOUT = 2.7  # seconds after SIGTERM: 0.7 s after the longest deadline of a request of this run
-UNCHARGED_WORDS = ("served", "paid in", "charged")  # words of the check_history that mark uncharged requests
+UNCHARGED_WORDS = ("served", "paid in", "charged")  # words of the checker that mark uncharged requests
 
 
 class SeriesChaos(LedgerChaos):
--- a/tests/test_request_histories.py
+++ b/tests/test_request_histories.py
@@ -1,6 +1,6 @@
 """Histories of several processes with faults, judged by what clients, nodes and discovery saw.
 
-The find_violations itself must find the violations of broken programs.
+The checker itself must find the violations of broken programs.
 """
 
 from __future__ import annotations
