--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -269,7 +269,7 @@
             replace(off, name="rules", streams=streams, more=RULES_ON, rules=http),
         ]
         async with running_heads(plans) as heads, command_sender(voters, voters["h0"]) as sender:
-            voter = (voters["h0"].host, voters["h0"].streams)
+            voter = (voters["h0"].host, voters["h0"].stream_port)
             await measure_parts_span(run, heads, voter, 0, arguments.seconds)
             await sender.make_customer()
             for rate in arguments.rates:
--- a/benchmarks/capacity/scene_clients.py
+++ b/benchmarks/capacity/scene_clients.py
@@ -44,7 +44,7 @@
             "bob": [],
         }  # heads that each editor calls; empty: any head
         self.tasks: list[asyncio.Task[None]] = []
-        self.stopping = asyncio.Event()
+        self.stop_event = asyncio.Event()
         self.accepted = 0  # number of accepted edits
         self.lost: Counter[str] = Counter()  # credit that permanently lost machines held, by customer
         self.logs_of_lost_heads: dict[str, Path] = {}  # by head, of those that are lost for good
@@ -96,7 +96,7 @@
         while not stopped:
             if (head := self.random_head()) is not None:
                 await self.pay(head, self.draws.choice(["acme", "other"]), 5 * PRICE)
-            stopped = await set_within(self.stopping, self.draws.expovariate(1 / PAY_INTERVAL))
+            stopped = await set_within(self.stop_event, self.draws.expovariate(1 / PAY_INTERVAL))
 
     async def read_repeatedly(self) -> None:
         """Read the newest version at random heads until the clients stop."""
@@ -104,13 +104,13 @@
         while not stopped:
             if (head := self.random_head()) is not None:
                 await self.read_newest(head)
-            stopped = await set_within(self.stopping, self.draws.expovariate(1 / READ_INTERVAL))
+            stopped = await set_within(self.stop_event, self.draws.expovariate(1 / READ_INTERVAL))
 
     async def edit_repeatedly(self, who: str) -> None:
         """Make the edits of one editor, at the heads that it calls, until the clients stop."""
         draws = random.Random(f"editor/{self.seed}/{who}")
         while not await set_within(
-            self.stopping, draws.expovariate(1 / (self.edit_every * len(self.editors)))
+            self.stop_event, draws.expovariate(1 / (self.edit_every * len(self.editors)))
         ):
             head = self.at(self.editors[who])
             if head is not None:
@@ -122,7 +122,7 @@
         healed = time.time()
         await self.capacity.hollow.spend((), 0.0, self.seed)
         self.stopping = True
-        self.stopping.set()
+        self.stop_event.set()
         async with asyncio.timeout(CALLS_TIMEOUT):  # the history needs the answer to each call
             await asyncio.gather(*self.tasks)
         async with asyncio.timeout(SETTLE_TIMEOUT):
--- a/benchmarks/capacity/scenes.py
+++ b/benchmarks/capacity/scenes.py
@@ -60,7 +60,7 @@
     async def wait_acknowledged(self, since: float) -> float:
         """Send commands to random real heads; return the seconds until one is acknowledged."""
         while time.monotonic() < since + LEADER_TIMEOUT:
-            head = self.clients.some()
+            head = self.clients.random_head()
             if head is not None and await self.clients.pay(head, "acme", 1_000) == 200:
                 return time.monotonic() - since
             await asyncio.sleep(RETRY_INTERVAL)
